--- a/passgate/daemon/__init__.py
+++ b/passgate/daemon/__init__.py
@@ -1,1 +1,1 @@
-"""One daemon of the users' platform, put together from its parts, and its planned stop."""
+"""Assembles one gateway daemon from its parts and shuts it down gracefully."""
--- a/passgate/daemon/cold_sending.py
+++ b/passgate/daemon/cold_sending.py
@@ -1,4 +1,9 @@
-"""Sends to cold replicas: connects what is known of them, their permits and the questions for these."""
+"""Limits the request rate of cold replicas: computes the limits, and issues and obtains permits.
+
+A cold replica can not serve its full rate yet, for example just after its start.  Where its service has a
+limit, each request to it needs a permit.  The daemon that leads the control topic issues the permits to
+all daemons.
+"""
 
 from __future__ import annotations
 
@@ -22,69 +27,76 @@
 from passgate.sharedlog.group import GroupDirectory
 from passgate.versions.control import ControlTopic
 
-REPORT_S = 1.0
-"""Time between lines about permits and cold replicas."""
-UNBOUNDED_PER_S = 1_000_000.0
-"""Rate that no replica reaches."""
-NAMED_REPLICAS = 8
-"""Replicas that a line names; the others are counted."""
+REPORT_INTERVAL_S = 1.0
+"""Least time between two decision lines about permits or about cold replicas."""
+MAX_REQUESTS_PER_S = 1_000_000.0
+"""Upper bound of a limit, so that an infinite configured rate becomes a whole number."""
+MAX_LISTED_REPLICAS = 8
+"""Most replicas that one decision line names; the line also gives the total."""
 
 
-class ColdLimits:
-    """What may reach a cold replica of each service, by the configuration in force.
+class ColdRateLimits:
+    """Rate limit of a cold replica of each service, computed from the active configuration.
 
     >>> from passgate.gateway.routes import ColdStart, GatewayConfig, Service
     >>> holder = ConfigHolder()
     >>> service = Service(name="s", cold_start=ColdStart(lasts_s=3.0, requests_per_s=16.0))
     >>> _ = holder.offer(GatewayConfig(version=1, services=(service,)))
-    >>> ColdLimits(holder, lambda: (1.5, 5.0)).of("s").most_per_s
+    >>> ColdRateLimits(holder, lambda: (1.5, 5.0)).limit_for("s").most_per_s
     29
     """
 
     def __init__(self, config: ConfigHolder, overshoot_and_slack: Callable[[], tuple[float, float]]) -> None:
+        """Create the limits.
+
+        Args:
+            config: the active configuration.
+            overshoot_and_slack: returns the factor by which a configured rate is multiplied, and the requests
+                a second that are added to the product.
+        """
         self._config = config
         self._overshoot_and_slack = overshoot_and_slack
-        self._made_of: tuple[int, float, float] = (NO_VERSION, 0.0, 0.0)
-        """Version of the configuration, overshoot and slack that the limits come from."""
+        self._computed_from: tuple[int, float, float] = (NO_VERSION, 0.0, 0.0)
+        """Configuration version, overshoot and slack that the cached limits were computed from."""
         self._limits: dict[str, ColdLimit] = {}
 
-    def of(self, service: str) -> ColdLimit | None:
-        """Return the limit of a service, or None."""
+    def limit_for(self, service: str) -> ColdLimit | None:
+        """Return the limit of a service; None if it has none or no configuration is known."""
         table = self._config.table
         if table is None:
             return None
         overshoot, slack = self._overshoot_and_slack()
-        made_of = (table.config.version, overshoot, slack)
-        if made_of != self._made_of:
-            self._made_of = made_of
+        inputs = (table.config.version, overshoot, slack)
+        if inputs != self._computed_from:
+            self._computed_from = inputs
             self._limits = {
-                each.name: ColdLimit(
-                    lasts_s=each.cold_start.lasts_s,
-                    most_per_s=_most_per_s(each.cold_start.requests_per_s * overshoot + slack),
+                entry.name: ColdLimit(
+                    lasts_s=entry.cold_start.lasts_s,
+                    most_per_s=_whole_requests_per_s(entry.cold_start.requests_per_s * overshoot + slack),
                 )
-                for each in table.config.services
-                if each.cold_start is not None
+                for entry in table.config.services
+                if entry.cold_start is not None
             }
         return self._limits.get(service)
 
     @property
-    def any(self) -> bool:
+    def has_limits(self) -> bool:
         """Whether any service has a limit."""
-        self.of("")
+        self.limit_for("")
         return bool(self._limits)
 
 
-def _most_per_s(bound: float) -> int:
-    """Return the whole requests within a bound, which an operator may have written in any way.
+def _whole_requests_per_s(rate: float) -> int:
+    """Return a configured rate, which may be negative, infinite or no number, as whole requests a second.
 
-    >>> _most_per_s(29.5), _most_per_s(-1.0), _most_per_s(math.nan), _most_per_s(math.inf)
-    (29, 0, 0, 1000000)
+    >>> [_whole_requests_per_s(rate) for rate in (29.5, -1.0, math.nan, math.inf)]
+    [29, 0, 0, 1000000]
     """
-    return math.floor(min(max(0.0, bound), UNBOUNDED_PER_S))
+    return math.floor(min(max(0.0, rate), MAX_REQUESTS_PER_S))
 
 
-class ColdSending:
-    """One daemon's part in keeping cold replicas within what they bear."""
+class ColdPermitService:
+    """Obtains this daemon's permits, issues permits while it leads, and reports both to the decision log."""
 
     def __init__(
         self,
@@ -97,92 +109,95 @@
         log_age_s: Callable[[], float],
         decisions: DecisionLog,
     ) -> None:
-        """Connect the parts.
+        """Set the limits of ``replicas`` and create the permit issuer and the exchange with peers.
 
         Args:
-            settings: returns the daemon's settings, which may be reloaded.
-            config: the configuration in force.
-            replicas: the replicas that are known, with their permits.
-            control: tells who leads.
-            transport: carries questions to other daemons.
-            directory: the members of this daemon's zone.
+            settings: returns the current settings, which may be reloaded.
+            config: the active configuration.
+            replicas: the known replicas and this daemon's permits for them.
+            control: the control topic, whose leader issues permits.
+            transport: sends permit requests to other daemons.
+            directory: the group members of this daemon's zone.
             log_age_s: returns the age of this daemon's view of the log.
-            decisions: where decisions are noted.
+            decisions: receives the decision events.
         """
         self._replicas = replicas
         self._log_age_s = log_age_s
         self._decisions = decisions
-        self._limits = ColdLimits(config, lambda: (settings().cold_overshoot, settings().cold_slack))
-        replicas.cold.limit_of = self._limits.of
-        self._grantor = PermitGrantor(
+        self._limits = ColdRateLimits(config, lambda: (settings().cold_overshoot, settings().cold_slack))
+        replicas.cold.limit_of = self._limits.limit_for
+        self._issuer = PermitGrantor(
             control.leadership,
             leader=lambda: control.fold.leader,
-            limit_of=self._limits.of,
-            cold_ms=self._cold_ms,
+            limit_of=self._limits.limit_for,
+            cold_ms=self._remaining_cold_ms,
             tally=replicas.permits.tally,
             decisions=decisions,
         )
-        self._peers = PermitPeers(
+        self._permit_peers = PermitPeers(
             transport,
-            self._grantor,
+            self._issuer,
             stock=replicas.permits,
             cold=replicas.cold,
             watcher=lambda: directory.member_of(CONTROL_PART),
             others=lambda: directory.others(""),
-            log_age_s=lambda: log_age_s() if self._limits.any else 0.0,
+            log_age_s=lambda: log_age_s() if self._limits.has_limits else 0.0,
         )
-        self._reported_cold: list[str] = []
-        """Cold replicas of the last line about them."""
-        self._reported_tally = PermitTally()
-        """Counts of permits up to the last line about them."""
-        self._reported_s = 0.0
+        self._last_reported_cold: list[str] = []
+        """Cold replicas when they were last reported."""
+        self._last_reported_counts = PermitTally()
+        """Permit counters when they were last reported."""
+        self._last_report_s = 0.0
         self.method = PERMITS_METHOD
-        """Name of the questions that :attr:`answer` takes."""
-        self.answer = self._peers.answer
-        """Answers another daemon's question, by its address."""
+        """Method name of the peer calls that :attr:`answer_peer` handles."""
+        self.answer_peer = self._permit_peers.answer
+        """Answers a permit request, given the sender's address and the encoded request.
+
+        Raises msgspec.DecodeError for a payload that is no permit request.
+        """
 
-    def _cold_ms(self) -> dict[str, int]:
-        """Return the cold replicas, with the time for which they stay so."""
+    def _remaining_cold_ms(self) -> dict[str, int]:
+        """Return the identifier of each cold replica and the milliseconds until it counts as warm."""
         now_s = monotonic_s()
         infos = [state.info for state in self._replicas.all()]
-        left_s = {info.replica_id: self._replicas.cold.left_s(info, now_s) for info in infos}
-        # A replica in doubt has no known end; what this daemon can not tell, it does not tell others.
-        return {key: round(left * 1000) for key, left in left_s.items() if 0.0 < left < math.inf}
+        remaining_s = {info.replica_id: self._replicas.cold.left_s(info, now_s) for info in infos}
+        # An infinite time marks a possibly cold replica whose end is unknown; it is not passed on to peers.
+        return {key: round(left_s * 1000) for key, left_s in remaining_s.items() if 0.0 < left_s < math.inf}
 
     async def run(self) -> None:
-        """Ask for permits and keep the books, until cancelled."""
+        """Request and issue permits and write reports, until cancelled."""
         async with asyncio.TaskGroup() as group:
-            group.create_task(self._peers.run())
-            group.create_task(self._keep_books())
+            group.create_task(self._permit_peers.run())
+            group.create_task(self._run_periodic_tasks())
 
-    async def _keep_books(self) -> None:
+    async def _run_periodic_tasks(self) -> None:
         while True:
-            self._grantor.tick()
+            self._issuer.tick()
             now_s = monotonic_s()
-            if now_s - self._reported_s >= REPORT_S:
-                self._reported_s = now_s
-                self._forget_old(now_s)
-                self._report(now_s)
+            if now_s - self._last_report_s >= REPORT_INTERVAL_S:
+                self._last_report_s = now_s
+                self._drop_expired(now_s)
+                self._report_changes(now_s)
             await asyncio.sleep(TICK_S)
 
-    def _forget_old(self, now_s: float) -> None:
-        listed = {state.info.replica_id for state in self._replicas.all()}
-        self._replicas.cold.forget(listed, now_s)
+    def _drop_expired(self, now_s: float) -> None:
+        replica_ids = {state.info.replica_id for state in self._replicas.all()}
+        self._replicas.cold.forget(replica_ids, now_s)
         self._replicas.permits.forget_old(now_s)
 
-    def _report(self, now_s: float) -> None:
-        """Write what has changed since the last look."""
+    def _report_changes(self, now_s: float) -> None:
+        """Write the set of cold replicas and the permit counters if they changed since the last report."""
         infos = [state.info for state in self._replicas.all()]
         cold = sorted(info.replica_id for info in infos if self._replicas.cold.is_cold(info, now_s))
-        if cold != self._reported_cold:
-            self._reported_cold = cold
+        if cold != self._last_reported_cold:
+            self._last_reported_cold = cold
             age_ms = round(self._log_age_s() * 1000, 1)
-            names = tuple(cold[:NAMED_REPLICAS])
-            self._decisions.write(ColdReplicasChanged(cold=len(cold), replicas=names, log_age_ms=age_ms))
-        tally = self._replicas.permits.tally
-        if tally != self._reported_tally:
-            fields = msgspec.structs.asdict(tally)
-            before = msgspec.structs.asdict(self._reported_tally)
-            self._reported_tally = msgspec.structs.replace(tally)
-            risen = {name: count - before[name] for name, count in fields.items()}
-            self._decisions.write(PermitsCounted(leader=self._peers.leader, **risen))
+            listed = tuple(cold[:MAX_LISTED_REPLICAS])
+            self._decisions.write(ColdReplicasChanged(cold=len(cold), replicas=listed, log_age_ms=age_ms))
+        counts = self._replicas.permits.tally
+        if counts != self._last_reported_counts:
+            current = msgspec.structs.asdict(counts)
+            previous = msgspec.structs.asdict(self._last_reported_counts)
+            self._last_reported_counts = msgspec.structs.replace(counts)
+            increases = {name: count - previous[name] for name, count in current.items()}
+            self._decisions.write(PermitsCounted(leader=self._permit_peers.leader, **increases))
--- a/passgate/daemon/control_topic.py
+++ b/passgate/daemon/control_topic.py
@@ -1,4 +1,4 @@
-"""This daemon's part in the control topic, put together from its settings."""
+"""Creates a daemon's writer and follower of the control topic."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 from passgate.sharedlog.log import SharedLog
 from passgate.versions.control import ControlTopic
 
-LEADING_PARTS = 3
-"""Daemons that watch one of the first partitions may lead: so many in each zone."""
+ELECTABLE_PARTITIONS = 3
+"""A daemon may lead while it watches a partition below this number; so many daemons of a zone may lead."""
 
 
 def make_control_topic(
@@ -25,22 +25,21 @@
     writer: str,
     member: GroupMember,
     peers: JobPeers,
-    duty_folds: DutyFolds,
+    duty_projections: DutyFolds,
     decisions: DecisionLog,
 ) -> ControlTopic:
-    """Return the daemon's writer and follower of the control topic.
-
-    The daemon may lead while it watches one of the first partitions.
+    """Return the daemon's writer and follower of the control topic; neither runs yet.
 
     Args:
-        log: keeps the topic.
+        log: the log that stores the topic.
         settings: the daemon's settings.
         topics: names of the topics.
-        writer: name of the daemon's present life on the log.
-        member: the daemon's membership in the group that watches partitions.
-        peers: asks other daemons whether the leader lives.
-        duty_folds: what the duties read from the topic.
-        decisions: where decisions are noted.
+        writer: name under which this incarnation of the daemon writes to the log.
+        member: the daemon's membership in the group that watches partitions; it decides whether the daemon
+            may lead.
+        peers: asks other daemons whether the leader is alive.
+        duty_projections: state of the duties, updated with each record of the topic.
+        decisions: receives the decision events.
     """
     journal = Journal(
         log,
@@ -54,9 +53,9 @@
         log,
         topics.control,
         journal,
-        lambda: any(part < LEADING_PARTS for part in member.held()),
+        lambda: any(partition < ELECTABLE_PARTITIONS for partition in member.held()),
         decisions,
         lease_s=settings.lease_s,
-        folds=(duty_folds,),
+        folds=(duty_projections,),
         sign_of=Liveness(lambda owner: peers.life_at(owner, CONTROL_PART)).sign_of,
     )
--- a/passgate/daemon/gateway_daemon.py
+++ b/passgate/daemon/gateway_daemon.py
@@ -1,7 +1,7 @@
-"""One gateway daemon: connects servers, log followers, jobs and weight orders.
+"""One gateway daemon: creates and runs its HTTP servers, log followers, jobs and load orders.
 
-Everything that lasts stands on the shared log; a daemon that starts knows nothing
-and answers "not ready" until it has read the configuration and the replicas.
+All durable state is on the shared log.  A daemon starts without any state and is not ready until it has
+read the configuration, the replicas and the crash reports.
 """
 
 from __future__ import annotations
@@ -13,12 +13,12 @@
 
 from passgate.clients.curl import HttpClient
 from passgate.clock import monotonic_s
-from passgate.daemon.cold_sending import ColdSending
+from passgate.daemon.cold_sending import ColdPermitService
 from passgate.daemon.control_topic import make_control_topic
-from passgate.daemon.job_partitions import make_shards
-from passgate.daemon.planned_stop import RELEASE_WAIT_S, PlannedStop
-from passgate.daemon.replica_rules import make_replicas
-from passgate.daemon.runners import RunnerMaker
+from passgate.daemon.job_partitions import make_job_partitions
+from passgate.daemon.job_runner_factory import JobRunnerFactory
+from passgate.daemon.planned_stop import RELEASE_TIMEOUT_S, GracefulShutdown
+from passgate.daemon.replica_table import make_replica_table
 from passgate.daemon.topics import LogTopics
 from passgate.decisions import (
     ConfigurationInForce,
@@ -60,66 +60,81 @@
 from passgate.statecharts import Machine
 from passgate.versions.loader import Loader, ReplicaControl, WantedVersions, read_life
 
-WATCH_S = 0.1
-"""Time between looks at the log's freshness and the daemon's life."""
-FLUSH_S = 0.2
-"""Time between writes of decision lines."""
-LOG_LOST_S = 2.5
-"""Age of the view of the log from which it counts as lost: two long polls and a half."""
-RELAYING_PART = 0
-"""The daemon of a zone that watches this partition relays a long list of replicas."""
-CONFIGURED_STEP_S = 0.05
-"""Time between looks for the first configuration."""
-DUTY_METHODS = "duties."
-"""Questions between daemons whose method begins so are about duties."""
+WATCH_INTERVAL_S = 0.1
+"""Time between checks of the initial state and of the age of the log's view."""
+DECISION_FLUSH_INTERVAL_S = 0.2
+"""Least time between two flushes of the decision log."""
+LOG_LOST_AFTER_S = 2.5
+"""Age of the view of the log from which the log counts as lost: two and a half long polls."""
+RELAY_PARTITION = 0
+"""In each zone, the daemon that watches this partition relays the list of replicas when it is long."""
+CONFIGURATION_POLL_S = 0.05
+"""Time between checks whether the first configuration has been read."""
+DUTY_METHOD_PREFIX = "duties."
+"""Prefix of the methods of peer calls about singleton duties."""
 
 
 class GatewayDaemon:
-    """One daemon.  An adapter gives it the log, the topics' meaning and the callers' handler."""
+    """One daemon; a platform adapter supplies the log, the decoders and the handler of callers' requests."""
 
     def __init__(
         self,
         settings: GatewaySettings,
-        names: HeaderNames,
+        header_names: HeaderNames,
         topics: LogTopics,
         http: HttpClient,
         log: SharedLog,
-        control: ReplicaControl,
-        decoder: ReplicaDecoder,
-        peers: PeerTransport,
+        replica_control: ReplicaControl,
+        replica_decoder: ReplicaDecoder,
+        peer_transport: PeerTransport,
         duty_calls: DutyCalls | None = None,
     ) -> None:
+        """Create the parts; nothing runs until :meth:`run`.
+
+        Args:
+            settings: the daemon's settings.
+            header_names: names of the platform's HTTP headers.
+            topics: names of the log's topics and groups.
+            http: client for the calls to replicas.
+            log: the shared log.
+            replica_control: sends orders and queries to replicas.
+            replica_decoder: decodes entries of discovery.
+            peer_transport: carries calls between daemons.
+            duty_calls: calls for the singleton duties; None where the platform has none.
+        """
         self.settings = settings
         self.http = http
         self.start_id = secrets.token_hex(4)
-        writer = writer_name(settings.daemon_id, self.start_id, peers.address)
+        writer = writer_name(settings.daemon_id, self.start_id, peer_transport.address)
         self.metrics = GatewayMetrics()
         self.decisions = DecisionLog(settings.daemon_id, observe=self.metrics.observe)
         log = CountedLog(log, self.metrics.count_log_call)
         self.config = ConfigHolder(settings.places)
         self.evacuated = EvacuatedZones(self.decisions)
-        self.replicas = make_replicas(settings, self.config, self.evacuated, self.metrics)
+        self.replicas = make_replica_table(settings, self.config, self.evacuated, self.metrics)
         self.wanted = WantedVersions(self.decisions)
         self._discovery = Discovery(
             log,
             topics.replicas,
-            decoder,
+            replica_decoder,
             DiscoveryView(self.replicas, self.decisions),
             settings.daemon_id,
-            lambda: RELAYING_PART in self._member.held(),
+            lambda: RELAY_PARTITION in self._group_member.held(),
             self.decisions,
         )
         self._log = log
-        self._crashes = Crashes(
-            log, topics.crashes, self.replicas.set_aside, self.decisions, partial(read_life, control)
+        self._crash_service = Crashes(
+            log, topics.crashes, self.replicas.set_aside, self.decisions, partial(read_life, replica_control)
         )
-        caller = ReplicaCaller(http, self.replicas, names, self._crashes.guard)
-        runners = RunnerMaker(caller, self.replicas, names, self.config, self.decisions, self.evacuated)
-        self._peers = peers
-        member = member_name(settings.daemon_id, peers.address, settings.cores)
+        caller = ReplicaCaller(http, self.replicas, header_names, self._crash_service.guard)
+        runner_factory = JobRunnerFactory(
+            caller, self.replicas, header_names, self.config, self.decisions, self.evacuated
+        )
+        self._peer_transport = peer_transport
+        member = member_name(settings.daemon_id, peer_transport.address, settings.cores)
         candidacy = Candidacy(settings.cores)
         group = group_of_zone(topics.watch_group, settings.zone)
-        self._member = GroupMember(
+        self._group_member = GroupMember(
             log,
             group,
             member,
@@ -128,21 +143,23 @@
             candidacy=candidacy,
             least_lifetime_s=settings.group_lifetime_s,
         )
-        self._directory = GroupDirectory(log, group, topics.jobs, candidacy)
+        self._group_directory = GroupDirectory(log, group, topics.jobs, candidacy)
         distances = self.replicas.distances
-        self._elsewhere = OtherZones(
+        self._other_zones = OtherZones(
             log, topics.watch_group, topics.jobs, distances.nearest_first, distances.fallback_zones
         )
-        job_peers = JobPeers(peers, self._directory, member, self.decisions, distances, self._elsewhere)
-        self._duty_folds = duty_folds = DutyFolds()
-        self._control = make_control_topic(
+        job_peers = JobPeers(
+            peer_transport, self._group_directory, member, self.decisions, distances, self._other_zones
+        )
+        self._duty_projections = duty_projections = DutyFolds()
+        self._control_topic = make_control_topic(
             log,
             settings,
             topics,
             writer,
-            member=self._member,
+            member=self._group_member,
             peers=job_peers,
-            duty_folds=duty_folds,
+            duty_projections=duty_projections,
             decisions=self.decisions,
         )
         self._duties: Duties | None = None
@@ -150,10 +167,10 @@
             self._duties = Duties(
                 settings.duties,
                 duty_calls,
-                self._control,
-                duty_folds,
-                peers,
-                self._directory,
+                self._control_topic,
+                duty_projections,
+                peer_transport,
+                self._group_directory,
                 self.decisions,
                 config=self.config,
                 replicas=self.replicas,
@@ -162,66 +179,77 @@
                 holder=settings.daemon_id,
             )
         self._configuration_peers = ConfigurationPeers(
-            peers,
-            lambda: self._directory.others(member),
+            peer_transport,
+            lambda: self._group_directory.others(member),
             self.config,
             self.evacuated,
             self._log_age_s,
             self.put_config,
             self.decisions,
         )
-        self.cold = ColdSending(
+        self.cold_permits = ColdPermitService(
             lambda: self.settings,
             self.config,
             self.replicas,
-            control=self._control,
-            transport=peers,
-            directory=self._directory,
+            control=self._control_topic,
+            transport=peer_transport,
+            directory=self._group_directory,
             log_age_s=self._log_age_s,
             decisions=self.decisions,
         )
-        self._crash_peers = CrashPeers(peers, lambda: self._directory.others(member), self._crashes.channel)
+        self._crash_peers = CrashPeers(
+            peer_transport, lambda: self._group_directory.others(member), self._crash_service.channel
+        )
         counts_usage = settings.duties is not None and settings.duties.usage
         meter = self._duties.meter if self._duties is not None and counts_usage else None
-        self.forwarder = Forwarder(caller, self.replicas, names, self.decisions, self.config, meter)
+        self.forwarder = Forwarder(caller, self.replicas, header_names, self.decisions, self.config, meter)
         self.stream_forwarder = StreamForwarder(
-            caller, self.replicas, names, self.decisions, self.config, meter
+            caller, self.replicas, header_names, self.decisions, self.config, meter
         )
-        self.shards = make_shards(
+        self.shards = make_job_partitions(
             log,
             settings,
             topics,
             writer,
             config=self.config,
-            member=self._member,
+            member=self._group_member,
             candidacy=candidacy,
-            runners=runners,
+            runners=runner_factory,
             peers=job_peers,
             decisions=self.decisions,
         )
         self.jobs = JobService(
-            self.shards, job_peers, self._control.journal, self.wanted.newest, self._log_age_s, self.decisions
+            self.shards,
+            job_peers,
+            self._control_topic.journal,
+            self.wanted.newest,
+            self._log_age_s,
+            self.decisions,
         )
-        self._loader = Loader(
+        self._version_loader = Loader(
             self.wanted,
             self.replicas,
-            self._control.leadership,
-            control,
+            self._control_topic.leadership,
+            replica_control,
             settings.daemon_id,
-            self._control.fold.newest_jobs,
-            self._crashes.guard,
+            self._control_topic.fold.newest_jobs,
+            self._crash_service.guard,
             self.decisions,
         )
         self._keyed_tails: list[KeyedTail] = []
-        self._flushed_s = 0.0
-        self._stop = asyncio.Event()
-        self.life = Machine("daemon")
-        """Life of this daemon, by the chart of that name."""
+        self._last_flush_s = 0.0
+        self._stop_requested = asyncio.Event()
+        self.lifecycle = Machine("daemon")
+        """State of this daemon, by the chart ``daemon``."""
 
-    # --- beliefs -----------------------------------------------------------------
+    # --- state read from the log ---------------------------------------------------
 
     def put_config(self, config: GatewayConfig) -> None:
-        """Take a configuration; one that contradicts itself changes nothing."""
+        """Apply a configuration if its version is higher than that of the active one.
+
+        An inconsistent configuration is rejected with a decision event and changes nothing.  Must not be
+        called before :meth:`run`, which creates the server on which the new limits are set.
+        """
         try:
             newer = self.config.offer(config)
         except InvalidConfiguration as error:
@@ -230,90 +258,104 @@
         if newer:
             self.decisions.write(ConfigurationInForce(version=config.version, routes=len(config.routes)))
             limits = config.limits
-            self._front.set_limits(max_body_bytes=limits.max_body_bytes, idle_timeout_s=limits.idle_timeout_s)
+            self._ingress.set_limits(
+                max_body_bytes=limits.max_body_bytes, idle_timeout_s=limits.idle_timeout_s
+            )
 
     def follow(self, topic: str, gap_s: float, replace: Callable, update: Callable) -> None:
-        """Follow a keyed topic with an adapter's translation."""
+        """Register a keyed topic to follow; its reading begins with :meth:`run`.
+
+        The first topic that is registered must be the operator's: its freshness is the age of the log's view.
+
+        Args:
+            topic: the topic.
+            gap_s: pause between two reads.
+            replace: takes the newest record of each key, and the offset of the next record.
+            update: takes further records, and the offset of the first of them.
+        """
         settings = TailSettings(topic=topic, gap_s=gap_s, urgent=True)
         self._keyed_tails.append(KeyedTail(self._log, settings, replace=replace, update=update))
 
-    # --- life --------------------------------------------------------------------
+    # --- lifecycle -----------------------------------------------------------------
 
     def ready(self) -> bool:
-        """Whether callers should be sent here."""
-        return self.life.within("serving")
+        """Whether the readiness probe succeeds: the initial state is read and no shutdown has begun."""
+        return self.lifecycle.within("serving")
 
-    def _knows_all(self) -> bool:
-        return self.config.table is not None and self._discovery.loaded and self._crashes.loaded
+    def _has_initial_state(self) -> bool:
+        return self.config.table is not None and self._discovery.loaded and self._crash_service.loaded
 
     @property
-    def _log_freshness(self) -> Freshness:
-        """How fresh this daemon's view of what the operator writes is."""
+    def _operator_topic_freshness(self) -> Freshness:
+        """Freshness of this daemon's view of the operator's topic."""
         return self._keyed_tails[0].freshness
 
     def _log_age_s(self) -> float:
-        return self._log_freshness.age_s(monotonic_s())
+        return self._operator_topic_freshness.age_s(monotonic_s())
 
     @property
     def configuration_may_be_stale(self) -> bool:
-        """Whether a newer configuration may be in force, as neither the log nor a daemon tells."""
-        return self._configuration_peers.age_s() >= LOG_LOST_S
+        """Whether the active configuration may have been superseded.
+
+        True once neither the log nor a peer has confirmed it as the newest for LOG_LOST_AFTER_S.
+        """
+        return self._configuration_peers.age_s() >= LOG_LOST_AFTER_S
 
     @property
     def configuration_expired(self) -> bool:
-        """Whether the operator wants requests refused, as the configuration may be too old."""
+        """Whether requests must be refused: the settings demand it when the configuration is too old."""
         settings = self.settings
         return settings.fail_closed and self._configuration_peers.age_s() > settings.configuration_age_s
 
     @property
     def stopping(self) -> bool:
-        """Whether a planned stop has begun."""
-        return self.life.within("stopping")
+        """Whether a graceful shutdown has begun."""
+        return self.lifecycle.within("stopping")
 
     def reload(self, settings: GatewaySettings) -> None:
-        """Put changed settings in force; addresses that it listens on stay as they are."""
+        """Apply changed settings; the addresses that the daemon listens on stay as they were."""
         changed = settings != self.settings
         self.settings = settings
-        self._control.leadership.lease_s = settings.lease_s
+        self._control_topic.leadership.lease_s = settings.lease_s
         self.decisions.write(SettingsReloaded(changed=changed))
 
     def stop(self) -> None:
-        """Begin a planned stop."""
-        if self.life.can("stop"):
-            self.life.send("stop")
-        self._stop.set()
+        """Begin a graceful shutdown; :meth:`run` returns when it has ended.  Further calls have no effect."""
+        if self.lifecycle.can("stop"):
+            self.lifecycle.send("stop")
+        self._stop_requested.set()
 
     async def run(self, handler: Handler) -> None:
-        """Serve until a planned stop has ended."""
-        self._front = Ingress(handler)
-        self._ready_server = Ingress(probe_handler(self.ready, self._exposition))
-        self._front.listen(self.settings.front_address)
-        self._ready_server.listen(self.settings.ready_address)
+        """Serve callers' requests with a handler until a graceful shutdown has ended."""
+        self._ingress = Ingress(handler)
+        self._probe_ingress = Ingress(probe_handler(self.ready, self._collect_metrics))
+        self._ingress.listen(self.settings.front_address)
+        self._probe_ingress.listen(self.settings.ready_address)
         self.decisions.write(self._started_event())
-        self._peers.start(_ignore_message, self._answer_peer)
+        self._peer_transport.start(_ignore_message, self._answer_peer)
         background = [
             self._discovery.run(),
-            self._crashes.run(),
+            self._crash_service.run(),
             *(tail.run() for tail in self._keyed_tails),
             self._run_when_configured(),
             self._watch_log(),
         ]
         try:
             async with asyncio.TaskGroup() as group:
-                tasks = [group.create_task(part) for part in background]
-                await self._stop.wait()
-                await PlannedStop(
-                    self._front,
-                    self.life,
-                    self._hand_over,
-                    self._flush_counts,
+                tasks = [group.create_task(coroutine) for coroutine in background]
+                await self._stop_requested.wait()
+                await GracefulShutdown(
+                    self._ingress,
+                    self.lifecycle,
+                    self._release_ownership,
+                    self._flush_usage,
                     self.decisions,
                     grace_s=self.settings.stop_grace_s,
                 ).run()
                 for task in tasks:
                     task.cancel()
         finally:
-            await self._peers.close()
+            await self._peer_transport.close()
         self.decisions.flush()
 
     def _started_event(self) -> DaemonStarted:
@@ -324,73 +366,74 @@
             scaling_policy=duties.scaling.value if duties is not None else "",
         )
 
-    def _exposition(self) -> bytes:
+    def _collect_metrics(self) -> bytes:
+        """Update the gauges and return all metrics in the text format of Prometheus."""
         self.metrics.log_age.set(self._log_age_s())
         self.metrics.evacuated_zones.set(len(self.evacuated))
         self.metrics.evacuation_age.set(self._configuration_peers.evacuations_age_s())
-        self.metrics.in_flight.set(self._front.in_flight)
+        self.metrics.in_flight.set(self._ingress.in_flight)
         self.metrics.jobs_owned.set(self.shards.running)
-        self.metrics.leads.set(self._control.leadership.leads)
-        self.metrics.usage_late.set(self._duty_folds.usage.late)
+        self.metrics.leads.set(self._control_topic.leadership.leads)
+        self.metrics.usage_late.set(self._duty_projections.usage.late)
         return self.metrics.exposition()
 
     async def _run_when_configured(self) -> None:
         while self.config.table is None:
-            await asyncio.sleep(CONFIGURED_STEP_S)
+            await asyncio.sleep(CONFIGURATION_POLL_S)
         async with asyncio.TaskGroup() as group:
-            group.create_task(self._member.run())
-            group.create_task(self._control.run())
+            group.create_task(self._group_member.run())
+            group.create_task(self._control_topic.run())
             group.create_task(self.shards.run())
-            group.create_task(self._directory.keep_known())
-            group.create_task(self._elsewhere.keep_known())
-            group.create_task(self._loader.run())
+            group.create_task(self._group_directory.keep_known())
+            group.create_task(self._other_zones.keep_known())
+            group.create_task(self._version_loader.run())
             group.create_task(self._configuration_peers.run())
             group.create_task(self._crash_peers.run())
-            group.create_task(self.cold.run())
+            group.create_task(self.cold_permits.run())
             if self._duties is not None:
                 group.create_task(self._duties.run())
 
     async def _answer_peer(self, sender: str, method: str, payload: bytes) -> bytes:
-        if self._duties is not None and method.startswith(DUTY_METHODS):
+        if self._duties is not None and method.startswith(DUTY_METHOD_PREFIX):
             return await self._duties.answer_peer(sender, method, payload)
         if method == CONFIGURATION_METHOD:
             return self._configuration_peers.answer(payload)
-        if method == self.cold.method:
-            return self.cold.answer(sender, payload)
+        if method == self.cold_permits.method:
+            return self.cold_permits.answer_peer(sender, payload)
         if method == CRASH_REPORTS_METHOD:
             return self._crash_peers.answer(payload)
         return await self.jobs.answer_peer(sender, method, payload)
 
     async def _watch_log(self) -> None:
         while True:
-            await asyncio.sleep(WATCH_S)
-            if self.life.within("starting") and self._knows_all():
-                self.life.send("caught_up")
-                self.life.send("joined")
-            self._note_log_state(self._log_age_s())
+            await asyncio.sleep(WATCH_INTERVAL_S)
+            if self.lifecycle.within("starting") and self._has_initial_state():
+                self.lifecycle.send("caught_up")
+                self.lifecycle.send("joined")
+            self._update_log_state(self._log_age_s())
             now_s = monotonic_s()
-            if now_s - self._flushed_s >= FLUSH_S:
-                self._flushed_s = now_s
+            if now_s - self._last_flush_s >= DECISION_FLUSH_INTERVAL_S:
+                self._last_flush_s = now_s
                 self.decisions.flush()
 
-    def _note_log_state(self, age_s: float) -> None:
-        if age_s >= LOG_LOST_S and self.life.can("log_lost"):
-            self.life.send("log_lost")
+    def _update_log_state(self, age_s: float) -> None:
+        if age_s >= LOG_LOST_AFTER_S and self.lifecycle.can("log_lost"):
+            self.lifecycle.send("log_lost")
             self.decisions.write(DependencyLost(dependency="log", age_s=round(age_s, 3)))
-        elif age_s < LOG_LOST_S and self.life.can("log_back"):
-            self.life.send("log_back")
+        elif age_s < LOG_LOST_AFTER_S and self.lifecycle.can("log_back"):
+            self.lifecycle.send("log_back")
             self.decisions.write(DependencyRegained(dependency="log"))
 
-    async def _hand_over(self) -> None:
-        """Free all that is owned, then leave the group."""
-        stands = [*self.shards.stop(), self._control.stop()]
-        await asyncio.wait(stands, timeout=RELEASE_WAIT_S)
-        await self._member.leave()
+    async def _release_ownership(self) -> None:
+        """Release jobs and leadership on the log, then leave the group that watches partitions."""
+        confirmations = [*self.shards.stop(), self._control_topic.stop()]
+        await asyncio.wait(confirmations, timeout=RELEASE_TIMEOUT_S)
+        await self._group_member.leave()
 
-    async def _flush_counts(self) -> None:
+    async def _flush_usage(self) -> None:
         if self._duties is not None:
             await self._duties.meter.flush()
 
 
 def _ignore_message(sender: str, payload: bytes) -> None:
-    """Daemons of the platform ask questions only."""
+    """Ignore a one-way message, as daemons of this platform send calls only."""
--- a/passgate/daemon/http_client.py
+++ b/passgate/daemon/http_client.py
@@ -1,4 +1,4 @@
-"""The HTTP client that a daemon uses towards the log and the replicas."""
+"""Creates the HTTP client for a daemon's calls to the log and the replicas."""
 
 from __future__ import annotations
 
@@ -6,15 +6,15 @@
 from passgate.clients.curl import HttpClient
 
 CONNECT_TIMEOUT_S = 0.7
-"""Time for a new connection; a lost opening packet is sent again only after a second."""
+"""Time to open a connection; shorter than the 1 s after which the kernel resends a lost SYN."""
 UNACKNOWLEDGED_TIMEOUT_S = 2.0
-"""Time after which a connection whose bytes are not acknowledged is dead; two lost packets are borne."""
+"""A connection whose sent bytes are not acknowledged for so long is closed; survives two lost packets."""
 MAX_BUFFERED_BYTES = 32 * 1024
-"""Unread bytes of one answer after which its connection is paused."""
+"""Unread bytes of one response after which reading from its connection pauses."""
 
 
 def make_http_client() -> HttpClient:
-    """Return the client that a daemon uses towards the log and the replicas."""
+    """Return a client that resolves no host names: its URLs must hold IP addresses."""
     return HttpClient(
         HttpLimits(
             resolve_names=False,
--- a/passgate/daemon/job_partitions.py
+++ b/passgate/daemon/job_partitions.py
@@ -1,8 +1,8 @@
-"""The partitions of batch jobs of one daemon, put together from its settings."""
+"""Creates a daemon's partitions of batch jobs."""
 
 from __future__ import annotations
 
-from passgate.daemon.runners import RunnerMaker
+from passgate.daemon.job_runner_factory import JobRunnerFactory
 from passgate.daemon.topics import LogTopics
 from passgate.decisions import DecisionLog
 from passgate.gateway.routes import ConfigHolder
@@ -15,7 +15,7 @@
 from passgate.sharedlog.log import SharedLog
 
 
-def make_shards(
+def make_job_partitions(
     log: SharedLog,
     settings: GatewaySettings,
     topics: LogTopics,
@@ -23,23 +23,23 @@
     config: ConfigHolder,
     member: GroupMember,
     candidacy: Candidacy,
-    runners: RunnerMaker,
+    runners: JobRunnerFactory,
     peers: JobPeers,
     decisions: DecisionLog,
 ) -> JobShards:
-    """Return the partitions; none is followed before they run.
+    """Return the partitions; none is followed until they run.
 
     Args:
-        log: keeps the jobs.
+        log: the log that stores the jobs.
         settings: the daemon's settings.
         topics: names of the topics.
-        writer: name of the daemon's present life on the log.
-        config: the configuration in force.
+        writer: name under which this incarnation of the daemon writes to the log.
+        config: the active configuration.
         member: the daemon's membership in the group that watches partitions.
-        candidacy: whether the machine is large enough for jobs that no watcher takes.
-        runners: makes the runners of jobs.
+        candidacy: decides whether this daemon may take ownership of new jobs.
+        runners: creates the runners of jobs.
         peers: asks other daemons about jobs.
-        decisions: where decisions are noted.
+        decisions: receives the decision events.
     """
     shard_settings = ShardSettings(
         topic=topics.jobs,
--- a/passgate/daemon/runners.py
+++ b/passgate/daemon/job_runner_factory.py
@@ -1,4 +1,4 @@
-"""Makes the runners of jobs from what one daemon's runs share."""
+"""Creates job runners that share one daemon's state about waiting items, output durations and streams."""
 
 from __future__ import annotations
 
@@ -22,40 +22,56 @@
 from passgate.jobs.waiting import WaitingLine
 
 
-class RunnerMaker:
-    """What all runs of a daemon share: the waiting line, learnt durations, the tools of reward calls."""
+class JobRunnerFactory:
+    """Creates the runners of all jobs of a daemon."""
 
     def __init__(
         self,
         caller: ReplicaCaller,
         replicas: ReplicaTable,
-        names: HeaderNames,
+        header_names: HeaderNames,
         config: ConfigHolder,
         decisions: DecisionLog,
-        evacuated: Container[str],
+        evacuated_zones: Container[str],
     ) -> None:
+        """Create the state that all runners share.
+
+        Args:
+            caller: sends requests to replicas.
+            replicas: the known replicas.
+            header_names: names of the platform's HTTP headers.
+            config: the active configuration.
+            decisions: receives the decision events.
+            evacuated_zones: the zones that are being evacuated.
+        """
         self._caller = caller
         self._replicas = replicas
-        self._names = names
+        self._header_names = header_names
         self._config = config
         self._decisions = decisions
-        self._evacuated = evacuated
-        self._waiting = WaitingLine()
-        self._durations = OutputDurations()
-        self._silence = StreamSilence()
-        self._rewards = RewardTools(
+        self._evacuated_zones = evacuated_zones
+        self._waiting_line = WaitingLine()
+        self._output_durations = OutputDurations()
+        self._stream_silence = StreamSilence()
+        self._reward_tools = RewardTools(
             find_route=config.find_route,
             terms_for=config.terms_for,
             caller=caller,
             replicas=replicas,
-            names=names,
+            names=header_names,
             decisions=decisions,
             parts=WeightedChoice(),
             lines=defaultdict(asyncio.Lock),
         )
 
-    def make(self, fold: JobFold, journal: Journal, job: JobState) -> JobRunner | None:
-        """Return the runner of a job; None while no route fits."""
+    def make(self, projection: JobFold, journal: Journal, job: JobState) -> JobRunner | None:
+        """Return a runner of a job, which is not started; None if no active route matches the job's path.
+
+        Args:
+            projection: state of the job's partition.
+            journal: writer to the job's partition.
+            job: the job.
+        """
         spec = job.spec()
         route = self._config.find_route(spec.host, spec.path)
         if route is None:
@@ -64,13 +80,13 @@
             route=route,
             caller=self._caller,
             replicas=self._replicas,
-            names=self._names,
+            names=self._header_names,
             decisions=self._decisions,
-            waiting=self._waiting,
-            durations=self._durations,
-            rewards=self._rewards,
-            silence=self._silence,
+            waiting=self._waiting_line,
+            durations=self._output_durations,
+            rewards=self._reward_tools,
+            silence=self._stream_silence,
             terms_for=self._config.terms_for,
-            group_replicas=GroupReplicas(self._replicas, self._evacuated),
+            group_replicas=GroupReplicas(self._replicas, self._evacuated_zones),
         )
-        return JobRunner(job, fold, journal, tools)
+        return JobRunner(job, projection, journal, tools)
--- a/passgate/daemon/planned_stop.py
+++ b/passgate/daemon/planned_stop.py
@@ -1,7 +1,8 @@
-"""The planned stop of a daemon: announce, hand over, finish what was begun, close.
+"""Graceful shutdown of a daemon after SIGTERM or SIGINT.
 
-SIGTERM leads here.  Readiness fails at once, jobs and the lead are handed over, requests in
-flight get their answers, and what arrives at the very end is refused as not run.
+The readiness probe already fails when it begins.  The daemon releases its jobs and leadership while it
+goes on serving.  It then refuses new requests as not run, lets requests in flight finish, and closes all
+connections.
 """
 
 from __future__ import annotations
@@ -15,89 +16,92 @@
 from passgate.gateway.ingress import Ingress
 from passgate.statecharts import Machine
 
-NOTICE_S = 3.0
-"""Time after SIGTERM within which the platform still sends new connections."""
-RELEASE_WAIT_S = 5.0
-"""Longest time after SIGTERM for which the log is waited for to hand over jobs."""
-LAST_ANSWERS_S = 0.7
-"""Time for requests in flight once new ones are refused; plain requests take 0.2 s at most when calm."""
-FLUSH_S = 0.2
-"""Time to hand on what is still counted here."""
-CLOSE_S = 0.2
-"""Time for connections to close."""
-STOP_RESERVE_S = LAST_ANSWERS_S + FLUSH_S + CLOSE_S + 0.1
-"""Part of the grace that is left for ending; the remainder is for the process to exit."""
-STOP_STEP_S = 0.05
-"""Time between looks whether all is done."""
+MIN_SERVING_S = 3.0
+"""Least time of serving after the shutdown began, as the platform still opens new connections for so long."""
+RELEASE_TIMEOUT_S = 5.0
+"""Longest wait for the log to confirm that jobs and leadership are released, from the shutdown's begin."""
+DRAIN_TIMEOUT_S = 0.7
+"""Longest wait for requests in flight once new ones are refused."""
+FLUSH_TIMEOUT_S = 0.2
+"""Longest time to send the usage counts that only this daemon holds."""
+CLOSE_TIMEOUT_S = 0.2
+"""Longest time to close all connections."""
+SHUTDOWN_RESERVE_S = DRAIN_TIMEOUT_S + FLUSH_TIMEOUT_S + CLOSE_TIMEOUT_S + 0.1
+"""Part of the grace period kept for the steps after serving; its last 0.1 s is for the process to exit."""
+POLL_INTERVAL_S = 0.05
+"""Time between checks of the conditions to go on."""
 
 
-class PlannedStop:
-    """One planned stop."""
+class GracefulShutdown:
+    """Shuts one daemon down; :meth:`run` is called once."""
 
     def __init__(
         self,
-        front: Ingress,
-        life: Machine,
-        hand_over: Callable[[], Awaitable[None]],
-        flush: Callable[[], Awaitable[None]],
+        ingress: Ingress,
+        lifecycle: Machine,
+        release_ownership: Callable[[], Awaitable[None]],
+        flush_usage: Callable[[], Awaitable[None]],
         decisions: DecisionLog,
         *,
         grace_s: float,
     ) -> None:
-        """Prepare the stop.
+        """Create the shutdown; nothing happens until :meth:`run`.
 
         Args:
-            front: the server of callers' requests.
-            life: state chart of the daemon's life.
-            hand_over: frees all that the daemon owns.
-            flush: hands on what only this daemon knows; called once nothing is begun any more.
-            decisions: where decisions are noted.
+            ingress: the server of callers' requests.
+            lifecycle: the daemon's lifecycle chart, in its state ``stopping``.
+            release_ownership: releases the daemon's jobs and leadership and leaves the group.
+            flush_usage: sends the usage counts that only this daemon holds; called once no request can start.
+            decisions: receives the decision events.
             grace_s: time from SIGTERM to SIGKILL.
         """
-        self._front = front
-        self._life = life
-        self._hand_over = hand_over
-        self._flush = flush
+        self._ingress = ingress
+        self._lifecycle = lifecycle
+        self._release_ownership = release_ownership
+        self._flush_usage = flush_usage
         self._decisions = decisions
         self._grace_s = grace_s
 
     async def run(self) -> None:
-        """Stop; return when all connections are closed or the grace is nearly over."""
-        began_s = monotonic_s()
-        self._decisions.write(DaemonStopping(in_flight=self._front.in_flight))
-        self._life.send("announced")
-        self._front.close_after_answers()
-        await self._serve_on(began_s)
-        # From here on nothing is begun: what arrives while connections are closed is refused.
-        self._front.refuse_new()
-        self._front.stop_listening()
-        await self._wait_for_answers(monotonic_s() + LAST_ANSWERS_S)
-        self._life.send("finished")
-        after_s = round(monotonic_s() - began_s, 3)
-        self._decisions.write(DaemonStopped(in_flight=self._front.in_flight, after_s=after_s))
-        await _within(FLUSH_S, self._flush())
-        await _within(CLOSE_S, self._front.close())
-        self._life.send("handed_over")
+        """Shut down; return when all connections are closed or the grace period is nearly over."""
+        started_s = monotonic_s()
+        self._decisions.write(DaemonStopping(in_flight=self._ingress.in_flight))
+        self._lifecycle.send("announced")
+        self._ingress.close_after_answers()
+        await self._serve_until_released(started_s)
+        # A request that started from here on could be cut off by the close, so it is refused as not run.
+        self._ingress.refuse_new()
+        self._ingress.stop_listening()
+        await self._wait_until_drained(monotonic_s() + DRAIN_TIMEOUT_S)
+        self._lifecycle.send("finished")
+        after_s = round(monotonic_s() - started_s, 3)
+        self._decisions.write(DaemonStopped(in_flight=self._ingress.in_flight, after_s=after_s))
+        await _run_with_timeout(FLUSH_TIMEOUT_S, self._flush_usage())
+        await _run_with_timeout(CLOSE_TIMEOUT_S, self._ingress.close())
+        self._lifecycle.send("handed_over")
 
-    async def _serve_on(self, began_s: float) -> None:
-        """Serve until nothing is in flight and all is handed over, or the grace is nearly over."""
-        handing_over = asyncio.ensure_future(self._hand_over())
-        end_s = began_s + self._grace_s - STOP_RESERVE_S
-        while monotonic_s() < end_s:
-            await asyncio.sleep(STOP_STEP_S)
-            waited_s = monotonic_s() - began_s
-            handed_over = handing_over.done() or waited_s >= RELEASE_WAIT_S
-            if handed_over and self._front.in_flight == 0 and waited_s >= NOTICE_S:
+    async def _serve_until_released(self, started_s: float) -> None:
+        """Release ownership and serve until that is done and no request is in flight.
+
+        Serves for at least MIN_SERVING_S, and ends in any case when the grace period is nearly over.
+        """
+        release = asyncio.ensure_future(self._release_ownership())
+        deadline_s = started_s + self._grace_s - SHUTDOWN_RESERVE_S
+        while monotonic_s() < deadline_s:
+            await asyncio.sleep(POLL_INTERVAL_S)
+            elapsed_s = monotonic_s() - started_s
+            released = release.done() or elapsed_s >= RELEASE_TIMEOUT_S
+            if released and self._ingress.in_flight == 0 and elapsed_s >= MIN_SERVING_S:
                 return
 
-    async def _wait_for_answers(self, until_s: float) -> None:
-        """Let requests that were begun before the daemon refused new ones get their answers."""
-        while self._front.in_flight and monotonic_s() < until_s:
-            await asyncio.sleep(STOP_STEP_S)
+    async def _wait_until_drained(self, until_s: float) -> None:
+        """Wait until no request is in flight, at most until a loop time."""
+        while self._ingress.in_flight and monotonic_s() < until_s:
+            await asyncio.sleep(POLL_INTERVAL_S)
 
 
-async def _within(timeout_s: float, step: Awaitable[None]) -> None:
-    """Run a last step; the process ends soon, so one that takes longer is given up."""
+async def _run_with_timeout(timeout_s: float, step: Awaitable[None]) -> None:
+    """Run a step and cancel it after its timeout; that is no error, as the process exits next."""
     with contextlib.suppress(TimeoutError):
         async with asyncio.timeout(timeout_s):
             await step
--- a/passgate/daemon/replica_rules.py
+++ b/passgate/daemon/replica_table.py
@@ -1,4 +1,4 @@
-"""The replicas that a daemon knows, with the rules that keep requests from some of them."""
+"""Creates a daemon's replica table, with the rules that exclude replicas."""
 
 from __future__ import annotations
 
@@ -12,14 +12,18 @@
 from passgate.gateway.settings import GatewaySettings
 
 
-def make_replicas(
-    settings: GatewaySettings, config: ConfigHolder, evacuated: EvacuatedZones, metrics: GatewayMetrics
+def make_replica_table(
+    settings: GatewaySettings, config: ConfigHolder, evacuated_zones: EvacuatedZones, metrics: GatewayMetrics
 ) -> ReplicaTable:
-    """Return a table without replicas and with all rules; those that leave or are cold are its own."""
+    """Return an empty table with the rules for regions, evacuated zones and unknown services.
+
+    The table itself adds the rules for draining and cold replicas.  When a zone's evacuation ends, the zone's
+    replicas count as cold.
+    """
     replicas = ReplicaTable(settings.places)
-    evacuated.on_ended.append(lambda zone: replicas.turned_cold(zone, monotonic_s()))
+    evacuated_zones.on_ended.append(lambda zone: replicas.turned_cold(zone, monotonic_s()))
     replicas.rules.add(RegionRule(settings.places, metrics.count_region_send))
-    replicas.rules.add(EvacuationRule(evacuated))
+    replicas.rules.add(EvacuationRule(evacuated_zones))
     replicas.rules.add(KnownServiceRule(config.names_service))
     metrics.show_kept_back(replicas.rules.kept_back)
     return replicas
--- a/passgate/daemon/topics.py
+++ b/passgate/daemon/topics.py
@@ -1,4 +1,4 @@
-"""Names of the topics and groups on the log that a daemon uses; an adapter fills them in."""
+"""Names of the log's topics and groups that a daemon uses; a platform adapter supplies them."""
 
 from __future__ import annotations
 
@@ -8,12 +8,17 @@
 
 
 class LogTopics(msgspec.Struct, frozen=True, kw_only=True):
-    """Topics that a daemon follows, by the names of the log."""
+    """Names of the topics that a daemon reads and writes, and of its group."""
 
     operator: str
+    """Keyed topic to which the operator writes configurations, evacuations and target versions."""
     replicas: ReplicaTopics
+    """Topics of replica discovery."""
     jobs: str
+    """Topic of batch jobs; a job's host selects its partition."""
     control: str
+    """Topic of leadership, new jobs and singleton duties."""
     crashes: str
+    """Keyed topic of the reports that a replica crashed while it ran a request."""
     watch_group: str
-    """Each zone has a group of this name whose members watch the partitions of the jobs' topic."""
+    """Prefix of the name of each zone's group, whose members watch the partitions of the topic of jobs."""
--- a/tests/test_platform_daemon.py
+++ b/tests/test_platform_daemon.py
@@ -1,4 +1,4 @@
-"""One daemon of the users' platform over real sockets, with stand-ins of the platform."""
+"""One platform daemon over real sockets, with stand-ins for the log and the replicas."""
 
 import asyncio
 import contextlib
@@ -13,7 +13,7 @@
 import pytest
 
 from passgate.clients.calls import HttpCall, SendPolicy
-from passgate.daemon import planned_stop
+from passgate.daemon import planned_stop as shutdown
 from passgate.daemon.http_client import make_http_client
 from passgate.errors import PassgateError
 from passgate.jobs import item_run
@@ -26,7 +26,7 @@
 HOST = "h.example"
 
 
-PORT_TRIES = 4
+MAX_PORT_ATTEMPTS = 4
 
 
 def is_port_taken(error):
@@ -40,7 +40,7 @@
 
 
 class World:
-    """Stand-ins and one daemon, in one loop."""
+    """Stand-ins for the log and the replicas, and one daemon, in one event loop."""
 
     def __init__(self):
         self.log = stand_ins.LogService().start()
@@ -59,7 +59,7 @@
         self.log.put("keyed.op", "config", document)
 
     async def start(self, *, ready=True):
-        """Start the daemon."""
+        """Start the daemon; with ``ready``, return when it is ready."""
         self.daemon, self.task = await start_daemon_anywhere("d1", self.log.address)
         if ready:
             await self.until(self.daemon.ready)
@@ -118,8 +118,8 @@
 
 
 async def start_daemon_anywhere(name, log_address):
-    """Start a daemon at free ports; another process may take one before the daemon listens there."""
-    for _ in range(PORT_TRIES):
+    """Start a daemon at free ports, again if another process takes one before the daemon listens there."""
+    for _ in range(MAX_PORT_ATTEMPTS):
         daemon, task = start_daemon(
             stand_ins.settings_text(name, log_address, free_address(), free_address())
         )
@@ -130,7 +130,7 @@
 
 
 def in_world(test):
-    """Run a coroutine test with a world."""
+    """Decorate a coroutine test: run it in an event loop of its own with a new :class:`World`."""
 
     def run():
         async def main():
@@ -169,7 +169,7 @@
 
 
 @in_world
-async def test_unknown_routes_are_not_found_and_new_ones_come_into_force(world):
+async def test_unmatched_paths_get_404_and_only_newer_configurations_are_applied(world):
     world.replica("i-1", "app")
     world.configure(3, stand_ins.safe_route())
     await world.start()
@@ -212,7 +212,7 @@
 
 
 @in_world
-async def test_a_silent_replica_costs_no_request(world):
+async def test_requests_succeed_despite_an_unresponsive_replica(world):
     world.replica("i-1", "app").faults.dark = True
     world.replica("i-2", "app")
     world.configure(1, stand_ins.safe_route())
@@ -235,7 +235,7 @@
 
 
 @in_world
-async def test_an_unsafe_request_goes_on_when_a_replica_promised_not_to_run_it(world):
+async def test_unsafe_request_is_retried_after_a_replica_refused_it_as_not_run(world):
     world.replica("i-1", "app").faults.refusing = True
     world.replica("i-2", "app")
     world.configure(1, stand_ins.safe_route(kind="unsafe"))
@@ -245,12 +245,12 @@
 
 
 @in_world
-async def test_full_replicas_lead_to_a_refusal_at_once_with_the_time_to_come_back(world):
+async def test_request_is_refused_at_once_with_retry_after_when_all_replicas_are_full(world):
     world.replica("i-1", "app").faults.refusing = True
     world.configure(1, stand_ins.safe_route())
     await world.start()
     answer = await world.call("POST", "/call/x", b"", deadline_ms=30_000)
-    assert answer.status == 503  # well before the 10 s after which this caller gives up
+    assert answer.status == 503  # the caller's own timeout is 10 s
     assert 0 < float(answer.headers["Retry-After"]) < 1
 
 
@@ -264,7 +264,7 @@
 
 
 @in_world
-async def test_a_request_expects_its_replica_so_that_a_reused_address_never_runs_it(world):
+async def test_request_is_not_run_by_another_replica_at_a_reused_address(world):
     app = world.replica("i-1", "app")
     world.configure(1, stand_ins.safe_route())
     await world.start()
@@ -289,7 +289,7 @@
 
 
 @in_world
-async def test_a_batch_job_is_taken_once_and_read_from_any_position(world):
+async def test_repeated_job_is_accepted_once_and_its_results_are_read_from_any_position(world):
     world.replica("i-1", "llm", models={"m": 1}.items())
     world.configure(1, stand_ins.batch_route())
     await world.start()
@@ -312,7 +312,7 @@
 
 
 @in_world
-async def test_an_interrupted_stream_goes_on_after_its_last_event(world):
+async def test_interrupted_stream_of_an_item_resumes_after_its_last_event(world):
     replicas = [world.replica(f"i-{number}", "llm", models={"m": 1}.items()) for number in range(2)]
     for replica in replicas:
         replica.faults.break_after = 2
@@ -339,12 +339,12 @@
 
 
 @in_world
-async def test_an_item_made_by_too_old_weights_is_not_listed(world):
+async def test_output_of_weights_older_than_the_job_allows_is_discarded(world):
     old = world.replica("i-1", "llm", models={"m": 1}.items())
     world.replica("i-2", "llm", models={"m": 3}.items())
     world.configure(1, stand_ins.batch_route())
     await world.start()
-    # Discovery is ahead of the truth: the replica still makes events of version 1.
+    # The daemon takes the replica to hold version 3, but it still generates events of version 1.
     world.daemon.replicas.get("i-1").observed_versions["m"] = 3
     ids = [f"item{number}" for number in range(6)]
     await world.call("POST", "/stream/j", stand_ins.job_body(ids, min_version=3), request_id="job1")
@@ -355,7 +355,7 @@
 
 
 @in_world
-async def test_an_item_that_fails_as_often_as_its_route_allows_is_dead(world):
+async def test_item_is_dead_after_as_many_failures_as_its_route_allows(world):
     world.replica("i-1", "llm", models={"m": 1}.items()).faults.failing = 500
     world.configure(1, stand_ins.batch_route(maxAttempts=3))
     await world.start()
@@ -366,7 +366,7 @@
 
 
 @in_world
-async def test_an_item_that_can_never_be_done_is_dead_at_once(world):
+async def test_item_that_a_replica_rejects_as_invalid_is_dead_after_one_attempt(world):
     world.replica("i-1", "llm", models={"m": 1}.items()).faults.failing = 422
     world.configure(1, stand_ins.batch_route())
     await world.start()
@@ -395,7 +395,7 @@
 
 
 @in_world
-async def test_a_job_whose_append_is_in_doubt_promises_nothing(world):
+async def test_job_with_an_unconfirmed_append_is_not_reported_as_refused(world):
     world.replica("i-1", "llm", models={"m": 1}.items())
     world.configure(1, stand_ins.batch_route())
     await world.start()
@@ -410,11 +410,11 @@
 
 
 @in_world
-async def test_a_daemon_that_cannot_be_sure_does_not_say_that_a_job_is_unknown(world):
+async def test_unknown_job_gets_503_instead_of_404_while_the_log_is_unavailable(world):
     world.configure(1, stand_ins.batch_route())
     await world.start()
     async with asyncio.timeout(8.0):
-        # Until it has read the partition to its end, within 0.9 s of real time, the daemon is not sure.
+        # The daemon answers 503 until its view of the partition is current.
         while (status := (await world.call("GET", "/-/lots/nojob")).status) != 404:
             assert status == 503
     world.log.faults.refusing = True
@@ -423,7 +423,7 @@
 
 
 @in_world
-async def test_a_job_is_not_said_to_be_unknown_while_the_log_answers_too_late(world):
+async def test_unknown_job_gets_503_instead_of_404_while_the_log_is_slow(world):
     world.configure(1, stand_ins.batch_route())
     await world.start()
     world.log.faults.slow_s = 1.0
@@ -431,7 +431,7 @@
 
 
 @in_world
-async def test_bad_jobs_get_a_typed_refusal(world):
+async def test_malformed_jobs_are_refused_as_not_run(world):
     world.configure(1, stand_ins.batch_route())
     await world.start()
     for body in (b"", b"{", b'{"requests":[]}', stand_ins.job_body(["same", "same"])):
@@ -441,7 +441,7 @@
 
 
 @in_world
-async def test_named_versions_are_loaded_with_a_fence_and_the_expected_count(world):
+async def test_target_versions_are_loaded_with_one_fence_and_consecutive_order_counts(world):
     replicas = [world.replica(f"i-{number}", "llm", models={"m": 1}.items()) for number in range(3)]
     world.configure(1, stand_ins.batch_route())
     await world.start()
@@ -454,24 +454,24 @@
 
 
 @in_world
-async def test_a_caller_that_leaves_ends_the_work_at_the_replica(world):
+async def test_caller_disconnect_cancels_the_request_to_the_replica(world):
     app = world.replica("i-1", "app", work_s=3.0)
     world.configure(1, stand_ins.safe_route(maxAttempts=1, timeoutMs=5000))
     await world.start()
     call = asyncio.create_task(world.call("POST", "/call/x", b"", deadline_ms=5000))
     await world.until(lambda: app.runs)
     call.cancel()
-    await world.until(lambda: world.daemon._front.in_flight == 0, timeout_s=1.0)
+    await world.until(lambda: world.daemon._ingress.in_flight == 0, timeout_s=1.0)
     await world.until(lambda: world.daemon.replicas.get("i-1").in_flight == 0, timeout_s=1.0)
 
 
 @in_world
-async def test_a_planned_stop_answers_what_it_has_taken(world):
+async def test_graceful_shutdown_answers_requests_in_flight(world):
     world.replica("i-1", "app", work_s=0.5)
     world.configure(1, stand_ins.safe_route(maxAttempts=1))
     await world.start()
     call = asyncio.create_task(world.call("POST", "/call/x", b""))
-    await world.until(lambda: world.daemon._front.in_flight == 1)
+    await world.until(lambda: world.daemon._ingress.in_flight == 1)
     world.daemon.stop()
     assert (await call).status == 200
     assert not world.daemon.ready()
@@ -489,7 +489,7 @@
 
 
 @in_world
-async def test_a_stream_is_passed_on_whole(world):
+async def test_stream_is_forwarded_completely(world):
     world.replica("i-1", "llm", models={"m": 2}.items())
     world.configure(1, stream_route(resumable=False))
     await world.start()
@@ -501,7 +501,7 @@
 
 
 @in_world
-async def test_a_resumable_stream_goes_on_at_another_replica_within_one_answer(world):
+async def test_resumable_stream_continues_at_another_replica_within_one_response(world):
     replicas = [world.replica(f"i-{number}", "llm", models={"m": 2}.items()) for number in range(3)]
     for replica in replicas[:2]:
         replica.faults.break_after = 2
@@ -513,7 +513,7 @@
 
 
 @in_world
-async def test_a_resumable_stream_leaves_a_replica_that_is_much_slower(world):
+async def test_resumable_stream_moves_away_from_a_much_slower_replica(world):
     slow = world.replica("i-1", "llm", models={"m": 2}.items())
     slow.faults.slow = 30.0
     world.configure(1, stream_route(resumable=True, maxAttempts=3, timeoutMs=9000))
@@ -532,7 +532,7 @@
 
 
 @in_world
-async def test_a_stream_that_may_run_once_ends_incomplete_when_it_breaks(world):
+async def test_non_resumable_stream_ends_incomplete_when_its_replica_breaks_off(world):
     replicas = [world.replica(f"i-{number}", "llm", models={"m": 2}.items()) for number in range(2)]
     for replica in replicas:
         replica.faults.break_after = 2
@@ -552,7 +552,7 @@
 
 
 @in_world
-async def test_a_changed_settings_file_is_put_in_force(world):
+async def test_changed_settings_file_is_applied_and_an_invalid_one_ignored(world):
     world.configure(1, stand_ins.safe_route())
     await world.start()
     with tempfile.TemporaryDirectory() as folder:
@@ -572,7 +572,7 @@
 
 
 @in_world
-async def test_a_long_list_is_read_through_refusals_for_the_rate(world):
+async def test_long_keyed_topic_is_read_completely_despite_throttling(world):
     for number in range(1200):
         world.log.put("keyed.long", f"k{number:04}", {"n": number})
     log = PlatformLog(world.http, world.log.address)
@@ -602,13 +602,16 @@
     assert [run.whole for run in faster.runs] == [True]
 
 
-async def stop_under_calls(world, *, apart_s, calls):
-    """Stop the daemon while eight callers go on, begun ``apart_s`` apart; return each call's status."""
+async def stop_under_load(world, *, stagger_s, calls_per_caller):
+    """Stop the daemon while eight callers, started ``stagger_s`` apart, send requests one after another.
+
+    Returns each request's identifier with its status, None for a request without a response.
+    """
     statuses = {}
 
-    async def call_on(number):
-        await asyncio.sleep(number * apart_s)
-        for step in range(calls):
+    async def send_requests(number):
+        await asyncio.sleep(number * stagger_s)
+        for step in range(calls_per_caller):
             request_id = f"r{number}-{step}"
             statuses[request_id] = None
             try:
@@ -619,7 +622,7 @@
                 if world.task.done():
                     return
 
-    callers = [asyncio.create_task(call_on(number)) for number in range(8)]
+    callers = [asyncio.create_task(send_requests(number)) for number in range(8)]
     await asyncio.sleep(0.2)
     world.daemon.stop()
     await asyncio.gather(*callers)
@@ -629,47 +632,47 @@
 
 
 @in_world
-async def test_the_end_of_a_planned_stop_cuts_no_request_that_a_replica_has(world):
+async def test_graceful_shutdown_cuts_off_no_request_that_a_replica_received(world):
     app = world.replica("i-1", "app", work_s=0.03)
     world.configure(1, stand_ins.safe_route(maxAttempts=1))
     await world.start()
-    with unittest.mock.patch.object(planned_stop, "NOTICE_S", 0.3):
-        statuses = await stop_under_calls(world, apart_s=0.0, calls=400)
-    cut = [run.request_id for run in app.runs if statuses[run.request_id] != 200]
-    assert cut == []
+    with unittest.mock.patch.object(shutdown, "MIN_SERVING_S", 0.3):
+        statuses = await stop_under_load(world, stagger_s=0.0, calls_per_caller=400)
+    cut_off = [run.request_id for run in app.runs if statuses[run.request_id] != 200]
+    assert cut_off == []
     assert set(statuses.values()) <= {200, 503, None}
 
 
 @in_world
-async def test_a_stop_whose_grace_ends_lets_requests_in_flight_get_their_answers(world):
-    """Callers out of step keep a request in flight at each moment, so the grace is used up."""
+async def test_requests_in_flight_at_the_end_of_the_grace_period_are_answered(world):
+    """Staggered callers keep a request in flight at all times, so the shutdown uses up its grace period."""
     app = world.replica("i-1", "app", work_s=0.1)
     world.configure(1, stand_ins.safe_route(maxAttempts=1))
     await world.start()
     world.daemon.settings = msgspec.structs.replace(world.daemon.settings, stop_grace_s=2.0)
-    with unittest.mock.patch.object(planned_stop, "NOTICE_S", 0.3):
-        statuses = await stop_under_calls(world, apart_s=0.013, calls=100)
+    with unittest.mock.patch.object(shutdown, "MIN_SERVING_S", 0.3):
+        statuses = await stop_under_load(world, stagger_s=0.013, calls_per_caller=100)
     assert [run.request_id for run in app.runs if statuses[run.request_id] != 200] == []
 
 
 @in_world
-async def test_a_request_that_arrives_at_the_very_end_is_refused_as_not_run(world):
+async def test_request_received_after_draining_began_is_refused_as_not_run(world):
     app = world.replica("i-1", "app")
     world.configure(1, stand_ins.safe_route())
     await world.start()
-    world.daemon._front.refuse_new()
+    world.daemon._ingress.refuse_new()
     answer = await world.call("POST", "/call/x", b"")
     assert (answer.status, app.runs) == (503, [])
 
 
 @in_world
-async def test_the_world_starts_also_when_its_first_port_is_taken(world):
-    """Two runs of the tests side by side choose from the same free ports."""
+async def test_world_starts_when_its_first_port_is_taken(world):
+    """Test processes that run in parallel choose from the same free ports."""
     with socket.socket() as other:
         other.bind(("127.0.0.1", 0))
         other.listen()
-        taken = f"127.0.0.1:{other.getsockname()[1]}"
-        addresses = [taken, free_address(), free_address(), free_address()]
+        occupied = f"127.0.0.1:{other.getsockname()[1]}"
+        addresses = [occupied, free_address(), free_address(), free_address()]
         world.replica("i-1", "app")
         world.configure(1, stand_ins.safe_route())
         with unittest.mock.patch(f"{__name__}.free_address", side_effect=addresses):
@@ -678,7 +681,7 @@
 
 
 @in_world
-async def test_a_cold_replica_gets_no_more_than_its_rate_and_all_once_it_is_warm(world):
+async def test_cold_replica_is_rate_limited_until_it_is_warm(world):
     per_s = 5
     replica = world.replica("i-1", "app", cold_ms=30_000)
     document = stand_ins.config_document(1, [stand_ins.safe_route()], ["app"])
@@ -694,7 +697,7 @@
     assert all(later - first > 1.0 for first, later in zip(began_s, began_s[per_s:], strict=False))
     replica.cold_ms = 0
     replica.tell()
-    await world.until(lambda: not world.daemon.replicas.cold.is_cold(info_of(world, "i-1"), time_s()))
+    await world.until(lambda: not world.daemon.replicas.cold.is_cold(info_of(world, "i-1"), loop_time_s()))
     answers = [await world.call("POST", "/call/x", b"", request_id=f"w{number}") for number in range(20)]
     assert {answer.status for answer in answers} == {200}
 
@@ -703,5 +706,5 @@
     return world.daemon.replicas.get(replica_id).info
 
 
-def time_s():
+def loop_time_s():
     return asyncio.get_running_loop().time()
