--- a/passgate/clock.py
+++ b/passgate/clock.py
@@ -1,13 +1,13 @@
-"""Time source shared by daemons, the emulator and simulations.
+"""Clocks of daemons, the emulator and simulations.
 
-All code reads time from the running event loop, so the same code runs against
-the wall clock and, on a loop made by :func:`new_virtual_loop`, in virtual time.
+All code reads the time from the running event loop, so the same code runs in real time and, on a loop from
+:func:`new_virtual_loop`, in virtual time.
 
 >>> loop = new_virtual_loop()
->>> async def nap():
+>>> async def sleep_an_hour():
 ...     await asyncio.sleep(3600)
 ...     return monotonic_s()
->>> round(loop.run_until_complete(nap()))
+>>> round(loop.run_until_complete(sleep_an_hour()))
 3600
 >>> loop.close()
 """
@@ -23,39 +23,39 @@
 
 
 def since_boot_s() -> float:
-    """Return seconds since the machine was booted; unlike the steady clock it counts suspensions."""
+    """Return the seconds since the machine was booted; unlike CLOCK_MONOTONIC, they include suspensions."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 class DaemonEventLoop(asyncio.SelectorEventLoop):
-    """The loop of a daemon: its clock also counts the time for which the machine was suspended.
+    """Event loop of a daemon, whose clock includes the time for which the machine was suspended.
 
-    Linux's steady clock stands still then, while leases lapse, callers leave and the log goes on.
-    Timers that came due meanwhile fire when the loop next wakes; a daemon's ticks wake it each 0.1 s.
+    CLOCK_MONOTONIC stops during a suspension, while leases expire and deadlines of callers pass.  Timers that
+    became due during it fire when the loop next wakes, which a daemon's periodic tasks ensure within 0.1 s.
     """
 
     def time(self) -> float:
-        """Return seconds since the machine was booted, suspensions included."""
+        """Return the seconds since the machine was booted, suspensions included."""
         return since_boot_s()
 
 
-CANCEL_ROUNDS = 20
-"""Most rounds of cancelling what a run left behind."""
+MAX_CANCEL_ROUNDS = 20
+"""Most rounds in which :func:`run_virtual` cancels the remaining tasks; each may start new ones."""
 
 
 def monotonic_s() -> float:
-    """Return the running loop's time in seconds; monotonic, arbitrary origin."""
+    """Return the running loop's time in seconds, which is monotonic and has an arbitrary origin."""
     return asyncio.get_running_loop().time()
 
 
 def unix_s() -> float:
-    """Return wall-clock seconds that daemons can compare; on a virtual loop its own time."""
+    """Return the Unix time in seconds, comparable between daemons; on a virtual loop, the loop's time."""
     loop = asyncio.get_running_loop()
     return loop.time() if hasattr(loop, "setup_looptime") else time.time()
 
 
 def new_virtual_loop() -> asyncio.AbstractEventLoop:
-    """Return an event loop whose time jumps to the next timer (library: looptime)."""
+    """Return an event loop in virtual time, which jumps to the next timer; needs the package looptime."""
     import looptime
 
     loop = looptime.new_event_loop(start=0.0)
@@ -64,25 +64,25 @@
 
 
 def run_virtual(main: Coroutine[Any, Any, Result]) -> Result:
-    """Run ``main`` to its end on a virtual loop of its own, then cancel what it left behind.
+    """Run a coroutine on a new virtual loop and return its result; then cancel all remaining tasks.
 
-    >>> run_virtual(asyncio.sleep(3600, "rested"))
-    'rested'
+    >>> run_virtual(asyncio.sleep(3600, "done"))
+    'done'
     """
     loop = new_virtual_loop()
     try:
         return loop.run_until_complete(main)
     finally:
-        _cancel_all(loop)
+        _cancel_remaining_tasks(loop)
         loop.close()
 
 
-def _cancel_all(loop: asyncio.AbstractEventLoop) -> None:
-    """Cancel what is left, and what that starts in turn, until nothing is or the rounds are over."""
-    for _ in range(CANCEL_ROUNDS):
-        left = asyncio.all_tasks(loop)
-        if not left:
+def _cancel_remaining_tasks(loop: asyncio.AbstractEventLoop) -> None:
+    """Cancel all tasks of a loop, and those that they start meanwhile, for MAX_CANCEL_ROUNDS at most."""
+    for _ in range(MAX_CANCEL_ROUNDS):
+        remaining = asyncio.all_tasks(loop)
+        if not remaining:
             return
-        for task in left:
+        for task in remaining:
             task.cancel()
-        loop.run_until_complete(asyncio.wait(left))
+        loop.run_until_complete(asyncio.wait(remaining))
--- a/passgate/explain.py
+++ b/passgate/explain.py
@@ -1,14 +1,13 @@
-"""``passgate explain ID``: the life of one request, job or item from the daemons' logs.
+"""Implements ``passgate explain ID``: explains one request, job or item from the daemons' decision logs.
 
-Reads decision lines of any number of daemons, also behind a prefix that another
-tool put before them, shows the lines that name the ID in order, and says what went
-wrong.
+Reads the decision lines of any number of daemons, also with a prefix that another tool has added, shows the
+lines with the identifier in order of time, and states the result or the cause of the failure.
 
 >>> lines = ['{"time":1.0,"daemon":"d","event":"forward_sent","request_id":"r","replica_id":"e"}',
 ...          '{"time":1.2,"daemon":"d","event":"forward_ended","request_id":"r","status":504,'
 ...          '"reason":"deadline_exceeded","replicas":["e"],"elapsed_ms":200.0}']
->>> story = explain("r", lines)
->>> story.verdict
+>>> explanation = explain("r", lines)
+>>> explanation.verdict
 'answered 504 after 200 ms (deadline_exceeded): no replica answered within the time limit; tried e'
 """
 
@@ -25,16 +24,19 @@
 from passgate.errors import InvalidRequest
 from passgate.gateway.access import SCOPE_MARK
 
-Line = dict[str, Any]
-"""One decision line as read; its fields are those of :mod:`passgate.decisions`."""
+LogLine = dict[str, Any]
+"""A decoded decision line; its fields are those of an event of :mod:`passgate.decisions`."""
 
 ID_FIELDS = ("request_id", "job_id", "item_id", "replica_id", "fingerprint")
-HEAD_FIELDS = frozenset({"time", "up", "daemon", "event"})
-FAILURE_STATUS = 400
+"""Fields in which an identifier is looked for."""
+COMMON_FIELDS = frozenset({"time", "up", "daemon", "event"})
+"""Fields of all events, which stand before an event's own fields in the output."""
+FIRST_ERROR_STATUS = 400
 REWARD_EVENTS = frozenset({"reward_sent", "reward_failed"})
 
 REWARD_ANSWERED_500 = "the replica answered 500"
-REASONS = {
+"""Reason that a ``reward_failed`` line gives for this answer."""
+DESCRIPTION_BY_CODE = {
     "no_replica_available": "replicas were full, set aside or not known; nothing ran",
     "no_replica_in_regions": "no replica of the allowed regions could take it; nothing ran",
     "no_region_allowed": "its route and tenant allow no region in common; nothing ran",
@@ -43,50 +45,56 @@
     "backend_unreachable": "connections to replicas failed after the request was sent",
     "missing_credential": "the request carried no API key; nothing ran",
     "malformed_credential": "the request's API key was not in the bearer form, or sent twice; nothing ran",
-    "unknown_key": "no tenant of the configuration in force holds the request's API key; nothing ran",
-    "no_route": "no route of the configuration in force matches",
+    "unknown_key": "the request's API key belongs to no tenant of the active configuration; nothing ran",
+    "no_route": "no route of the active configuration matches",
     "log_unavailable": "the log refused or could not be reached; the job never runs",
     "durability_unknown": "the answer of the log was lost; the job may run",
-    "malformed_body": "the body is no batch job",
+    "malformed_body": "the body is not a batch job",
     "backend_refused": "the replica was full or loading",
-    "replica_replaced": "another replica listens at the address of the one that was asked",
-    "send_forbidden": "nothing was sent: the replica leaves, or a rule keeps requests from it",
-    "send_too_late": "nothing was sent: the permit for a cold replica ran out while the connection opened",
-    "incomplete_answer": "the stream broke off or fell silent",
+    "replica_replaced": "a different replica listens at the replica's address",
+    "send_forbidden": "nothing was sent: the replica is draining, or a rule excludes it",
+    "send_too_late": "nothing was sent: the permit for a cold replica expired before the connection was open",
+    "incomplete_answer": "the stream ended early or no data arrived for too long",
     "version_too_old": "the replica's weights were older than the job allows",
     "moved_elsewhere": "another replica was much faster",
     "answer_mismatch": "the answer belonged to another request",
     REWARD_ANSWERED_500: "the scorer failed; as many of these as the routes allow end the item",
 }
+"""Error code, or other reason in a decision line, to its description for an operator."""
 
 
-class Story(msgspec.Struct, frozen=True, kw_only=True):
-    """What the logs say about one ID."""
+class Explanation(msgspec.Struct, frozen=True, kw_only=True):
+    """What the logs say about one identifier."""
 
     lines: tuple[str, ...]
+    """The lines with the identifier, formatted for a person, in order of time."""
     verdict: str
+    """The result, or the cause of the failure."""
 
 
-def read_lines(texts: Iterable[str]) -> list[Line]:
-    """Return the decision lines among texts; anything else is passed over."""
+def parse_lines(raw_lines: Iterable[str]) -> list[LogLine]:
+    """Return the decision lines; any other line is skipped.
+
+    The key ``_order`` of each holds the time by which lines are sorted.
+    """
     found = []
-    for text in texts:
-        start = text.find("{")
+    for raw_line in raw_lines:
+        start = raw_line.find("{")
         if start < 0:
             continue
         try:
-            line = json.loads(text[start:])
+            line = json.loads(raw_line[start:])
         except ValueError:
             continue
         if isinstance(line, dict) and "event" in line:
             line.setdefault("time", 0.0)
-            line["_order"] = _prefix_time(text[:start], line["time"])
+            line["_order"] = _time_of_prefix(raw_line[:start], line["time"])
             found.append(line)
     return found
 
 
-def _prefix_time(prefix: str, default: float) -> float:
-    """Return the time that a tool wrote before a line, which all daemons share."""
+def _time_of_prefix(prefix: str, default: float) -> float:
+    """Return the time at the begin of a prefix; it comes from one clock for the lines of all daemons."""
     first = prefix.split(None, 1)[0] if prefix.strip() else ""
     try:
         return float(first)
@@ -94,135 +102,140 @@
         return float(default)
 
 
-def explain(wanted: str, texts: Iterable[str]) -> Story:
-    """Return the life of an ID; raises InvalidRequest when no line names it."""
-    lines = read_lines(texts)
-    mine = [line for line in lines if any(_names(line, name, wanted) for name in ID_FIELDS)]
-    if not mine:
-        raise InvalidRequest(f"no line names {wanted}")
-    mine.sort(key=lambda line: (line["_order"], line["time"]))
-    return Story(lines=tuple(_show(line) for line in mine), verdict=_verdict(wanted, mine, lines))
+def explain(identifier: str, raw_lines: Iterable[str]) -> Explanation:
+    """Explain an identifier; raises InvalidRequest when no line holds it."""
+    lines = parse_lines(raw_lines)
+    matching = [line for line in lines if any(_has_identifier(line, name, identifier) for name in ID_FIELDS)]
+    if not matching:
+        raise InvalidRequest(f"no decision line holds the identifier {identifier}")
+    matching.sort(key=lambda line: (line["_order"], line["time"]))
+    return Explanation(
+        lines=tuple(_format_line(line) for line in matching), verdict=_verdict(identifier, matching, lines)
+    )
 
 
-def _names(line: Line, field: str, wanted: str) -> bool:
-    """Whether a line's field holds an ID; a job's ID follows the name of its tenant."""
-    told = line.get(field)
-    return told == wanted or (field == "job_id" and str(told).endswith(f"{SCOPE_MARK}{wanted}"))
+def _has_identifier(line: LogLine, field: str, identifier: str) -> bool:
+    """Whether a line's field holds an identifier; that of a job may follow the name of its tenant."""
+    value = line.get(field)
+    return value == identifier or (field == "job_id" and str(value).endswith(f"{SCOPE_MARK}{identifier}"))
 
 
-def _show(line: Line) -> str:
+def _format_line(line: LogLine) -> str:
     fields = " ".join(
         f"{name}={value}"
         for name, value in line.items()
-        if name not in HEAD_FIELDS and not name.startswith("_")
+        if name not in COMMON_FIELDS and not name.startswith("_")
     )
     return f"{line['_order']:>10.3f} {line.get('daemon', '?')} {line['event']} {fields}"
 
 
-def _verdict(wanted: str, mine: list[Line], lines: list[Line]) -> str:
-    if any(line.get("item_id") == wanted for line in mine):
-        return _item_verdict(mine, lines)
-    items = {line["item_id"] for line in mine if line["event"] in REWARD_EVENTS}
+def _verdict(identifier: str, matching: list[LogLine], all_lines: list[LogLine]) -> str:
+    if any(line.get("item_id") == identifier for line in matching):
+        return _item_verdict(matching, all_lines)
+    items = {line["item_id"] for line in matching if line["event"] in REWARD_EVENTS}
     if items:
-        of_item = [line for line in lines if line.get("item_id") in items]
-        return f"reward call of item {', '.join(sorted(items))}: {_item_verdict(of_item, lines)}"
-    if any(line.get("job_id") == wanted for line in mine):
-        return _job_verdict(mine)
-    if any(line.get("fingerprint") == wanted for line in mine):
-        return _fingerprint_verdict(mine)
-    return _request_verdict(mine)
+        of_item = [line for line in all_lines if line.get("item_id") in items]
+        return f"reward call of item {', '.join(sorted(items))}: {_item_verdict(of_item, all_lines)}"
+    if any(line.get("job_id") == identifier for line in matching):
+        return _job_verdict(matching)
+    if any(line.get("fingerprint") == identifier for line in matching):
+        return _fingerprint_verdict(matching)
+    return _request_verdict(matching)
 
 
-def _because(code: str) -> str:
-    known = code.partition(":")[0]
-    return REASONS.get(known, known or "no reason was given")
+def _describe_code(code: str) -> str:
+    """Return the description of an error code, which a message may follow; the code itself if it has none."""
+    code_alone = code.partition(":")[0]
+    return DESCRIPTION_BY_CODE.get(code_alone, code_alone or "no reason was given")
 
 
-def _request_verdict(mine: list[Line]) -> str:
-    ends = [line for line in mine if line["event"] in ("forward_ended", "request_refused")]
+def _request_verdict(matching: list[LogLine]) -> str:
+    ends = [line for line in matching if line["event"] in ("forward_ended", "request_refused")]
     if not ends:
         return "no answer was logged: the caller left, the daemon ended, or the line was dropped"
     end = ends[-1]
     status, reason = end["status"], end.get("reason", "")
     after = f" after {end['elapsed_ms']:.0f} ms" if "elapsed_ms" in end else ""
     tried = ", ".join(end.get("replicas", [])) or "no replica"
-    if status < FAILURE_STATUS:
+    if status < FIRST_ERROR_STATUS:
         return f"answered {status}{after}; tried {tried}"
     if not reason:
         return f"answered {status}{after}: the replica's own answer; tried {tried}"
-    return f"answered {status}{after} ({reason}): {_because(reason)}; tried {tried}"
+    return f"answered {status}{after} ({reason}): {_describe_code(reason)}; tried {tried}"
 
 
-def _fingerprint_verdict(mine: list[Line]) -> str:
-    """Say how the attempts of all tries of one request failed."""
-    failures = [line for line in mine if line["event"] == "attempt_failed"]
-    tries = {line["request_id"] for line in failures}
+def _fingerprint_verdict(matching: list[LogLine]) -> str:
+    """Summarize the failed attempts of all requests with the same content."""
+    failures = [line for line in matching if line["event"] == "attempt_failed"]
+    request_ids = {line["request_id"] for line in failures}
     replicas = ", ".join(dict.fromkeys(line["replica_id"] for line in failures))
     return (
-        f"{len(failures)} failed attempts in {len(tries)} tries of one request, "
-        f"at {replicas} ({_reasons(failures)})"
+        f"{len(failures)} failed attempts in {len(request_ids)} requests with the same content, "
+        f"at {replicas} ({_describe_failures(failures)})"
     )
 
 
-def _job_verdict(mine: list[Line]) -> str:
-    failed = [line for line in mine if line["event"] == "job_accept_failed"]
-    accepted = [line for line in mine if line["event"] == "job_accepted"]
+def _job_verdict(matching: list[LogLine]) -> str:
+    failed = [line for line in matching if line["event"] == "job_accept_failed"]
+    accepted = [line for line in matching if line["event"] == "job_accepted"]
     if failed and not accepted:
-        return f"not accepted ({failed[-1]['reason']}): {_because(failed[-1]['reason'])}"
-    moves = [line for line in mine if line["event"] == "job_owned"]
-    dead = [line for line in mine if line["event"] == "item_listed" and line["state"] == "dead"]
-    ends = [line for line in mine if line["event"] == "job_ended"]
-    unsure = [line for line in mine if line["event"] == "job_end_failed"]
+        return f"not accepted ({failed[-1]['reason']}): {_describe_code(failed[-1]['reason'])}"
+    takeovers = [line for line in matching if line["event"] == "job_owned"]
+    dead = [line for line in matching if line["event"] == "item_listed" and line["state"] == "dead"]
+    ends = [line for line in matching if line["event"] == "job_ended"]
+    unconfirmed = [line for line in matching if line["event"] == "job_end_failed"]
     parts = [f"accepted {len(accepted)} times" if accepted else "its acceptance is not in these logs"]
-    if moves:
-        parts.append(f"taken over {len(moves)} times, last by {moves[-1].get('daemon')}")
+    if takeovers:
+        parts.append(f"taken over {len(takeovers)} times, last by {takeovers[-1].get('daemon')}")
     if dead:
         parts.append(f"{len(dead)} items dead")
     if ends:
         parts.append(f"ended with {ends[-1]['listed']} of {ends[-1]['total']} results")
-    elif unsure:
-        parts.append(f"its end was not confirmed ({unsure[-1]['reason']}) and may have taken effect")
+    elif unconfirmed:
+        parts.append(f"its end was not confirmed ({unconfirmed[-1]['reason']}) and may have taken effect")
     return "; ".join(parts)
 
 
-def _item_verdict(mine: list[Line], lines: list[Line]) -> str:
-    failures = [line for line in mine if line["event"] == "item_failed"]
-    listed = [line for line in mine if line["event"] == "item_listed"]
-    job_id = next((line["job_id"] for line in mine if "job_id" in line), "")
-    moves = [line for line in lines if line["event"] == "job_owned" and line.get("job_id") == job_id]
+def _item_verdict(matching: list[LogLine], all_lines: list[LogLine]) -> str:
+    failures = [line for line in matching if line["event"] == "item_failed"]
+    results = [line for line in matching if line["event"] == "item_listed"]
+    job_id = next((line["job_id"] for line in matching if "job_id" in line), "")
+    takeovers = [line for line in all_lines if line["event"] == "job_owned" and line.get("job_id") == job_id]
     parts = []
-    if listed:
-        last = listed[-1]
+    if results:
+        last = results[-1]
         parts.append(f"{last['state']} after {last['elapsed_ms']:.0f} ms, versions {last['versions']}")
     else:
         parts.append("no result in these logs")
     if failures:
-        parts.append(f"{len(failures)} failed attempts ({_reasons(failures)})")
-    rewards = [line for line in mine if line["event"] == "reward_failed"]
-    if rewards:
-        parts.append(f"{len(rewards)} failed attempts of its reward call ({_reasons(rewards)})")
-    if moves:
-        parts.append(f"its job was taken over {len(moves)} times")
+        parts.append(f"{len(failures)} failed attempts ({_describe_failures(failures)})")
+    failed_rewards = [line for line in matching if line["event"] == "reward_failed"]
+    if failed_rewards:
+        parts.append(
+            f"{len(failed_rewards)} failed attempts of its reward call ({_describe_failures(failed_rewards)})"
+        )
+    if takeovers:
+        parts.append(f"its job was taken over {len(takeovers)} times")
     return "; ".join(parts)
 
 
-def _reasons(failures: list[Line]) -> str:
+def _describe_failures(failures: list[LogLine]) -> str:
     codes = sorted({failure["reason"].partition(":")[0] for failure in failures})
-    return "; ".join(f"{code}: {_because(code)}" for code in codes)
+    return "; ".join(f"{code}: {_describe_code(code)}" for code in codes)
 
 
 def run(identifier: str, *files: str) -> None:
-    """Show the life of one request, job or item.
+    """Print the decision lines about one request, job or item, and the cause of its failure.
 
     Args:
-        identifier: the id of a request, job, item or replica, or a request's fingerprint.
+        identifier: identifier of a request, job, item or replica, or a request's fingerprint.
         files: log files; ``-`` or none means standard input.
     """
-    texts: list[str] = []
+    raw_lines: list[str] = []
     for file in files or ("-",):
         text = sys.stdin.read() if file == "-" else Path(file).read_text(encoding="utf-8", errors="replace")
-        texts += text.splitlines()
-    story = explain(str(identifier), texts)
-    for line in story.lines:
+        raw_lines += text.splitlines()
+    explanation = explain(str(identifier), raw_lines)
+    for line in explanation.lines:
         print(line)
-    print(f"cause: {story.verdict}")
+    print(f"cause: {explanation.verdict}")
--- a/passgate/logging_setup.py
+++ b/passgate/logging_setup.py
@@ -1,4 +1,4 @@
-"""JSON log lines, one for each change of state; what happens often is counted instead.
+"""Configures logging as JSON lines, which report changes of state; frequent events are metrics instead.
 
 >>> import io
 >>> stream = io.StringIO()
@@ -22,10 +22,14 @@
 
 
 def configure_logging(level: str, daemon_id: str, stream: TextIO | None = None) -> logging.Logger:
-    """Return passgate's logger, writing JSON lines to ``stream`` (default: standard error).
+    """Replace the handlers of the root logger by one that writes JSON lines; return passgate's logger.
 
-    Lines of tornado below WARNING are dropped: its access log is one line per
-    request, and requests are counted.
+    Tornado's access and general lines below ERROR are dropped, as requests are counted as metrics.
+
+    Args:
+        level: lowest level of passgate's lines; other libraries log from WARNING on.
+        daemon_id: identifier of the daemon, part of each line.
+        stream: where the lines are written; standard error by default.
     """
     handler = logging.StreamHandler(stream or sys.stderr)
     handler.setFormatter(
@@ -47,6 +51,6 @@
 
 
 def log_change(logger: logging.Logger, change: str, level: int = logging.INFO, **fields: object) -> None:
-    """Write one line for a change of state; a credential among the fields is left out."""
+    """Log one change of state with its fields; fields that hold a credential are left out."""
     shown = {name: value for name, value in fields.items() if not isinstance(value, Credential)}
     logger.log(level, change, extra=shown)
--- a/passgate/metrics.py
+++ b/passgate/metrics.py
@@ -1,4 +1,4 @@
-"""Counters, gauges and histograms of one daemon, in a registry of its own.
+"""Prometheus metrics of the daemon of ``passgate serve``, in a registry of their own.
 
 >>> metrics = DaemonMetrics()
 >>> metrics.requests.labels(port="caller", route="completions", status="200").inc()
@@ -11,6 +11,7 @@
 from prometheus_client import CollectorRegistry, Counter, Gauge, Histogram, generate_latest
 
 CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8"
+"""Media type of the text format of Prometheus."""
 
 LATENCY_BUCKETS_S = (
     0.001,
@@ -31,10 +32,11 @@
     300,
     1800,
 )
+"""Upper bounds of the histogram's buckets for request durations."""
 
 
 class DaemonMetrics:
-    """Metrics that the server layer keeps; names are documented in the operators' pages."""
+    """Metrics of the HTTP servers of one daemon; their names and labels are part of its public interface."""
 
     def __init__(self, registry: CollectorRegistry | None = None) -> None:
         self.registry = registry or CollectorRegistry()
--- a/passgate/process_signals.py
+++ b/passgate/process_signals.py
@@ -1,14 +1,13 @@
-"""Signals of a daemon's process: held until it can handle them, and again once it ends.
+"""Blocks the signals of a daemon's process while its event loop does not handle them.
+
+Otherwise a signal's default action would end the process: SIGHUP for changed settings would end a starting
+daemon, and a second SIGTERM after the loop has ended would make a graceful shutdown look like a kill.  A
+blocked signal stays pending until it is unblocked or the process exits.
 
 >>> hold_signals()
 >>> signal.SIGTERM in signal.pthread_sigmask(signal.SIG_BLOCK, ())
 True
->>> release_signals()
-
-Outside the time in which an event loop handles a signal, its default action ends the process:
-a daemon that is starting would be ended by the announcement of changed settings, and one whose planned
-stop has gone well would report that it was killed.  A held signal stays pending; the kernel
-hands it over on release, or drops it with the process.
+>>> unblock_signals()
 """
 
 from __future__ import annotations
@@ -17,23 +16,27 @@
 import signal
 from collections.abc import Callable, Mapping
 
-HANDLED = frozenset({signal.SIGTERM, signal.SIGINT, signal.SIGHUP})
-"""Signals that a daemon handles; all others keep their default action."""
+HANDLED_SIGNALS = frozenset({signal.SIGTERM, signal.SIGINT, signal.SIGHUP})
+"""Signals that are blocked; all others keep their default action."""
 
 
 def hold_signals() -> None:
-    """Keep signals pending.  Called before anything that takes time is imported, and after a stop."""
-    signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED)
+    """Block the signals.  To be called before slow imports, and again when the event loop has ended."""
+    signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED_SIGNALS)
 
 
-def release_signals() -> None:
-    """Deliver pending signals and those that come from now on."""
-    signal.pthread_sigmask(signal.SIG_UNBLOCK, HANDLED)
+def unblock_signals() -> None:
+    """Unblock the signals; pending ones are delivered at once."""
+    signal.pthread_sigmask(signal.SIG_UNBLOCK, HANDLED_SIGNALS)
 
 
 def handle_signals(handlers: Mapping[signal.Signals, Callable[[], None]]) -> None:
-    """Let the running loop call the handlers, also for signals that were held so far."""
+    """Let the running loop call the handlers, also for signals that are pending; unblock the signals.
+
+    Args:
+        handlers: signal to the function that handles it, called in the event loop.
+    """
     loop = asyncio.get_running_loop()
     for number, handler in handlers.items():
         loop.add_signal_handler(number, handler)
-    release_signals()
+    unblock_signals()
--- a/passgate/statecharts.py
+++ b/passgate/statecharts.py
@@ -1,11 +1,8 @@
-"""State charts in files, interpreted by the code.
+"""Runs the state charts of ``passgate/charts`` from compiled transition tables.
 
-The charts are sismic's YAML documents in ``passgate/charts``.  sismic reads and
-validates them; its own interpreter costs tens of microseconds per event and its
-import some megabytes, so :mod:`passgate.charts.compiler` walks the parsed charts into
-transition tables, which are committed as ``tables.json``.  Tests prove that the tables
-are those of the files and agree with sismic's interpreter on every state and event
-(see docs/design/statecharts.md).
+The charts are YAML documents of the library sismic.  Its interpreter is too slow and too large for a
+daemon, so :mod:`passgate.charts.compiler` compiles them to ``tables.json``.  Tests check that the tables are
+up to date and agree with sismic's interpreter (see docs/design/statecharts.md).
 
 >>> machine = Machine("lease")
 >>> machine.state, machine.can("propose")
@@ -28,23 +25,23 @@
 from passgate.errors import ChartError, IllegalTransition
 
 TABLES_FILE = "tables.json"
-"""Compiled charts; made by ``python -m passgate.charts.compiler``."""
+"""File of the compiled charts; written by ``python -m passgate.charts.compiler``."""
 
 TransitionTable = dict[str, dict[str, str]]
-"""Leaf state to event to next leaf state."""
+"""Leaf state to event to the next leaf state."""
 
 
 class Chart(msgspec.Struct, frozen=True, kw_only=True):
-    """One chart, compiled for look-up by leaf state and event."""
+    """One compiled chart."""
 
     name: str
     description: str
     initial: str
-    """Leaf state that a new machine starts in."""
+    """Initial leaf state."""
     table: TransitionTable
-    """Holds a key for each leaf state, also for those without transitions."""
+    """Transitions; has a key for each leaf state, also for those without transitions."""
     ancestors: dict[str, frozenset[str]]
-    """Leaf state to the states that enclose it, and itself."""
+    """Leaf state to itself and the states that enclose it."""
     final_states: frozenset[str]
 
     def events(self) -> list[str]:
@@ -53,7 +50,7 @@
 
 
 def chart_names() -> list[str]:
-    """Return the names of all charts in files."""
+    """Return the sorted names of all charts that have a YAML file."""
     files = resources.files("passgate.charts").iterdir()
     return sorted(file.name.removesuffix(".yaml") for file in files if file.name.endswith(".yaml"))
 
@@ -65,15 +62,15 @@
 
 
 def load_chart(name: str) -> Chart:
-    """Return a compiled chart; raises ChartError for one that there is not."""
+    """Return a compiled chart; raises ChartError if there is none of that name."""
     chart = _tables().get(name)
     if chart is None:
-        raise ChartError(f"there is no chart {name}", chart=name)
+        raise ChartError(f"there is no state chart {name!r}", chart=name)
     return chart
 
 
 class Machine:
-    """One running instance of a chart; two dictionary look-ups per event."""
+    """One running instance of a chart."""
 
     __slots__ = ("_chart", "state")
 
@@ -81,7 +78,7 @@
         """Start a machine in the chart's initial state, or in ``state`` when restored.
 
         Raises:
-            ChartError: no such chart, or no such leaf state in it.
+            ChartError: there is no such chart, or it has no such leaf state.
         """
         self._chart = load_chart(chart_name)
         self.state = self._chart.initial if state is None else state
@@ -90,7 +87,11 @@
             raise ChartError(f"chart {chart_name} has no leaf state {state}", chart=chart_name)
 
     def send(self, event: str) -> str:
-        """Take an event and return the new state; raises IllegalTransition."""
+        """Make the transition for an event and return the new state.
+
+        Raises:
+            IllegalTransition: the current state has no transition for the event; the state stays.
+        """
         target = self._chart.table[self.state].get(event)
         if target is None:
             raise IllegalTransition(
@@ -103,7 +104,7 @@
         return target
 
     def can(self, event: str) -> bool:
-        """Return whether the event is legal in the current state."""
+        """Return whether the current state has a transition for the event."""
         return event in self._chart.table[self.state]
 
     def within(self, state: str) -> bool:
