--- a/passgate/statecharts.py
+++ b/passgate/statecharts.py
@@ -65,7 +65,7 @@
     """Return a compiled chart; raises ChartError if there is none of that name."""
     chart = _tables().get(name)
     if chart is None:
-        raise ChartError(f"there is no state chart {name!r}", chart=name)
+        raise ChartError(f"there is no state chart {name}", chart=name)
     return chart
 
 
