--- a/passgate/daemon/cold_sending.py
+++ b/passgate/daemon/cold_sending.py
@@ -148,7 +148,7 @@
         self._last_reported_counts = PermitTally()
         """Permit counters when they were last reported."""
         self._last_report_s = 0.0
-        self.method = PERMITS_METHOD
+        self.peer_method = PERMITS_METHOD
         """Method name of the peer calls that :attr:`answer_peer` handles."""
         self.answer_peer = self._permit_client.answer
         """Answers a permit request, given the sender's address and the encoded request.
@@ -171,6 +171,7 @@
             group.create_task(self._run_periodic_tasks())
 
     async def _run_periodic_tasks(self) -> None:
+        """Update the issuer, and once in REPORT_INTERVAL_S drop expired state and report, until cancelled."""
         while True:
             self._issuer.tick()
             now_s = monotonic_s()
@@ -181,6 +182,7 @@
             await asyncio.sleep(TICK_S)
 
     def _drop_expired(self, now_s: float) -> None:
+        """Drop the state of replicas that are warm or no longer listed, and expired permits."""
         replica_ids = {state.info.replica_id for state in self._replicas.all()}
         self._replicas.cold.forget(replica_ids, now_s)
         self._replicas.permits.forget_old(now_s)
--- a/passgate/daemon/gateway_daemon.py
+++ b/passgate/daemon/gateway_daemon.py
@@ -200,13 +200,13 @@
         self._crash_report_exchange = CrashPeers(
             peer_transport, lambda: self._group_directory.others(member), self._crash_quarantine.channel
         )
-        counts_usage = settings.duties is not None and settings.duties.usage
-        meter = self._duties.meter if self._duties is not None and counts_usage else None
+        reports_usage = settings.duties is not None and settings.duties.usage
+        usage_meter = self._duties.meter if self._duties is not None and reports_usage else None
         self.forwarder = Forwarder(
-            replica_client, self.replicas, header_names, self.decisions, self.config, meter
+            replica_client, self.replicas, header_names, self.decisions, self.config, usage_meter
         )
         self.stream_forwarder = StreamForwarder(
-            replica_client, self.replicas, header_names, self.decisions, self.config, meter
+            replica_client, self.replicas, header_names, self.decisions, self.config, usage_meter
         )
         self.shards = make_job_partitions(
             log,
@@ -285,6 +285,7 @@
         return self.lifecycle.within("serving")
 
     def _has_initial_state(self) -> bool:
+        """Whether the configuration, the replicas and the crash reports have been read once."""
         return self.config.table is not None and self._discovery.loaded and self._crash_quarantine.loaded
 
     @property
@@ -293,6 +294,7 @@
         return self._keyed_tails[0].freshness
 
     def _log_age_s(self) -> float:
+        """Return the age of this daemon's view of the operator's topic."""
         return self._operator_topic_freshness.age_s(monotonic_s())
 
     @property
@@ -340,7 +342,7 @@
             self._crash_quarantine.run(),
             *(tail.run() for tail in self._keyed_tails),
             self._run_when_configured(),
-            self._watch_log(),
+            self._check_state_periodically(),
         ]
         try:
             async with asyncio.TaskGroup() as group:
@@ -380,6 +382,7 @@
         return self.metrics.exposition()
 
     async def _run_when_configured(self) -> None:
+        """Wait for the first configuration, then run everything that depends on one, until cancelled."""
         while self.config.table is None:
             await asyncio.sleep(CONFIGURATION_POLL_S)
         async with asyncio.TaskGroup() as group:
@@ -396,17 +399,19 @@
                 group.create_task(self._duties.run())
 
     async def _answer_peer(self, sender: str, method: str, payload: bytes) -> bytes:
+        """Return the answer to a call of another daemon; calls about jobs are the default."""
         if self._duties is not None and method.startswith(DUTY_METHOD_PREFIX):
             return await self._duties.answer_peer(sender, method, payload)
         if method == CONFIGURATION_METHOD:
             return self._configuration_peers.answer(payload)
-        if method == self.cold_permits.method:
+        if method == self.cold_permits.peer_method:
             return self.cold_permits.answer_peer(sender, payload)
         if method == CRASH_REPORTS_METHOD:
             return self._crash_report_exchange.answer(payload)
         return await self.jobs.answer_peer(sender, method, payload)
 
-    async def _watch_log(self) -> None:
+    async def _check_state_periodically(self) -> None:
+        """Update the lifecycle chart and flush the decision log, until cancelled."""
         while True:
             await asyncio.sleep(WATCH_INTERVAL_S)
             if self.lifecycle.within("starting") and self._has_initial_state():
@@ -419,6 +424,7 @@
                 self.decisions.flush()
 
     def _update_log_state(self, age_s: float) -> None:
+        """Update the lifecycle chart when the log is lost or available again."""
         if age_s >= LOG_LOST_AFTER_S and self.lifecycle.can("log_lost"):
             self.lifecycle.send("log_lost")
             self.decisions.write(DependencyLost(dependency="log", age_s=round(age_s, 3)))
--- a/passgate/daemon/planned_stop.py
+++ b/passgate/daemon/planned_stop.py
@@ -19,7 +19,7 @@
 MIN_SERVING_S = 3.0
 """Least time of serving after the shutdown began, as the platform still opens new connections for so long."""
 RELEASE_TIMEOUT_S = 5.0
-"""Longest wait for the log to confirm that jobs and leadership are released, from the shutdown's begin."""
+"""Longest wait, since the shutdown began, until the log confirms the release of jobs and leadership."""
 DRAIN_TIMEOUT_S = 0.7
 """Longest wait for requests in flight once new ones are refused."""
 FLUSH_TIMEOUT_S = 0.2
--- a/passgate/explain.py
+++ b/passgate/explain.py
@@ -30,7 +30,7 @@
 ID_FIELDS = ("request_id", "job_id", "item_id", "replica_id", "fingerprint")
 """Fields in which an identifier is looked for."""
 COMMON_FIELDS = frozenset({"time", "up", "daemon", "event"})
-"""Fields of all events, which stand before an event's own fields in the output."""
+"""Fields of all events, which are not printed among an event's own fields."""
 FIRST_ERROR_STATUS = 400
 REWARD_EVENTS = frozenset({"reward_sent", "reward_failed"})
 
@@ -94,7 +94,7 @@
 
 
 def _time_of_prefix(prefix: str, default: float) -> float:
-    """Return the time at the begin of a prefix; it comes from one clock for the lines of all daemons."""
+    """Return the time at the start of a prefix, which is from one clock for the lines of all daemons."""
     first = prefix.split(None, 1)[0] if prefix.strip() else ""
     try:
         return float(first)
