--- a/passgate/daemon/job_partitions.py
+++ b/passgate/daemon/job_partitions.py
@@ -1,8 +1,8 @@
-"""The partitions of batch jobs of one daemon, put together from its settings."""
+"""Creates a daemon's partitions of batch jobs."""
 
 from __future__ import annotations
 
-from passgate.daemon.runners import RunnerMaker
+from passgate.daemon.job_runner_factory import JobRunnerFactory
 from passgate.daemon.topics import LogTopics
 from passgate.decisions import DecisionLog
 from passgate.gateway.routes import ConfigHolder
@@ -15,31 +15,31 @@
 from passgate.sharedlog.log import SharedLog
 
 
-def make_shards(
+def make_job_partitions(
     log: SharedLog,
     settings: GatewaySettings,
     topics: LogTopics,
     writer: str,
     config: ConfigHolder,
     member: GroupMember,
-    candidacy: Candidacy,
-    runners: RunnerMaker,
+    membership_policy: Candidacy,
+    runner_factory: JobRunnerFactory,
     peers: JobPeers,
     decisions: DecisionLog,
 ) -> JobShards:
-    """Return the partitions; none is followed before they run.
+    """Return the partitions; none is followed until they run.
 
     Args:
-        log: keeps the jobs.
+        log: the log that stores the jobs.
         settings: the daemon's settings.
         topics: names of the topics.
-        writer: name of the daemon's present life on the log.
-        config: the configuration in force.
+        writer: name under which this incarnation of the daemon writes to the log.
+        config: the active configuration.
         member: the daemon's membership in the group that watches partitions.
-        candidacy: whether the machine is large enough for jobs that no watcher takes.
-        runners: makes the runners of jobs.
+        membership_policy: decides whether this daemon may take ownership of new jobs.
+        runner_factory: creates the runners of jobs.
         peers: asks other daemons about jobs.
-        decisions: where decisions are noted.
+        decisions: receives the decision events.
     """
     shard_settings = ShardSettings(
         topic=topics.jobs,
@@ -56,10 +56,10 @@
         log,
         shard_settings,
         member.held,
-        runners.make,
+        runner_factory.make,
         peers,
         decisions,
-        may_own_new=lambda: candidacy.wanted,
+        may_own_new=lambda: membership_policy.wanted,
         log_answers=member.answered,
         bodies=bodies,
     )
