--- a/passgate/gateway/__init__.py
+++ b/passgate/gateway/__init__.py
@@ -1,6 +1,6 @@
-"""The gateway: takes callers' requests, forwards them to replicas, serves batch jobs.
+"""The gateway: an HTTP server that authenticates callers and forwards their requests to replicas.
 
-Modules, in the order of a request's way: ``ingress`` (HTTP server), ``routes``
-(route table), ``forwarder`` (attempts, hedging, refusals), ``replicas`` (who may
-serve it), ``replica_call`` (one attempt); ``daemon`` connects them.
+A request passes through ``ingress`` (HTTP server), ``access`` (API keys), ``routes`` (route table),
+``forwarder`` or ``stream_forwarder`` (attempts, hedging, refusals), ``replicas`` (choice of a replica)
+and ``replica_call`` (one attempt at one replica).  ``passgate.daemon`` connects these modules.
 """
--- a/passgate/gateway/access.py
+++ b/passgate/gateway/access.py
@@ -1,14 +1,14 @@
-"""Tenants, their API keys, and who the caller of a request is.
+"""Tenants, their API keys, and the authentication of callers.
 
-The tenants of one configuration compile into one index by key, so a request costs one
-look-up whatever the number of keys.  Keys appear in no log line, error or metric.
+The API keys of all tenants are compiled into one dictionary, so a request costs one look-up
+whatever the number of keys.  A key must never appear in a log line, an error or a metric.
 
->>> index = KeyIndex((Tenant(name="orchard", api_keys=("k1", "k2")),))
+>>> index = ApiKeyIndex((Tenant(name="orchard", api_keys=("k1", "k2")),))
 >>> index.caller_of((("authorization", "Bearer k2"),), public=False)
 Caller(tenant='orchard', priority=None)
 >>> index.caller_of((), public=True).tenant
 ''
->>> KeyIndex(()).caller_of((), public=False).tenant is None
+>>> ApiKeyIndex(()).caller_of((), public=False).tenant is None
 True
 """
 
@@ -28,101 +28,115 @@
 )
 
 AUTHORIZATION = "authorization"
-SCHEME = "bearer"
-NO_TENANT = ""
-"""Tenant of a caller that a public route lets in without a key."""
+BEARER_SCHEME = "bearer"
+ANONYMOUS_TENANT = ""
+"""Tenant of a caller that is admitted to a public route without a valid key."""
 SCOPE_MARK = "/"
-"""Separates a tenant's name from an identifier that its callers chose."""
+"""Separates the tenant's name from the identifier in a tenant-scoped identifier."""
 
 Headers = Sequence[tuple[str, str]]
 
 
 class Tenant(msgspec.Struct, frozen=True, kw_only=True):
-    """One tenant of the configuration."""
+    """A customer of the deployment, with the API keys of its callers."""
 
     name: str
     api_keys: tuple[str, ...] = ()
     priority: int | None = None
-    """Rank of its requests, 0 first; replaces the rank of the route."""
+    """Priority of its batch jobs, 0 the most urgent; overrides the route's priority unless None."""
     allowed_regions: frozenset[str] = frozenset()
-    """Regions that may serve its requests and hold their bodies; empty where any may."""
+    """Regions that may serve its requests and store their bodies; empty if any may."""
 
 
 class Caller(msgspec.Struct, frozen=True, kw_only=True):
-    """Who sent a request."""
+    """Sender of a request, as authentication found it."""
 
     tenant: str | None = None
-    """Name of the tenant; NO_TENANT on a public route; None where there are no tenants."""
+    """Name of the tenant; ANONYMOUS_TENANT without a valid key on a public route; None if no tenants
+    are configured."""
     priority: int | None = None
-    """Rank of the tenant's requests, if it has one of its own."""
+    """The tenant's priority; None if it has none of its own."""
 
 
-class KeyIndex:
-    """The keys of all tenants of one configuration."""
+class ApiKeyIndex:
+    """Looks up callers by the API keys of one configuration."""
 
     def __init__(self, tenants: Sequence[Tenant]) -> None:
-        """Compile the tenants; raises InvalidConfiguration."""
-        self._required = bool(tenants)
-        self._callers: dict[str, Caller] = {}
+        """Index the tenants' keys.
+
+        Raises InvalidConfiguration for an invalid or duplicate tenant name, an empty key, or a key that
+        two tenants share.
+        """
+        self._keys_required = bool(tenants)
+        self._callers_by_key: dict[str, Caller] = {}
         names: set[str] = set()
         for tenant in tenants:
-            _check_name(tenant.name, names)
+            _validate_tenant_name(tenant.name, names)
             names.add(tenant.name)
             caller = Caller(tenant=tenant.name, priority=tenant.priority)
             for key in tenant.api_keys:
-                self._add(key, caller)
+                self._add_key(key, caller)
 
-    def _add(self, key: str, caller: Caller) -> None:
+    def _add_key(self, key: str, caller: Caller) -> None:
         if not key:
-            raise InvalidConfiguration("a key is empty", tenant=caller.tenant)
-        holder = self._callers.setdefault(key, caller)
-        if holder is not caller:
+            raise InvalidConfiguration("an API key of the tenant is empty", tenant=caller.tenant)
+        owner = self._callers_by_key.setdefault(key, caller)
+        if owner is not caller:
             raise InvalidConfiguration(
-                "two tenants hold one key", tenant=caller.tenant, other_tenant=holder.tenant
+                "two tenants have the same API key", tenant=caller.tenant, other_tenant=owner.tenant
             )
 
     def caller_of(self, headers: Headers, *, public: bool) -> Caller:
-        """Return who sent a request with these headers.
+        """Return the caller that the ``Authorization`` header identifies.
 
-        Raises MissingCredential, MalformedCredential or UnknownKey unless ``public``.
+        Without configured tenants, nothing is checked.  If ``public``, a missing or wrong credential
+        yields ANONYMOUS_TENANT; otherwise it raises MissingCredential, MalformedCredential or UnknownKey.
         """
-        if not self._required:
+        if not self._keys_required:
             return Caller()
         try:
-            return self._identify(headers)
+            return self._authenticate(headers)
         except Unauthorized:
             if public:
-                return Caller(tenant=NO_TENANT)
+                return Caller(tenant=ANONYMOUS_TENANT)
             raise
 
-    def _identify(self, headers: Headers) -> Caller:
+    def _authenticate(self, headers: Headers) -> Caller:
         credentials = [value for name, value in headers if name.lower() == AUTHORIZATION]
         if not credentials:
-            raise MissingCredential("a key is needed", execution=ExecutionStatus.NOT_RUN)
+            raise MissingCredential("the Authorization header is missing", execution=ExecutionStatus.NOT_RUN)
         if len(credentials) > 1:
-            raise MalformedCredential("more than one key", execution=ExecutionStatus.NOT_RUN)
+            raise MalformedCredential("more than one Authorization header", execution=ExecutionStatus.NOT_RUN)
         scheme, _, key = credentials[0].strip().partition(" ")
         key = key.strip()
-        if scheme.lower() != SCHEME or not key:
-            raise MalformedCredential("the key is not in the bearer form", execution=ExecutionStatus.NOT_RUN)
-        caller = self._callers.get(key)
+        if scheme.lower() != BEARER_SCHEME or not key:
+            raise MalformedCredential(
+                "the Authorization header does not have the form 'Bearer KEY'",
+                execution=ExecutionStatus.NOT_RUN,
+            )
+        caller = self._callers_by_key.get(key)
         if caller is None:
-            raise UnknownKey("the key is not known", execution=ExecutionStatus.NOT_RUN)
+            raise UnknownKey("no tenant has this API key", execution=ExecutionStatus.NOT_RUN)
         return caller
 
 
-def _check_name(name: str, names: set[str]) -> None:
-    """Check a tenant's name, which also stands in identifiers, headers and log lines."""
+def _validate_tenant_name(name: str, earlier_names: set[str]) -> None:
+    """Check that a tenant's name is usable in identifiers, headers and log lines, and is unique.
+
+    Raises InvalidConfiguration.
+    """
     if not name or not name.isascii() or not name.isprintable() or SCOPE_MARK in name or " " in name:
-        raise InvalidConfiguration("a tenant's name is empty or holds signs that it may not", tenant=name)
-    if name in names:
-        raise InvalidConfiguration("two tenants have one name", tenant=name)
+        raise InvalidConfiguration(
+            "a tenant's name must be non-empty printable ASCII without spaces and slashes", tenant=name
+        )
+    if name in earlier_names:
+        raise InvalidConfiguration("two tenants have the same name", tenant=name)
 
 
 def scoped_id(tenant: str | None, identifier: str) -> str:
-    """Return an identifier that no other tenant can name.
+    """Return an identifier that is unique among tenants: the tenant's name is put before it.
 
-    Callers choose the identifiers of their jobs and items, so two tenants may choose the same.
+    Callers choose the identifiers of their jobs and items, so two tenants may choose the same one.
 
     >>> scoped_id("orchard", "j1"), scoped_id(None, "j1")
     ('orchard/j1', 'j1')
@@ -130,14 +144,14 @@
     return f"{tenant}{SCOPE_MARK}{identifier}" if tenant else identifier
 
 
-def headers_for_replica(headers: Headers, tenant: str | None, tenant_header: str) -> list[tuple[str, str]]:
-    """Return a caller's headers as a replica may see them.
+def replica_headers(headers: Headers, tenant: str | None, tenant_header: str) -> list[tuple[str, str]]:
+    """Return a caller's headers as they are sent to a replica.
 
-    Where there are tenants, the credential and any tenant that the caller named are removed,
-    and the name of the caller's own tenant is added, if it has one.
+    If tenants are configured, the credential and any tenant header of the caller are removed, and the
+    authenticated tenant is added unless the caller is anonymous.  ``tenant`` is None without tenants.
 
     >>> sent = [("Authorization", "Bearer k"), ("x-tenant", "forged"), ("A", "1")]
-    >>> headers_for_replica(sent, "orchard", "X-Tenant")
+    >>> replica_headers(sent, "orchard", "X-Tenant")
     [('A', '1'), ('X-Tenant', 'orchard')]
     """
     if tenant is None:
--- a/passgate/gateway/access_bench.py
+++ b/passgate/gateway/access_bench.py
@@ -1,6 +1,6 @@
-"""Measures the look-up of a key: ``python -m passgate.gateway.access_bench``.
+"""Benchmark of API key look-ups: ``python -m passgate.gateway.access_bench``.
 
-Prints a row of docs/design/tenants.md for each number of keys.
+Prints the rows of the table in docs/design/tenants.md: number of keys, time per look-up, memory per key.
 """
 
 from __future__ import annotations
@@ -9,38 +9,39 @@
 import time
 import tracemalloc
 
-from passgate.gateway.access import KeyIndex, Tenant
+from passgate.gateway.access import ApiKeyIndex, Tenant
 
-SIZES = (83, 1_000, 100_000)
-LOOK_UPS = 200_000
-KEYS_OF_A_TENANT = 2
+KEY_COUNTS = (83, 1_000, 100_000)
+LOOKUP_COUNT = 200_000
+KEYS_PER_TENANT = 2
 
 
-def measure(keys: int) -> tuple[float, float]:
-    """Return nanoseconds a look-up and bytes a key of an index."""
-    held = [secrets.token_urlsafe(15) for _ in range(keys)]
+def measure_lookups(key_count: int) -> tuple[float, float]:
+    """Return the time per look-up in nanoseconds and the index's bytes per key."""
+    api_keys = [secrets.token_urlsafe(15) for _ in range(key_count)]
     tenants = tuple(
-        Tenant(name=f"t{start}", api_keys=tuple(held[start : start + KEYS_OF_A_TENANT]))
-        for start in range(0, keys, KEYS_OF_A_TENANT)
+        Tenant(name=f"t{start}", api_keys=tuple(api_keys[start : start + KEYS_PER_TENANT]))
+        for start in range(0, key_count, KEYS_PER_TENANT)
     )
     tracemalloc.start()
-    index = KeyIndex(tenants)
+    index = ApiKeyIndex(tenants)
     size = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
     requests = [
-        (("Host", "h"), ("X-Deadline-Ms", "1500"), ("Authorization", f"Bearer {key}")) for key in held[:1000]
+        (("Host", "h"), ("X-Deadline-Ms", "1500"), ("Authorization", f"Bearer {key}"))
+        for key in api_keys[:1000]
     ]
-    began_s = time.perf_counter()
-    for number in range(LOOK_UPS):
+    start_s = time.perf_counter()
+    for number in range(LOOKUP_COUNT):
         index.caller_of(requests[number % len(requests)], public=False)
-    return (time.perf_counter() - began_s) / LOOK_UPS * 1e9, size / keys
+    return (time.perf_counter() - start_s) / LOOKUP_COUNT * 1e9, size / key_count
 
 
 def main() -> None:
-    """Print the table."""
-    for keys in SIZES:
-        look_up_ns, key_bytes = measure(keys)
-        print(f"| {keys:,} | {look_up_ns:,.0f} ns | {key_bytes:,.0f} |")
+    """Print one table row for each of KEY_COUNTS."""
+    for key_count in KEY_COUNTS:
+        lookup_ns, bytes_per_key = measure_lookups(key_count)
+        print(f"| {key_count:,} | {lookup_ns:,.0f} ns | {bytes_per_key:,.0f} |")
 
 
 if __name__ == "__main__":
--- a/passgate/gateway/configuration_peers.py
+++ b/passgate/gateway/configuration_peers.py
@@ -1,10 +1,8 @@
-"""Learns from other daemons what the operator wrote while the log does not answer this one.
+"""Fetches newer configurations and evacuations from peer daemons while the log is unreachable.
 
-The log may turn a third of the machines away for many seconds while the operator goes on:
-a key that is taken away must stop here too.  A daemon whose view of the operator's topic is
-older than ASK_AFTER_S asks a few others for a newer configuration and for the evacuated zones,
-and notes how old their view is.  What it learns is put in force like a record of the log: only a
-higher version counts, and of the evacuated zones only a view up to a higher offset.
+A revoked API key must stop working also on daemons that can not read the log.  A daemon whose view of
+the operator's topic is older than ASK_AFTER_S polls a few peers, and applies what they report only if
+it is newer: a configuration of a higher version, evacuations as of a higher log offset.
 """
 
 from __future__ import annotations
@@ -25,139 +23,150 @@
 
 CONFIGURATION_METHOD = "configuration.newer"
 ASK_AFTER_S = 1.3
-"""Age of the view from which others are asked; a long poll of a calm log confirms it each 1.0 s."""
-ASK_GAP_S = 0.5
-"""Time between questions; a configuration of 3 s of patience is found in good time after four."""
-MOST_ASKED = 3
-"""Daemons asked at once: if a third of all are turned away, all three are in 4 of 100 questions."""
-ANSWER_S = 0.4
-"""Time for an answer; a round trip between zones takes 1 ms, a starved daemon some hundred."""
-TICK_S = 0.1
-"""Time between looks at the age of the view; a tenth of the time between questions."""
+"""Age of the own view from which on peers are polled; the log's long poll confirms the view every 1 s."""
+POLL_INTERVAL_S = 0.5
+"""Pause between polls; it leaves several polls within the 3 s in which a configuration must be applied."""
+MAX_PEERS_POLLED = 3
+"""Peers polled at once, as some of them may not reach the log either."""
+ANSWER_TIMEOUT_S = 0.4
+"""Time limit of a peer's answer; it covers a daemon that is short of processor time."""
+AGE_CHECK_INTERVAL_S = 0.1
+"""Time between checks of the own view's age."""
 NEVER_S = float("-inf")
+"""Loop time of a confirmation that has not happened yet."""
 
 
-class NewerConfiguration(msgspec.Struct, frozen=True, kw_only=True):
-    """Asks for a configuration newer than a version."""
+class ConfigurationQuery(msgspec.Struct, frozen=True, kw_only=True):
+    """Asks a peer for a configuration newer than a version."""
 
     version: int
 
 
-class KnownEvacuations(msgspec.Struct, frozen=True, kw_only=True):
-    """A daemon's view of the evacuated zones, and how old it is."""
+class EvacuationSnapshot(msgspec.Struct, frozen=True, kw_only=True):
+    """A daemon's view of the evacuated zones."""
 
     age_s: float
+    """Time since the view was last confirmed to be the newest."""
     view: EvacuationView
 
 
 class KnownConfiguration(msgspec.Struct, frozen=True, kw_only=True):
-    """A daemon's configuration, if it is newer, and how old its view of the log is."""
+    """Answer to a ConfigurationQuery."""
 
     age_s: float
+    """Time since the answering daemon's configuration was last confirmed to be the newest."""
     config: GatewayConfig | None = None
-    evacuations: KnownEvacuations | None = None
-    """None from a daemon that knows nothing of them: of an earlier release, or one that has just started."""
+    """The daemon's configuration; None if it is not newer than the version of the query."""
+    evacuations: EvacuationSnapshot | None = None
+    """None from a daemon of an earlier release, or from one that has not read the topic yet."""
 
 
 class ConfigurationPeers:
-    """Asks other daemons for their view of the operator's topic, and answers them."""
+    """Polls peer daemons for the operator's configuration and evacuations, and answers their queries."""
 
     def __init__(
         self,
         transport: PeerTransport,
-        others: Callable[[], list[str]],
-        config: ConfigHolder,
-        evacuated: EvacuatedZones,
+        list_peers: Callable[[], list[str]],
+        config_holder: ConfigHolder,
+        evacuated_zones: EvacuatedZones,
         log_age_s: Callable[[], float],
-        put: Callable[[GatewayConfig], None],
+        apply_config: Callable[[GatewayConfig], None],
         decisions: DecisionLog,
     ) -> None:
-        """Connect the parts.
+        """Create the poller; :meth:`run` does the polling.
 
         Args:
-            transport: carries questions to other daemons.
-            others: returns the names of other daemons, in any order.
-            config: the configuration in force.
-            evacuated: the evacuated zones as far as they are known.
-            log_age_s: returns the age of this daemon's own view of the operator's topic.
-            put: puts a configuration in force.
-            decisions: where decisions are noted.
+            transport: carries queries to peers.
+            list_peers: returns the names of the other daemons in random order; the first ones are polled.
+            config_holder: holds the active configuration, with which the version is compared.
+            evacuated_zones: is updated with peers' views.
+            log_age_s: returns the time since this daemon's own view of the operator's topic was confirmed.
+            apply_config: makes a newer configuration the active one.
+            decisions: decision log.
         """
         self._transport = transport
-        self._others = others
-        self._config = config
-        self._evacuated = evacuated
+        self._list_peers = list_peers
+        self._config_holder = config_holder
+        self._evacuated_zones = evacuated_zones
         self._log_age_s = log_age_s
-        self._put = put
+        self._apply_config = apply_config
         self._decisions = decisions
-        self._confirmed_s = NEVER_S
-        """Moment at which, by what others told, the configuration in force was the newest."""
-        self._evacuations_confirmed_s = NEVER_S
-        """The same of the evacuated zones, of which daemons of earlier releases tell nothing."""
+        self._config_confirmed_at_s = NEVER_S
+        """Last loop time at which, according to a peer, the active configuration was the newest."""
+        self._evacuations_confirmed_at_s = NEVER_S
+        """The same for the evacuated zones; separate, as peers of earlier releases don't report them."""
 
     def age_s(self) -> float:
-        """Return for how long the configuration in force may have been superseded, as far as is known."""
-        return min(self._log_age_s(), monotonic_s() - self._confirmed_s)
+        """Return the time since the log or a peer confirmed the active configuration as the newest."""
+        return min(self._log_age_s(), monotonic_s() - self._config_confirmed_at_s)
 
     def evacuations_age_s(self) -> float:
-        """Return for how long another zone may have been evacuated, or an evacuation have ended, unknown."""
-        return min(self._log_age_s(), monotonic_s() - self._evacuations_confirmed_s)
+        """Return the time since the set of evacuated zones was confirmed as the newest; may be infinite."""
+        return min(self._log_age_s(), monotonic_s() - self._evacuations_confirmed_at_s)
 
     async def run(self) -> None:
-        """Ask while the log does not answer, until cancelled."""
+        """Poll peers whenever the own view of the log is too old; runs until cancelled."""
         while True:
             if self._log_age_s() < ASK_AFTER_S:
-                await asyncio.sleep(TICK_S)
+                await asyncio.sleep(AGE_CHECK_INTERVAL_S)
                 continue
-            asked = self._others()[:MOST_ASKED]
-            await asyncio.gather(*(self._ask(member) for member in asked))
-            await asyncio.sleep(ASK_GAP_S)
+            peers = self._list_peers()[:MAX_PEERS_POLLED]
+            await asyncio.gather(*(self._poll_peer(peer) for peer in peers))
+            await asyncio.sleep(POLL_INTERVAL_S)
 
-    async def _ask(self, member: str) -> None:
-        question = msgspec.json.encode(NewerConfiguration(version=self._config.version))
-        began_s = monotonic_s()
+    async def _poll_peer(self, peer: str) -> None:
+        query = msgspec.json.encode(ConfigurationQuery(version=self._config_holder.version))
+        queried_at_s = monotonic_s()
         try:
-            payload = await self._transport.call(address_of(member), CONFIGURATION_METHOD, question, ANSWER_S)
-            known = msgspec.json.decode(payload, type=KnownConfiguration)
+            payload = await self._transport.call(
+                address_of(peer), CONFIGURATION_METHOD, query, ANSWER_TIMEOUT_S
+            )
+            snapshot = msgspec.json.decode(payload, type=KnownConfiguration)
         except (PeerError, msgspec.DecodeError):
-            return  # others are asked at the same time, and again soon
-        if known.config is not None and known.config.version > self._config.version:
-            self._learn_config(member, known.config, known.age_s)
-        self._confirmed_s = max(self._confirmed_s, began_s - known.age_s)
-        if known.evacuations is not None:
-            self._learn_evacuations(member, known.evacuations, began_s)
-
-    def _learn_config(self, member: str, config: GatewayConfig, age_s: float) -> None:
+            return  # other peers are polled at the same time, and the poll is repeated
+        if snapshot.config is not None and snapshot.config.version > self._config_holder.version:
+            self._apply_newer_config(peer, snapshot.config, snapshot.age_s)
+        self._config_confirmed_at_s = max(self._config_confirmed_at_s, queried_at_s - snapshot.age_s)
+        if snapshot.evacuations is not None:
+            self._apply_evacuations(peer, snapshot.evacuations, queried_at_s)
+
+    def _apply_newer_config(self, peer: str, config: GatewayConfig, age_s: float) -> None:
         self._decisions.write(
             ConfigurationLearned(
                 version=config.version,
-                peer=address_of(member),
+                peer=address_of(peer),
                 age_ms=round(age_s * 1000, 1),
                 log_age_ms=round(self._log_age_s() * 1000, 1),
             )
         )
-        self._put(config)
+        self._apply_config(config)
 
-    def _learn_evacuations(self, member: str, known: KnownEvacuations, began_s: float) -> None:
-        self._evacuated.learn(known.view, peer=address_of(member), age_s=known.age_s)
-        if known.view.offset >= self._evacuated.view.offset:
-            self._evacuations_confirmed_s = max(self._evacuations_confirmed_s, began_s - known.age_s)
+    def _apply_evacuations(self, peer: str, snapshot: EvacuationSnapshot, queried_at_s: float) -> None:
+        self._evacuated_zones.learn(snapshot.view, peer=address_of(peer), age_s=snapshot.age_s)
+        if snapshot.view.offset >= self._evacuated_zones.view.offset:
+            self._evacuations_confirmed_at_s = max(
+                self._evacuations_confirmed_at_s, queried_at_s - snapshot.age_s
+            )
 
     def answer(self, payload: bytes) -> bytes:
-        """Answer another daemon with what the operator wrote as it is known here, and how old it may be."""
-        question = msgspec.json.decode(payload, type=NewerConfiguration)
-        table = self._config.table
-        newer = table is not None and table.config.version > question.version
+        """Answer a peer's ConfigurationQuery with an encoded KnownConfiguration.
+
+        Raises msgspec.DecodeError for an unreadable payload.
+        """
+        query = msgspec.json.decode(payload, type=ConfigurationQuery)
+        table = self._config_holder.table
+        is_newer = table is not None and table.config.version > query.version
         return msgspec.json.encode(
             KnownConfiguration(
                 age_s=self.age_s(),
-                config=table.config if newer else None,
-                evacuations=self._known_evacuations(),
+                config=table.config if is_newer else None,
+                evacuations=self._evacuation_snapshot(),
             )
         )
 
-    def _known_evacuations(self) -> KnownEvacuations | None:
+    def _evacuation_snapshot(self) -> EvacuationSnapshot | None:
         age_s = self.evacuations_age_s()
         if math.isinf(age_s):
-            return None
-        return KnownEvacuations(age_s=age_s, view=self._evacuated.view)
+            return None  # the topic was never read, so the empty view means nothing
+        return EvacuationSnapshot(age_s=age_s, view=self._evacuated_zones.view)
--- a/passgate/gateway/dialect.py
+++ b/passgate/gateway/dialect.py
@@ -1,4 +1,4 @@
-"""Header names that callers and replicas use; an adapter fills them in."""
+"""Names of the HTTP headers between callers, gateway and replicas; the platform adapter supplies them."""
 
 from __future__ import annotations
 
@@ -9,25 +9,30 @@
     """Names of the headers that the gateway reads or sets."""
 
     request_id: str
-    """Identifies one attempt of a caller; replicas echo it."""
+    """Identifies one request of a caller, whose retries have other identifiers; replicas echo it."""
     deadline_ms: str
-    """Milliseconds that the sender waits for the answer."""
+    """Milliseconds for which the sender waits for the answer."""
     expected_replica: str
-    """Replica that shall serve the request; any other refuses it."""
+    """Identifier of the replica that the request is meant for; any other replica refuses it with 421."""
     replica_stamp: str
+    """Set by a replica on its answers; a 2xx answer to a plain request without it is not accepted."""
     replica_id: str
     replica_load: str
-    """Running, waiting, slots of the replica."""
+    """Load report of a replica: running requests, waiting requests, slots, separated by commas."""
     not_executed: str
-    """Says that the replica did not run the request."""
+    """Set by a replica on a refusal, to confirm that it did not run the request."""
     weight_versions: str
-    """Version of the weights that made an answer or an event."""
+    """Version of the model weights that produced an answer or an event."""
     expected_version: str
     last_event_id: str
+    """Identifier of the last event that the sender has; a resumed stream continues after it."""
     priority: str
+    """Priority of the request at the replica; 0 is the most urgent."""
     model: str
     length_hint: str
+    """The caller's estimate of the output's length in tokens."""
     prompt_parts: str
     wait_ms: str
+    """Milliseconds for which a read of job results may be held until there are new ones."""
     tenant: str
-    """Tenant of the caller; set by the gateway, whatever the caller sent."""
+    """Authenticated tenant of the caller; set by the gateway, which drops a value sent by the caller."""
--- a/passgate/gateway/distance.py
+++ b/passgate/gateway/distance.py
@@ -1,19 +1,19 @@
-"""How far away each zone is: the measured round trip, and one cost for all choices.
+"""Estimates the round trip time (RTT) to each zone, and the network cost of sending a request there.
 
-Round trips are measured by calls that are made anyway: new connections to replicas and questions
-to other daemons.  Until something was measured, the layout tells a first guess.
+RTT samples come from calls that are made anyway: new connections to replicas and queries to other
+daemons.  A zone without samples has a default that depends on whether it is in the local region.
 
 >>> places = Places(zone="a1", regions={"a1": "a", "a2": "a", "b1": "b"})
 >>> distances = Distances(places)
->>> [round(distances.cost_s(zone) * 1000, 1) for zone in ("a1", "a2", "b1")]
+>>> [round(distances.network_cost_s(zone) * 1000, 1) for zone in ("a1", "a2", "b1")]
 [0.0, 2.5, 24.5]
 >>> distances.observe("b1", 0.012, now_s=1.0)
->>> round(distances.cost_s("b1") * 1000, 1), distances.nearest_first()
+>>> round(distances.network_cost_s("b1") * 1000, 1), distances.nearest_first()
 (11.5, ['a2', 'b1'])
 
-Where there is one region, all other zones cost the same, whatever was measured.
+With a single region, all other zones have the same cost, whatever RTT was recorded.
 
->>> Distances(Places(zone="a1", regions={"a1": "a", "a2": "a"})).cost_s("a2")
+>>> Distances(Places(zone="a1", regions={"a1": "a", "a2": "a"})).network_cost_s("a2")
 0.0025
 """
 
@@ -23,100 +23,108 @@
 
 from passgate.eligibility.places import Places
 
-OTHER_ZONE_S = 0.0025
-"""Cost of another zone of the own region, and the least cost of any other zone: bytes there cost money."""
-OWN_ZONE_GUESS_S, OWN_REGION_GUESS_S, OTHER_REGION_GUESS_S = 0.0005, 0.002, 0.025
-"""Round trips until one was measured: within a building, within a city, between cities."""
+OTHER_ZONE_COST_S = 0.0025
+"""Cost of another zone of the local region, and minimum cost of a zone elsewhere: traffic is billed."""
+DEFAULT_SAME_ZONE_RTT_S, DEFAULT_SAME_REGION_RTT_S, DEFAULT_OTHER_REGION_RTT_S = 0.0005, 0.002, 0.025
+"""RTT of a zone without samples: the own zone, another one of the local region, one elsewhere."""
 WINDOW_S = 4.0
-"""Time over which the shortest round trip counts; the others waited for a busy machine."""
-RISE_SHARE = 0.5
-"""Share of the way to a longer shortest round trip that is taken after each window."""
-MARGIN_S = 0.05
-"""Time beyond the round trip for a daemon to answer: a few turns of a busy event loop."""
+"""Length of the window whose shortest sample counts; longer samples include time on a busy machine."""
+RTT_RISE_SHARE = 0.5
+"""Share of the difference by which the estimate rises to a window's longer minimum."""
+ANSWER_MARGIN_S = 0.05
+"""Time beyond the RTT that a daemon has for an answer: a few iterations of a busy event loop."""
 
 
-class _RoundTrip(msgspec.Struct):
-    """The round trip to one zone."""
+class _RoundTripEstimate(msgspec.Struct):
+    """Estimated RTT to one zone."""
 
-    value_s: float
-    lowest_s: float
-    """Shortest one of the present window."""
-    began_s: float
-    """Begin of the window."""
+    estimate_s: float
+    window_minimum_s: float
+    """Shortest sample of the current window."""
+    window_start_s: float
+    """Loop time at which the current window started."""
 
 
 class Distances:
-    """Round trips from this daemon to all zones."""
+    """Estimated RTT and network cost from this daemon to each zone."""
 
     def __init__(self, places: Places) -> None:
         self.places = places
         self.several_regions = len(set(places.regions.values())) > 1
-        """Whether there is any other region than this daemon's."""
-        self._measured: dict[str, _RoundTrip] = {}
-        self._costs: dict[str, float] = {}
-        """Cost by zone, as it is asked for each replica of each choice; emptied by each measurement."""
+        """Whether the zones are in more than one region."""
+        self._estimates_by_zone: dict[str, _RoundTripEstimate] = {}
+        self._cost_s_by_zone: dict[str, float] = {}
+        """Cache, read for every replica of every choice; cleared by each new sample."""
 
     def observe(self, zone: str, round_trip_s: float, now_s: float) -> None:
-        """Count a measured round trip: a shorter one holds at once, longer ones when none was shorter."""
-        known = self._measured.get(zone)
-        if known is None:
-            known = _RoundTrip(self._guess_s(zone), round_trip_s, now_s)
-            self._measured[zone] = known
-        known.value_s = min(known.value_s, round_trip_s)
-        known.lowest_s = min(known.lowest_s, round_trip_s)
-        if now_s - known.began_s >= WINDOW_S:
-            known.value_s += RISE_SHARE * (known.lowest_s - known.value_s)
-            known.lowest_s, known.began_s = round_trip_s, now_s
-        self._costs.clear()
+        """Record an RTT sample.
+
+        A sample below the estimate lowers it at once.  The estimate rises only at the end of a window,
+        towards the window's shortest sample.
+        """
+        estimate = self._estimates_by_zone.get(zone)
+        if estimate is None:
+            estimate = _RoundTripEstimate(self._default_round_trip_s(zone), round_trip_s, now_s)
+            self._estimates_by_zone[zone] = estimate
+        estimate.estimate_s = min(estimate.estimate_s, round_trip_s)
+        estimate.window_minimum_s = min(estimate.window_minimum_s, round_trip_s)
+        if now_s - estimate.window_start_s >= WINDOW_S:
+            estimate.estimate_s += RTT_RISE_SHARE * (estimate.window_minimum_s - estimate.estimate_s)
+            estimate.window_minimum_s, estimate.window_start_s = round_trip_s, now_s
+        self._cost_s_by_zone.clear()
 
     def round_trip_s(self, zone: str) -> float:
-        """Return the round trip to a zone as measured lately, or as the layout lets expect."""
-        known = self._measured.get(zone)
-        return known.value_s if known is not None else self._guess_s(zone)
+        """Return the estimated RTT to a zone, or its default without samples."""
+        estimate = self._estimates_by_zone.get(zone)
+        return estimate.estimate_s if estimate is not None else self._default_round_trip_s(zone)
 
-    def _guess_s(self, zone: str) -> float:
+    def _default_round_trip_s(self, zone: str) -> float:
         if zone == self.places.zone:
-            return OWN_ZONE_GUESS_S
-        return OWN_REGION_GUESS_S if self.is_home(zone) else OTHER_REGION_GUESS_S
+            return DEFAULT_SAME_ZONE_RTT_S
+        return DEFAULT_SAME_REGION_RTT_S if self.is_home(zone) else DEFAULT_OTHER_REGION_RTT_S
 
     def is_home(self, zone: str) -> bool:
-        """Whether a zone lies in this daemon's region; all do where there is one region."""
+        """Whether a zone is in this daemon's region; always true with a single region."""
         return not self.several_regions or self.places.region_of(zone) == self.places.region
 
-    def cost_s(self, zone: str) -> float:
-        """Return what using a zone costs beyond using the own one, as time."""
-        cost_s = self._costs.get(zone)
+    def network_cost_s(self, zone: str) -> float:
+        """Return the cost of sending to a zone instead of the own one, as a time; 0 for the own zone."""
+        cost_s = self._cost_s_by_zone.get(zone)
         if cost_s is None:
-            cost_s = self._costs[zone] = self._computed_cost_s(zone)
+            cost_s = self._cost_s_by_zone[zone] = self._compute_network_cost_s(zone)
         return cost_s
 
-    def _computed_cost_s(self, zone: str) -> float:
+    def _compute_network_cost_s(self, zone: str) -> float:
         if zone == self.places.zone:
             return 0.0
         if self.is_home(zone):
-            return OTHER_ZONE_S
-        return max(self.round_trip_s(zone) - self.round_trip_s(self.places.zone), OTHER_ZONE_S)
+            return OTHER_ZONE_COST_S
+        return max(self.round_trip_s(zone) - self.round_trip_s(self.places.zone), OTHER_ZONE_COST_S)
 
     def nearest_first(self) -> list[str]:
-        """Return all other zones: those of the own region, then those of others, the nearest first."""
+        """Return all zones but the own one: first the local region's, then the others', by rising RTT."""
         zones = [zone for zone in self.places.regions if zone != self.places.zone]
         return sorted(zones, key=lambda zone: (not self.is_home(zone), self.round_trip_s(zone), zone))
 
     def fallback_zones(self) -> list[str]:
-        """Return zones whose daemons are asked when the own zone is cut off; none in one region."""
-        near = self.nearest_first() if self.several_regions else []
-        home = [zone for zone in near if self.is_home(zone)]
-        others = [zone for zone in near if not self.is_home(zone)]
-        return home[:1] + others[:1]
+        """Return the zones whose daemons may be asked in place of those of the own zone.
+
+        They are the nearest other zone of the local region and the nearest zone elsewhere; there are
+        none with a single region.
+        """
+        zones = self.nearest_first() if self.several_regions else []
+        local = [zone for zone in zones if self.is_home(zone)]
+        remote = [zone for zone in zones if not self.is_home(zone)]
+        return local[:1] + remote[:1]
 
-    def patience_s(self, floor_s: float, zone: str | None = None) -> float:
-        """Return how long to wait for a short answer of a daemon.
+    def patience_s(self, minimum_s: float, zone: str | None = None) -> float:
+        """Return the time limit for a daemon's answer to a query that it can answer immediately.
 
         Args:
-            floor_s: shortest wait, right where the way takes almost no time.
-            zone: zone of the daemon; without it, the farthest zone counts.
+            minimum_s: time limit for a daemon nearby; always returned with a single region.
+            zone: zone of the daemon; None if it may be in any zone, then the longest RTT counts.
         """
         if not self.several_regions:
-            return floor_s
+            return minimum_s
         zones = [zone] if zone is not None else [self.places.zone, *self.places.regions]
-        return max(floor_s, max(map(self.round_trip_s, zones)) + MARGIN_S)
+        return max(minimum_s, max(map(self.round_trip_s, zones)) + ANSWER_MARGIN_S)
--- a/passgate/gateway/forwarder.py
+++ b/passgate/gateway/forwarder.py
@@ -1,8 +1,8 @@
-"""Forwards one plain request to replicas: attempts, hedging, time limits, refusals.
+"""Forwards plain (not streamed) requests to replicas, with retries and hedging.
 
-A repeatable request may go to several replicas, one after the other or, when the
-first is slow, at the same time; the first whole answer wins.  Any other request
-goes on to a second replica only when the first certainly did not run it.
+A repeatable request may be sent to several replicas, one after another or, when an answer is slow, at
+the same time (hedging); the first complete answer is returned and the other attempts are cancelled.
+Any other request is sent to a further replica only if the previous one certainly did not run it.
 """
 
 from __future__ import annotations
@@ -21,169 +21,194 @@
     PassgateError,
 )
 from passgate.gateway.access import Caller
-from passgate.gateway.forwarding import ForwarderBase, Forwarding, refusal
+from passgate.gateway.forwarder_base import ForwardedRequest, ForwarderBase, no_replica_error
 from passgate.gateway.messages import GatewayAnswer, IncomingRequest, answered_status
-from passgate.gateway.replica_call import ReplicaAnswer, cancel_all, forwarded_headers
+from passgate.gateway.replica_call import ReplicaAnswer, cancel_and_wait, end_to_end_headers
 from passgate.gateway.replicas import ReplicaState
 from passgate.gateway.routes import Route
 
-HEDGE_SHARE = 0.4
-"""Share of a route's target latency after which a second replica is asked as well."""
-WAIT_SHARE = 0.2
-"""Share of the target latency for which a request waits for a replica before it is refused."""
-WAIT_STEP_S = 0.02
-"""Time between looks for a replica with room; a tenth of the shortest target latency."""
-FIRST_REDIRECTION = 300
-SERVER_ERROR = 500
+HEDGE_DELAY_SHARE = 0.4
+"""Share of the route's target latency after which each further replica is tried in parallel."""
+REPLICA_WAIT_SHARE = 0.2
+"""Share of the route's target latency for which a request waits for a usable replica."""
+REPLICA_POLL_INTERVAL_S = 0.02
+"""Time between two choices of a replica while none is usable."""
+FIRST_REDIRECT_STATUS = 300
+FIRST_SERVER_ERROR_STATUS = 500
 
 
-class _Outcome(msgspec.Struct, kw_only=True):
-    """What the attempts of one request have brought so far."""
+class _AttemptResults(msgspec.Struct, kw_only=True):
+    """Unsuccessful results of one request's finished attempts."""
 
-    failure: PassgateError | None = None
-    fallback: ReplicaAnswer | None = None
-    """A whole answer that reports a failure; given when nothing better comes."""
+    last_error: PassgateError | None = None
+    fallback_answer: ReplicaAnswer | None = None
+    """Last complete answer that was not accepted; returned if no attempt succeeds and it is an error."""
 
 
-class _Attempt(msgspec.Struct, frozen=True, kw_only=True):
-    """One attempt that is under way."""
+class _RunningAttempt(msgspec.Struct, frozen=True, kw_only=True):
+    """One attempt whose result is not collected yet."""
 
     replica: ReplicaLife
-    began_s: float
+    sent_loop_s: float
     """Loop time at which it was sent."""
-    sent_at_s: float
-    """Time of day at which it was sent."""
+    sent_wall_s: float
+    """Wall-clock time at which it was sent, for the usage report."""
 
 
-Running = dict[asyncio.Task[ReplicaAnswer], _Attempt]
-"""Attempts that are under way."""
+RunningAttempts = dict[asyncio.Task[ReplicaAnswer], _RunningAttempt]
+"""Task of an attempt to the attempt's data."""
 
 
 class Forwarder(ForwarderBase):
-    """Forwards requests of plain routes."""
+    """Forwards requests of routes that are neither streaming nor batch."""
 
     async def forward(self, request: IncomingRequest, route: Route, caller: Caller) -> GatewayAnswer:
-        """Return the answer of a replica; raises PassgateError when there is none."""
-        forwarding = self._begin(request, route, caller)
+        """Return a replica's answer, which may be an error answer.
+
+        Raises PassgateError if no replica answered; its ``execution`` says whether the request may have
+        run.  When the caller disconnects, this coroutine is cancelled, and with it all attempts.
+        """
+        forwarding = self._begin_forwarding(request, route, caller)
         try:
-            answer = await self._run(forwarding)
+            answer = await self._run_attempts(forwarding)
         except PassgateError as error:
-            self._note_end(forwarding, answered_status(error), error.code)
+            self._record_end(forwarding, answered_status(error), error.code)
             raise
-        self._note_end(forwarding, answer.status, "")
+        self._record_end(forwarding, answer.status, "")
         return GatewayAnswer(
-            status=answer.status, headers=tuple(forwarded_headers(answer.headers)), body=answer.body
+            status=answer.status, headers=tuple(end_to_end_headers(answer.headers)), body=answer.body
         )
 
-    async def _run(self, forwarding: Forwarding) -> ReplicaAnswer:
-        running: Running = {}
-        outcome = _Outcome()
+    async def _run_attempts(self, forwarding: ForwardedRequest) -> ReplicaAnswer:
+        running: RunningAttempts = {}
+        results = _AttemptResults()
         try:
             while True:
-                if not running and not await self._send_next(forwarding, running):
-                    return self._last_word(forwarding, outcome)
-                await self._wait(forwarding, running)
-                answer = self._collect(forwarding, running, outcome)
+                if not running and not await self._send_to_next_replica(forwarding, running):
+                    return self._answer_without_success(forwarding, results)
+                await self._wait_for_attempts(forwarding, running)
+                answer = self._collect_finished(forwarding, running, results)
                 if answer is not None:
                     return answer
-                if monotonic_s() >= forwarding.limit_s:
-                    raise self._out_of_time(forwarding, bool(running))
+                if monotonic_s() >= forwarding.answer_by_s:
+                    raise self._time_limit_error(forwarding, bool(running))
                 if running and self._may_hedge(forwarding):
-                    self._send(forwarding, running, self._choose(forwarding))
+                    self._start_attempt(forwarding, running, self._choose_replica(forwarding))
         finally:
-            self._count_unfinished(forwarding, running)
-            await cancel_all(running)
+            self._count_abandoned(forwarding, running)
+            await cancel_and_wait(running)
+
+    async def _send_to_next_replica(self, forwarding: ForwardedRequest, running: RunningAttempts) -> bool:
+        """Start an attempt at a further replica, after a short wait if none is usable.
 
-    async def _send_next(self, forwarding: Forwarding, running: Running) -> bool:
-        """Send to the next replica, waiting shortly for one; return False to give up."""
+        Returns False if the request must not or can not be sent again.  Raises NoRegionAllowed,
+        RequestQuarantined or Unauthorized if it has not run and must not be sent.
+        """
         self._check_regions(forwarding)
-        if not forwarding.may_go_on or not await self._spares_replicas(forwarding):
+        if not forwarding.may_be_sent_again or not await self._passes_quarantine(forwarding):
             return False
-        patience_s = monotonic_s() + WAIT_SHARE * forwarding.route.target_latency_s
-        while (state := self._choose(forwarding)) is None:
-            if monotonic_s() >= min(patience_s, forwarding.limit_s):
+        wait_until_s = monotonic_s() + REPLICA_WAIT_SHARE * forwarding.route.target_latency_s
+        while (state := self._choose_replica(forwarding)) is None:
+            if monotonic_s() >= min(wait_until_s, forwarding.answer_by_s):
                 return False
-            await asyncio.sleep(WAIT_STEP_S)
-        if forwarding.may_have_run and not self._may_send(forwarding):
+            await asyncio.sleep(REPLICA_POLL_INTERVAL_S)
+        if forwarding.may_have_run and not self._is_still_authorized(forwarding):
             return False
-        self._check_access(forwarding)
-        self._send(forwarding, running, state)
+        self._recheck_api_key(forwarding)
+        self._start_attempt(forwarding, running, state)
         return True
 
-    def _may_hedge(self, forwarding: Forwarding) -> bool:
-        if not forwarding.repeatable or not forwarding.attempts_left:
+    def _may_hedge(self, forwarding: ForwardedRequest) -> bool:
+        if not forwarding.repeatable or not forwarding.has_attempts_left:
             return False
-        if monotonic_s() < self._hedge_at_s(forwarding) or not self._may_send(forwarding):
+        if monotonic_s() < self._next_hedge_at_s(forwarding) or not self._is_still_authorized(forwarding):
             return False
-        # A suspect that runs at two replicas may end both before either end tells anything.
-        return not self._caller.crashes.is_suspect(forwarding.identity)
+        # A request that may have crashed a replica runs on one replica at a time, or it could crash two
+        # before the first crash is noticed.
+        return not self._replica_client.crashes.is_suspect(forwarding.identity)
 
-    def _hedge_at_s(self, forwarding: Forwarding) -> float:
-        delay_s = HEDGE_SHARE * forwarding.route.target_latency_s
-        return forwarding.request.arrived_s + delay_s * len(forwarding.tried)
+    def _next_hedge_at_s(self, forwarding: ForwardedRequest) -> float:
+        delay_s = HEDGE_DELAY_SHARE * forwarding.route.target_latency_s
+        return forwarding.request.received_s + delay_s * len(forwarding.tried_replicas)
 
-    def _send(self, forwarding: Forwarding, running: Running, state: ReplicaState | None) -> None:
+    def _start_attempt(
+        self, forwarding: ForwardedRequest, running: RunningAttempts, state: ReplicaState | None
+    ) -> None:
         if state is None:
             return
-        self._note_sent(forwarding, state)
-        call = self._caller.call(state, self._replica_request(forwarding))
-        running[asyncio.get_running_loop().create_task(call)] = _Attempt(
-            replica=state.life, began_s=monotonic_s(), sent_at_s=self._usage_now_s()
+        self._record_sent(forwarding, state)
+        call = self._replica_client.fetch(state, self._replica_request(forwarding))
+        running[asyncio.get_running_loop().create_task(call)] = _RunningAttempt(
+            replica=state.life, sent_loop_s=monotonic_s(), sent_wall_s=self._usage_wall_s()
         )
 
-    async def _wait(self, forwarding: Forwarding, running: Running) -> None:
-        until_s = forwarding.limit_s
-        if forwarding.repeatable and forwarding.attempts_left:
-            until_s = min(until_s, max(self._hedge_at_s(forwarding), monotonic_s() + WAIT_STEP_S))
+    async def _wait_for_attempts(self, forwarding: ForwardedRequest, running: RunningAttempts) -> None:
+        until_s = forwarding.answer_by_s
+        if forwarding.repeatable and forwarding.has_attempts_left:
+            until_s = min(
+                until_s, max(self._next_hedge_at_s(forwarding), monotonic_s() + REPLICA_POLL_INTERVAL_S)
+            )
         left_s = max(until_s - monotonic_s(), 0.0)
         await asyncio.wait(running, timeout=left_s, return_when=asyncio.FIRST_COMPLETED)
 
-    def _collect(self, forwarding: Forwarding, running: Running, outcome: _Outcome) -> ReplicaAnswer | None:
+    def _collect_finished(
+        self, forwarding: ForwardedRequest, running: RunningAttempts, results: _AttemptResults
+    ) -> ReplicaAnswer | None:
         for task in [task for task in running if task.done()]:
             attempt = running.pop(task)
             error = task.exception()
-            if _has_run(error):
-                self._count_run(forwarding, attempt.sent_at_s)
+            if _may_have_started(error):
+                self._count_run(forwarding, attempt.sent_wall_s)
             if error is None:
                 answer = task.result()
                 if self._is_final(forwarding, answer):
                     return answer
-                outcome.fallback = answer
+                results.fallback_answer = answer
                 forwarding.may_have_run = True
             elif isinstance(error, PassgateError):
-                self._note_failed_attempt(forwarding, attempt.replica, error, attempt.began_s)
-                outcome.failure = error
+                self._record_failed_attempt(forwarding, attempt.replica, error, attempt.sent_loop_s)
+                results.last_error = error
             else:
                 raise error
         return None
 
-    def _count_unfinished(self, forwarding: Forwarding, running: Running) -> None:
-        """Count the attempts that are cut off because another one, or nobody, is waited for."""
+    def _count_abandoned(self, forwarding: ForwardedRequest, running: RunningAttempts) -> None:
+        """Count the runs of attempts that are about to be cancelled."""
         for attempt in running.values():
-            self._count_run(forwarding, attempt.sent_at_s)
-
-    def _is_final(self, forwarding: Forwarding, answer: ReplicaAnswer) -> bool:
-        if answer.status >= SERVER_ERROR:
-            return not (forwarding.repeatable and forwarding.attempts_left)
-        stamped = any(name.lower() == self._names.replica_stamp.lower() for name, _ in answer.headers)
-        return stamped or answer.status >= FIRST_REDIRECTION
-
-    def _last_word(self, forwarding: Forwarding, outcome: _Outcome) -> ReplicaAnswer:
-        fallback = outcome.fallback
-        if fallback is not None and fallback.status >= FIRST_REDIRECTION:
+            self._count_run(forwarding, attempt.sent_wall_s)
+
+    def _is_final(self, forwarding: ForwardedRequest, answer: ReplicaAnswer) -> bool:
+        """Whether an answer is returned to the caller at once instead of trying another replica.
+
+        A 5xx answer is final only if no further attempt is possible, and a 2xx answer only if it carries
+        the replica's stamp.
+        """
+        if answer.status >= FIRST_SERVER_ERROR_STATUS:
+            return not (forwarding.repeatable and forwarding.has_attempts_left)
+        stamped = any(name.lower() == self._header_names.replica_stamp.lower() for name, _ in answer.headers)
+        return stamped or answer.status >= FIRST_REDIRECT_STATUS
+
+    def _answer_without_success(
+        self, forwarding: ForwardedRequest, results: _AttemptResults
+    ) -> ReplicaAnswer:
+        """Return the fallback answer if it is an error answer; raises PassgateError without one."""
+        fallback = results.fallback_answer
+        if fallback is not None and fallback.status >= FIRST_REDIRECT_STATUS:
             return fallback
         if forwarding.may_have_run:
-            raise BackendUnreachable("no replica gave a whole answer", execution=ExecutionStatus.UNKNOWN)
-        if isinstance(outcome.failure, BackendRefused):
-            raise refusal("replicas are full")
-        raise self._refusal(forwarding, "no replica can be reached")
-
-    def _out_of_time(self, forwarding: Forwarding, running: bool) -> PassgateError:
+            raise BackendUnreachable(
+                "no replica returned a complete answer", execution=ExecutionStatus.UNKNOWN
+            )
+        if isinstance(results.last_error, BackendRefused):
+            raise no_replica_error("replicas refused the request")
+        raise self._no_replica_error(forwarding, "no replica is available")
+
+    def _time_limit_error(self, forwarding: ForwardedRequest, running: bool) -> PassgateError:
         if running or forwarding.may_have_run:
-            return DeadlineExceeded("time limit is over", execution=ExecutionStatus.UNKNOWN)
-        return refusal("no replica in time")
+            return DeadlineExceeded("no answer within the time limit", execution=ExecutionStatus.UNKNOWN)
+        return no_replica_error("no replica was available within the time limit")
 
 
-def _has_run(error: BaseException | None) -> bool:
-    """Whether an attempt that ended so was begun, as far as that is known."""
+def _may_have_started(error: BaseException | None) -> bool:
+    """Whether an attempt with this result, None for a complete answer, may have run the request."""
     return not isinstance(error, PassgateError) or error.execution is not ExecutionStatus.NOT_RUN
--- /dev/null
+++ b/passgate/gateway/forwarder_base.py
@@ -0,0 +1,272 @@
+"""Base of the plain and the streaming forwarder: state of a forwarded request, checks before each attempt."""
+
+from __future__ import annotations
+
+from typing import Protocol
+
+import msgspec
+
+from passgate.clock import monotonic_s
+from passgate.decisions import AttemptFailed, DecisionLog, ForwardEnded, ForwardSent
+from passgate.eligibility.replica_info import ReplicaLife
+from passgate.eligibility.rules import SendTerms
+from passgate.errors import (
+    BackendUnreachable,
+    NoRegionAllowed,
+    NoReplicaAvailable,
+    NoReplicaInRegions,
+    ReplicaReplaced,
+    Unauthorized,
+)
+from passgate.errors.base import ExecutionStatus, PassgateError
+from passgate.gateway.access import Caller
+from passgate.gateway.dialect import HeaderNames
+from passgate.gateway.messages import IncomingRequest
+from passgate.gateway.replica_call import ReplicaCaller, ReplicaRequest
+from passgate.gateway.replicas import ChoiceRequest, ReplicaState, ReplicaTable
+from passgate.gateway.routes import ConfigHolder, Route, RouteKind, WeightedChoice
+from passgate.quarantine.identity import RequestIdentity
+
+RETRY_AFTER_S = 0.15
+"""Value of ``Retry-After`` when no replica is available."""
+
+
+UNREACHED_ERRORS = (BackendUnreachable, ReplicaReplaced)
+"""Errors that, if the attempt did not run, mean that it never reached the chosen replica."""
+
+
+class ForwardedRequest(msgspec.Struct, kw_only=True):
+    """State of one request while it is forwarded."""
+
+    request: IncomingRequest
+    caller: Caller
+    configuration_version: int
+    """Version of the configuration with which the caller's API key was last checked."""
+    route: Route
+    service: str
+    """Service of the route that was picked for the request; all attempts go to its replicas."""
+    request_id: str
+    answer_by_s: float
+    """Loop time at which the gateway answers at the latest: the route's timeout or the caller's deadline."""
+    caller_deadline_s: float
+    """Loop time until which the caller waits."""
+    tried_replicas: list[ReplicaLife] = []
+    """Replicas of all attempts, in order; they are not chosen again."""
+    unreached_count: int = 0
+    """Attempts that never reached their replica; see UNREACHED_ERRORS."""
+    may_have_run: bool = False
+    """Whether an attempt failed in a way that does not rule out that the request ran."""
+    usage_counted: bool = False
+    """Whether a stream's run is already counted for the usage report."""
+    last_event_id: str = ""
+    """Identifier of the last event sent to the caller, or the one that the caller resumes from."""
+
+    @property
+    def identity(self) -> RequestIdentity:
+        """Content of the request, by which crashes of replicas are attributed to it."""
+        request = self.request
+        return RequestIdentity(
+            host=request.host,
+            method=request.method,
+            path=request.path,
+            tenant=self.caller.tenant,
+            body=request.body,
+        )
+
+    @property
+    def repeatable(self) -> bool:
+        """Whether the request may run more than once, at different replicas too."""
+        return self.route.kind is RouteKind.SAFE or self.route.resumable
+
+    @property
+    def has_attempts_left(self) -> bool:
+        """Whether the route's maximum of attempts permits another one.
+
+        Attempts that never reached their replica don't count: otherwise a request would be refused
+        after meeting a few replicas that have just ended, although another one is available.
+        """
+        return len(self.tried_replicas) - self.unreached_count < self.route.max_attempts
+
+    @property
+    def may_be_sent_again(self) -> bool:
+        """Whether another attempt is permitted, considering that a request may have to run at most once."""
+        return self.has_attempts_left and (self.repeatable or not self.may_have_run)
+
+
+class UsageRecorder(Protocol):
+    """Counts the runs of requests by tenant, for the usage report."""
+
+    def now_s(self) -> float:
+        """Return the wall-clock time; taken when a request is sent and passed to :meth:`began` later."""
+        ...
+
+    def began(self, tenant: str | None, at_s: float) -> None:
+        """Count a request that a replica started to run, at the wall-clock time at which it was sent."""
+        ...
+
+
+class ForwarderBase:
+    """Steps that are common to forwarders: checks, choice of a replica, decision log, usage."""
+
+    def __init__(
+        self,
+        replica_client: ReplicaCaller,
+        replicas: ReplicaTable,
+        header_names: HeaderNames,
+        decisions: DecisionLog,
+        config: ConfigHolder,
+        usage: UsageRecorder | None = None,
+    ) -> None:
+        self._usage = usage
+        self._config = config
+        self._replica_client = replica_client
+        self._replicas = replicas
+        self._header_names = header_names
+        self._decisions = decisions
+        self._service_picker = WeightedChoice()
+
+    def _begin_forwarding(self, request: IncomingRequest, route: Route, caller: Caller) -> ForwardedRequest:
+        deadline_s = request.deadline_s(self._header_names.deadline_ms)
+        return ForwardedRequest(
+            request=request,
+            caller=caller,
+            configuration_version=self._config.version,
+            route=route,
+            service=self._service_picker.pick(route),
+            request_id=request.header(self._header_names.request_id),
+            answer_by_s=min(deadline_s, request.received_s + route.timeout_s),
+            caller_deadline_s=deadline_s,
+            last_event_id=request.header(self._header_names.last_event_id),
+        )
+
+    def _recheck_api_key(self, forwarding: ForwardedRequest) -> None:
+        """Authenticate the caller again if the configuration has changed; raises Unauthorized.
+
+        Called before each attempt, as a key that is revoked while its request waits must not start a run.
+        """
+        table = self._config.table
+        if table is None or table.config.version == forwarding.configuration_version:
+            return
+        table.keys.caller_of(forwarding.request.headers, public=forwarding.route.public)
+        forwarding.configuration_version = table.config.version
+
+    async def _passes_quarantine(self, forwarding: ForwardedRequest) -> bool:
+        """Return whether the request is not quarantined, once running crash checks that decide it have ended.
+
+        For a quarantined request that has not run, raises RequestQuarantined instead of returning False.
+        """
+        crash_guard = self._replica_client.crashes
+        await crash_guard.settled(forwarding.identity)
+        if forwarding.may_have_run:
+            return not crash_guard.is_held(forwarding.identity)
+        crash_guard.check(forwarding.identity)
+        return True
+
+    def _is_still_authorized(self, forwarding: ForwardedRequest) -> bool:
+        """Whether the caller's API key is still valid; used where a refusal as not run would be false."""
+        try:
+            self._recheck_api_key(forwarding)
+        except Unauthorized:
+            return False
+        return True
+
+    def _send_terms(self, forwarding: ForwardedRequest) -> SendTerms:
+        """Return the request's region restriction by the active configuration, which may have changed."""
+        request, tenant = forwarding.request, forwarding.caller.tenant
+        accepted_regions = forwarding.route.allowed_regions
+        return self._config.terms_for(request.host, request.path, tenant, accepted_regions)
+
+    def _check_regions(self, forwarding: ForwardedRequest) -> None:
+        """Raise NoRegionAllowed if the request has not run and no region may serve it."""
+        if self._send_terms(forwarding).regions == frozenset() and not forwarding.may_have_run:
+            raise NoRegionAllowed("route and tenant allow no region in common")
+
+    def _choose_replica(self, forwarding: ForwardedRequest) -> ReplicaState | None:
+        query = ChoiceRequest(
+            services=frozenset({forwarding.service}),
+            excluded=frozenset(forwarding.tried_replicas),
+            terms=self._send_terms(forwarding),
+        )
+        return self._replicas.choose(query, monotonic_s())
+
+    def _replica_request(self, forwarding: ForwardedRequest) -> ReplicaRequest:
+        request = forwarding.request
+        last_event_id = self._header_names.last_event_id.lower()
+        headers = [pair for pair in request.headers if pair[0].lower() != last_event_id]
+        if forwarding.last_event_id:
+            headers.append((self._header_names.last_event_id, forwarding.last_event_id))
+        return ReplicaRequest(
+            request_id=forwarding.request_id,
+            method=request.method,
+            path=request.path,
+            host=request.host,
+            headers=tuple(headers),
+            body=request.body,
+            deadline_s=forwarding.caller_deadline_s,
+            priority=forwarding.route.priority if forwarding.route.kind is RouteKind.STREAMING else None,
+            repeatable=forwarding.repeatable,
+            tenant=forwarding.caller.tenant,
+            terms=self._send_terms(forwarding),
+        )
+
+    def _no_replica_error(self, forwarding: ForwardedRequest, reason: str) -> PassgateError:
+        """Return the error for a request that did not run: NoReplicaInRegions if it is region-restricted
+        and no replica was tried, else NoReplicaAvailable."""
+        if forwarding.tried_replicas or self._send_terms(forwarding).regions is None:
+            return no_replica_error(reason)
+        return NoReplicaInRegions(reason, execution=ExecutionStatus.NOT_RUN, retry_after_s=RETRY_AFTER_S)
+
+    def _record_sent(self, forwarding: ForwardedRequest, state: ReplicaState) -> None:
+        forwarding.tried_replicas.append(state.life)
+        self._decisions.write(
+            ForwardSent(
+                request_id=forwarding.request_id,
+                route=forwarding.route.name,
+                replica_id=state.info.replica_id,
+                attempt=len(forwarding.tried_replicas),
+                in_flight=state.in_flight,
+            )
+        )
+
+    def _record_failed_attempt(
+        self, forwarding: ForwardedRequest, replica: ReplicaLife, error: PassgateError, started_s: float
+    ) -> None:
+        not_run = error.execution is ExecutionStatus.NOT_RUN
+        forwarding.may_have_run |= not not_run
+        forwarding.unreached_count += not_run and isinstance(error, UNREACHED_ERRORS)
+        self._decisions.write(
+            AttemptFailed(
+                request_id=forwarding.request_id,
+                route=forwarding.route.name,
+                replica_id=replica.replica_id,
+                fingerprint=forwarding.identity.fingerprint(),
+                reason=error.code,
+                execution=error.execution.value,
+                elapsed_ms=round((monotonic_s() - started_s) * 1000, 1),
+            )
+        )
+
+    def _usage_wall_s(self) -> float:
+        return self._usage.now_s() if self._usage is not None else 0.0
+
+    def _count_run(self, forwarding: ForwardedRequest, wall_s: float) -> None:
+        """Count a run for the usage report; ``wall_s`` is the wall-clock time at which it was sent."""
+        if self._usage is not None:
+            self._usage.began(forwarding.caller.tenant, wall_s)
+
+    def _record_end(self, forwarding: ForwardedRequest, status: int, reason: str) -> None:
+        self._decisions.write(
+            ForwardEnded(
+                request_id=forwarding.request_id,
+                route=forwarding.route.name,
+                status=status,
+                reason=reason,
+                replicas=tuple(life.replica_id for life in forwarding.tried_replicas),
+                elapsed_ms=round((monotonic_s() - forwarding.request.received_s) * 1000, 1),
+            )
+        )
+
+
+def no_replica_error(reason: str) -> PassgateError:
+    """Return the error for a request that did not run and may be sent again."""
+    return NoReplicaAvailable(reason, execution=ExecutionStatus.NOT_RUN, retry_after_s=RETRY_AFTER_S)
--- a/passgate/gateway/ingress.py
+++ b/passgate/gateway/ingress.py
@@ -1,7 +1,7 @@
-"""HTTP servers of the gateway, on tornado's connection delegates.
+"""HTTP servers of the gateway, built on tornado's connection delegates.
 
-The handlers of tornado's web framework would change headers and status lines;
-here a request is taken byte for byte and an answer is written as it is given.
+``tornado.web`` is not used, as it would add and change headers: requests reach the handler as they were
+received, and answers are written with the handler's status, headers and body.
 """
 
 from __future__ import annotations
@@ -33,72 +33,79 @@
 
 METRICS_PATH = "/metrics"
 METRICS_HEADERS = (("Content-Type", "text/plain; version=0.0.4; charset=utf-8"),)
-BODILESS = frozenset({204, 304})
-BACKLOG = 512
+BODILESS_STATUSES = frozenset({204, 304})
+LISTEN_BACKLOG = 512
 IDLE_TIMEOUT_MARGIN_S = 3.0
-"""Idle connections are closed this much later than callers may use them."""
+"""Added to the idle timeout that callers know, so that a request just before it meets an open connection."""
 MAX_HEADER_BYTES = 65_536
-"""Bound before a configuration names its own; tornado refuses longer heads."""
+"""Maximum size of a request's head, whatever the configuration says; tornado refuses larger ones."""
 MAX_BODY_BYTES = 1 << 26
-"""Bound before a configuration names its own."""
+"""Maximum size of a request's body until :meth:`Ingress.set_limits` sets another one."""
 
 
 class Ingress(HTTPServerConnectionDelegate):
-    """One listening address; each request runs in a task that ends when its caller leaves."""
+    """HTTP server on one address.
+
+    Each complete request is handled in a task of its own, which is cancelled when the connection closes.
+    """
 
     def __init__(self, handler: Handler) -> None:
         self._handler = handler
         self._tasks: set[asyncio.Task[None]] = set()
-        self._refusing = False
+        self._refusing_new_requests = False
         self._server = HTTPServer(self, max_header_size=MAX_HEADER_BYTES, max_body_size=MAX_BODY_BYTES)
 
     def listen(self, address: str) -> None:
         """Listen on ``IP:PORT``."""
         host, _, port = address.rpartition(":")
-        self._server.listen(int(port), host, backlog=BACKLOG, reuse_port=False)
+        self._server.listen(int(port), host, backlog=LISTEN_BACKLOG, reuse_port=False)
 
     def set_limits(self, *, max_body_bytes: int, idle_timeout_s: float) -> None:
-        """Put limits in force for the requests that come from now on."""
+        """Set the limits of the configuration, from the next request of each connection on.
+
+        The idle timeout is stored as ``idle_connection_timeout``, which tornado only reads as an argument
+        of ``HTTPServer``; it has no effect here.
+        """
         parameters = self._server.conn_params
         parameters.max_body_size = max_body_bytes
         parameters.idle_connection_timeout = idle_timeout_s + IDLE_TIMEOUT_MARGIN_S
 
     @property
     def in_flight(self) -> int:
-        """Requests that are being handled."""
+        """Number of requests that are being handled or answered."""
         return len(self._tasks)
 
     def close_after_answers(self) -> None:
-        """Let each connection end with its next answer."""
+        """Disable keep-alive: each connection is closed after its next answer."""
         self._server.conn_params.no_keep_alive = True
 
     def refuse_new(self) -> None:
-        """Answer every further request as not run, so that none is begun that would be cut off."""
-        self._refusing = True
+        """Refuse every further request as not run, so that the shutdown interrupts none."""
+        self._refusing_new_requests = True
 
     def stop_listening(self) -> None:
-        """Take no further connections."""
+        """Stop accepting connections; open ones stay open."""
         self._server.stop()
 
     async def close(self) -> None:
-        """Close all connections."""
+        """Close all connections and wait until they are closed."""
         await self._server.close_all_connections()
 
     def start_request(self, server_conn: object, request_conn: HTTPConnection) -> HTTPMessageDelegate:
-        """Take a request on a connection; called by tornado."""
-        return _Exchange(self, request_conn)
+        """Return the reader of a new request; called by tornado."""
+        return _RequestReader(self, request_conn)
 
-    def run(self, request: IncomingRequest, connection: HTTPConnection) -> None:
-        """Start handling a whole request."""
-        task = asyncio.get_running_loop().create_task(self._answer(request, connection))
+    def start_handling(self, request: IncomingRequest, connection: HTTPConnection) -> None:
+        """Start the task that handles a complete request."""
+        task = asyncio.get_running_loop().create_task(self._handle(request, connection))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         connection.set_close_callback(task.cancel)
 
-    async def _answer(self, request: IncomingRequest, connection: HTTPConnection) -> None:
+    async def _handle(self, request: IncomingRequest, connection: HTTPConnection) -> None:
         try:
-            if self._refusing:
-                raise Draining("the daemon ends", execution=ExecutionStatus.NOT_RUN)
+            if self._refusing_new_requests:
+                raise Draining("the daemon is shutting down", execution=ExecutionStatus.NOT_RUN)
             answer = await self._handler(request)
         except PassgateError as error:
             answer = error_answer(error)
@@ -110,7 +117,7 @@
         if isinstance(answer, StreamAnswer):
             await self._write_stream(answer, connection)
         else:
-            self._write(answer, request.method, connection)
+            self._write_answer(answer, request.method, connection)
 
     async def _write_stream(self, answer: StreamAnswer, connection: HTTPConnection) -> None:
         headers = HTTPHeaders()
@@ -119,9 +126,9 @@
         line = ResponseStartLine("HTTP/1.1", answer.status, responses.get(answer.status, "Unknown"))
         try:
             await connection.write_headers(line, headers)
-            async with contextlib.aclosing(answer.pieces) as pieces:
-                async for piece in pieces:
-                    await connection.write(piece)
+            async with contextlib.aclosing(answer.chunks) as chunks:
+                async for chunk in chunks:
+                    await connection.write(chunk)
             connection.finish()
         except StreamClosedError:
             logger.debug("caller_left")
@@ -129,11 +136,11 @@
             logger.info("stream_incomplete", extra={"error": str(error)})
             connection.close()
 
-    def _write(self, answer: GatewayAnswer, method: str, connection: HTTPConnection) -> None:
+    def _write_answer(self, answer: GatewayAnswer, method: str, connection: HTTPConnection) -> None:
         headers = HTTPHeaders()
         for name, value in answer.headers:
             headers.add(name, value)
-        bodiless = answer.status in BODILESS or method == "HEAD"
+        bodiless = answer.status in BODILESS_STATUSES or method == "HEAD"
         if not bodiless:
             headers["Content-Length"] = str(len(answer.body))
         line = ResponseStartLine("HTTP/1.1", answer.status, responses.get(answer.status, "Unknown"))
@@ -144,47 +151,51 @@
             logger.debug("caller_left")
 
 
-class _Exchange(HTTPMessageDelegate):
-    """Collects one request."""
+class _RequestReader(HTTPMessageDelegate):
+    """Collects the parts of one request from tornado, and starts its handling once it is complete."""
 
     def __init__(self, ingress: Ingress, connection: HTTPConnection) -> None:
         self._ingress = ingress
         self._connection = connection
-        self._parts: list[bytes] = []
-        self._line = RequestStartLine("", "", "")
+        self._body_chunks: list[bytes] = []
+        self._start_line = RequestStartLine("", "", "")
         self._headers = HTTPHeaders()
 
     def headers_received(self, start_line: object, headers: HTTPHeaders) -> None:
         assert isinstance(start_line, RequestStartLine)
-        self._line = start_line
+        self._start_line = start_line
         self._headers = headers
 
     def data_received(self, chunk: bytes) -> None:
-        self._parts.append(chunk)
+        self._body_chunks.append(chunk)
 
     def finish(self) -> None:
         request = IncomingRequest(
-            method=self._line.method,
-            path=self._line.path,
+            method=self._start_line.method,
+            path=self._start_line.path,
             host=self._headers.get("Host", ""),
             headers=tuple(self._headers.get_all()),
-            body=b"".join(self._parts),
-            arrived_s=monotonic_s(),
+            body=b"".join(self._body_chunks),
+            received_s=monotonic_s(),
         )
-        self._ingress.run(request, self._connection)
+        self._ingress.start_handling(request, self._connection)
 
     def on_connection_close(self) -> None:
-        self._parts.clear()
+        self._body_chunks.clear()
+
 
+def probe_handler(is_ready: Callable[[], bool], render_metrics: Callable[[], bytes]) -> Handler:
+    """Return the handler of the readiness server.
 
-def probe_handler(ready: Callable[[], bool], exposition: Callable[[], bytes]) -> Handler:
-    """Return a handler that tells the metrics, and elsewhere answers 200 while ``ready`` holds."""
+    It answers METRICS_PATH with the metrics, and any other path with 200 if the daemon is ready; else it
+    raises NotReady.
+    """
 
     async def handle(request: IncomingRequest) -> GatewayAnswer:
         if request.path == METRICS_PATH:
-            return GatewayAnswer(status=200, headers=METRICS_HEADERS, body=exposition())
-        if not ready():
-            raise NotReady("not ready", execution=ExecutionStatus.NOT_RUN)
+            return GatewayAnswer(status=200, headers=METRICS_HEADERS, body=render_metrics())
+        if not is_ready():
+            raise NotReady("the daemon is not ready", execution=ExecutionStatus.NOT_RUN)
         return GatewayAnswer(status=200, body=b"ready")
 
     return handle
--- a/passgate/gateway/metrics.py
+++ b/passgate/gateway/metrics.py
@@ -1,7 +1,6 @@
-"""Counters and histograms of one gateway daemon, fed by its decisions.
+"""Prometheus metrics of one gateway daemon, mostly derived from the events of its decision log.
 
-Labels are event names, statuses and outcomes only, so their number does not grow
-with routes, callers or replicas.
+Labels never hold names of routes, callers or replicas, so that the number of time series stays bounded.
 
 >>> metrics = GatewayMetrics()
 >>> metrics.observe(JobEnded(job_id="j", listed=1, total=1))
@@ -34,51 +33,54 @@
 from passgate.errors import NoRegionAllowed, NoReplicaInRegions
 
 REQUEST_BUCKETS_S = (0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.5, 3, 6, 12)
-"""From a request's work of some 10 ms over its target latency (0.2 s) to its deadline."""
+"""Bucket bounds of the duration of a request or a job's submission."""
 ITEM_BUCKETS_S = (0.25, 0.5, 1, 2, 4, 6, 8, 12, 20, 40)
-"""From a short output to the time for which items are kept; steps are due after some 7 s."""
+"""Bucket bounds of the duration of a batch job's item."""
 
-REGION_CODES = frozenset({NoRegionAllowed.code, NoReplicaInRegions.code})
-"""Reasons of refusals that bounds on regions cause."""
+REGION_REFUSAL_CODES = frozenset({NoRegionAllowed.code, NoReplicaInRegions.code})
+"""Error codes of refusals that are due to a region restriction."""
 
 __all__ = ["GatewayMetrics", "JobEnded"]
 
 
 class GatewayMetrics:
-    """Metrics of a daemon; their names stand in docs/OPERATIONS.md."""
+    """All metrics of a daemon, in a registry of their own; docs/OPERATIONS.md lists them.
+
+    The public gauges are set by the daemon just before :meth:`exposition`.
+    """
 
     def __init__(self) -> None:
         self.registry = CollectorRegistry()
         self._decisions = Counter(
             "passgate_decisions", "Decisions by name of the event.", ("event",), registry=self.registry
         )
-        self._requests = Histogram(
+        self._forward_seconds = Histogram(
             "passgate_forward_seconds",
             "Time from a request's arrival to its answer, by status.",
             ("status",),
             buckets=REQUEST_BUCKETS_S,
             registry=self.registry,
         )
-        self._items = Histogram(
+        self._item_seconds = Histogram(
             "passgate_item_seconds",
             "Time from an item's start at this daemon to its result, by state.",
             ("state",),
             buckets=ITEM_BUCKETS_S,
             registry=self.registry,
         )
-        self._item_failures = Counter(
+        self._item_attempt_failures = Counter(
             "passgate_item_attempt_failures",
             "Attempts of items that ended without the whole output, by code.",
             ("code",),
             registry=self.registry,
         )
-        self._accepts = Histogram(
+        self._job_accept_seconds = Histogram(
             "passgate_job_accept_seconds",
             "Time to put a batch job on the log.",
             buckets=REQUEST_BUCKETS_S,
             registry=self.registry,
         )
-        self._configuration = Gauge(
+        self._configuration_version = Gauge(
             "passgate_configuration_version", "Configuration in force.", registry=self.registry
         )
         self._log_calls = Counter(
@@ -130,10 +132,10 @@
         )
         self.leads = Gauge("passgate_leads", "1 while this daemon gives orders.", registry=self.registry)
 
-        self._cold = Gauge(
+        self._cold_replicas = Gauge(
             "passgate_cold_replicas", "Replicas that count as cold here.", registry=self.registry
         )
-        self._permits = Counter(
+        self._cold_permits = Counter(
             "passgate_cold_permits",
             "Permits to send to cold replicas, by what became of them.",
             ("outcome",),
@@ -141,37 +143,37 @@
         )
 
     def show_kept_back(self, counts: Mapping[KeptBack, int]) -> None:
-        """Show, from now on, what rules keep from replicas; see :mod:`passgate.eligibility.rules`."""
-        self.registry.register(_KeptBackCollector(counts))
+        """Export counts of exclusions by send rules; ``counts`` is read again at each exposition."""
+        self.registry.register(_ExclusionCollector(counts))
 
     def count_log_call(self, call: str, subject: str, outcome: str) -> None:
-        """Count a call to the log; see :mod:`passgate.sharedlog.counted`."""
+        """Count a call to the log, made by :mod:`passgate.sharedlog.counted`."""
         self._log_calls.labels(call, subject, outcome).inc()
 
     def count_region_send(self, region: str, spilled: bool) -> None:
-        """Count a request that was sent to a replica of a region."""
+        """Count a request sent to a replica of a region; ``spilled`` if that is not the local region."""
         self._region_sends.labels(region, "spilled" if spilled else "kept").inc()
 
     def observe(self, event: Event) -> None:
-        """Count an event."""
+        """Update the metrics from an event of the decision log."""
         self._decisions.labels(event.name).inc()
-        if isinstance(event, ForwardEnded | JobAcceptFailed) and event.reason in REGION_CODES:
+        if isinstance(event, ForwardEnded | JobAcceptFailed) and event.reason in REGION_REFUSAL_CODES:
             self._region_refusals.labels(event.reason).inc()
         match event:
             case ForwardEnded(status=status, elapsed_ms=elapsed_ms):
-                self._requests.labels(str(status)).observe(elapsed_ms / 1000)
+                self._forward_seconds.labels(str(status)).observe(elapsed_ms / 1000)
             case ItemListed(state=state, elapsed_ms=elapsed_ms):
-                self._items.labels(state).observe(elapsed_ms / 1000)
+                self._item_seconds.labels(state).observe(elapsed_ms / 1000)
             case ItemFailed(reason=reason):
-                self._item_failures.labels(reason.partition(":")[0]).inc()
+                self._item_attempt_failures.labels(reason.partition(":")[0]).inc()
             case JobAccepted(elapsed_ms=elapsed_ms):
-                self._accepts.observe(elapsed_ms / 1000)
+                self._job_accept_seconds.observe(elapsed_ms / 1000)
             case ConfigurationInForce(version=version):
-                self._configuration.set(version)
+                self._configuration_version.set(version)
             case EntryUnusable(entries=entries):
                 self._unusable_entries.inc(entries)
             case ColdReplicasChanged(cold=cold):
-                self._cold.set(cold)
+                self._cold_replicas.set(cold)
             case PermitsCounted():
                 self._count_permits(event)
 
@@ -186,27 +188,30 @@
             "unanswered": event.unanswered,
         }
         for outcome, count in counts.items():
-            self._permits.labels(outcome).inc(count)
+            self._cold_permits.labels(outcome).inc(count)
 
     def exposition(self) -> bytes:
-        """Return all metrics in the text format of Prometheus."""
+        """Return all metrics in the Prometheus text format."""
         return generate_latest(self.registry)
 
 
-class _KeptBackCollector(Collector):
-    """Counts of rules; they are kept where requests are sent, which takes no lock there."""
+class _ExclusionCollector(Collector):
+    """Exports exclusion counts that :class:`passgate.eligibility.rules.SendRules` maintains.
+
+    They are read at each exposition, so that counting them at each send needs no lock.
+    """
 
     def __init__(self, counts: Mapping[KeptBack, int]) -> None:
         self._counts = counts
 
     def collect(self) -> Iterator[CounterMetricFamily]:
-        """Return the counts by rule, kind of send, and step."""
+        """Yield one counter family, labelled by rule, kind of send, and step at which the rule applied."""
         family = CounterMetricFamily(
             "passgate_kept_back",
             "Replicas passed over in choices, and sends stopped, by the rule that forbade it.",
             labels=("rule", "kind", "step"),
         )
-        for kept_back, count in self._counts.items():
-            labels = (kept_back.rule, kept_back.kind.value, kept_back.checked_at.value)
+        for exclusion, count in self._counts.items():
+            labels = (exclusion.rule, exclusion.kind.value, exclusion.checked_at.value)
             family.add_metric(labels, count)
         yield family
--- a/passgate/gateway/pace.py
+++ b/passgate/gateway/pace.py
@@ -1,50 +1,52 @@
-"""How fast a replica makes the events of a stream, from the streams that were read.
+"""Estimates the time that a replica takes for one event of a stream.
 
-Many streams of a replica give one estimate, so it is steady; while nothing is read it
-returns to what is usual among the replicas, so that a slow one is tried again.
+The estimate is an exponentially weighted average over all streams of the replica.  Without new
+observations it decays towards a default, so that a replica that was slow is chosen again.
 
->>> pace = Pace()
+>>> estimate = EventIntervalEstimate()
 >>> for _ in range(200):
-...     pace.observe(0.052, now_s=1.0)
->>> round(pace.event_s(now_s=1.0, usual_s=0.04), 3)
+...     estimate.record(0.052, now_s=1.0)
+>>> round(estimate.expected_s(now_s=1.0, default_s=0.04), 3)
 0.052
->>> round(pace.event_s(now_s=1.0 + 10 * FORGET_S, usual_s=0.04), 3)
+>>> round(estimate.expected_s(now_s=1.0 + 10 * HALF_LIFE_S, default_s=0.04), 3)
 0.04
 """
 
 from __future__ import annotations
 
-SMOOTHING = 0.05
-"""Weight of a new observation."""
-MAX_STEP = 6.0
-"""One observation counts for at most this many times the present estimate."""
-FORGET_S = 4.0
-"""Time after which an estimate counts half."""
+ESTIMATE_SMOOTHING = 0.05
+"""Weight of a new observation in the average."""
+MAX_INCREASE_FACTOR = 6.0
+"""An observation is capped at this many times the current estimate."""
+HALF_LIFE_S = 4.0
+"""Time without an observation after which the estimate has moved halfway to the default."""
 
 
-class Pace:
-    """Estimate of one replica's time for an event."""
+class EventIntervalEstimate:
+    """Estimate of one replica's time per event."""
 
     def __init__(self) -> None:
-        self._event_s = 0.0
-        self._observed_s = float("-inf")
+        self._interval_s = 0.0
+        self._recorded_at_s = float("-inf")
 
     @property
-    def known(self) -> bool:
-        """Whether anything was observed."""
-        return self._event_s > 0.0
-
-    def observe(self, event_s: float, now_s: float) -> None:
-        """Count the time that an event took, or has taken at least."""
-        if not self.known:
-            self._event_s = event_s
+    def has_observation(self) -> bool:
+        """Whether any interval was recorded."""
+        return self._interval_s > 0.0
+
+    def record(self, event_s: float, now_s: float) -> None:
+        """Record the time that an event took, or that has passed so far without one."""
+        if not self.has_observation:
+            self._interval_s = event_s
         else:
-            self._event_s += SMOOTHING * (min(event_s, MAX_STEP * self._event_s) - self._event_s)
-        self._observed_s = now_s
-
-    def event_s(self, now_s: float, usual_s: float) -> float:
-        """Return the expected time of an event; ``usual_s`` is that of the other replicas."""
-        if not self.known:
-            return usual_s
-        remembered = 0.5 ** (max(now_s - self._observed_s, 0.0) / FORGET_S)
-        return usual_s + (self._event_s - usual_s) * remembered
+            self._interval_s += ESTIMATE_SMOOTHING * (
+                min(event_s, MAX_INCREASE_FACTOR * self._interval_s) - self._interval_s
+            )
+        self._recorded_at_s = now_s
+
+    def expected_s(self, now_s: float, default_s: float) -> float:
+        """Return the expected time per event; ``default_s`` is returned before any observation."""
+        if not self.has_observation:
+            return default_s
+        weight = 0.5 ** (max(now_s - self._recorded_at_s, 0.0) / HALF_LIFE_S)
+        return default_s + (self._interval_s - default_s) * weight
--- a/passgate/gateway/replica_call.py
+++ b/passgate/gateway/replica_call.py
@@ -1,7 +1,7 @@
-"""One attempt at one replica: the request as it was, the answer checked.
+"""Sends one request to one replica and reads its answer.
 
-The answer must echo the request's id; what does not belongs to another request
-and its connection is closed.  Failures say whether the request may have run.
+An answer with the identifier of another request is rejected and its connection closed.  Every failure
+carries an ExecutionStatus that says whether the request may have run.
 """
 
 from __future__ import annotations
@@ -27,16 +27,16 @@
     ReplicaReplaced,
     SendTooLate,
 )
-from passgate.gateway.access import headers_for_replica
+from passgate.gateway.access import replica_headers
 from passgate.gateway.dialect import HeaderNames
-from passgate.gateway.messages import PROMISES
+from passgate.gateway.messages import GUARANTEED_NOT_RUN_STATUSES
 from passgate.gateway.replicas import ReplicaState, ReplicaTable
 from passgate.quarantine.guard import CrashGuard, ReplicaPlace
 from passgate.quarantine.identity import CRASH_LIMIT, RequestIdentity
 
 CONNECT_TIMEOUT_S = 0.6
-"""Time for a new connection; a lost opening packet is sent again only after a second."""
-HOP_HEADERS = frozenset(
+"""Time limit of a new connection; below the 1 s after which TCP sends a lost SYN again."""
+HOP_BY_HOP_HEADERS = frozenset(
     {
         "connection",
         "keep-alive",
@@ -52,17 +52,17 @@
         "host",
     }
 )
-"""Headers that concern one connection only, or are set anew for each."""
-NOT_RUN_STATUSES = frozenset({421, 429, 503, 400})
-"""Statuses under which a replica says that it did not run a request."""
-WRONG_REPLICA = 421
+"""Headers that are not forwarded, as they apply to one connection or are set for each."""
+REPLICA_REFUSAL_STATUSES = frozenset({421, 429, 503, 400})
+"""Statuses with which a replica may refuse a request; a header confirms that it did not run."""
+MISDIRECTED_STATUS = 421
 BUSY_STATUSES = frozenset({429, 503})
-BUSY_PAUSE_S = 0.15
-"""Time for which a replica that said it is full gets nothing."""
+BUSY_HOLD_OFF_S = 0.15
+"""Time for which no request is sent to a replica after it refused one as busy."""
 
 
 class ReplicaRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """A request for a replica."""
+    """A request as it is forwarded to a replica: a caller's request, an item of a job, or a reward call."""
 
     request_id: str
     method: str
@@ -70,21 +70,24 @@
     """Path and query as the caller sent them."""
     host: str
     headers: tuple[tuple[str, str], ...]
+    """The caller's headers; those that the gateway sets are added or replaced when it is sent."""
     body: bytes
     deadline_s: float
-    """Loop time until which the replica may work on it."""
+    """Loop time at which the attempt times out; the replica is sent the time left."""
     priority: int | None = None
+    """Value of the priority header; None sends none."""
     repeatable: bool = True
+    """Whether it may run more than once; if not, it is sent on a new connection of its own."""
     tenant: str | None = None
-    """Tenant to be named to the replica; see :func:`passgate.gateway.access.headers_for_replica`."""
+    """Tenant sent to the replica; see :func:`passgate.gateway.access.replica_headers`."""
     crash_limit: int = CRASH_LIMIT
-    """Replicas that may end under the request before it is held."""
+    """Number of crashed replicas from which on the request is quarantined."""
     terms: SendTerms = ANY_REQUEST
-    """What the rules for sending need to know of it."""
+    """What the send rules need to know of it."""
 
     @property
     def identity(self) -> RequestIdentity:
-        """What makes a further try the same request."""
+        """Content of the request, by which crashes of replicas are attributed to it."""
         return RequestIdentity(
             host=self.host,
             method=self.method,
@@ -96,7 +99,7 @@
 
 
 class ReplicaAnswer(msgspec.Struct, frozen=True, kw_only=True):
-    """A whole answer."""
+    """A complete answer of a replica."""
 
     status: int
     headers: tuple[tuple[str, str], ...]
@@ -104,15 +107,15 @@
     replica: ReplicaLife
 
     def header(self, name: str) -> str:
-        """Return the first header of this name, or nothing."""
+        """Return the value of the first header of a name, in any case, or ""."""
         lowered = name.lower()
         return next((value for key, value in self.headers if key.lower() == lowered), "")
 
 
-def forwarded_headers(headers: Iterable[tuple[str, str]]) -> list[tuple[str, str]]:
-    """Return the headers that are passed on: all but those of a single connection.
+def end_to_end_headers(headers: Iterable[tuple[str, str]]) -> list[tuple[str, str]]:
+    """Return the headers without hop-by-hop headers and those that ``Connection`` names.
 
-    >>> forwarded_headers([("Connection", "close, X-Hop"), ("X-Hop", "1"), ("X-End", "2")])
+    >>> end_to_end_headers([("Connection", "close, X-Hop"), ("X-Hop", "1"), ("X-End", "2")])
     [('X-End', '2')]
     """
     pairs = list(headers)
@@ -122,40 +125,40 @@
         if name.lower() == "connection"
         for token in value.split(",")
     }
-    return [(name, value) for name, value in pairs if name.lower() not in HOP_HEADERS | named]
+    return [(name, value) for name, value in pairs if name.lower() not in HOP_BY_HOP_HEADERS | named]
 
 
 class ReplicaCaller:
-    """Makes attempts and keeps the replicas' books."""
+    """Starts attempts at replicas; the only way in which requests reach them."""
 
     def __init__(
-        self, http: HttpClient, replicas: ReplicaTable, headers: HeaderNames, crashes: CrashGuard
+        self, http: HttpClient, replicas: ReplicaTable, header_names: HeaderNames, crash_guard: CrashGuard
     ) -> None:
         self._http = http
         self._replicas = replicas
-        self._names = headers
-        self.crashes = crashes
+        self._header_names = header_names
+        self.crashes = crash_guard
 
     def open(self, state: ReplicaState, request: ReplicaRequest) -> ReplicaExchange:
-        """Start an attempt.
+        """Send a request to a replica; the caller must close the returned exchange.
 
         Raises:
             RequestQuarantined: the request has crashed replicas; it was not sent.
-            SendForbidden: a rule keeps requests from the replica now; it was not sent.
-            BackendUnreachable: it can not be sent; not run.
+            SendForbidden: a send rule excludes the replica now; it was not sent.
+            BackendUnreachable: the HTTP client can not send it; it was not sent.
         """
-        # Every attempt passes here, so no way of sending a request can go round the checks.
+        # The checks are made here, and not only by callers, so that no request can bypass them.
         self.crashes.check(request.identity)
         not_sent_after_s = self._replicas.rules.admit(state.info, request.terms, monotonic_s())
         return ReplicaExchange(
-            self._http, self._replicas, self._names, self.crashes, state, request, not_sent_after_s
+            self._http, self._replicas, self._header_names, self.crashes, state, request, not_sent_after_s
         )
 
-    async def call(self, state: ReplicaState, request: ReplicaRequest) -> ReplicaAnswer:
-        """Send a request and return its whole answer.
+    async def fetch(self, state: ReplicaState, request: ReplicaRequest) -> ReplicaAnswer:
+        """Send a request and return the complete answer, whatever its status.
 
         Raises:
-            BackendRefused: the replica said that it did not run the request.
+            BackendRefused: the replica refused the request without running it.
             PassgateError: any other failure, with its execution status.
         """
         exchange = self.open(state, request)
@@ -166,45 +169,49 @@
 
 
 class ReplicaExchange:
-    """One running attempt; close it in any case."""
+    """One attempt: a request that was sent to a replica, and its answer.
+
+    It records what the attempt shows about the replica: load, latency, health, crashes.  :meth:`close`
+    must be called in any case.
+    """
 
     def __init__(
         self,
         http: HttpClient,
         replicas: ReplicaTable,
-        names: HeaderNames,
-        crashes: CrashGuard,
+        header_names: HeaderNames,
+        crash_guard: CrashGuard,
         state: ReplicaState,
         request: ReplicaRequest,
         not_sent_after_s: float | None = None,
     ) -> None:
         self._not_sent_after_s = not_sent_after_s
-        self._crashes = crashes
+        self._crash_guard = crash_guard
         self._replicas = replicas
-        self._names = names
+        self._header_names = header_names
         self._state = state
         self._request = request
         self.began_s = monotonic_s()
-        """Loop time at which it was sent."""
-        self._open = True
+        """Loop time at which the attempt started."""
+        self._active = True
         self.life = state.life
-        self._transfer: Transfer = http.start(self._http_call())
+        self._transfer: Transfer = http.start(self._build_http_call())
         state.in_flight += 1
         replicas.health.sent(self.life, self.began_s)
 
-    def _http_call(self) -> HttpCall:
+    def _build_http_call(self) -> HttpCall:
         request = self._request
         left_s = max(request.deadline_s - self.began_s, 0.001)
         headers = HTTPHeaders()
-        passed_on = headers_for_replica(request.headers, request.tenant, self._names.tenant)
-        for name, value in forwarded_headers(passed_on):
+        forwarded = replica_headers(request.headers, request.tenant, self._header_names.tenant)
+        for name, value in end_to_end_headers(forwarded):
             headers.add(name, value)
         headers["Host"] = request.host
-        headers[self._names.request_id] = request.request_id
-        headers[self._names.deadline_ms] = str(max(int(left_s * 1000), 1))
-        headers[self._names.expected_replica] = self.life.replica_id
+        headers[self._header_names.request_id] = request.request_id
+        headers[self._header_names.deadline_ms] = str(max(int(left_s * 1000), 1))
+        headers[self._header_names.expected_replica] = self.life.replica_id
         if request.priority is not None:
-            headers[self._names.priority] = str(request.priority)
+            headers[self._header_names.priority] = str(request.priority)
         return HttpCall(
             method=request.method,
             url=f"http://{self._state.info.address}{request.path}",
@@ -219,85 +226,98 @@
 
     @property
     def status(self) -> int:
-        """Status of the answer, once its head has come."""
+        """Status of the answer; 0 before its head has arrived."""
         return self._transfer.status
 
     @property
     def headers(self) -> HTTPHeaders:
-        """Headers of the answer, once its head has come."""
+        """Headers of the answer; empty before its head has arrived."""
         return self._transfer.headers
 
     async def head(self) -> int:
-        """Wait for the head of the answer and check whose it is; return its status.
+        """Wait for the head of the answer and return its status, which is then no refusal.
 
-        Raises BackendRefused, ExecutionFailed, AnswerMismatch and the transport's failures.
+        Raises:
+            BackendRefused: the replica refused the request without running it; ReplicaReplaced if another
+                replica listens at the address.
+            AnswerMismatch: the answer names another request.
+            ExecutionFailed: the status would guarantee that nothing ran, which the replica did not confirm.
+            PassgateError: the HTTP client failed.
         """
         try:
             status = await self._transfer.head()
         except SendTooLate:
-            raise  # the replica was reached, and is not to blame
+            raise  # the replica was reached, so this counts neither as its failure nor as a crash
         except PassgateError as error:
-            self._failed(unreachable=error.execution is ExecutionStatus.NOT_RUN)
-            self._broke_off(error)
+            self._record_failure(unreachable=error.execution is ExecutionStatus.NOT_RUN)
+            self._report_possible_crash(error)
             raise
         if self._transfer.connect_s is not None:
             zone = self._state.info.zone
             self._replicas.distances.observe(zone, self._transfer.connect_s, monotonic_s())
         answer = self._transfer.headers
-        echoed = answer.get(self._names.request_id)
+        echoed = answer.get(self._header_names.request_id)
         if echoed is not None and echoed != self._request.request_id:
             self._transfer.abort()
-            self._failed(unreachable=False)
-            raise AnswerMismatch("answer of another request", replica=self.life.text())
-        self._note_load(answer)
-        if status in NOT_RUN_STATUSES and self._names.not_executed in answer or status == WRONG_REPLICA:
-            self._refused(status)
+            self._record_failure(unreachable=False)
+            raise AnswerMismatch("the answer names another request", replica=self.life.text())
+        self._record_reported_load(answer)
+        if (
+            status in REPLICA_REFUSAL_STATUSES
+            and self._header_names.not_executed in answer
+            or status == MISDIRECTED_STATUS
+        ):
+            self._raise_refusal(status)
         self._replicas.cold.reached(self._state.info, monotonic_s())
-        if status in PROMISES:
-            self._promised_too_much(status)
-        self._crashes.answered(self._place(), self.began_s)
-        self._state.accepted()
+        if status in GUARANTEED_NOT_RUN_STATUSES:
+            self._reject_unconfirmed_refusal(status)
+        self._crash_guard.answered(self._replica_place(), self.began_s)
+        self._state.record_answer_start()
         return status
 
-    def _refused(self, status: int) -> None:
+    def _raise_refusal(self, status: int) -> None:
+        """Record a refusal and raise BackendRefused, not run, or ReplicaReplaced for status 421."""
         now_s = monotonic_s()
         self._transfer.finish_unread()
         if status in BUSY_STATUSES:
             self._state.refused(now_s)
-            self._replicas.health.hold_off(self.life, now_s + BUSY_PAUSE_S)
-        if status == WRONG_REPLICA:
+            self._replicas.health.hold_off(self.life, now_s + BUSY_HOLD_OFF_S)
+        if status == MISDIRECTED_STATUS:
             self._replicas.health.failed(self.life, now_s, unreachable=True)
             raise ReplicaReplaced(f"replica refused with {status}", status=status)
         raise BackendRefused(
             f"replica refused with {status}", execution=ExecutionStatus.NOT_RUN, status=status
         )
 
-    def _promised_too_much(self, status: int) -> None:
-        """Fail an answer whose status promises that nothing ran, while the replica does not say so."""
+    def _reject_unconfirmed_refusal(self, status: int) -> None:
+        """Raise ExecutionFailed for a status that guarantees "not run" without the replica's confirmation.
+
+        Passed on to the caller, such a status could make it send the request a second time.
+        """
         self._transfer.finish_unread()
-        self._failed(unreachable=False)
+        self._record_failure(unreachable=False)
         raise ExecutionFailed(f"replica answered {status} and may have run", status=status)
 
     async def read(self) -> bytes:
-        """Return the next bytes of the body; empty at its end; raises when it broke off."""
+        """Return the next bytes of the body, or b"" at its end; raises PassgateError if it broke off."""
         try:
             return await self._transfer.read()
         except PassgateError as error:
-            self._failed(unreachable=False)
-            self._broke_off(error)
+            self._record_failure(unreachable=False)
+            self._report_possible_crash(error)
             raise
 
     async def whole_answer(self) -> ReplicaAnswer:
-        """Wait for the whole answer; see :meth:`ReplicaCaller.call`."""
+        """Wait for the complete answer and return it; raises like :meth:`ReplicaCaller.fetch`."""
         status = await self.head()
         try:
             answer = await self._transfer.read_all()
         except PassgateError as error:
-            self._failed(unreachable=False)
-            self._broke_off(error)
+            self._record_failure(unreachable=False)
+            self._report_possible_crash(error)
             raise
         if status < 500:
-            self.succeeded()
+            self.record_success()
         return ReplicaAnswer(
             status=status,
             headers=tuple(self._transfer.headers.get_all()),
@@ -305,90 +325,97 @@
             replica=self.life,
         )
 
-    def succeeded(self) -> None:
-        """Count an attempt whose answer is whole."""
+    def record_success(self) -> None:
+        """Record a complete answer: the request crashes no replica, the replica works, and its latency."""
         now_s = monotonic_s()
-        self._crashes.succeeded(self._request.identity, self._state.info.service)
+        self._crash_guard.succeeded(self._request.identity, self._state.info.service)
         self._replicas.health.succeeded(self.life)
         self._replicas.observe_latency(self.life, now_s - self.began_s, now_s)
 
-    def _broke_off(self, error: PassgateError) -> None:
-        """Have it looked at whether the replica ended under the request.
+    def _report_possible_crash(self, error: PassgateError) -> None:
+        """Have the crash guard check whether the replica crashed while it ran the request.
 
-        The end of one that was leaving says nothing of the requests that still ran there.
+        A draining or delisted replica ends on purpose, so its end is not blamed on its requests.
         """
-        if self._state.info.draining or self._replicas.newest_of(self.life) is None:
+        if self._state.info.draining or self._replicas.find_latest_incarnation(self.life) is None:
             return
-        self._crashes.broke_off(self._request.identity, self._place(), error)
+        self._crash_guard.broke_off(self._request.identity, self._replica_place(), error)
 
-    def _place(self) -> ReplicaPlace:
-        newest = self._replicas.newest_of(self.life)
+    def _replica_place(self) -> ReplicaPlace:
+        latest = self._replicas.find_latest_incarnation(self.life)
         return ReplicaPlace(
             life=self.life,
             service=self._state.info.service,
             address=self._state.info.address,
-            replaced=newest is not None and newest.life != self.life,
+            replaced=latest is not None and latest.life != self.life,
         )
 
-    def _failed(self, *, unreachable: bool) -> None:
+    def _record_failure(self, *, unreachable: bool) -> None:
         if unreachable:
             self._replicas.unreachable(self.life, monotonic_s())
         else:
             self._replicas.health.failed(self.life, monotonic_s())
 
     def too_slow(self) -> None:
-        """Count an attempt that was given up because nothing came."""
+        """Record that an attempt is abandoned without an answer: its duration so far counts as latency."""
         now_s = monotonic_s()
         self._replicas.observe_latency(self.life, now_s - self.began_s, now_s)
 
     def fell_silent(self) -> None:
-        """Count a stream that was left as its replica seems lost; it is set aside for some time."""
+        """Record that a stream is abandoned as no data arrives; the replica is ejected as unreachable."""
         self.too_slow()
-        self._failed(unreachable=True)
+        self._record_failure(unreachable=True)
 
     @property
     def usual_pause_s(self) -> float:
-        """Time that the replica has lately taken for an event."""
+        """Expected time until the replica's next event, which is its smoothed latency."""
         return self._state.recent_latency_s(monotonic_s())
 
-    def _note_load(self, answer: HTTPHeaders) -> None:
-        told = answer.get(self._names.replica_load)
-        if told is None:
+    def _record_reported_load(self, answer: HTTPHeaders) -> None:
+        """Record the replica's running and waiting requests; ignores a missing or malformed load header."""
+        report = answer.get(self._header_names.replica_load)
+        if report is None:
             return
-        numbers = told.split(",")
+        numbers = report.split(",")
         if len(numbers) >= 2 and all(number.strip().isdigit() for number in numbers):
             self._replicas.observe_load(self.life, int(numbers[0]) + int(numbers[1]), monotonic_s())
 
     def succeeded_stream(self) -> None:
-        """Count a stream that came whole; its length says nothing of the replica's speed."""
-        self._crashes.succeeded(self._request.identity, self._state.info.service)
+        """Record a complete stream like :meth:`record_success`, but not its duration as latency.
+
+        A stream's duration depends on the number of its events; :meth:`observe_pace` records their interval.
+        """
+        self._crash_guard.succeeded(self._request.identity, self._state.info.service)
         self._replicas.health.succeeded(self.life)
 
-    def observe_pace(self, event_s: float) -> None:
-        """Count the time that one event of the stream took."""
-        self._replicas.observe_latency(self.life, event_s, monotonic_s())
+    def observe_pace(self, interval_s: float) -> None:
+        """Record the time between two events of the stream as the replica's latency."""
+        self._replicas.observe_latency(self.life, interval_s, monotonic_s())
 
     def observe_version(self, model: str, version: int) -> None:
-        """Note the version of the weights that the replica has just named."""
+        """Record the weight version of a model that the replica named in this answer."""
         self._state.observed_versions[model] = version
 
     @property
     def proven_whole(self) -> bool:
-        """Whether the end of the body was marked, rather than only the end of the connection."""
+        """Whether the body has ended with an end mark, not just by the end of the connection."""
         headers = self._transfer.headers
         chunked = headers.get("Transfer-Encoding", "").lower() == "chunked"
         return self._transfer.ended and (chunked or "Content-Length" in headers)
 
     def close(self) -> None:
-        """End the attempt; a running one is cut off, so that the replica stops."""
-        if not self._open:
+        """End the attempt; harmless if repeated.
+
+        A transfer that is still running is aborted, which closes its connection and lets the replica stop.
+        """
+        if not self._active:
             return
-        self._open = False
+        self._active = False
         self._state.in_flight -= 1
         self._transfer.abort()
 
 
-async def cancel_all(tasks: Iterable[asyncio.Task]) -> None:
+async def cancel_and_wait(tasks: Iterable[asyncio.Task]) -> None:
     """Cancel tasks and wait until they have ended."""
     running = [task for task in tasks if not task.done()]
     for task in running:
--- a/passgate/gateway/replicas.py
+++ b/passgate/gateway/replicas.py
@@ -1,4 +1,6 @@
-"""Replicas as discovery tells them, and what this daemon has seen of each.
+"""The replicas that discovery lists, their state as this daemon observed it, and the choice of one.
+
+A choice takes the usable replica with the best score: low load, low latency, low network cost.
 
 >>> replicas = ReplicaTable(Places(zone="z1"))
 >>> replicas.put(ReplicaInfo(replica_id="r", service="s", address="h:1", zone="z1", slots=4))
@@ -22,307 +24,336 @@
 from passgate.eligibility.replica_info import ReplicaInfo, ReplicaLife
 from passgate.eligibility.rules import ANY_REQUEST, DrainingRule, SendRules, SendTerms
 from passgate.gateway.distance import Distances
-from passgate.gateway.spill import HomeFull, share_spilled
+from passgate.gateway.spill import LocalCapacityWaits, spillover_share
 from passgate.routing.replica_health import ReplicaHealth
 
-SMOOTHING = 0.2
-"""Weight of a new observation in a replica's latency."""
+LATENCY_SMOOTHING = 0.2
+"""Weight of a new observation in a replica's smoothed latency."""
 ASSUMED_LATENCY_S = 0.05
-"""Latency of a replica of which nothing has been seen: about that of a plain request or one event."""
-REPORT_LIFE_S = 1.5
-"""Age after which what a replica told of its load counts no longer."""
-CHOICES_AWAY = 2
-"""Replicas of other regions that are compared; all daemons of a region would else pick the same one."""
-MAX_LATENCY_STEP = 6.0
-"""One observation counts for at most this many times the present latency."""
-MUCH_FASTER = 0.5
-"""Share of a replica's latency below which another one is much faster."""
-LATENCY_FORGET_S = 4.0
-"""Time after which an old latency counts half."""
-LOADING_S = 1.0
-"""Time for which a replica that refused with room is taken to load weights; a load takes about 0.9 s."""
-LOADING_COST = 3.0
-"""Added to the score of a replica that loads, so that it comes after all others with room."""
+"""Latency of a replica without observations: about that of a plain request or of one event of a stream."""
+LOAD_REPORT_MAX_AGE_S = 1.5
+"""Age after which a replica's load report is ignored."""
+MAX_REMOTE_CANDIDATES = 2
+"""Random replicas of other regions that are compared, so that daemons don't all pick the same one."""
+MAX_LATENCY_INCREASE_FACTOR = 6.0
+"""An observation is capped at this many times the current smoothed latency."""
+FASTER_LATENCY_SHARE = 0.5
+"""A replica is much faster than another one if its latency is below this share of the other's."""
+LATENCY_HALF_LIFE_S = 4.0
+"""Time without an observation after which the latency has moved halfway back to ASSUMED_LATENCY_S."""
+ASSUMED_LOADING_S = 1.0
+"""Time for which a replica that refused despite free slots is assumed to be loading weights."""
+LOADING_SCORE_PENALTY = 3.0
+"""Added to the score of a replica that seems to be loading, so that it is only chosen as the last one."""
 
 
 FULL_LOAD = 1.0
-"""Load of a replica all of whose slots are taken."""
+"""Load of a replica whose slots are all occupied."""
 
 
 class ChoiceRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """What a request asks of a replica."""
+    """Criteria by which a replica is chosen."""
 
     services: frozenset[str]
+    """Services of which it must be a replica."""
     excluded: frozenset[ReplicaLife] = frozenset()
-    """Replicas that were tried already."""
+    """Replicas that must not be chosen, such as those that were tried already."""
     model: str = ""
+    """Model whose weights it must hold in ``min_version`` or a newer one; any if empty."""
     min_version: int = 0
     preferred: ReplicaLife | None = None
-    """Replica that holds the prompt's shared part, if any."""
+    """Replica with a small bonus in the score, such as one that has the prompt's prefix cached."""
     load_below: float = math.inf
-    """Only replicas with a smaller load, in shares of their slots, will do."""
+    """Exclusive upper limit of the load, which counts requests per slot."""
     terms: SendTerms = ANY_REQUEST
-    """What the rules for sending need to know of the request."""
+    """What the send rules need to know of the request."""
 
 
 class ReplicaState:
-    """What this daemon knows of one life of a replica beyond discovery."""
+    """State of one incarnation of a replica: its discovery entry and this daemon's observations."""
 
     def __init__(self, info: ReplicaInfo) -> None:
         self.info = info
         self.life = info.life
         self.in_flight = 0
-        """Requests of this daemon at the replica."""
+        """Number of this daemon's requests at the replica."""
         self.latency_s = ASSUMED_LATENCY_S
-        self.latency_at_s = 0.0
-        self.others = 0
-        """Requests of other daemons there, from its last report."""
-        self.reported_s = float("-inf")
+        self.latency_recorded_at_s = 0.0
+        self.other_requests = 0
+        """Number of other daemons' requests at the replica, by its last load report."""
+        self.load_reported_at_s = float("-inf")
         self.observed_versions: dict[str, int] = {}
-        """Newest version that its own answers have named, by model."""
-        self._refused_s = float("-inf")
+        """Model to the weight version that the replica itself last reported."""
+        self._refused_with_free_slots_at_s = float("-inf")
 
     def refused(self, now_s: float) -> None:
-        """Count a refusal: a replica that refuses although it has room loads weights."""
+        """Record a refusal as busy; a replica that refuses with free slots is probably loading weights."""
         if self.load(now_s) < FULL_LOAD:
-            self._refused_s = now_s
+            self._refused_with_free_slots_at_s = now_s
 
-    def accepted(self) -> None:
-        """Count an answer that began to come."""
-        self._refused_s = float("-inf")
+    def record_answer_start(self) -> None:
+        """Record that an answer's head arrived, so that the replica is not loading weights."""
+        self._refused_with_free_slots_at_s = float("-inf")
 
     def seems_loading(self, now_s: float) -> bool:
-        """Whether the replica probably loads weights, and so begins no request."""
-        return now_s - self._refused_s < LOADING_S
+        """Whether the replica is probably loading weights, during which it refuses requests."""
+        return now_s - self._refused_with_free_slots_at_s < ASSUMED_LOADING_S
 
     def load(self, now_s: float) -> float:
-        """Return the requests there in shares of its slots."""
-        others = self.others if now_s - self.reported_s < REPORT_LIFE_S else 0
-        return (self.in_flight + others) / max(self.info.slots, 1)
+        """Return the number of requests at the replica, of all daemons, divided by its slots."""
+        other_requests = self.other_requests if now_s - self.load_reported_at_s < LOAD_REPORT_MAX_AGE_S else 0
+        return (self.in_flight + other_requests) / max(self.info.slots, 1)
 
     def recent_latency_s(self, now_s: float) -> float:
-        """Return the smoothed latency; it returns to the assumption while nothing is observed."""
-        age = (now_s - self.latency_at_s) / LATENCY_FORGET_S
-        return ASSUMED_LATENCY_S + (self.latency_s - ASSUMED_LATENCY_S) * 0.5 ** max(age, 0.0)
+        """Return the smoothed latency, which decays to ASSUMED_LATENCY_S while nothing is observed."""
+        half_lives = (now_s - self.latency_recorded_at_s) / LATENCY_HALF_LIFE_S
+        return ASSUMED_LATENCY_S + (self.latency_s - ASSUMED_LATENCY_S) * 0.5 ** max(half_lives, 0.0)
 
-    def expected_s(self, now_s: float) -> float:
-        """Return the time until a request sent now is answered; it waits only once all slots are taken."""
-        waits = max(self.load(now_s) + 1.0 / max(self.info.slots, 1) - FULL_LOAD, 0.0)
-        loading_s = LOADING_S if self.seems_loading(now_s) else 0.0
-        return (1.0 + waits) * self.recent_latency_s(now_s) + loading_s
+    def expected_answer_time_s(self, now_s: float) -> float:
+        """Return the expected time to answer a request sent now; it includes queueing beyond full load."""
+        overload = max(self.load(now_s) + 1.0 / max(self.info.slots, 1) - FULL_LOAD, 0.0)
+        loading_s = ASSUMED_LOADING_S if self.seems_loading(now_s) else 0.0
+        return (1.0 + overload) * self.recent_latency_s(now_s) + loading_s
 
     def version_of(self, model: str) -> int:
-        """Return the version of a model's weights that the replica is known to hold."""
+        """Return the newest weight version that discovery or the replica itself reported; 0 if none."""
         return max(self.info.model_versions.get(model, 0), self.observed_versions.get(model, 0))
 
 
 class ReplicaTable:
-    """All known replicas and the choice among them."""
+    """All listed replicas by incarnation, with the choice of one for a request."""
 
     def __init__(self, places: Places, seed: int | None = None) -> None:
         self.places = places
         self.distances = Distances(places)
-        self._home_full = HomeFull()
+        self._local_capacity_waits = LocalCapacityWaits()
         self.cold = ColdReplicas()
-        """Which replicas are cold; none until it is told what services limit."""
+        """The cold replicas; none until its ``limit_of`` is set."""
         self.permits = PermitStock()
         """Permits to send to cold replicas."""
         self._cold_rule = ColdRule(self.cold, self.permits)
         self.rules = SendRules([DrainingRule(), self._cold_rule])
-        """What keeps requests from replicas; see :mod:`passgate.eligibility.rules`."""
-        self._states: dict[ReplicaLife, ReplicaState] = {}
-        self._listed: dict[str, ReplicaLife] = {}
-        """Identifier to the newest life that discovery lists under it."""
-        self._in_use: dict[ReplicaLife, ReplicaState] = {}
-        """Replicas that are not listed any more, while they still work on requests of this daemon."""
+        """Rules that exclude replicas from choices and sends; the daemon adds further ones."""
+        self._state_by_incarnation: dict[ReplicaLife, ReplicaState] = {}
+        self._listed_incarnation_by_id: dict[str, ReplicaLife] = {}
+        """Replica identifier to the newest incarnation that discovery lists under it."""
+        self._delisted_in_use: dict[ReplicaLife, ReplicaState] = {}
+        """Replicas that are no longer listed, but still run requests of this daemon."""
         self._random = random.Random(seed)
         self.health: ReplicaHealth[ReplicaLife] = ReplicaHealth()
 
     def entry_read(self, info: ReplicaInfo, now_s: float, *, listed: bool = False) -> None:
-        """Take an entry of discovery that was just read, by itself or in a whole list."""
+        """Apply a discovery entry that was just read; ``listed`` if it was part of a complete list."""
         self.cold.entry_read(info, now_s, listed=listed)
         self.put(info)
 
     def put(self, info: ReplicaInfo) -> bool:
-        """Add or change a replica; return False for news of a life that a newer one has replaced.
+        """Add or update a replica; return False if a newer incarnation of it is already listed.
 
-        A replica that has started again begins with nothing of what was learnt before.
+        A new incarnation replaces the old one and starts without any of its observations.
         """
-        listed = self._listed.get(info.replica_id)
+        listed = self._listed_incarnation_by_id.get(info.replica_id)
         if listed is not None and listed.born_unix_ms > info.born_unix_ms:
             return False
         if listed != info.life:
             self.remove(info.replica_id)
-            self._listed[info.replica_id] = info.life
-            self._states[info.life] = self._in_use.pop(info.life, None) or ReplicaState(info)
-        self._states[info.life].info = info
+            self._listed_incarnation_by_id[info.replica_id] = info.life
+            self._state_by_incarnation[info.life] = self._delisted_in_use.pop(
+                info.life, None
+            ) or ReplicaState(info)
+        self._state_by_incarnation[info.life].info = info
         return True
 
     def remove(self, replica_id: str) -> None:
-        """Forget a replica that discovery no longer lists."""
-        life = self._listed.pop(replica_id, None)
+        """Remove a replica that discovery no longer lists; harmless if it is not listed."""
+        life = self._listed_incarnation_by_id.pop(replica_id, None)
         if life is not None:
-            self._in_use[life] = self._states.pop(life)
-        self._in_use = {life: state for life, state in self._in_use.items() if state.in_flight > 0}
-        self.health.retain(self._states)
+            self._delisted_in_use[life] = self._state_by_incarnation.pop(life)
+        self._delisted_in_use = {
+            life: state for life, state in self._delisted_in_use.items() if state.in_flight > 0
+        }
+        self.health.retain(self._state_by_incarnation)
 
     def set_aside(self, life: ReplicaLife, now_s: float) -> None:
-        """Send nothing to a replica for a while at whose address nobody listens."""
-        if life in self._states:
+        """Eject a replica at whose address nothing listens; ignored if the incarnation is not listed."""
+        if life in self._state_by_incarnation:
             self.unreachable(life, now_s)
 
     def unreachable(self, life: ReplicaLife, now_s: float) -> None:
-        """Count a replica that could not be reached; it may be cold when it is back."""
+        """Record that a replica could not be reached: it is ejected, and possibly cold when it is back."""
         self.health.failed(life, now_s, unreachable=True)
-        state = self._states.get(life)
+        state = self._state_by_incarnation.get(life)
         if state is not None:
             self.cold.unreachable(state.info, now_s)
 
     def turned_cold(self, zone: str, now_s: float) -> None:
-        """Take all replicas of a zone to be cold from now on, until later entries tell otherwise."""
-        infos = [state.info for state in self._states.values() if state.info.zone == zone]
+        """Treat all replicas of a zone as just turned cold, until later entries say that they are warm."""
+        infos = [state.info for state in self._state_by_incarnation.values() if state.info.zone == zone]
         self.cold.turned_cold(infos, now_s)
 
     def get(self, replica_id: str) -> ReplicaState | None:
-        """Return the newest life that is listed under an identifier, or None."""
-        life = self._listed.get(replica_id)
+        """Return the newest incarnation listed under an identifier, or None."""
+        life = self._listed_incarnation_by_id.get(replica_id)
         return self.of(life) if life is not None else None
 
     def of(self, life: ReplicaLife) -> ReplicaState | None:
-        """Return a life of a replica; None if it is not listed, or another one is by now."""
-        return self._states.get(life)
+        """Return the state of one incarnation; None if it is not listed or was replaced by a newer one."""
+        return self._state_by_incarnation.get(life)
 
-    def newest_of(self, life: ReplicaLife) -> ReplicaState | None:
-        """Return the newest listed life of the replica that a life belongs to, or None."""
+    def find_latest_incarnation(self, life: ReplicaLife) -> ReplicaState | None:
+        """Return the newest listed incarnation of the replica that an incarnation belongs to, or None."""
         return self.get(life.replica_id)
 
     def all(self) -> list[ReplicaState]:
-        """Return all replicas."""
-        return list(self._states.values())
+        """Return the states of all listed replicas."""
+        return list(self._state_by_incarnation.values())
 
-    def choose(self, request: ChoiceRequest, now_s: float) -> ReplicaState | None:
-        """Return the best replica for a request, or None when none fits.
+    def choose(self, query: ChoiceRequest, now_s: float) -> ReplicaState | None:
+        """Return the best usable replica that matches a query, or None.
 
-        A cold replica counts as one with room for as many requests as there are permits.
+        A cold replica is usable only while an unclaimed permit for it is held; choosing it claims one.  If
+        no replica with a free slot is found, permits for matching cold replicas are requested.
         """
-        best = self._best(request, now_s)
+        best = self._choose_best(query, now_s)
         if not self.cold.any:
             return best
         if best is None or best.load(now_s) >= FULL_LOAD:
-            self._want_permits(request, now_s)
+            self._request_permits(query, now_s)
         if best is not None:
-            self._cold_rule.chosen(best.info, request.terms, now_s)
+            self._cold_rule.chosen(best.info, query.terms, now_s)
         return best
 
-    def _want_permits(self, request: ChoiceRequest, now_s: float) -> None:
-        """Want permits for the cold replicas that would take a request for which there is no room."""
-        states = self._states.values()
+    def _request_permits(self, query: ChoiceRequest, now_s: float) -> None:
+        """Request permits for the cold replicas that match a query and are not ejected."""
+        states = self._state_by_incarnation.values()
         cold = [state for state in states if self.cold.is_cold(state.info, now_s)]
-        wanted = [state.info for state in cold if self._suits(state, request, now_s)]
-        usable = self.health.usable([info.life for info in wanted], now_s)
-        for info in wanted:
+        matching = [state.info for state in cold if self._matches(state, query, now_s)]
+        usable = self.health.usable([info.life for info in matching], now_s)
+        for info in matching:
             if info.life in usable:
                 self.permits.want(info.replica_id, info.service)
 
-    def _best(self, request: ChoiceRequest, now_s: float) -> ReplicaState | None:
-        candidates = [state for state in self._states.values() if self._fits(state, request, now_s)]
+    def _choose_best(self, query: ChoiceRequest, now_s: float) -> ReplicaState | None:
+        candidates = [
+            state for state in self._state_by_incarnation.values() if self._is_eligible(state, query, now_s)
+        ]
         usable = set(self.health.usable([state.life for state in candidates], now_s))
         healthy = [state for state in candidates if state.life in usable]
         if not healthy:
             return None
         self._random.shuffle(healthy)
         if not self.distances.several_regions:
-            return min(healthy, key=lambda state: self._score(state, request, now_s))
-        return self._choose_region(healthy, request, now_s)
+            return min(healthy, key=lambda state: self._score(state, query, now_s))
+        return self._choose_between_regions(healthy, query, now_s)
 
-    def _choose_region(
-        self, healthy: list[ReplicaState], request: ChoiceRequest, now_s: float
+    def _choose_between_regions(
+        self, candidates: list[ReplicaState], query: ChoiceRequest, now_s: float
     ) -> ReplicaState | None:
-        """Return the best replica at home unless another region is worth the way."""
-        home = [state for state in healthy if self.distances.is_home(state.info.zone)]
-        away = [state for state in healthy if not self.distances.is_home(state.info.zone)][:CHOICES_AWAY]
-        kind = (request.services, request.model, request.terms.regions)
-        here = min(home, key=lambda state: self._score(state, request, now_s), default=None)
-        there = min(away, key=lambda state: self._score(state, request, now_s), default=None)
-        if here is not None:
-            self._home_full.note_room(kind)
-        if here is None or there is None:
-            return here or self._spilled(there, kind, request, now_s)
-        way_s = self.distances.cost_s(there.info.zone)
-        share = share_spilled(here.expected_s(now_s) - there.expected_s(now_s) - way_s, way_s)
-        return there if self._random.random() < share else here
-
-    def _spilled(
-        self, there: ReplicaState | None, kind: Hashable, request: ChoiceRequest, now_s: float
+        """Return the best local replica, or a remote one if that is expected to answer earlier.
+
+        To not overload a remote region, only a share of such requests goes there.  None means to wait for
+        a local replica.
+        """
+        local = [state for state in candidates if self.distances.is_home(state.info.zone)]
+        remote = [state for state in candidates if not self.distances.is_home(state.info.zone)][
+            :MAX_REMOTE_CANDIDATES
+        ]
+        request_class = (query.services, query.model, query.terms.regions)
+        best_local = min(local, key=lambda state: self._score(state, query, now_s), default=None)
+        best_remote = min(remote, key=lambda state: self._score(state, query, now_s), default=None)
+        if best_local is not None:
+            self._local_capacity_waits.record_capacity(request_class)
+        if best_local is None or best_remote is None:
+            return best_local or self._choose_remote(best_remote, request_class, query, now_s)
+        cost_s = self.distances.network_cost_s(best_remote.info.zone)
+        share = spillover_share(
+            best_local.expected_answer_time_s(now_s) - best_remote.expected_answer_time_s(now_s) - cost_s,
+            cost_s,
+        )
+        return best_remote if self._random.random() < share else best_local
+
+    def _choose_remote(
+        self, remote: ReplicaState | None, request_class: Hashable, query: ChoiceRequest, now_s: float
     ) -> ReplicaState | None:
-        """Return a replica of another region for what has found none at home, unless it soon may.
+        """Return the remote replica for a request without a usable local one, or None to wait for that.
 
-        What only waits for room at home waits there for as long as the way takes.
+        If local replicas match but are full, the request waits for a free slot as long as the network cost.
         """
-        if there is None or not self._is_served_at_home(request, now_s):
-            return there
-        way_s = self.distances.cost_s(there.info.zone)
-        return there if self._home_full.may_spill(kind, way_s, now_s) else None
-
-    def _is_served_at_home(self, request: ChoiceRequest, now_s: float) -> bool:
-        """Whether a replica at home would serve a request if it had room."""
-        if request.load_below == math.inf:
+        if remote is None or not self._has_local_replica(query, now_s):
+            return remote
+        cost_s = self.distances.network_cost_s(remote.info.zone)
+        return remote if self._local_capacity_waits.record_no_capacity(request_class, cost_s, now_s) else None
+
+    def _has_local_replica(self, query: ChoiceRequest, now_s: float) -> bool:
+        """Whether a local replica is only excluded by the query's limit of the load."""
+        if query.load_below == math.inf:
             return False
-        anyhow = msgspec.structs.replace(request, load_below=math.inf)
-        home = [state for state in self._states.values() if self.distances.is_home(state.info.zone)]
-        fitting = [state.life for state in home if self._fits(state, anyhow, now_s)]
-        return bool(self.health.usable(fitting, now_s)) if fitting else False
-
-    def _fits(self, state: ReplicaState, request: ChoiceRequest, now_s: float) -> bool:
-        if not self._suits(state, request, now_s):
+        any_load_query = msgspec.structs.replace(query, load_below=math.inf)
+        local = [
+            state for state in self._state_by_incarnation.values() if self.distances.is_home(state.info.zone)
+        ]
+        eligible = [state.life for state in local if self._is_eligible(state, any_load_query, now_s)]
+        return bool(self.health.usable(eligible, now_s)) if eligible else False
+
+    def _is_eligible(self, state: ReplicaState, query: ChoiceRequest, now_s: float) -> bool:
+        """Whether a replica matches a query, no send rule excludes it, and a permit is free if it is cold."""
+        if not self._matches(state, query, now_s):
             return False
-        if not self.rules.allows(state.info, request.terms, now_s):
+        if not self.rules.allows(state.info, query.terms, now_s):
             return False
-        return not self.cold.any or self._cold_rule.has_room(state.info, request.terms, now_s)
+        return not self.cold.any or self._cold_rule.has_room(state.info, query.terms, now_s)
 
-    def _suits(self, state: ReplicaState, request: ChoiceRequest, now_s: float) -> bool:
-        """Whether a replica will do, but for the rules for sending."""
+    def _matches(self, state: ReplicaState, query: ChoiceRequest, now_s: float) -> bool:
+        """Whether a replica meets the criteria of a query; send rules and health are not checked."""
         info = state.info
-        if info.service not in request.services or state.life in request.excluded:
+        if info.service not in query.services or state.life in query.excluded:
             return False
-        if state.load(now_s) >= request.load_below:
+        if state.load(now_s) >= query.load_below:
             return False
-        return not request.model or state.version_of(request.model) >= request.min_version
+        return not query.model or state.version_of(query.model) >= query.min_version
 
-    def _score(self, state: ReplicaState, request: ChoiceRequest, now_s: float) -> float:
+    def _score(self, state: ReplicaState, query: ChoiceRequest, now_s: float) -> float:
+        """Return a score that is the lower, the better; units are multiples of ASSUMED_LATENCY_S."""
         load = state.load(now_s)
         score = (1.0 + load) * state.recent_latency_s(now_s) / ASSUMED_LATENCY_S + load
         if state.info.zone != self.places.zone:
-            score += self.distances.cost_s(state.info.zone) / ASSUMED_LATENCY_S
+            score += self.distances.network_cost_s(state.info.zone) / ASSUMED_LATENCY_S
         if state.seems_loading(now_s):
-            score += LOADING_COST
-        if request.preferred == state.life:
+            score += LOADING_SCORE_PENALTY
+        if query.preferred == state.life:
             score -= 0.15
         return score
 
     def has_faster(
-        self, life: ReplicaLife, request: ChoiceRequest, now_s: float, share: float = MUCH_FASTER
+        self,
+        life: ReplicaLife,
+        query: ChoiceRequest,
+        now_s: float,
+        latency_share: float = FASTER_LATENCY_SHARE,
     ) -> bool:
-        """Whether a replica that fits takes at most ``share`` of the time of the one a request is at."""
-        state = self._states.get(life)
-        other = self._best(request, now_s)
-        if state is None or other is None:
+        """Whether the best replica for a query is much faster than a given one.
+
+        That is, its latency is below ``latency_share`` of the latency of the incarnation ``life``.
+        """
+        state = self._state_by_incarnation.get(life)
+        best = self._choose_best(query, now_s)
+        if state is None or best is None:
             return False
-        return other.recent_latency_s(now_s) < share * state.recent_latency_s(now_s)
+        return best.recent_latency_s(now_s) < latency_share * state.recent_latency_s(now_s)
 
     def observe_latency(self, life: ReplicaLife, latency_s: float, now_s: float) -> None:
-        """Count how long a replica took for a request, or has already taken at least."""
-        state = self._states.get(life)
+        """Record a replica's latency, or a lower bound of it; ignored if the incarnation is not listed."""
+        state = self._state_by_incarnation.get(life)
         if state is None:
             return
-        current = state.recent_latency_s(now_s)
-        observed_s = min(latency_s, MAX_LATENCY_STEP * current)
-        state.latency_s = current + SMOOTHING * (observed_s - current)
-        state.latency_at_s = now_s
-
-    def observe_load(self, life: ReplicaLife, occupied: int, now_s: float) -> None:
-        """Count what a replica told of its running and waiting requests."""
-        state = self._states.get(life)
+        current_s = state.recent_latency_s(now_s)
+        capped_s = min(latency_s, MAX_LATENCY_INCREASE_FACTOR * current_s)
+        state.latency_s = current_s + LATENCY_SMOOTHING * (capped_s - current_s)
+        state.latency_recorded_at_s = now_s
+
+    def observe_load(self, life: ReplicaLife, reported_requests: int, now_s: float) -> None:
+        """Record the number of running and waiting requests that a replica reported, of all daemons."""
+        state = self._state_by_incarnation.get(life)
         if state is not None:
-            state.others = max(occupied - state.in_flight, 0)
-            state.reported_s = now_s
+            state.other_requests = max(reported_requests - state.in_flight, 0)
+            state.load_reported_at_s = now_s
--- a/passgate/gateway/routes.py
+++ b/passgate/gateway/routes.py
@@ -1,4 +1,4 @@
-"""Configuration of routes and the choice of a route by host and longest path prefix.
+"""The operator's configuration, and the match of a request to a route by host and longest path prefix.
 
 >>> table = RouteTable(GatewayConfig(version=1, routes=(
 ...     Route(name="a", host="h", path_prefix="/x/", parts=(RoutePart("s", 1),)),
@@ -20,29 +20,34 @@
 from passgate.eligibility.regions import common_regions
 from passgate.eligibility.rules import ANY_REQUEST, SendTerms
 from passgate.errors import InvalidConfiguration
-from passgate.gateway.access import KeyIndex, Tenant
+from passgate.gateway.access import ApiKeyIndex, Tenant
 
 DEFAULT_TIMEOUT_S = 30.0
-"""Longest hold of a request whose route names none."""
+"""Timeout of a request whose route sets none."""
 NO_VERSION = -1
-GOLDEN_RATIO = 0.6180339887498949
+"""Version of the configuration before the first one is applied."""
+GOLDEN_RATIO_FRACTION = 0.6180339887498949
+"""Fractional part of the golden ratio; its multiples modulo 1 are spread evenly over 0 to 1."""
 
 ITEM_TIME_TO_LIVE_S = 60.0
-"""Time after which an item is given up where its route sets none: a step of training waits no longer."""
+"""Time to live of a batch job's item if no route sets one."""
 
 
 class RouteKind(enum.Enum):
-    """What may be repeated of a route's requests."""
+    """How the requests of a route are forwarded."""
 
     SAFE = "safe"
+    """Plain requests that may be repeated and hedged."""
     UNSAFE = "unsafe"
+    """Plain requests that may run at most once."""
     STREAMING = "streaming"
+    """Requests that are answered with a stream of events."""
     BATCH = "batch"
-    """The route takes batch jobs."""
+    """Submissions of batch jobs."""
 
 
 class RoutePart(msgspec.Struct, frozen=True):
-    """A service and its weight in a route."""
+    """A service among which a route's requests are split, and its relative weight."""
 
     service: str
     weight: float
@@ -58,52 +63,54 @@
     parts: tuple[RoutePart, ...]
     kind: RouteKind = RouteKind.SAFE
     timeout_s: float = DEFAULT_TIMEOUT_S
-    """Longest time that a request may be held."""
+    """Time after a request's arrival at which it is answered at the latest."""
     target_latency_s: float = 1.0
-    """Time within which an answer earns its full worth."""
+    """Latency objective; hedging and waiting times are shares or multiples of it."""
     max_attempts: int = 2
-    """Most replicas that one request may be sent to."""
+    """Maximum number of replicas that one request is sent to."""
     priority: int = 5
-    """Rank; 0 is the most urgent."""
+    """Priority at the replicas; 0 is the most urgent."""
     resumable: bool = False
+    """Whether a stream that broke off may be continued from another replica."""
     item_time_to_live_s: float = ITEM_TIME_TO_LIVE_S
-    """Time after which an item of a batch job may be given up."""
+    """Time after which an unfinished item of a batch job may be given up."""
     result_deadline_s: float = 60.0
     """Time within which the results of a batch job are due."""
     public: bool = False
-    """Whether callers need no key."""
+    """Whether callers need no API key."""
     single_version: bool = False
-    """Whether one version of the weights must make the whole of a result."""
+    """Whether all of a result must come from one weight version."""
     allowed_regions: frozenset[str] = frozenset()
-    """Regions that may serve the route's requests and hold their bodies; empty where any may."""
+    """Regions that may serve the route's requests and store their bodies; empty if any may."""
 
     @property
     def services(self) -> frozenset[str]:
-        """Names of the services that may serve this route."""
+        """Names of the services among which the route splits its requests."""
         return frozenset(part.service for part in self.parts)
 
 
 class ScalingRule(msgspec.Struct, frozen=True, kw_only=True):
-    """How many replicas of a service may be ordered, and what they cost."""
+    """Limits and prices for the autoscaling of a service."""
 
     least: int
-    """Fewest replicas in each zone, of both kinds together."""
+    """Minimum number of replicas in each zone, on-demand and spot ones together."""
     most: int
+    """Maximum number of replicas in each zone, on-demand and spot ones together."""
     boot_s: float
     """Time from an order until its replicas serve."""
     spot_price: float = 1.0
-    """Price of a spot replica as a share of an ordinary one."""
+    """Price of a spot replica relative to an on-demand one."""
     zone_prices: dict[str, float] = {}
-    """Price of a replica-second by zone; only their ratios matter."""
+    """Zone to the price of a replica-second; only the ratios of prices matter."""
 
 
 class ColdStart(msgspec.Struct, frozen=True, kw_only=True):
-    """What a cold replica of a service bears, after a start or whenever it turns cold."""
+    """Capacity of a service's cold replicas: those that have just started or turned cold later."""
 
     lasts_s: float
     """Time for which a replica is cold after its start."""
     requests_per_s: float
-    """Requests that a cold replica bears each second."""
+    """Rate of requests that one cold replica can take."""
 
 
 class Service(msgspec.Struct, frozen=True, kw_only=True):
@@ -113,13 +120,13 @@
     max_connections: int = 100
     """Connections that one of its replicas accepts from all daemons together."""
     scaling: ScalingRule | None = None
-    """None where the number of replicas is not the system's to decide."""
+    """None if the number of replicas is not scaled by the gateway."""
     cold_start: ColdStart | None = None
-    """None where a cold replica bears what any other does."""
+    """None if a cold replica can take as many requests as a warm one."""
 
 
 class RequestLimits(msgspec.Struct, frozen=True, kw_only=True):
-    """What a caller may send, and how long it may take."""
+    """Limits of callers' requests and connections."""
 
     max_header_bytes: int = 16_384
     max_body_bytes: int = 33_554_432
@@ -128,114 +135,119 @@
 
 
 class GatewayConfig(msgspec.Struct, frozen=True, kw_only=True):
-    """One version of the whole configuration."""
+    """One version of the operator's complete configuration."""
 
     version: int
     routes: tuple[Route, ...] = ()
     services: tuple[Service, ...] = ()
     tenants: tuple[Tenant, ...] = ()
-    """Without any, callers need no key."""
+    """If empty, callers need no API key."""
     limits: RequestLimits = RequestLimits()
 
 
 class RouteTable:
-    """One configuration, compiled: its routes by host, longest prefix first, and its keys."""
+    """A compiled configuration: routes by host with the longest prefix first, and the API key index."""
 
     def __init__(self, config: GatewayConfig, places: Places | None = None) -> None:
         """Compile a configuration; raises InvalidConfiguration.
 
         Args:
             config: the configuration.
-            places: the regions that there are, where they are known.
+            places: zones and regions of the deployment, for checking allowed regions; None if unknown.
         """
         self.config = config
-        self.keys = KeyIndex(config.tenants)
-        self._tenants = {tenant.name: tenant for tenant in config.tenants}
-        for holder in (*config.routes, *config.tenants):
-            _check_regions(holder, places)
+        self.keys = ApiKeyIndex(config.tenants)
+        self._tenant_by_name = {tenant.name: tenant for tenant in config.tenants}
+        for owner in (*config.routes, *config.tenants):
+            _validate_regions(owner, places)
         routed = {part.service for route in config.routes for part in route.parts}
         self.services = frozenset(routed | {service.name for service in config.services})
-        """Services that the configuration names."""
-        self._by_host: dict[str, list[Route]] = {}
+        """Names of all services that are configured or used by a route."""
+        self._routes_by_host: dict[str, list[Route]] = {}
         for route in sorted(config.routes, key=lambda route: len(route.path_prefix), reverse=True):
-            self._by_host.setdefault(route.host, []).append(route)
+            self._routes_by_host.setdefault(route.host, []).append(route)
 
     def takes_public_jobs(self, host: str) -> bool:
-        """Whether jobs of a host may be submitted, and so read, without a key."""
-        return any(route.public and route.kind is RouteKind.BATCH for route in self._by_host.get(host, ()))
+        """Whether a host has a public batch route; its jobs may then be submitted and read without a key."""
+        return any(
+            route.public and route.kind is RouteKind.BATCH for route in self._routes_by_host.get(host, ())
+        )
 
     def match(self, host: str, path: str) -> Route | None:
-        """Return the route of a request, or None."""
+        """Return the route with the longest matching path prefix, or None; the query is ignored."""
         plain_path = path.partition("?")[0]
-        for route in self._by_host.get(host, ()):
+        for route in self._routes_by_host.get(host, ()):
             if plain_path.startswith(route.path_prefix):
                 return route
         return None
 
-    def tenant_regions(self, tenant: str | None) -> frozenset[str]:
-        """Return the regions that a tenant allows; empty where any may serve it."""
-        known = self._tenants.get(tenant or "")
-        return known.allowed_regions if known is not None else frozenset()
+    def allowed_tenant_regions(self, tenant: str | None) -> frozenset[str]:
+        """Return the allowed regions of a tenant; empty if any may serve it, or the tenant is unknown."""
+        found = self._tenant_by_name.get(tenant or "")
+        return found.allowed_regions if found is not None else frozenset()
 
 
-def _check_regions(holder: Route | Tenant, places: Places | None) -> None:
-    """Check the regions that a route or tenant names; raises InvalidConfiguration.
+def _validate_regions(owner: Route | Tenant, places: Places | None) -> None:
+    """Raise InvalidConfiguration if an allowed region of a route or tenant does not exist.
 
-    A name that no zone has is most likely misspelt, and would have all its requests refused.
+    A misspelt region would otherwise have all requests of its owner refused.
     """
-    known = frozenset(places.regions.values()) if places is not None else frozenset()
-    for region in holder.allowed_regions:
-        if not region or (known and region not in known):
-            raise InvalidConfiguration("an allowed region is not known", holder=holder.name, region=region)
+    known_regions = frozenset(places.regions.values()) if places is not None else frozenset()
+    for region in owner.allowed_regions:
+        if not region or (known_regions and region not in known_regions):
+            raise InvalidConfiguration("an allowed region is not known", holder=owner.name, region=region)
 
 
 class ConfigHolder:
-    """The configuration in force; versions only rise."""
+    """Holds the active configuration; its version never decreases."""
 
     def __init__(self, places: Places | None = None) -> None:
-        """Begin without one; ``places`` tells the regions that a configuration may name."""
+        """Start without a configuration; ``places`` names the regions that configurations may use."""
         self.table: RouteTable | None = None
         self._places = places
 
     @property
     def version(self) -> int:
-        """Version in force, NO_VERSION before the first."""
+        """Active version; NO_VERSION before the first one."""
         return NO_VERSION if self.table is None else self.table.config.version
 
     def find_route(self, host: str, path: str) -> Route | None:
-        """Return the route in force of a host and path, or None."""
+        """Return the active configuration's route for a host and path, or None."""
         return self.table.match(host, path) if self.table is not None else None
 
     def item_time_to_live_s(self, host: str, path: str) -> float:
-        """Return after which time items are given up, by the route in force or as where none is set."""
+        """Return the time to live of a batch job's items by its active route, or the default without one."""
         route = self.find_route(host, path)
         return route.item_time_to_live_s if route is not None else ITEM_TIME_TO_LIVE_S
 
     def terms_for(
-        self, host: str, path: str, tenant: str | None, begun: frozenset[str] = frozenset()
+        self, host: str, path: str, tenant: str | None, accepted_regions: frozenset[str] = frozenset()
     ) -> SendTerms:
-        """Return what binds a request by the configuration in force, whenever it was accepted.
+        """Return a request's region restriction by the active configuration.
+
+        The active configuration counts also for a request that was accepted under an earlier one.
 
         Args:
             host: host of the request.
-            path: its path.
-            tenant: name of its tenant, if it has one.
-            begun: regions that bound it when it was accepted; they hold when no route is in force any more.
+            path: path of the request.
+            tenant: name of the request's tenant, if it has one.
+            accepted_regions: the route's allowed regions when the request was accepted; they apply if the
+                active configuration has no route for it any more.
         """
         route = self.find_route(host, path)
-        of_route = route.allowed_regions if route is not None else begun
-        of_tenant = self.table.tenant_regions(tenant) if self.table is not None else frozenset()
-        regions = common_regions(of_route, of_tenant)
+        route_regions = route.allowed_regions if route is not None else accepted_regions
+        tenant_regions = self.table.allowed_tenant_regions(tenant) if self.table is not None else frozenset()
+        regions = common_regions(route_regions, tenant_regions)
         return ANY_REQUEST if regions is None else SendTerms(regions=regions)
 
     def names_service(self, service: str) -> bool:
-        """Whether the configuration in force names a service."""
+        """Whether the active configuration has a service of this name."""
         return self.table is not None and service in self.table.services
 
     def offer(self, config: GatewayConfig) -> bool:
-        """Put a configuration in force unless a newer one is; return whether it was.
+        """Make a configuration the active one if its version is higher; return whether it was.
 
-        Raises InvalidConfiguration; the version in force stays then.
+        Raises InvalidConfiguration, in which case the active configuration stays.
         """
         if self.table is not None and config.version <= self.table.config.version:
             return False
@@ -244,32 +256,32 @@
 
 
 class WeightedChoice:
-    """Spreads requests over a route's parts so that shares follow the weights closely.
+    """Splits the requests of each route among its services in proportion to their weights.
 
-    Each request's place in the range of the weights is the last one moved on by the golden
-    ratio, which fills the range evenly from any start.  The start is drawn, so that many
-    daemons that see few requests each give light parts their share too.
+    Successive requests get positions from 0 to 1 that differ by the golden ratio's fraction, which covers
+    the range evenly from any start; the weights divide the range among the services.  The start is random,
+    so that services of little weight get their share also from many daemons with few requests each.
 
-    >>> choice = WeightedChoice(seed=1)
+    >>> picker = WeightedChoice(seed=1)
     >>> route = Route(name="a", host="h", path_prefix="/", parts=(RoutePart("s", 90), RoutePart("t", 10)))
-    >>> picked = [choice.pick(route) for _ in range(100)]
+    >>> picked = [picker.pick(route) for _ in range(100)]
     >>> picked.count("s"), picked.count("t")
     (90, 10)
     """
 
     def __init__(self, seed: int | None = None) -> None:
         self._random = random.Random(seed)
-        self._places: dict[str, float] = {}
-        """Route to the place of its last request, from 0 to 1."""
+        self._last_position_by_route: dict[str, float] = {}
+        """Name of a route to the position of its last request, from 0 to 1."""
 
     def pick(self, route: Route) -> str:
-        """Return the service for the next request."""
+        """Return the service for the route's next request; a weight of 0 gets none unless all are 0."""
         parts = [part for part in route.parts if part.weight > 0] or list(route.parts)
         if len(parts) == 1:
             return parts[0].service
-        last = self._places.get(route.name)
-        place = self._random.random() if last is None else (last + GOLDEN_RATIO) % 1.0
-        self._places[route.name] = place
-        ends = list(itertools.accumulate(part.weight for part in parts))
-        index = bisect.bisect_right(ends, place * ends[-1])
+        last = self._last_position_by_route.get(route.name)
+        position = self._random.random() if last is None else (last + GOLDEN_RATIO_FRACTION) % 1.0
+        self._last_position_by_route[route.name] = position
+        upper_bounds = list(itertools.accumulate(part.weight for part in parts))
+        index = bisect.bisect_right(upper_bounds, position * upper_bounds[-1])
         return parts[min(index, len(parts) - 1)].service
--- a/passgate/gateway/settings.py
+++ b/passgate/gateway/settings.py
@@ -1,4 +1,4 @@
-"""Settings of one gateway daemon, after an adapter has read them."""
+"""Settings of one gateway daemon; the platform adapter fills them in from its settings file."""
 
 from __future__ import annotations
 
@@ -10,72 +10,78 @@
 
 
 class ScalingPolicy(enum.Enum):
-    """How many replicas are ordered where the platform lets the system decide."""
+    """How many replicas are ordered for services that the gateway scales."""
 
     NEVER = "never"
-    """What is there stays as it is."""
+    """The number of replicas is not changed."""
     WHOLE_STEPS = "whole_steps"
     """As many slots as the newest step of each model has items; see :mod:`passgate.duties.scaling_policy`."""
 
 
 class DutySettings(msgspec.Struct, frozen=True, kw_only=True):
-    """Singleton duties towards the platform; times in seconds."""
+    """Settings of the singleton duties: usage reports and scaling; times in seconds."""
 
     address: str
-    """``IP:PORT`` that takes the calls of duties."""
+    """``IP:PORT`` of the platform's service that receives reports and orders."""
     calls_per_s: float = 50.0
-    """Calls that all daemons together may make."""
+    """Maximum rate of calls to that service from all daemons together."""
     usage: bool = False
-    """Whether usage is to be reported."""
+    """Whether usage reports are sent."""
     scaling: ScalingPolicy = ScalingPolicy.NEVER
-    """Experiment; ordering for whole steps has not been shown to earn more than it costs."""
+    """Policy for ordering replicas; anything but ``NEVER`` is experimental."""
     usage_window_s: float = 5.0
+    """Length of the window that one usage report covers."""
     usage_due_s: float = 10.0
     """Time after the end of a window within which its report is due."""
 
 
 class GatewaySettings(msgspec.Struct, frozen=True, kw_only=True):
-    """What a daemon knows at its start; times in seconds."""
+    """Settings of a daemon; times in seconds."""
 
     daemon_id: str
-    """Name of the machine's daemon; stays the same over restarts."""
+    """Name of the daemon; unique, and the same after a restart."""
     zone: str
+    """Zone in which the daemon runs."""
     front_address: str
-    """``IP:PORT`` for callers."""
+    """``IP:PORT`` on which callers' requests are received."""
     ready_address: str
-    """``IP:PORT`` for readiness checks."""
+    """``IP:PORT`` on which readiness checks and metrics are served."""
     log_address: str
     """``IP:PORT`` of the log service."""
     peer_address: str
-    """``IP:PORT`` for other daemons; port 0 takes any."""
+    """``IP:PORT`` on which other daemons connect; port 0 picks a free one."""
     stop_grace_s: float = 8.0
     """Time from SIGTERM to SIGKILL."""
     lease_s: float = 3.0
-    """Orders of two holders must lie further apart than this."""
+    """Minimum time between the last order of one leader and the first order of the next."""
     job_retention_s: float = 150.0
-    """Time for which a job that is not open stays readable."""
+    """Time after its submission for which a job that is not open any more stays readable."""
     log_parts: int = 4
-    """Partitions of each topic of the log."""
+    """Number of partitions of each topic of the log."""
     group_lifetime_s: float = 1.0
-    """Shortest silence after which the log takes a member out of a group."""
+    """Minimum time without contact after which the log removes a member from a group."""
     max_record_bytes: int = 262_144
+    """Maximum size of one record of the log."""
     max_append_bytes: int = 2_097_152
+    """Maximum size of one append to the log."""
     max_connections: int = 8_000
+    """Number of connections that the daemon's limit of file descriptors leaves room for."""
     fail_closed: bool = False
     """Whether requests are refused once the configuration may be older than ``configuration_age_s``."""
     configuration_age_s: float = 5.0
+    """Age of the configuration that ``fail_closed`` tolerates."""
     duties: DutySettings | None = None
-    """None where the platform asks for none."""
+    """None if the platform has no duties for its daemons."""
     cores: float = 1.0
-    """Processor time that the daemon may use, in cores of ordinary speed."""
+    """Processor time that the daemon may use, in cores of reference speed."""
     regions: dict[str, str] = {}
     """Zone to its region."""
     cold_overshoot: float = 1.0
-    """Times the rate of a cold replica that may reach it in a second."""
+    """Factor on a cold replica's rate that yields the requests it may get in a second."""
     cold_slack: float = 0.0
-    """Requests beyond that rate that may reach it in a second."""
+    """Requests in a second that a cold replica may get in addition."""
 
     @property
     def places(self) -> Places:
-        """Where the daemon is, and the regions of all zones."""
+        """Zone of the daemon, and the regions of all zones."""
         return Places(zone=self.zone, regions=self.regions)
--- a/passgate/gateway/spill.py
+++ b/passgate/gateway/spill.py
@@ -1,15 +1,17 @@
-"""When work goes to another region: only when the wait at home is longer than the way, and not all at once.
+"""Decides when requests spill over to another region: only if that saves time, and only a share of them.
 
-All daemons of a region see the same idle region at the same moment.  So each sends only a part of
-its work there, the larger the more it gains, and not each to the same replica.
+All daemons of a region see the same idle region at the same time.  Each of them sends only a share
+of its requests there, which grows with the time saved, so that together they don't overload it.
 
->>> share_spilled(gain_s=0.0, way_s=0.02), share_spilled(gain_s=0.06, way_s=0.02)
+>>> spillover_share(saved_s=0.0, network_cost_s=0.02), spillover_share(saved_s=0.06, network_cost_s=0.02)
 (0.0, 0.75)
->>> full = HomeFull()
->>> full.may_spill(("llm",), way_s=0.02, now_s=5.0), full.may_spill(("llm",), way_s=0.02, now_s=5.03)
-(False, True)
->>> full.note_room(("llm",))
->>> full.may_spill(("llm",), way_s=0.02, now_s=5.04)
+>>> waits = LocalCapacityWaits()
+>>> waits.record_no_capacity(("llm",), network_cost_s=0.02, now_s=5.0)
+False
+>>> waits.record_no_capacity(("llm",), network_cost_s=0.02, now_s=5.03)
+True
+>>> waits.record_capacity(("llm",))
+>>> waits.record_no_capacity(("llm",), network_cost_s=0.02, now_s=5.04)
 False
 """
 
@@ -17,46 +19,53 @@
 
 from collections.abc import Hashable
 
-LEAST_SHARE_WAY_S = 0.001
-"""Way that counts at least, so that a share is defined where regions lie next to each other."""
-AGE_OUT_S = 1.0
-"""Time without a question after which a wait for room at home counts as over."""
-MOST_WAITS = 256
-"""Waits kept before those that are over are dropped; callers name the models, so there may be any number."""
+MIN_NETWORK_COST_S = 0.001
+"""Lower bound of the network cost in a share's formula; avoids a division by zero."""
+WAIT_EXPIRY_S = 1.0
+"""Time without a request of a class after which its wait is over."""
+MAX_WAITS = 256
+"""Number of waits above which expired ones are dropped; request classes contain names set by callers."""
 
 
-def share_spilled(gain_s: float, way_s: float) -> float:
-    """Return the share of requests that go to another region.
+def spillover_share(saved_s: float, network_cost_s: float) -> float:
+    """Return the share, from 0 to 1, of requests to send to another region.
 
     Args:
-        gain_s: by how much the wait at home is longer than the wait there and the way.
-        way_s: cost of the way.
+        saved_s: by how much an answer is expected earlier from there, with the network cost included.
+        network_cost_s: extra network time to that region.
     """
-    if gain_s <= 0.0:
+    if saved_s <= 0.0:
         return 0.0
-    return gain_s / (gain_s + max(way_s, LEAST_SHARE_WAY_S))
+    return saved_s / (saved_s + max(network_cost_s, MIN_NETWORK_COST_S))
 
 
-class HomeFull:
-    """Since when no replica of the own region has had room, for each kind of request."""
+class LocalCapacityWaits:
+    """Waits for a free slot in the local region, by request class: any hashable that groups requests."""
 
     def __init__(self) -> None:
-        self._since_s: dict[Hashable, tuple[float, float]] = {}
-        """First and last look of a wait that goes on."""
-
-    def note_room(self, kind: Hashable) -> None:
-        """Note that a replica at home has room for a kind of request."""
-        self._since_s.pop(kind, None)
-
-    def may_spill(self, kind: Hashable, way_s: float, now_s: float) -> bool:
-        """Note that none has, and return whether that has lasted for longer than the way takes."""
-        since_s, looked_s = self._since_s.get(kind, (now_s, now_s))
-        if now_s - looked_s > AGE_OUT_S:
-            since_s = now_s
-        self._since_s[kind] = (since_s, now_s)
-        if len(self._since_s) > MOST_WAITS:
-            self._drop_ended(now_s)
-        return now_s - since_s >= way_s
-
-    def _drop_ended(self, now_s: float) -> None:
-        self._since_s = {kind: wait for kind, wait in self._since_s.items() if now_s - wait[1] <= AGE_OUT_S}
+        self._wait_by_class: dict[Hashable, tuple[float, float]] = {}
+        """Request class to the loop times of the first and the latest check that found no free slot."""
+
+    def record_capacity(self, request_class: Hashable) -> None:
+        """Record that a local replica has a free slot for a request class; ends its wait."""
+        self._wait_by_class.pop(request_class, None)
+
+    def record_no_capacity(self, request_class: Hashable, network_cost_s: float, now_s: float) -> bool:
+        """Record that no local replica has a free slot, which starts or continues the wait.
+
+        Returns whether the wait has lasted at least the network cost, so that spilling over is worthwhile.
+        """
+        start_s, checked_s = self._wait_by_class.get(request_class, (now_s, now_s))
+        if now_s - checked_s > WAIT_EXPIRY_S:
+            start_s = now_s
+        self._wait_by_class[request_class] = (start_s, now_s)
+        if len(self._wait_by_class) > MAX_WAITS:
+            self._drop_expired(now_s)
+        return now_s - start_s >= network_cost_s
+
+    def _drop_expired(self, now_s: float) -> None:
+        self._wait_by_class = {
+            request_class: wait
+            for request_class, wait in self._wait_by_class.items()
+            if now_s - wait[1] <= WAIT_EXPIRY_S
+        }
--- a/passgate/gateway/stream_forwarder.py
+++ b/passgate/gateway/stream_forwarder.py
@@ -1,8 +1,8 @@
-"""Forwards streamed requests: whole events as they come, taken up elsewhere when they break off.
+"""Forwards streamed requests: passes complete server-sent events on to the caller as they arrive.
 
-A stream of a resumable route goes on at another replica after its last whole event
-within the same answer.  Any other stream runs at most once, and ends incomplete
-when its replica breaks off.
+When a stream of a resumable route fails, the forwarder requests the events after the last one sent
+(``Last-Event-Id``) from another replica and continues the same answer.  A stream of any other route
+runs at most once; when it fails after its head, the answer ends incomplete.
 """
 
 from __future__ import annotations
@@ -23,20 +23,20 @@
     RequestQuarantined,
 )
 from passgate.gateway.access import Caller
-from passgate.gateway.forwarding import ForwarderBase, Forwarding
+from passgate.gateway.forwarder_base import ForwardedRequest, ForwarderBase
 from passgate.gateway.messages import GatewayAnswer, IncomingRequest, StreamAnswer, answered_status
-from passgate.gateway.replica_call import ReplicaExchange, forwarded_headers
+from passgate.gateway.replica_call import ReplicaExchange, end_to_end_headers
 from passgate.gateway.replicas import FULL_LOAD, ChoiceRequest
 from passgate.gateway.routes import Route
 
-OK = 200
-FIRST_EVENT_SHARE = 3.0
-"""A replica that sends no head within this many target latencies is left, if the stream may be resumed."""
-SILENCE_S = 1.2
-"""A stream silent for this long is taken up elsewhere, if it may be resumed."""
-MIN_EVENTS_HERE = 4
-"""Events after which a slow replica may be left."""
-EVENT_END = b"\n\n"
+OK_STATUS = 200
+HEAD_TIMEOUT_FACTOR = 3.0
+"""Time limit of the answer's head, in target latencies of the route, if another replica may be tried."""
+EVENT_TIMEOUT_S = 1.2
+"""Time without data after which a resumable stream is continued at another replica."""
+MIN_EVENTS_BEFORE_MOVE = 4
+"""Events that a replica sends before the stream may move to a faster one."""
+EVENT_SEPARATOR = b"\n\n"
 
 
 class StreamForwarder(ForwarderBase):
@@ -45,161 +45,185 @@
     async def forward(
         self, request: IncomingRequest, route: Route, caller: Caller
     ) -> GatewayAnswer | StreamAnswer:
-        """Return the head and the events of a stream, or the replica's refusal as a whole answer."""
-        stream = self._begin(request, route, caller)
-        exchange = await self._open(stream)
-        if exchange.status != OK:
+        """Return the stream once its head has arrived, or a replica's complete answer if it is not 200.
+
+        Raises PassgateError if no replica sent a head; its ``execution`` says whether the request may
+        have run.  The returned stream raises PassgateError from its iterator when it ends incomplete.
+        """
+        stream = self._begin_forwarding(request, route, caller)
+        exchange = await self._open_stream(stream)
+        if exchange.status != OK_STATUS:
             try:
                 answer = await exchange.whole_answer()
             finally:
                 exchange.close()
-            self._note_end(stream, answer.status, "")
+            self._record_end(stream, answer.status, "")
             return GatewayAnswer(
-                status=answer.status, headers=tuple(forwarded_headers(answer.headers)), body=answer.body
+                status=answer.status, headers=tuple(end_to_end_headers(answer.headers)), body=answer.body
             )
-        headers = tuple(forwarded_headers(exchange.headers.get_all()))
-        return StreamAnswer(status=OK, headers=headers, pieces=self._events(stream, exchange))
+        headers = tuple(end_to_end_headers(exchange.headers.get_all()))
+        return StreamAnswer(status=OK_STATUS, headers=headers, chunks=self._stream_events(stream, exchange))
 
-    async def _open(self, stream: Forwarding) -> ReplicaExchange:
-        """Return an exchange whose head has come; raises PassgateError when no replica gives one."""
+    async def _open_stream(self, stream: ForwardedRequest) -> ReplicaExchange:
+        """Return an exchange whose head has arrived; raises PassgateError if no replica sends one."""
         while True:
-            exchange = await self._send(stream)
-            patience_s = stream.limit_s - monotonic_s()
-            if stream.route.resumable and stream.may_go_on:
-                patience_s = min(patience_s, FIRST_EVENT_SHARE * stream.route.target_latency_s)
+            exchange = await self._start_attempt(stream)
+            timeout_s = stream.answer_by_s - monotonic_s()
+            if stream.route.resumable and stream.may_be_sent_again:
+                timeout_s = min(timeout_s, HEAD_TIMEOUT_FACTOR * stream.route.target_latency_s)
             try:
-                async with asyncio.timeout(max(patience_s, 0.0)):
+                async with asyncio.timeout(max(timeout_s, 0.0)):
                     await exchange.head()
                 return exchange
             except TimeoutError as error:
                 exchange.too_slow()
                 exchange.close()
                 stream.may_have_run = True
-                self._note_failed_exchange(stream, exchange, DeadlineExceeded("no head in time"))
-                if not stream.may_go_on or monotonic_s() >= stream.limit_s:
-                    raise self._failed(stream, "no head in time") from error
+                self._record_failed_stream(
+                    stream, exchange, DeadlineExceeded("no answer head within the time limit")
+                )
+                if not stream.may_be_sent_again or monotonic_s() >= stream.answer_by_s:
+                    raise self._end_with_error(stream, "no answer head within the time limit") from error
             except PassgateError as error:
                 exchange.close()
-                self._note_failed_exchange(stream, exchange, error)
-                if not stream.may_go_on:
-                    raise self._failed(stream, error.code) from error
+                self._record_failed_stream(stream, exchange, error)
+                if not stream.may_be_sent_again:
+                    raise self._end_with_error(stream, error.code) from error
             except asyncio.CancelledError:
                 exchange.close()
                 raise
 
-    def _note_failed_exchange(
-        self, stream: Forwarding, exchange: ReplicaExchange, error: PassgateError
+    def _record_failed_stream(
+        self, stream: ForwardedRequest, exchange: ReplicaExchange, error: PassgateError
     ) -> None:
-        self._note_failed_attempt(stream, exchange.life, error, exchange.began_s)
+        self._record_failed_attempt(stream, exchange.life, error, exchange.began_s)
 
-    async def _send(self, stream: Forwarding) -> ReplicaExchange:
+    async def _start_attempt(self, stream: ForwardedRequest) -> ReplicaExchange:
+        """Check that the request may be sent, choose a replica and send; raises PassgateError if not sent."""
         try:
             self._check_regions(stream)
-            if not await self._spares_replicas(stream):
-                raise self._failed(stream, "replicas ended under the request")
+            if not await self._passes_quarantine(stream):
+                raise self._end_with_error(stream, "the request is quarantined, as it has crashed replicas")
         except (NoRegionAllowed, RequestQuarantined) as error:
-            self._note_end(stream, answered_status(error), error.code)
+            self._record_end(stream, answered_status(error), error.code)
             raise
-        state = self._choose(stream)
+        state = self._choose_replica(stream)
         if state is None:
-            raise self._failed(stream, "no replica")
+            raise self._end_with_error(stream, "no replica is available")
         if not stream.may_have_run:
-            self._check_access(stream)
-        elif not self._may_send(stream):
-            raise self._failed(stream, "the key was taken away")
-        self._note_sent(stream, state)
-        return self._caller.open(state, self._replica_request(stream))
+            self._recheck_api_key(stream)
+        elif not self._is_still_authorized(stream):
+            raise self._end_with_error(stream, "the API key was revoked")
+        self._record_sent(stream, state)
+        return self._replica_client.open(state, self._replica_request(stream))
+
+    async def _stream_events(
+        self, stream: ForwardedRequest, exchange: ReplicaExchange
+    ) -> AsyncGenerator[bytes, None]:
+        """Yield bytes of complete events, from further replicas if the stream may be continued.
 
-    async def _events(self, stream: Forwarding, exchange: ReplicaExchange) -> AsyncGenerator[bytes, None]:
+        Raises PassgateError when the stream ends incomplete.
+        """
         try:
             while True:
                 try:
-                    async for event in self._events_of_one(stream, exchange):
-                        yield event
-                    self._note_end(stream, OK, "")
+                    async for events in self._read_attempt_events(stream, exchange):
+                        yield events
+                    self._record_end(stream, OK_STATUS, "")
                     return
                 except (PassgateError, TimeoutError) as error:
                     exchange.close()
                     stream.may_have_run = True
-                    failure = error if isinstance(error, PassgateError) else IncompleteAnswer("silent")
-                    self._note_failed_exchange(stream, exchange, failure)
-                    if not stream.may_go_on or monotonic_s() >= stream.limit_s:
-                        raise self._failed(stream, "broke off") from error
-                exchange = await self._open(stream)
-                if exchange.status != OK:
-                    raise self._failed(stream, f"resume answered {exchange.status}")
+                    failure = (
+                        error if isinstance(error, PassgateError) else IncompleteAnswer("no data in time")
+                    )
+                    self._record_failed_stream(stream, exchange, failure)
+                    if not stream.may_be_sent_again or monotonic_s() >= stream.answer_by_s:
+                        raise self._end_with_error(stream, "the stream broke off") from error
+                exchange = await self._open_stream(stream)
+                if exchange.status != OK_STATUS:
+                    raise self._end_with_error(
+                        stream, f"the resume request was answered with {exchange.status}"
+                    )
         finally:
             exchange.close()
 
-    async def _events_of_one(
-        self, stream: Forwarding, exchange: ReplicaExchange
+    async def _read_attempt_events(
+        self, stream: ForwardedRequest, exchange: ReplicaExchange
     ) -> AsyncGenerator[bytes, None]:
+        """Yield bytes of complete events of one attempt.
+
+        Raises IncompleteAnswer, MovedElsewhere, the exchange's errors, or TimeoutError after a pause.
+        """
         pending = b""
         count = 0
-        event_at_s = 0.0
+        last_event_s = 0.0
         while True:
-            async with asyncio.timeout(self._patience_s(stream)):
+            async with asyncio.timeout(self._read_timeout_s(stream)):
                 data = await exchange.read()
             if not data:
                 break
-            *whole, pending = (pending + data.replace(b"\r\n", b"\n")).split(EVENT_END)
-            for block in whole:
-                stream.last_event_id = event_id(block) or stream.last_event_id
-            if whole:
-                self._count_stream(stream)
+            *complete, pending = (pending + data.replace(b"\r\n", b"\n")).split(EVENT_SEPARATOR)
+            for event in complete:
+                stream.last_event_id = event_id(event) or stream.last_event_id
+            if complete:
+                self._count_run_once(stream)
                 now_s = monotonic_s()
-                if event_at_s:
-                    exchange.observe_pace((now_s - event_at_s) / len(whole))
-                event_at_s = now_s
-                yield EVENT_END.join(whole) + EVENT_END
-                count += len(whole)
-                if count >= MIN_EVENTS_HERE and self._leaves(stream, exchange):
+                if last_event_s:
+                    exchange.observe_pace((now_s - last_event_s) / len(complete))
+                last_event_s = now_s
+                yield EVENT_SEPARATOR.join(complete) + EVENT_SEPARATOR
+                count += len(complete)
+                if count >= MIN_EVENTS_BEFORE_MOVE and self._should_move(stream, exchange):
                     raise MovedElsewhere("another replica is much faster")
         if pending.strip() or not exchange.proven_whole:
-            raise IncompleteAnswer("the stream broke off")
+            raise IncompleteAnswer("the stream ended without its end mark or within an event")
         exchange.succeeded_stream()
 
-    def _count_stream(self, stream: Forwarding) -> None:
-        """Count a stream with its first event, which is when a replica begins it."""
-        if not stream.counted:
-            stream.counted = True
-            self._count_run(stream, self._usage_now_s())
+    def _count_run_once(self, stream: ForwardedRequest) -> None:
+        """Count the request's run for the usage report, at the first event of its first attempt with one."""
+        if not stream.usage_counted:
+            stream.usage_counted = True
+            self._count_run(stream, self._usage_wall_s())
 
-    def _leaves(self, stream: Forwarding, exchange: ReplicaExchange) -> bool:
-        """Whether a resumable stream had better go on at another replica."""
-        if not stream.route.resumable or not stream.may_go_on:
+    def _should_move(self, stream: ForwardedRequest, exchange: ReplicaExchange) -> bool:
+        """Whether a resumable stream should continue at another replica, which is much faster."""
+        if not stream.route.resumable or not stream.may_be_sent_again:
             return False
-        wish = ChoiceRequest(
+        query = ChoiceRequest(
             services=frozenset({stream.service}),
-            excluded=frozenset(stream.tried),
+            excluded=frozenset(stream.tried_replicas),
             load_below=FULL_LOAD,
-            terms=self._terms(stream),
+            terms=self._send_terms(stream),
         )
-        return self._replicas.has_faster(exchange.life, wish, monotonic_s())
+        return self._replicas.has_faster(exchange.life, query, monotonic_s())
 
-    def _patience_s(self, stream: Forwarding) -> float:
-        left_s = max(stream.limit_s - monotonic_s(), 0.0)
-        return min(left_s, SILENCE_S) if stream.may_go_on and stream.route.resumable else left_s
+    def _read_timeout_s(self, stream: ForwardedRequest) -> float:
+        left_s = max(stream.answer_by_s - monotonic_s(), 0.0)
+        return min(left_s, EVENT_TIMEOUT_S) if stream.may_be_sent_again and stream.route.resumable else left_s
 
-    def _failed(self, stream: Forwarding, reason: str) -> PassgateError:
-        if monotonic_s() >= stream.limit_s and stream.may_have_run:
-            error: PassgateError = DeadlineExceeded("time limit is over", execution=ExecutionStatus.UNKNOWN)
+    def _end_with_error(self, stream: ForwardedRequest, reason: str) -> PassgateError:
+        """Write the decision line of the request's end and return the error to raise."""
+        if monotonic_s() >= stream.answer_by_s and stream.may_have_run:
+            error: PassgateError = DeadlineExceeded(
+                "the stream did not end within the time limit", execution=ExecutionStatus.UNKNOWN
+            )
         elif stream.may_have_run:
             error = BackendUnreachable(reason, execution=ExecutionStatus.UNKNOWN)
         else:
-            error = self._refusal(stream, reason)
+            error = self._no_replica_error(stream, reason)
         reason = error.code if isinstance(error, NoReplicaInRegions) else reason
-        self._note_end(stream, answered_status(error), reason)
+        self._record_end(stream, answered_status(error), reason)
         return error
 
 
-def event_id(block: bytes) -> str:
-    """Return the identifier of an event, or nothing.
+def event_id(event: bytes) -> str:
+    """Return the value of an event's ``id`` field, or "" if it has none.
 
     >>> event_id(b"id: 7\\ndata: x")
     '7'
     """
-    for line in block.split(b"\n"):
+    for line in event.split(b"\n"):
         if line.startswith(b"id:"):
             return line[3:].strip().decode("latin1")
     return ""
--- a/tests/test_gateway_access.py
+++ b/tests/test_gateway_access.py
@@ -1,4 +1,4 @@
-"""Who a caller is, by its key; whatever the header holds, the answer is a typed refusal."""
+"""Authentication of callers: each key yields its tenant, and any other credential a typed 401 error."""
 
 import pytest
 from hypothesis import given
@@ -11,22 +11,22 @@
     Unauthorized,
     UnknownKey,
 )
-from passgate.gateway.access import Caller, KeyIndex, Tenant, headers_for_replica
+from passgate.gateway.access import ApiKeyIndex, Caller, Tenant, replica_headers
 from passgate.gateway.messages import error_answer
 from passgate.gateway.routes import ConfigHolder, GatewayConfig
 
 ORCHARD = Tenant(name="orchard", api_keys=("k1", "k2"), priority=3)
 MILL = Tenant(name="mill", api_keys=("k3",))
-INDEX = KeyIndex((ORCHARD, MILL))
+INDEX = ApiKeyIndex((ORCHARD, MILL))
 
 
-def caller(*credentials, public=False, index=INDEX):
+def authenticate(*credentials, public=False, index=INDEX):
     return index.caller_of(tuple(("Authorization", value) for value in credentials), public=public)
 
 
-def test_each_key_names_its_tenant():
-    assert caller("Bearer k1") == caller("Bearer k2") == Caller(tenant="orchard", priority=3)
-    assert caller("bearer   k3 ") == Caller(tenant="mill")
+def test_each_key_yields_its_tenant():
+    assert authenticate("Bearer k1") == authenticate("Bearer k2") == Caller(tenant="orchard", priority=3)
+    assert authenticate("bearer   k3 ") == Caller(tenant="mill")
 
 
 @pytest.mark.parametrize(
@@ -41,24 +41,24 @@
         (("Bearer " + "x" * 65_536,), UnknownKey),
     ],
 )
-def test_anything_else_is_refused_with_its_reason(credentials, error):
+def test_an_invalid_credential_raises_the_error_of_its_kind(credentials, error):
     with pytest.raises(error):
-        caller(*credentials)
+        authenticate(*credentials)
 
 
-def test_a_public_route_needs_no_key_but_takes_one():
-    assert caller(public=True) == caller("Bearer wrong", public=True) == Caller(tenant="")
-    assert caller("Bearer k3", public=True).tenant == "mill"
+def test_a_public_route_accepts_a_key_but_does_not_require_one():
+    assert authenticate(public=True) == authenticate("Bearer wrong", public=True) == Caller(tenant="")
+    assert authenticate("Bearer k3", public=True).tenant == "mill"
 
 
-def test_without_tenants_nobody_is_asked():
-    assert caller(index=KeyIndex(())) == Caller(tenant=None)
+def test_without_tenants_no_key_is_required():
+    assert authenticate(index=ApiKeyIndex(())) == Caller(tenant=None)
 
 
 @given(st.lists(st.text(), max_size=3))
-def test_whatever_the_header_holds_nothing_but_a_held_key_gets_in(credentials):
+def test_arbitrary_credentials_without_a_valid_key_get_401_and_no_key_is_disclosed(credentials):
     try:
-        found = caller(*credentials)
+        caller = authenticate(*credentials)
     except Unauthorized as error:
         answer = error_answer(error)
         assert answer.status == 401
@@ -67,7 +67,7 @@
     else:
         (credential,) = credentials
         assert credential.split()[-1] in (*ORCHARD.api_keys, *MILL.api_keys)
-        assert found.tenant in ("orchard", "mill")
+        assert caller.tenant in ("orchard", "mill")
 
 
 @given(
@@ -75,16 +75,16 @@
         st.tuples(st.sampled_from(["X-Tenant", "x-TENANT", "Authorization", "AUTHORIZATION", "A"]), st.text())
     )
 )
-def test_a_replica_sees_one_tenant_and_no_credential(sent):
-    seen = headers_for_replica(sent, "orchard", "X-Tenant")
-    assert [value for name, value in seen if name.lower() == "x-tenant"] == ["orchard"]
-    assert not [name for name, _ in seen if name.lower() == "authorization"]
-    assert [pair for pair in seen if pair[0] == "A"] == [pair for pair in sent if pair[0] == "A"]
+def test_a_replica_receives_the_authenticated_tenant_and_no_credential(sent):
+    received = replica_headers(sent, "orchard", "X-Tenant")
+    assert [value for name, value in received if name.lower() == "x-tenant"] == ["orchard"]
+    assert not [name for name, _ in received if name.lower() == "authorization"]
+    assert [pair for pair in received if pair[0] == "A"] == [pair for pair in sent if pair[0] == "A"]
 
 
-def test_without_tenants_headers_stay_as_they_are():
+def test_without_tenants_headers_are_forwarded_unchanged():
     sent = [("X-Tenant", "a"), ("Authorization", "b")]
-    assert headers_for_replica(sent, None, "X-Tenant") == sent
+    assert replica_headers(sent, None, "X-Tenant") == sent
 
 
 @pytest.mark.parametrize(
@@ -97,7 +97,7 @@
         (ORCHARD, Tenant(name="orchard", api_keys=("k9",))),
     ],
 )
-def test_a_contradictory_configuration_leaves_the_one_in_force(tenants):
+def test_a_configuration_with_invalid_tenants_is_rejected_and_the_active_one_stays(tenants):
     holder = ConfigHolder()
     holder.offer(GatewayConfig(version=1, tenants=(ORCHARD,)))
     with pytest.raises(InvalidConfiguration):
--- a/tests/test_gateway_configuration_peers.py
+++ b/tests/test_gateway_configuration_peers.py
@@ -1,4 +1,4 @@
-"""Configurations learned from other daemons while the log does not answer, in virtual time."""
+"""Daemons that can not read the log get new configurations from peers; runs in virtual time."""
 
 import asyncio
 import random
@@ -19,16 +19,16 @@
 from passgate.gateway.routes import ConfigHolder, GatewayConfig
 from passgate.peers.memory_transport import MemoryNetwork
 
-APPLY_S = 3.0
-"""Time within which a configuration must be in force."""
+APPLY_DEADLINE_S = 3.0
+"""Time within which every daemon must have applied a configuration."""
 
 
 def config(version, *keys):
     return GatewayConfig(version=version, tenants=(Tenant(name="orchard", api_keys=keys),))
 
 
-class Daemon:
-    """What learns and tells configurations; the log is read unless it is turned away."""
+class SimulatedDaemon:
+    """A configuration holder and its poller; the log is readable until ``turned_away_s``, a loop time."""
 
     def __init__(self, network, number, daemons):
         self.daemons = daemons
@@ -40,7 +40,7 @@
         self.evacuated = EvacuatedZones(decisions)
         self.peers = ConfigurationPeers(
             self.transport,
-            self.others,
+            self.list_peers,
             self.holder,
             self.evacuated,
             self.log_age_s,
@@ -48,25 +48,25 @@
             decisions,
         )
 
-    def others(self):
+    def list_peers(self):
         names = [daemon.name for daemon in self.daemons if daemon is not self]
         return random.sample(names, len(names))
 
     def log_age_s(self):
         return 0.0 if self.turned_away_s is None else monotonic_s() - self.turned_away_s
 
-    async def answer(self, sender, method, payload):
+    async def answer_query(self, sender, method, payload):
         assert method == CONFIGURATION_METHOD
         return self.peers.answer(payload)
 
     def start(self):
-        self.transport.start(lambda sender, payload: None, self.answer)
+        self.transport.start(lambda sender, payload: None, self.answer_query)
         return asyncio.get_running_loop().create_task(self.peers.run())
 
 
 def world(count=12):
     network, daemons = MemoryNetwork(random.Random(1)), []
-    daemons.extend(Daemon(network, number, daemons) for number in range(count))
+    daemons.extend(SimulatedDaemon(network, number, daemons) for number in range(count))
     return network, daemons
 
 
@@ -77,7 +77,7 @@
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_a_third_that_the_log_turns_away_has_each_version_in_time(seed):
+def test_daemons_without_the_log_apply_each_version_in_time(seed):
     async def main():
         random.seed(seed)
         _, daemons = world()
@@ -87,16 +87,16 @@
             daemon.turned_away_s = monotonic_s()
         for version in range(2, 6):
             put(daemons, config(version, "k2"))
-            await asyncio.sleep(APPLY_S)
+            await asyncio.sleep(APPLY_DEADLINE_S)
             assert {daemon.holder.version for daemon in daemons} == {version}
-            assert all(daemon.peers.age_s() < APPLY_S for daemon in daemons)
+            assert all(daemon.peers.age_s() < APPLY_DEADLINE_S for daemon in daemons)
         for task in tasks:
             task.cancel()
 
     run_virtual(main())
 
 
-def test_an_older_version_of_a_peer_is_not_put_back():
+def test_an_older_version_of_a_peer_is_not_applied():
     async def main():
         _, daemons = world(3)
         behind, ahead, _ = daemons
@@ -113,7 +113,7 @@
     run_virtual(main())
 
 
-def test_nobody_is_asked_while_the_log_answers_and_age_grows_when_nobody_answers():
+def test_peers_are_polled_only_without_the_log_and_the_age_grows_if_none_answers():
     async def main():
         network, daemons = world(3)
         put(daemons, config(1))
@@ -130,13 +130,13 @@
     run_virtual(main())
 
 
-def test_an_answer_carries_a_configuration_only_when_it_is_newer():
+def test_an_answer_contains_a_configuration_only_if_it_is_newer_than_the_query():
     async def main():
         _, (daemon, *_) = world(2)
         daemon.holder.offer(config(3, "k"))
-        for version, told in ((2, 3), (3, None), (9, None)):
-            question = msgspec.json.encode({"version": version})
-            known = msgspec.json.decode(daemon.peers.answer(question), type=KnownConfiguration)
-            assert (known.config.version if known.config else None) == told
+        for version, expected in ((2, 3), (3, None), (9, None)):
+            query = msgspec.json.encode({"version": version})
+            answer = msgspec.json.decode(daemon.peers.answer(query), type=KnownConfiguration)
+            assert (answer.config.version if answer.config else None) == expected
 
     run_virtual(main())
