--- a/tests/test_refusals.py
+++ b/tests/test_refusals.py
@@ -1,4 +1,4 @@
-"""429, 503, 408 and 421 promise that a request has not run and never will; see docs/design/refusals.md."""
+"""Statuses 408, 421, 429 and 503 guarantee that a request has not run; see docs/design/refusals.md."""
 
 import asyncio
 
@@ -8,13 +8,18 @@
 import passgate.errors
 from passgate.errors import ExecutionStatus, PassgateError
 from passgate.gateway.ingress import Ingress
-from passgate.gateway.messages import PROMISES, IncomingRequest, answered_status, error_answer
+from passgate.gateway.messages import (
+    GUARANTEED_NOT_RUN_STATUSES,
+    IncomingRequest,
+    answered_status,
+    error_answer,
+)
 from tests import platform_stand_ins as stand_ins
 from tests.crashing_world import in_crashing_world as in_world
 
-STREAMED = stand_ins.batch_route(kind="streaming", maxAttempts=2)
-ONCE = stand_ins.safe_route(kind="unsafe")
-FAILURES = [
+STREAMING_ROUTE = stand_ins.batch_route(kind="streaming", maxAttempts=2)
+UNSAFE_ROUTE = stand_ins.safe_route(kind="unsafe")
+ERROR_CLASSES = [
     each
     for each in vars(passgate.errors).values()
     if isinstance(each, type) and issubclass(each, PassgateError)
@@ -27,26 +32,26 @@
     ]
 
 
-@pytest.mark.parametrize("kind", FAILURES, ids=lambda kind: kind.__name__)
+@pytest.mark.parametrize("kind", ERROR_CLASSES, ids=lambda kind: kind.__name__)
 @pytest.mark.parametrize("execution", ExecutionStatus)
-def test_no_failure_promises_more_than_is_known(kind, execution):
+def test_a_guaranteed_not_run_status_is_only_given_for_errors_with_not_run(kind, execution):
     answer = error_answer(kind("x", execution=execution))
-    assert answer.status not in PROMISES or execution is ExecutionStatus.NOT_RUN
+    assert answer.status not in GUARANTEED_NOT_RUN_STATUSES or execution is ExecutionStatus.NOT_RUN
     assert answer.status == answered_status(kind("x", execution=execution))
 
 
-def test_a_failure_that_may_have_run_by_its_kind_promises_nothing():
-    for kind in FAILURES:
+def test_error_classes_that_may_have_run_by_default_get_no_guaranteed_not_run_status():
+    for kind in ERROR_CLASSES:
         if kind.execution is not ExecutionStatus.NOT_RUN:
-            assert error_answer(kind("x")).status not in PROMISES
+            assert error_answer(kind("x")).status not in GUARANTEED_NOT_RUN_STATUSES
 
 
-@pytest.mark.parametrize("status", sorted(PROMISES - {421}))
+@pytest.mark.parametrize("status", sorted(GUARANTEED_NOT_RUN_STATUSES - {421}))
 @pytest.mark.parametrize(
-    ("route", "path"), [(ONCE, "/call/a"), (STREAMED, "/stream/a")], ids=["plain", "streamed"]
+    ("route", "path"), [(UNSAFE_ROUTE, "/call/a"), (STREAMING_ROUTE, "/stream/a")], ids=["plain", "streamed"]
 )
 @in_world
-async def test_a_replicas_status_without_its_word_that_nothing_ran_is_not_passed_on(
+async def test_a_replicas_refusal_status_is_not_forwarded_without_its_not_executed_header(
     world, route, path, status
 ):
     replica = world.replica("i-1", "app" if path.startswith("/call") else "llm")
@@ -61,7 +66,7 @@
 
 
 @in_world
-async def test_a_repeatable_request_goes_on_after_such_a_status(world):
+async def test_a_repeatable_request_is_sent_again_after_an_unconfirmed_refusal(world):
     world.replica("i-1", "app").faults.failing = 503
     world.replica("i-2", "app").faults.failing = 503
     world.configure(1, stand_ins.safe_route())
@@ -77,10 +82,10 @@
 
 @pytest.mark.parametrize("path", ["/call/a", "/stream/a"], ids=["plain", "streamed"])
 @in_world
-async def test_a_request_that_no_replica_ran_is_refused_and_never_runs(world, path):
+async def test_a_request_that_all_replicas_refuse_gets_503_and_never_runs(world, path):
     for name in ("i-1", "i-2"):
         world.replica(name, "app" if path.startswith("/call") else "llm").faults.refusing = True
-    world.configure(1, ONCE if path.startswith("/call") else STREAMED)
+    world.configure(1, UNSAFE_ROUTE if path.startswith("/call") else STREAMING_ROUTE)
     await world.start()
     await world.until(lambda: len(world.daemon.replicas.all()) == 2)
     assert (await world.call("POST", path, b"x")).status == 503
@@ -92,8 +97,8 @@
 
 @pytest.mark.parametrize("path", ["/call/a", "/stream/a"], ids=["plain", "streamed"])
 @in_world
-async def test_a_refusal_after_an_attempt_that_may_have_run_promises_nothing(world, path):
-    """The first attempt is cut off, whoever is asked next refuses."""
+async def test_a_refusal_after_an_attempt_that_may_have_run_gets_502(world, path):
+    """The first attempt loses its answer, and the replica of the second one refuses."""
     service = "app" if path.startswith("/call") else "llm"
     streamed = stand_ins.batch_route(kind="streaming", resumable=True)
     first, second = world.replica("i-1", service), world.replica("i-2", service)
@@ -101,25 +106,21 @@
     await world.start()
     await world.until(lambda: len(world.daemon.replicas.all()) == 2)
 
-    def begin_at(other):
+    def make_refuse(other):
         other.faults.refusing = True
         return False
 
     for replica, other in ((first, second), (second, first)):
         replica.faults.lost_answers = 1.0
-        replica.crash_on = lambda request, other=other: begin_at(other)
+        replica.crash_on = lambda request, other=other: make_refuse(other)
     answer = await world.call("POST", path, b"x")
     assert answer.status == 502
     assert len(runs_of(world, "r1")) == 1
 
 
 @in_world
-async def test_replicas_that_others_have_replaced_cost_no_attempt(world):
-    """Two entries outlived their replicas, and another one listens there; a third has room.
-
-    Seen: on a busy machine 2 of 15 runs of the test of ordinary requests beside a crashing one had a
-    refusal (1 of 15 before this session's changes), as both attempts met such a replica.
-    """
+async def test_replaced_replicas_do_not_count_towards_the_maximum_of_attempts(world):
+    """Guards against refusing a request that met two stale discovery entries, although a replica is free."""
     replica = world.replica("i-1", "app")
     for name in ("old-1", "old-2"):
         entry = {"service": "app", "address": replica.address, "zone": "a", "slots": 8, "state": "ready"}
@@ -133,7 +134,7 @@
 
 
 @in_world
-async def test_a_request_whose_time_ends_at_a_replica_is_promised_nothing(world):
+async def test_a_request_that_times_out_at_a_replica_gets_504(world):
     world.replica("i-1", "app", work_s=1.0)
     world.configure(1, stand_ins.safe_route(kind="unsafe", timeoutMs=300))
     await world.start()
@@ -143,7 +144,7 @@
 
 
 @in_world
-async def test_a_request_that_waits_for_a_replica_in_vain_never_runs(world):
+async def test_a_request_that_found_no_replica_never_runs(world):
     world.configure(1, stand_ins.safe_route(kind="unsafe"))
     await world.start()
     assert (await world.call("POST", "/call/a", b"x")).status == 503
@@ -154,25 +155,25 @@
 
 
 @in_world
-async def test_a_handler_that_fails_promises_nothing_and_a_daemon_that_ends_begins_nothing(world):
-    begun = []
+async def test_a_failing_handler_gets_502_and_a_stopping_daemon_starts_no_request(world):
+    handled = []
 
     async def handle(request):
-        begun.append(request)
-        raise RuntimeError("a mistake of ours, after something may have been sent")
+        handled.append(request)
+        raise RuntimeError("unexpected failure after the request may have been sent")
 
     ingress = Ingress(handle)
     written = []
-    ingress._write = lambda answer, method, connection: written.append(answer.status)
-    request = IncomingRequest(method="POST", path="/a", host="h", headers=(), body=b"", arrived_s=0.0)
-    await ingress._answer(request, None)
+    ingress._write_answer = lambda answer, method, connection: written.append(answer.status)
+    request = IncomingRequest(method="POST", path="/a", host="h", headers=(), body=b"", received_s=0.0)
+    await ingress._handle(request, None)
     ingress.refuse_new()
-    await ingress._answer(request, None)
-    assert (written, len(begun)) == ([502, 503], 1)
+    await ingress._handle(request, None)
+    assert (written, len(handled)) == ([502, 503], 1)
 
 
 @in_world
-async def test_an_end_in_doubt_promises_nothing(world):
+async def test_ending_a_job_with_an_unconfirmed_outcome_gets_502(world):
     world.configure(1, stand_ins.batch_route())
     await world.start()
     assert (await world.submit(["a"])).status == 202
@@ -182,15 +183,14 @@
 
 
 @in_world
-async def test_the_log_says_which_status_a_caller_of_a_job_got(world):
-    """A job in doubt is answered 502, and so it is told."""
+async def test_a_submission_with_an_unconfirmed_outcome_gets_502_and_the_decision_log_says_so(world):
     world.configure(1, stand_ins.batch_route())
     await world.start()
-    lines = []
-    world.daemon.decisions._observe = lines.append
+    events = []
+    world.daemon.decisions._observe = events.append
     world.log.faults.lost_appends = 1.0
     answer = await world.submit(["a"], deadline_ms=800)
     assert answer.status == 502
-    told = [event for event in lines if event.name == "job_accept_failed"]
-    assert [event.status for event in told] == [502]
-    assert msgspec.to_builtins(told[0])["reason"] == "durability_unknown"
+    failures = [event for event in events if event.name == "job_accept_failed"]
+    assert [event.status for event in failures] == [502]
+    assert msgspec.to_builtins(failures[0])["reason"] == "durability_unknown"
