--- a/passgate/routing/replica_health.py
+++ b/passgate/routing/replica_health.py
@@ -1,12 +1,10 @@
-"""Which replicas are set aside after failures, and when they are tried again.
+"""Outlier ejection: excludes failing replicas from choices for a while.
 
-The key of a replica is whatever tells it from all others, such as its identifier.
+An unreachable replica is ejected at once, one whose requests fail after EJECT_AFTER_FAILURES of them.
+Each further ejection lasts twice as long.  After an ejection, requests are probes, sent one at a time,
+until one succeeds.  A load report ends the ejection of an unreachable replica.
 
-A replica that can not be reached is set aside until a load report is read from
-it again or its time is over.  One whose requests fail is ejected after some
-consecutive failures.  Times double with each ejection, and afterwards one
-request at a time is let through until one succeeds.  When failing requests
-would eject most of a pool, the cause is probably not in the replicas, and these
+If failing requests would eject most of a pool, the replicas are probably not the cause, so these
 ejections are ignored.
 
 >>> health = ReplicaHealth()
@@ -31,83 +29,106 @@
 FIRST_EJECTION_S = 1.0
 MAX_EJECTION_S = 30.0
 MAX_EJECTIONS_COUNTED = 16
+"""Limit of the counter whose power of two scales an ejection's length."""
 MAX_EJECTED_SHARE = 0.7
-"""With a larger share ejected for failing requests, those ejections are ignored."""
-PROBE_S = 2.0
-"""After an ejection, the next request is let through this long after the last."""
+"""If a larger share of the replicas is excluded, ejections for failing requests are ignored."""
+PROBE_INTERVAL_S = 2.0
+"""Time between two probes of a replica that was ejected and has not succeeded since."""
 
 
-class _Health(msgspec.Struct):
+class _HealthRecord(msgspec.Struct):
+    """Failures and exclusion of one replica."""
+
     failures: int = 0
+    """Number of failures since the last success."""
     ejections: int = 0
+    """Number of ejections since the last success."""
     unreachable: bool = False
-    until_s: float = float("-inf")
+    """Whether any of the failures showed that the replica could not be reached."""
+    excluded_until_s: float = float("-inf")
+    """Loop time at which the current ejection, hold-off or probe interval ends."""
 
-    def is_out(self, now_s: float) -> bool:
-        return now_s < self.until_s
+    def is_excluded(self, now_s: float) -> bool:
+        return now_s < self.excluded_until_s
 
 
 class ReplicaHealth(Generic[Key]):
-    """Consecutive failures and ejections per replica."""
+    """Failures, ejections and hold-offs of the replicas of one pool; all times are loop times."""
 
     def __init__(self) -> None:
-        self._states: dict[Key, _Health] = {}
+        self._states: dict[Key, _HealthRecord] = {}
+        """Records of the replicas that failed or were held off; others are healthy."""
 
     def failed(self, replica: Key, now_s: float, *, unreachable: bool = False) -> None:
-        """Count a failure; one that shows that nobody listens there ejects at once."""
-        health = self._states.setdefault(replica, _Health())
+        """Record a failed request, and eject the replica if it has failed often enough.
+
+        A replica that is unreachable, or was ejected since its last success, is ejected by any failure.
+        """
+        health = self._states.setdefault(replica, _HealthRecord())
         health.failures += 1
         health.unreachable = health.unreachable or unreachable
         threshold = 1 if unreachable or health.ejections else EJECT_AFTER_FAILURES
-        if health.failures >= threshold and not health.is_out(now_s):
+        if health.failures >= threshold and not health.is_excluded(now_s):
             ejection_s = min(FIRST_EJECTION_S * 2.0**health.ejections, MAX_EJECTION_S)
             health.ejections = min(health.ejections + 1, MAX_EJECTIONS_COUNTED)
-            health.until_s = now_s + ejection_s
+            health.excluded_until_s = now_s + ejection_s
 
     def succeeded(self, replica: Key) -> None:
-        """A request on the replica brought output."""
+        """Record that the replica produced output, which clears its failures and any exclusion."""
         self._states.pop(replica, None)
 
     def reached(self, replica: Key) -> None:
-        """A load report was read: the replica listens, which does not prove that it works."""
+        """Record that a load report was read.
+
+        This clears a replica that was unreachable, but not one that only failed requests.
+        """
         health = self._states.get(replica)
         if health is not None and health.unreachable:
             del self._states[replica]
 
     def hold_off(self, replica: Key, until_s: float) -> None:
-        """Send nothing until then, without counting a failure (the replica said it is busy)."""
-        health = self._states.setdefault(replica, _Health())
-        health.until_s = max(health.until_s, until_s)
+        """Exclude a replica until a loop time, without recording a failure; used when it says it is busy."""
+        health = self._states.setdefault(replica, _HealthRecord())
+        health.excluded_until_s = max(health.excluded_until_s, until_s)
 
     def sent(self, replica: Key, now_s: float) -> None:
-        """A request goes to the replica; after an ejection it is a probe, one at a time."""
+        """Record that a request is sent; after an ejection it is a probe, which delays the next one."""
         health = self._states.get(replica)
         if health is not None and health.ejections:
-            health.until_s = max(health.until_s, now_s + PROBE_S)
+            health.excluded_until_s = max(health.excluded_until_s, now_s + PROBE_INTERVAL_S)
 
     def next_return_s(self, now_s: float) -> float | None:
-        """Return when the next replica that is set aside may be tried."""
-        times = [health.until_s for health in self._states.values() if health.is_out(now_s)]
+        """Return the loop time at which the next exclusion ends, or None if no replica is excluded."""
+        times = [health.excluded_until_s for health in self._states.values() if health.is_excluded(now_s)]
         return min(times, default=None)
 
     def usable(self, replicas: Sequence[Key], now_s: float) -> list[Key]:
-        """Return the replicas that may get work now."""
+        """Return those of the given replicas that may get requests now, in the same order.
+
+        If too many are excluded, those ejected for failing requests are returned as well.
+        """
         if not self._states:
             return list(replicas)
-        kept = [replica for replica in replicas if not self._is_out(replica, now_s)]
-        if len(kept) >= (1.0 - MAX_EJECTED_SHARE) * len(replicas):
-            return kept
-        return [replica for replica in replicas if not self._is_unreachable(replica, now_s)]
+        usable = [replica for replica in replicas if not self._is_excluded(replica, now_s)]
+        if len(usable) >= (1.0 - MAX_EJECTED_SHARE) * len(replicas):
+            return usable
+        return [replica for replica in replicas if not self._must_stay_excluded(replica, now_s)]
 
     def retain(self, replicas: Collection[Key]) -> None:
-        """Forget replicas that no longer exist."""
+        """Drop the records of all replicas but the given ones."""
         for replica in self._states.keys() - set(replicas):
             del self._states[replica]
 
-    def _is_out(self, replica: Key, now_s: float) -> bool:
+    def _is_excluded(self, replica: Key, now_s: float) -> bool:
         health = self._states.get(replica)
-        return health is not None and health.is_out(now_s)
+        return health is not None and health.is_excluded(now_s)
+
+    def _must_stay_excluded(self, replica: Key, now_s: float) -> bool:
+        """Whether a replica is excluded for another reason than failing requests.
 
-    def _is_unreachable(self, replica: Key, now_s: float) -> bool:
+        That is, it was unreachable since its last success, or it was not ejected since then but held off.
+        """
         health = self._states.get(replica)
-        return health is not None and health.is_out(now_s) and (health.unreachable or not health.ejections)
+        return (
+            health is not None and health.is_excluded(now_s) and (health.unreachable or not health.ejections)
+        )
