--- a/passgate/gateway/forwarder_base.py
+++ b/passgate/gateway/forwarder_base.py
@@ -261,7 +261,7 @@
                 route=forwarding.route.name,
                 status=status,
                 reason=reason,
-                replicas=tuple(life.replica_id for life in forwarding.tried_replicas),
+                replicas=tuple(replica.replica_id for replica in forwarding.tried_replicas),
                 elapsed_ms=round((monotonic_s() - forwarding.request.received_s) * 1000, 1),
             )
         )
--- a/passgate/gateway/replicas.py
+++ b/passgate/gateway/replicas.py
@@ -166,23 +166,23 @@
 
     def remove(self, replica_id: str) -> None:
         """Remove a replica that discovery no longer lists; harmless if it is not listed."""
-        life = self._listed_incarnation_by_id.pop(replica_id, None)
-        if life is not None:
-            self._delisted_in_use[life] = self._state_by_incarnation.pop(life)
+        incarnation = self._listed_incarnation_by_id.pop(replica_id, None)
+        if incarnation is not None:
+            self._delisted_in_use[incarnation] = self._state_by_incarnation.pop(incarnation)
         self._delisted_in_use = {
-            life: state for life, state in self._delisted_in_use.items() if state.in_flight > 0
+            delisted: state for delisted, state in self._delisted_in_use.items() if state.in_flight > 0
         }
         self.health.retain(self._state_by_incarnation)
 
-    def set_aside(self, life: ReplicaLife, now_s: float) -> None:
+    def set_aside(self, incarnation: ReplicaLife, now_s: float) -> None:
         """Eject a replica at whose address nothing listens; ignored if the incarnation is not listed."""
-        if life in self._state_by_incarnation:
-            self.unreachable(life, now_s)
+        if incarnation in self._state_by_incarnation:
+            self.unreachable(incarnation, now_s)
 
-    def unreachable(self, life: ReplicaLife, now_s: float) -> None:
+    def unreachable(self, incarnation: ReplicaLife, now_s: float) -> None:
         """Record that a replica could not be reached: it is ejected, and possibly cold when it is back."""
-        self.health.failed(life, now_s, unreachable=True)
-        state = self._state_by_incarnation.get(life)
+        self.health.failed(incarnation, now_s, unreachable=True)
+        state = self._state_by_incarnation.get(incarnation)
         if state is not None:
             self.cold.unreachable(state.info, now_s)
 
@@ -193,16 +193,16 @@
 
     def get(self, replica_id: str) -> ReplicaState | None:
         """Return the newest incarnation listed under an identifier, or None."""
-        life = self._listed_incarnation_by_id.get(replica_id)
-        return self.of(life) if life is not None else None
+        incarnation = self._listed_incarnation_by_id.get(replica_id)
+        return self.of(incarnation) if incarnation is not None else None
 
-    def of(self, life: ReplicaLife) -> ReplicaState | None:
+    def of(self, incarnation: ReplicaLife) -> ReplicaState | None:
         """Return the state of one incarnation; None if it is not listed or was replaced by a newer one."""
-        return self._state_by_incarnation.get(life)
+        return self._state_by_incarnation.get(incarnation)
 
-    def find_latest_incarnation(self, life: ReplicaLife) -> ReplicaState | None:
+    def find_latest_incarnation(self, incarnation: ReplicaLife) -> ReplicaState | None:
         """Return the newest listed incarnation of the replica that an incarnation belongs to, or None."""
-        return self.get(life.replica_id)
+        return self.get(incarnation.replica_id)
 
     def all(self) -> list[ReplicaState]:
         """Return the states of all listed replicas."""
@@ -326,24 +326,24 @@
 
     def has_faster(
         self,
-        life: ReplicaLife,
+        incarnation: ReplicaLife,
         query: ChoiceRequest,
         now_s: float,
         latency_share: float = FASTER_LATENCY_SHARE,
     ) -> bool:
         """Whether the best replica for a query is much faster than a given one.
 
-        That is, its latency is below ``latency_share`` of the latency of the incarnation ``life``.
+        That is, its latency is below ``latency_share`` of the given incarnation's latency.
         """
-        state = self._state_by_incarnation.get(life)
+        state = self._state_by_incarnation.get(incarnation)
         best = self._choose_best(query, now_s)
         if state is None or best is None:
             return False
         return best.recent_latency_s(now_s) < latency_share * state.recent_latency_s(now_s)
 
-    def observe_latency(self, life: ReplicaLife, latency_s: float, now_s: float) -> None:
+    def observe_latency(self, incarnation: ReplicaLife, latency_s: float, now_s: float) -> None:
         """Record a replica's latency, or a lower bound of it; ignored if the incarnation is not listed."""
-        state = self._state_by_incarnation.get(life)
+        state = self._state_by_incarnation.get(incarnation)
         if state is None:
             return
         current_s = state.recent_latency_s(now_s)
@@ -351,9 +351,9 @@
         state.latency_s = current_s + LATENCY_SMOOTHING * (capped_s - current_s)
         state.latency_recorded_at_s = now_s
 
-    def observe_load(self, life: ReplicaLife, reported_requests: int, now_s: float) -> None:
+    def observe_load(self, incarnation: ReplicaLife, reported_requests: int, now_s: float) -> None:
         """Record the number of running and waiting requests that a replica reported, of all daemons."""
-        state = self._state_by_incarnation.get(life)
+        state = self._state_by_incarnation.get(incarnation)
         if state is not None:
             state.other_requests = max(reported_requests - state.in_flight, 0)
             state.load_reported_at_s = now_s
