--- a/passgate/gateway/access.py
+++ b/passgate/gateway/access.py
@@ -157,5 +157,5 @@
     if tenant is None:
         return list(headers)
     removed = {AUTHORIZATION, tenant_header.lower()}
-    kept = [pair for pair in headers if pair[0].lower() not in removed]
-    return [*kept, (tenant_header, tenant)] if tenant else kept
+    forwarded = [pair for pair in headers if pair[0].lower() not in removed]
+    return [*forwarded, (tenant_header, tenant)] if tenant else forwarded
--- a/passgate/gateway/forwarder_base.py
+++ b/passgate/gateway/forwarder_base.py
@@ -151,7 +151,7 @@
         forwarding.configuration_version = table.config.version
 
     async def _passes_quarantine(self, forwarding: ForwardedRequest) -> bool:
-        """Return whether the request is not quarantined, once running crash checks that decide it have ended.
+        """Wait for crash checks that may quarantine the request; return whether it may be sent afterwards.
 
         For a quarantined request that has not run, raises RequestQuarantined instead of returning False.
         """
@@ -210,8 +210,11 @@
         )
 
     def _no_replica_error(self, forwarding: ForwardedRequest, reason: str) -> PassgateError:
-        """Return the error for a request that did not run: NoReplicaInRegions if it is region-restricted
-        and no replica was tried, else NoReplicaAvailable."""
+        """Return the error for a request that did not run.
+
+        It is NoReplicaInRegions if the request is region-restricted and no replica was tried, else
+        NoReplicaAvailable.
+        """
         if forwarding.tried_replicas or self._send_terms(forwarding).regions is None:
             return no_replica_error(reason)
         return NoReplicaInRegions(reason, execution=ExecutionStatus.NOT_RUN, retry_after_s=RETRY_AFTER_S)
--- a/passgate/gateway/replica_call.py
+++ b/passgate/gateway/replica_call.py
@@ -335,7 +335,7 @@
     def _report_possible_crash(self, error: PassgateError) -> None:
         """Have the crash guard check whether the replica crashed while it ran the request.
 
-        A draining or delisted replica ends on purpose, so its end is not blamed on its requests.
+        A draining or delisted replica ends on purpose, so its end is not attributed to its requests.
         """
         if self._state.info.draining or self._replicas.find_latest_incarnation(self.life) is None:
             return
