--- a/passgate/jobs/__init__.py
+++ b/passgate/jobs/__init__.py
@@ -1,6 +1,6 @@
-"""Batch jobs: durable on the shared log, run by one daemon at a time, read at any.
+"""Batch jobs, stored on the shared log: each is run by one daemon at a time and can be read at any daemon.
 
-``records`` are what stands on the log, ``fold`` makes the state of all jobs from
-them, ``journal`` appends, ``ownership`` decides who runs a job, ``runner`` runs
-its items, ``service`` answers callers.
+``records`` defines the log's records, ``fold`` builds the state of all jobs from
+them, ``journal`` appends them, ``ownership`` decides which daemon runs a job,
+``runner`` runs a job's items, and ``service`` serves callers and other daemons.
 """
--- a/passgate/jobs/checkpoint.py
+++ b/passgate/jobs/checkpoint.py
@@ -1,12 +1,12 @@
-"""Puts the events of long-running items on the log, so that no run is lost with its daemon.
+"""Makes the log entries that record an unfinished item's events, so that another daemon can resume it.
 
 >>> entries = []
 >>> stream = EventStream("v")
->>> checkpoint = ItemCheckpoint("j", "i", stream, KeptEvents(run="old"))
+>>> checkpoint = ItemCheckpointer("j", "i", stream, RecordedEvents(run_id="old"))
 >>> stream.begin_attempt(3)
 >>> stream.feed(b"id: 1\\ndata: a\\n\\n")
->>> entry = checkpoint.entry()
->>> entry.after, entry.data, entry.parent, checkpoint.entry()
+>>> take_entry = checkpoint.take_entry()
+>>> take_entry.after, take_entry.data, take_entry.parent, checkpoint.take_entry()
 (0, ('a',), 'old', None)
 """
 
@@ -14,48 +14,50 @@
 
 import secrets
 
-from passgate.jobs.event_stream import EventStream, KeptEvents
+from passgate.jobs.event_stream import EventStream, RecordedEvents
 from passgate.jobs.records import ItemProgressed
 
 
-class ItemCheckpoint:
-    """What of one item's run is already on its way to the log."""
+class ItemCheckpointer:
+    """Tracks which events of one item's run have been handed out as entries."""
 
-    def __init__(self, job_id: str, item_id: str, stream: EventStream, resumed: KeptEvents | None) -> None:
+    def __init__(
+        self, job_id: str, item_id: str, stream: EventStream, resumed: RecordedEvents | None
+    ) -> None:
         self._job_id = job_id
         self._item_id = item_id
         self._stream = stream
-        self._run = secrets.token_hex(4)
-        self._parent = resumed.run if resumed is not None else ""
-        self._saved = stream.count
-
-    def restart(self) -> None:
-        """The run's events were dropped; the next ones belong to a new run."""
-        self._run = secrets.token_hex(4)
-        self._parent = ""
-        self._saved = 0
-
-    def entry(self) -> ItemProgressed | None:
-        """Return the entry for the events since the last call, or None when there are none."""
-        return self._entry(whole=False) if self._stream.count > self._saved else None
-
-    def last_entry(self) -> ItemProgressed:
-        """Return the entry that ends the output, with the events since the last call."""
-        return self._entry(whole=True)
-
-    def _entry(self, *, whole: bool) -> ItemProgressed:
-        data, versions = self._stream.events_after(self._saved)
+        self._run_id = secrets.token_hex(4)
+        self._parent_run_id = resumed.run_id if resumed is not None else ""
+        self._recorded_count = stream.count
+
+    def start_new_run(self) -> None:
+        """Start a new run, after the stream's events were discarded."""
+        self._run_id = secrets.token_hex(4)
+        self._parent_run_id = ""
+        self._recorded_count = 0
+
+    def take_entry(self) -> ItemProgressed | None:
+        """Return an entry with the events since the last entry, or None when there are none."""
+        return self._take_entry(complete=False) if self._stream.count > self._recorded_count else None
+
+    def take_final_entry(self) -> ItemProgressed:
+        """Return an entry that marks the output as complete, with the events since the last entry, if any."""
+        return self._take_entry(complete=True)
+
+    def _take_entry(self, *, complete: bool) -> ItemProgressed:
+        data, versions = self._stream.events_after(self._recorded_count)
         entry = ItemProgressed(
             job_id=self._job_id,
             item_id=self._item_id,
-            run=self._run,
-            after=self._saved,
+            run=self._run_id,
+            after=self._recorded_count,
             data=data,
             versions=versions,
-            last_id=self._stream.last_id,
-            parent=self._parent,
-            whole=whole,
+            last_id=self._stream.last_event_id,
+            parent=self._parent_run_id,
+            whole=complete,
         )
-        self._saved = self._stream.count
-        self._parent = ""
+        self._recorded_count = self._stream.count
+        self._parent_run_id = ""
         return entry
--- a/passgate/jobs/durations.py
+++ b/passgate/jobs/durations.py
@@ -1,12 +1,12 @@
-"""How long the outputs of a model take, learnt from those that came whole.
+"""Predicts how long an output takes from its estimated length in tokens, per model.
 
-Callers only estimate lengths in tokens; this turns an estimate into a time.
+The prediction is based on earlier outputs that one attempt completed.
 
 >>> durations = OutputDurations()
 >>> durations.expected_s("m", 1000.0)
 0.0
 >>> for _ in range(100):
-...     durations.observe("m", tokens=500.0, took_s=1.0)
+...     durations.observe("m", tokens=500.0, duration_s=1.0)
 >>> round(durations.expected_s("m", 250.0), 3), round(durations.expected_s("m", 90_000.0), 3)
 (0.5, 1.0)
 """
@@ -15,36 +15,38 @@
 
 import msgspec
 
-MEMORY = 0.99
-"""Share of what was learnt that one further output leaves."""
+DECAY_PER_OUTPUT = 0.99
+"""Factor applied to all totals of a model when an output is added, so that recent outputs dominate."""
 
 
-class _Learnt(msgspec.Struct):
+class _DecayedTotals(msgspec.Struct):
+    """Totals over a model's outputs, in which older outputs weigh less."""
+
     tokens: float = 0.0
     time_s: float = 0.0
     longest_s: float = 0.0
 
 
 class OutputDurations:
-    """Time of outputs by their estimated length, for each model."""
+    """Exponentially weighted time per estimated token, for each model."""
 
     def __init__(self) -> None:
-        self._models: dict[str, _Learnt] = {}
+        self._totals_by_model: dict[str, _DecayedTotals] = {}
 
-    def observe(self, model: str, tokens: float, took_s: float) -> None:
-        """Count an output that was estimated at ``tokens`` and took ``took_s``."""
-        learnt = self._models.setdefault(model, _Learnt())
-        learnt.tokens = learnt.tokens * MEMORY + tokens
-        learnt.time_s = learnt.time_s * MEMORY + took_s
-        learnt.longest_s = max(learnt.longest_s * MEMORY, took_s)
+    def observe(self, model: str, tokens: float, duration_s: float) -> None:
+        """Record an output whose length was estimated at ``tokens`` and that took ``duration_s``."""
+        totals = self._totals_by_model.setdefault(model, _DecayedTotals())
+        totals.tokens = totals.tokens * DECAY_PER_OUTPUT + tokens
+        totals.time_s = totals.time_s * DECAY_PER_OUTPUT + duration_s
+        totals.longest_s = max(totals.longest_s * DECAY_PER_OUTPUT, duration_s)
 
     def expected_s(self, model: str, tokens: float) -> float:
-        """Return the time expected of an output; 0 while nothing is known.
+        """Return the expected time of an output; 0 before the first output of the model.
 
-        Estimates are often far too high, so nothing is expected to take longer than
-        the longest output of late.
+        Callers' estimates are often far too high, so the result is at most the longest recent
+        output's time (which decays like the totals).
         """
-        learnt = self._models.get(model)
-        if learnt is None or learnt.tokens <= 0.0:
+        totals = self._totals_by_model.get(model)
+        if totals is None or totals.tokens <= 0.0:
             return 0.0
-        return min(tokens * learnt.time_s / learnt.tokens, learnt.longest_s)
+        return min(tokens * totals.time_s / totals.tokens, totals.longest_s)
--- a/passgate/jobs/event_stream.py
+++ b/passgate/jobs/event_stream.py
@@ -1,8 +1,8 @@
-"""Reads the event stream of one item and keeps what a result needs.
+"""Parses the server-sent events of one item's output and collects what its result needs.
 
 >>> stream = EventStream("x-weight-versions")
 >>> stream.feed(b"id: 1\\nx-weight-versions: 7\\ndata: a\\n\\nid: 2\\ndata: b\\n\\nid: 3")
->>> stream.text(), stream.versions, stream.last_id
+>>> stream.text(), stream.versions, stream.last_event_id
 ('a\\nb', (7,), '2')
 """
 
@@ -13,16 +13,17 @@
 from passgate.errors import IncompleteAnswer
 
 
-class KeptEvents(msgspec.Struct, kw_only=True):
-    """Events of an unfinished item as they stand on the log."""
+class RecordedEvents(msgspec.Struct, kw_only=True):
+    """Events of an unfinished item that are on the log."""
 
-    run: str
+    run_id: str
+    """Run that produced the latest events; see :class:`passgate.jobs.records.ItemProgressed`."""
     data: list[str] = []
     versions: list[int] = []
-    last_id: str = ""
-    replaced: frozenset[str] = frozenset()
-    """Earlier runs whose events were dropped; late copies of their records count for nothing."""
-    whole: bool = False
+    last_event_id: str = ""
+    replaced_run_ids: frozenset[str] = frozenset()
+    """Earlier runs whose events were dropped; late copies of their records are ignored."""
+    complete: bool = False
     """Whether the output has no further events and waits for its reward call."""
 
     def text(self) -> str:
@@ -35,20 +36,21 @@
 
 
 class EventStream:
-    """Events received so far, over all attempts of an item."""
+    """Complete events of an item received so far, over all its attempts."""
 
     def __init__(self, version_field: str) -> None:
+        """Create an empty stream; ``version_field`` is the event field that names the weight version."""
         self._version_field = version_field.lower()
-        self._pending = b""
-        self._version: int | None = None
+        self._unparsed = b""
+        self._current_version: int | None = None
         self._data: list[str] = []
         self._versions: list[int] = []
-        self.last_id = ""
-        """Identifier of the last whole event; a further attempt goes on after it."""
+        self.last_event_id = ""
+        """Identifier of the last complete event, after which the next attempt resumes; empty when none."""
 
     @property
     def count(self) -> int:
-        """Number of whole events."""
+        """Number of complete events."""
         return len(self._data)
 
     @property
@@ -57,45 +59,48 @@
         return tuple(dict.fromkeys(self._versions))
 
     @property
-    def mid_event(self) -> bool:
-        """Whether bytes of an unfinished event are waiting."""
-        return bool(self._pending.strip())
+    def has_partial_event(self) -> bool:
+        """Whether bytes of an incomplete event were received."""
+        return bool(self._unparsed.strip())
 
     def text(self) -> str:
         """Return the data of all events, separated by line feeds."""
         return "\n".join(self._data)
 
-    def resume(self, kept: KeptEvents) -> None:
-        """Take over the events of an earlier run."""
-        self._data = list(kept.data)
-        self._versions = list(kept.versions)
-        self.last_id = kept.last_id
+    def resume_after(self, recorded_events: RecordedEvents) -> None:
+        """Start with the recorded events of an earlier run; the next event must follow them."""
+        self._data = list(recorded_events.data)
+        self._versions = list(recorded_events.versions)
+        self.last_event_id = recorded_events.last_event_id
 
     def events_after(self, count: int) -> tuple[tuple[str, ...], tuple[int, ...]]:
         """Return data and versions of the events after the first ``count``."""
         return tuple(self._data[count:]), tuple(self._versions[count:])
 
     def begin_attempt(self, version: int | None) -> None:
-        """Start reading another attempt's stream; ``version`` is what its head names."""
-        self._pending = b""
-        self._version = version
+        """Start to parse another attempt's stream; ``version`` is the weight version in its HTTP headers."""
+        self._unparsed = b""
+        self._current_version = version
 
-    def restart(self) -> None:
-        """Drop all events."""
-        self._pending = b""
+    def discard_events(self) -> None:
+        """Discard all events, so that the item starts over."""
+        self._unparsed = b""
         self._data.clear()
         self._versions.clear()
-        self.last_id = ""
+        self.last_event_id = ""
 
-    def feed(self, data: bytes) -> None:
-        """Take bytes of the stream; raises IncompleteAnswer for what is no next event."""
-        self._pending += data.replace(b"\r\n", b"\n")
-        *whole, self._pending = self._pending.split(b"\n\n")
-        for block in whole:
+    def feed(self, chunk: bytes) -> None:
+        """Parse bytes of the stream and add the events that they complete.
+
+        Raises IncompleteAnswer for an event without a number, out of order, or without a weight version.
+        """
+        self._unparsed += chunk.replace(b"\r\n", b"\n")
+        *blocks, self._unparsed = self._unparsed.split(b"\n\n")
+        for block in blocks:
             if block.strip():
-                self._take(block)
+                self._add_event(block)
 
-    def _take(self, block: bytes) -> None:
+    def _add_event(self, block: bytes) -> None:
         event_id = ""
         lines: list[str] = []
         for line in block.decode("utf-8").split("\n"):
@@ -106,16 +111,16 @@
             elif field == "data":
                 lines.append(value)
             elif field.lower() == self._version_field:
-                self._version = int(value)
+                self._current_version = int(value)
         self._check_order(event_id)
-        if self._version is None:
+        if self._current_version is None:
             raise IncompleteAnswer("event without a version of the weights")
-        self.last_id = event_id
+        self.last_event_id = event_id
         self._data.append("\n".join(lines))
-        self._versions.append(self._version)
+        self._versions.append(self._current_version)
 
     def _check_order(self, event_id: str) -> None:
         if not event_id.isdigit():
             raise IncompleteAnswer("event without a number")
-        if self.last_id and int(event_id) != int(self.last_id) + 1:
-            raise IncompleteAnswer("event out of order", got=event_id, after=self.last_id)
+        if self.last_event_id and int(event_id) != int(self.last_event_id) + 1:
+            raise IncompleteAnswer("event out of order", got=event_id, after=self.last_event_id)
--- a/passgate/jobs/fold.py
+++ b/passgate/jobs/fold.py
@@ -1,17 +1,17 @@
-"""State of the jobs of one partition, folded from the log in offset order.
+"""State of the jobs of one partition: a projection of the log, built by applying its records in offset order.
 
-Every daemon folds the same records with this code and so has the same results at
-the same positions.  Decisions that several daemons race for are made here: the
-first claim of an epoch and the first result of an item count.
+Every daemon applies the same records with this code, so all of them have the same results at
+the same positions.  Races between daemons are resolved here: the first claim with a job's next
+epoch and the first result of an item are accepted, later ones are ignored.
 
->>> from passgate.jobs.records import split_spec
+>>> from passgate.jobs.records import job_pieces
 >>> fold = JobFold()
 >>> spec = JobSpec(job_id="j", host="h", path="/p/", items=(ItemSpec(id="i", path="/p/1"),))
->>> fold.apply(0, Batch(writer="d1.a", entries=tuple(split_spec(spec, "n", 1000, "d1.a"))), now_s=0.0)
+>>> fold.apply(0, Batch(writer="d1.a", entries=tuple(job_pieces(spec, "n", 1000, "d1.a"))), now_s=0.0)
 >>> job = fold.jobs["j"]
->>> job.owner, job.total, fold.apply(1, Batch(writer="d1.a", entries=(JobEnded(job_id="j"),)), now_s=1.0)
+>>> job.owner, job.item_count, fold.apply(1, Batch(writer="d1.a", entries=(JobEnded(job_id="j"),)), now_s=1.0)
 ('d1.a', 1, None)
->>> job.ended
+>>> job.cancelled
 True
 """
 
@@ -23,8 +23,8 @@
 import msgspec
 
 from passgate.gateway.access import scoped_id
-from passgate.jobs.bound_bodies import BoundJob, with_bodies
-from passgate.jobs.event_stream import KeptEvents
+from passgate.jobs.bound_bodies import RestrictedJob, with_bodies
+from passgate.jobs.event_stream import RecordedEvents
 from passgate.jobs.groups import GroupProgress
 from passgate.jobs.records import (
     Batch,
@@ -34,7 +34,7 @@
     ItemSpec,
     JobClaimed,
     JobEnded,
-    JobPart,
+    JobPiece,
     JobSpec,
     Result,
     ResultState,
@@ -44,28 +44,28 @@
 )
 
 FIRST_EPOCH = 1
-MAX_PENDING_PARTS = 256
-"""Jobs whose pieces are not all there; the oldest are dropped beyond this."""
-MAX_STOPPED = 1024
-"""Writers remembered as stopped; what they appended before they stopped arrives within seconds."""
+MAX_PENDING_JOBS = 256
+"""Submissions remembered while some of their pieces are missing; beyond this the oldest are dropped."""
+MAX_STOPPED_WRITERS = 1024
+"""Stopped writers remembered; records that still assign jobs to a stopped writer arrive within seconds."""
 
 
 class JobState:
-    """One job: its spec, its results in order, its owner."""
+    """State of one job: its spec, its results in order, and its owner."""
 
     def __init__(self, spec: JobSpec, owner: str, now_s: float, packed_spec: bytes = b"") -> None:
-        """Begin with no result.
+        """Create the state of a job without results.
 
         Args:
             spec: the job as submitted.
-            owner: writer that runs the items; nobody when empty.
+            owner: writer that runs the items; empty for none.
             now_s: loop time.
-            packed_spec: the encoded spec, if it is at hand.
+            packed_spec: the encoded spec, if the caller has it; it is encoded otherwise.
         """
         self.job_id = spec.job_id
         self.packed_spec = packed_spec or encode_spec(spec)
-        """Kept compressed; unpacked on demand."""
-        self.total = len(spec.items)
+        """The compressed spec; decoded on demand to save memory."""
+        self.item_count = len(spec.items)
         self.item_ids = frozenset(item.id for item in spec.items)
         self.min_version = spec.min_version
         self.model = spec.model
@@ -73,223 +73,244 @@
         self.host, self.path = spec.host, spec.path
         self.bodies_at = spec.bodies_at
         self.bodies: tuple[ItemBodies, ...] | None = None
-        """Bodies that do not stand with the job, once this daemon has read them."""
+        """Bodies stored apart from the job; None until this daemon has read them."""
         self.results: list[Result] = []
-        self.listed: dict[str, int] = {}
-        """Item to its position."""
+        self.position_by_item: dict[str, int] = {}
+        """Maps items with a result to the position in ``results``."""
         self._progress = GroupProgress(spec.items, spec.desired)
-        self.ended = False
+        self.cancelled = False
         self.owner = owner
-        """Writer that runs the items; empty when it stopped."""
-        self.freed_s = now_s
-        """When it was read last who owns the job, or that nobody does."""
+        """Writer that runs the items; empty when there is none, as after the owner's graceful shutdown."""
+        self.owner_since_s = now_s
+        """Loop time since which this daemon knows of the present owner, or that there is none."""
         self.epoch = FIRST_EPOCH
-        self.folded_s = now_s
+        """Increases by one with each change of owner by a claim."""
+        self.known_since_s = now_s
+        """Loop time at which this daemon applied the submission."""
 
-    def key_of(self, item_id: str) -> str:
-        """Return the name under which the fold keeps what was made of an item of this job."""
+    def item_key(self, item_id: str) -> str:
+        """Return the key of an item of this job in the projection's mappings: its id, scoped by tenant."""
         return scoped_id(self.tenant, item_id)
 
     @property
     def open(self) -> bool:
-        """Whether items are still to be run."""
-        return not self.ended and len(self.results) < self.total
+        """Whether the job is not cancelled and some items have no result."""
+        return not self.cancelled and len(self.results) < self.item_count
 
     @property
-    def satisfied(self) -> bool:
-        """Whether all results stand here that its caller waits for."""
-        return self._progress.enough
+    def has_enough_results(self) -> bool:
+        """Whether as many item groups have all their results as the caller waits for."""
+        return self._progress.has_enough_groups
 
     @property
-    def bound(self) -> BoundJob | None:
-        """Where the bodies are that are still to be read; None when they are there."""
+    def bodies_to_read(self) -> RestrictedJob | None:
+        """Location of the bodies that this daemon has not read yet; None when the job has its bodies."""
         if self.bodies_at is None or self.bodies is not None:
             return None
-        return BoundJob(
-            job_id=self.job_id, host=self.host, path=self.path, tenant=self.tenant, place=self.bodies_at
+        return RestrictedJob(
+            job_id=self.job_id, host=self.host, path=self.path, tenant=self.tenant, location=self.bodies_at
         )
 
     def spec(self) -> JobSpec:
-        """Return the job as submitted; without bodies while these are still to be read."""
+        """Return the job as submitted; its bodies are empty while ``bodies_to_read`` is not None."""
         spec = decode_spec(self.packed_spec)
         return spec if self.bodies is None else with_bodies(spec, self.bodies)
 
     def item(self, item_id: str) -> ItemSpec | None:
-        """Return an item as submitted, or None."""
+        """Return an item as submitted, or None when the job has no such item."""
         if item_id not in self.item_ids:
             return None
         return next(item for item in self.spec().items if item.id == item_id)
 
-    def list_result(self, result: Result) -> bool:
-        """Give a result the next position unless its item has one; return whether it did."""
-        if result.item_id in self.listed or result.item_id not in self.item_ids:
+    def add_result(self, result: Result) -> bool:
+        """Append a result unless its item is unknown or has one; return whether it was appended."""
+        if result.item_id in self.position_by_item or result.item_id not in self.item_ids:
             return False
-        self.listed[result.item_id] = len(self.results)
+        self.position_by_item[result.item_id] = len(self.results)
         self.results.append(result)
-        self._progress.listed(result.item_id)
+        self._progress.record_result(result.item_id)
         return True
 
 
-class _Pieces(msgspec.Struct):
+class _PendingJob(msgspec.Struct):
+    """A submission of which some pieces have not been read yet."""
+
     count: int
-    parts: dict[int, bytes] = {}
+    """Number of pieces of the submission."""
+    data_by_index: dict[int, bytes] = {}
 
 
 class JobFold:
-    """All jobs of a partition and the writers heard there."""
+    """All jobs of a partition, unfinished output, and the writers that append to the partition."""
 
     def __init__(self) -> None:
         self.jobs: dict[str, JobState] = {}
-        self.heard_s: dict[str, float] = {}
-        """Writer to the loop time at which its last batch was folded."""
-        self.newest_job: dict[str, str] = {}
-        """Model to the newest job that asked for it."""
-        self.kept: dict[str, KeptEvents] = {}
-        """Item, scoped by its tenant, to the events of its unfinished run."""
-        self.finished: dict[str, Result] = {}
-        """Item, scoped by its tenant, to its newest result, for later jobs that ask for it again."""
-        self._pieces: dict[tuple[str, str], _Pieces] = {}
-        self._stopped: dict[str, None] = {}
-        """Writers that ended as planned, the latest last."""
-
-    def apply(self, offset: int, batch: Batch, now_s: float, *, fresh: bool = True) -> None:
-        """Take the next record of the log.
+        self.last_contact_s_by_writer: dict[str, float] = {}
+        """Maps writers to the loop time at which their last new batch was applied; see ``apply``."""
+        self.newest_job_by_model: dict[str, str] = {}
+        """Maps models to the newest job for them."""
+        self.recorded_events_by_item: dict[str, RecordedEvents] = {}
+        """Maps items, scoped by tenant, to the recorded events of their unfinished run."""
+        self.newest_result_by_item: dict[str, Result] = {}
+        """Maps items, scoped by tenant, to their newest result, for later jobs with the same item."""
+        self._pending_jobs: dict[tuple[str, str], _PendingJob] = {}
+        self._stopped_writers: dict[str, None] = {}
+        """Writers that shut down gracefully, in order; a dict serves as an ordered set."""
+
+    def apply(self, offset: int, batch: Batch, now_s: float, *, appended_now: bool = True) -> None:
+        """Apply the next record of the log.
 
         Args:
-            offset: its offset.
-            batch: what it holds.
+            offset: offset of the record.
+            batch: the decoded record.
             now_s: loop time.
-            fresh: whether it was appended just now, so that its writer has been heard.
+            appended_now: whether the record was appended just now, rather than read while catching
+                up; only then it counts as a contact with its writer.
         """
-        if fresh:
-            self.heard_s[batch.writer] = now_s
+        if appended_now:
+            self.last_contact_s_by_writer[batch.writer] = now_s
         for entry in batch.entries:
             self._apply_entry(batch.writer, entry, now_s)
 
     def _apply_entry(self, writer: str, entry: object, now_s: float) -> None:
         match entry:
-            case JobPart():
-                self._add_part(writer, entry, now_s)
+            case JobPiece():
+                self._add_piece(writer, entry, now_s)
             case JobClaimed():
-                self._claim(entry, now_s)
+                self._assign_owner(entry, now_s)
             case ItemsDone():
-                self._list(entry)
+                self._add_results(entry)
             case ItemProgressed():
-                self._keep(writer, entry)
+                self._add_events(writer, entry)
             case JobEnded():
-                self._end(entry)
+                self._cancel_job(entry)
             case WriterStopped():
                 self._stop_writer(writer, now_s)
 
-    def _add_part(self, writer: str, part: JobPart, now_s: float) -> None:
-        if part.job_id in self.jobs:
+    def _add_piece(self, writer: str, piece: JobPiece, now_s: float) -> None:
+        if piece.job_id in self.jobs:
             return
-        key = (part.job_id, part.nonce)
-        pieces = self._pieces.setdefault(key, _Pieces(count=part.count))
-        pieces.parts[part.index] = part.data
-        if len(pieces.parts) == pieces.count:
-            del self._pieces[key]
-            data = b"".join(pieces.parts[index] for index in range(pieces.count))
+        key = (piece.job_id, piece.nonce)
+        pending = self._pending_jobs.setdefault(key, _PendingJob(count=piece.count))
+        pending.data_by_index[piece.index] = piece.data
+        if len(pending.data_by_index) == pending.count:
+            del self._pending_jobs[key]
+            data = b"".join(pending.data_by_index[index] for index in range(pending.count))
             try:
                 spec = decode_spec(data)
             except (zlib.error, msgspec.DecodeError):
                 return
-            self.jobs[spec.job_id] = JobState(spec, self._unless_stopped(part.owner), now_s, data)
-            self.newest_job[spec.model] = spec.job_id
-        while len(self._pieces) > MAX_PENDING_PARTS:
-            del self._pieces[next(iter(self._pieces))]
+            self.jobs[spec.job_id] = JobState(spec, self._owner_unless_stopped(piece.owner), now_s, data)
+            self.newest_job_by_model[spec.model] = spec.job_id
+        while len(self._pending_jobs) > MAX_PENDING_JOBS:
+            del self._pending_jobs[next(iter(self._pending_jobs))]
 
-    def _claim(self, entry: JobClaimed, now_s: float) -> None:
+    def _assign_owner(self, entry: JobClaimed, now_s: float) -> None:
         job = self.jobs.get(entry.job_id)
         if job is not None and entry.epoch == job.epoch + 1:
-            job.owner = self._unless_stopped(entry.owner)
-            job.freed_s = now_s
+            job.owner = self._owner_unless_stopped(entry.owner)
+            job.owner_since_s = now_s
             job.epoch = entry.epoch
 
-    def _unless_stopped(self, writer: str) -> str:
-        """Return who owns a job that is given to a writer: nobody once that has stopped."""
-        return "" if writer in self._stopped else writer
+    def _owner_unless_stopped(self, writer: str) -> str:
+        """Return ``writer``, or empty (no owner) when that writer has stopped."""
+        return "" if writer in self._stopped_writers else writer
 
-    def _list(self, entry: ItemsDone) -> None:
+    def _add_results(self, entry: ItemsDone) -> None:
         job = self.jobs.get(entry.job_id)
         if job is None:
             return
         for result in entry.results:
-            if job.list_result(result):
-                key = job.key_of(result.item_id)
-                self.finished[key] = result
-                self._drop_events(key, result)
-
-    def _drop_events(self, key: str, result: Result) -> None:
-        """Forget an item's events, unless a later job may still have the whole text scored."""
-        kept = self.kept.get(key)
-        if kept is not None and not (kept.whole and result.state is ResultState.DEAD):
-            del self.kept[key]
-
-    def _keep(self, writer: str, entry: ItemProgressed) -> None:
-        """Add events to the run they belong to; events of another run are ignored."""
+            if job.add_result(result):
+                key = job.item_key(result.item_id)
+                self.newest_result_by_item[key] = result
+                self._discard_events(key, result)
+
+    def _discard_events(self, key: str, result: Result) -> None:
+        """Discard an item's events, unless a later job can have the complete text scored again."""
+        recorded = self.recorded_events_by_item.get(key)
+        if recorded is not None and not (recorded.complete and result.state is ResultState.DEAD):
+            del self.recorded_events_by_item[key]
+
+    def _add_events(self, writer: str, entry: ItemProgressed) -> None:
+        """Add events that continue the recorded run or start one; ignore all others."""
         job = self.jobs.get(entry.job_id)
-        if job is None or entry.item_id in job.listed:
+        if job is None or entry.item_id in job.position_by_item:
             return
-        key = job.key_of(entry.item_id)
-        kept = self.kept.get(key)
-        if entry.after == 0 and not entry.parent and self._begins(entry, kept, job.owner == writer):
-            replaced = kept.replaced | {kept.run} if kept is not None else frozenset()
-            kept = self.kept[key] = KeptEvents(run=entry.run, replaced=replaced)
-        if kept is None or kept.whole or entry.after != len(kept.data):
+        key = job.item_key(entry.item_id)
+        recorded = self.recorded_events_by_item.get(key)
+        if (
+            entry.after == 0
+            and not entry.parent
+            and self._replaces_events(entry, recorded, job.owner == writer)
+        ):
+            replaced_run_ids = (
+                recorded.replaced_run_ids | {recorded.run_id} if recorded is not None else frozenset()
+            )
+            recorded = self.recorded_events_by_item[key] = RecordedEvents(
+                run_id=entry.run, replaced_run_ids=replaced_run_ids
+            )
+        if recorded is None or recorded.complete or entry.after != len(recorded.data):
             return
-        if entry.run != kept.run and entry.parent != kept.run:
+        if entry.run != recorded.run_id and entry.parent != recorded.run_id:
             return
-        kept.run = entry.run
-        kept.data.extend(entry.data)
-        kept.versions.extend(entry.versions)
-        kept.last_id = entry.last_id
-        kept.whole = entry.whole
+        recorded.run_id = entry.run
+        recorded.data.extend(entry.data)
+        recorded.versions.extend(entry.versions)
+        recorded.last_event_id = entry.last_id
+        recorded.complete = entry.whole
 
     @staticmethod
-    def _begins(entry: ItemProgressed, kept: KeptEvents | None, by_owner: bool) -> bool:
-        """Whether the first record of a run begins what is kept anew."""
-        if kept is None:
+    def _replaces_events(entry: ItemProgressed, recorded: RecordedEvents | None, by_owner: bool) -> bool:
+        """Whether the first record of a run starts the recorded events of its item.
+
+        Recorded events of another run are replaced only by the job's owner, and not by a late copy
+        of the present or a replaced run.
+        """
+        if recorded is None:
             return True
-        return by_owner and entry.run != kept.run and entry.run not in kept.replaced
+        return by_owner and entry.run != recorded.run_id and entry.run not in recorded.replaced_run_ids
 
-    def _end(self, entry: JobEnded) -> None:
+    def _cancel_job(self, entry: JobEnded) -> None:
         job = self.jobs.get(entry.job_id)
         if job is not None:
-            job.ended = True
+            job.cancelled = True
 
-    def take_bodies(self, job_id: str, bodies: Sequence[ItemBodies]) -> bool:
-        """Take the bodies of a job that stand apart from it; return False when they are not its own."""
+    def set_bodies(self, job_id: str, bodies: Sequence[ItemBodies]) -> bool:
+        """Set the separately stored bodies of a job; return False when their number is not that of the items.
+
+        Bodies of an unknown job are ignored.
+        """
         job = self.jobs.get(job_id)
         if job is None:
             return True
-        if len(bodies) != job.total:
+        if len(bodies) != job.item_count:
             return False
         job.bodies = tuple(bodies)
         return True
 
-    def any_open(self) -> bool:
-        """Whether items of any job are still to be run."""
+    def has_open_jobs(self) -> bool:
+        """Whether any job is open."""
         return any(job.open for job in self.jobs.values())
 
     def prune(self, now_s: float, retention_s: float) -> None:
-        """Forget jobs that were submitted longer ago than ``retention_s`` and are not open."""
+        """Remove jobs that are not open and have been known for longer than ``retention_s``."""
         for job in list(self.jobs.values()):
-            if now_s - job.folded_s > retention_s and not job.open:
-                self._forget(job)
+            if now_s - job.known_since_s > retention_s and not job.open:
+                self._remove_job(job)
 
-    def _forget(self, job: JobState) -> None:
+    def _remove_job(self, job: JobState) -> None:
         del self.jobs[job.job_id]
         for item_id in job.item_ids:
-            self.kept.pop(job.key_of(item_id), None)
-            self.finished.pop(job.key_of(item_id), None)
+            self.recorded_events_by_item.pop(job.item_key(item_id), None)
+            self.newest_result_by_item.pop(job.item_key(item_id), None)
 
     def _stop_writer(self, writer: str, now_s: float) -> None:
-        self.heard_s.pop(writer, None)
-        self._stopped[writer] = None
-        while len(self._stopped) > MAX_STOPPED:
-            del self._stopped[next(iter(self._stopped))]
+        self.last_contact_s_by_writer.pop(writer, None)
+        self._stopped_writers[writer] = None
+        while len(self._stopped_writers) > MAX_STOPPED_WRITERS:
+            del self._stopped_writers[next(iter(self._stopped_writers))]
         for job in self.jobs.values():
             if job.owner == writer:
                 job.owner = ""
-                job.freed_s = now_s
+                job.owner_since_s = now_s
--- a/passgate/jobs/group_replicas.py
+++ b/passgate/jobs/group_replicas.py
@@ -1,7 +1,8 @@
-"""Which replica holds the shared prompt of each group of a job's items.
+"""Replica affinity of a job's item groups, so that the items of a group share one prefill of their prompt.
 
-A group whose replica lies in an evacuated zone is given another one as soon as one of its items
-looks for room, and its next items go there too: the prompt is read once more, not at each of them.
+A group whose replica is in an evacuated zone gets another replica as soon as one of its items
+looks for a free slot, and its next items prefer that one: the prompt is then processed once more for the
+group, not once for each item.
 """
 
 from __future__ import annotations
@@ -15,44 +16,49 @@
 
 
 class GroupReplicas:
-    """Replica of each group of one job."""
+    """Preferred replica of each item group of one job."""
 
-    def __init__(self, replicas: ReplicaTable, evacuated: Container[str]) -> None:
+    def __init__(self, replicas: ReplicaTable, evacuated_zones: Container[str]) -> None:
         self._replicas = replicas
-        self._evacuated = evacuated
-        self._replica_of: dict[str, ReplicaLife] = {}
-        """Group to the replica that read its shared prompt last, or is to read it next."""
+        self._evacuated_zones = evacuated_zones
+        self._replica_by_group: dict[str, ReplicaLife] = {}
+        """Maps groups to the replica that last received an item of theirs, or that is to receive the next."""
 
-    def of(self, group: str) -> ReplicaLife | None:
-        """Return the replica of a group, or None."""
-        return self._replica_of.get(group)
+    def replica_of(self, group: str) -> ReplicaLife | None:
+        """Return the preferred replica of a group, or None."""
+        return self._replica_by_group.get(group)
 
     def sent(self, group: str, life: ReplicaLife) -> None:
-        """Note that a replica reads the prompt of a group now."""
-        self._replica_of[group] = life
+        """Prefer the replica that an item of the group was sent to."""
+        self._replica_by_group[group] = life
 
-    def refused(self, group: str, life: ReplicaLife) -> None:
-        """Forget the replica of a group if it is this one, which has no room."""
-        if self.of(group) == life:
-            del self._replica_of[group]
+    def record_refusal(self, group: str, life: ReplicaLife) -> None:
+        """Drop the preference for a replica that refused an item of the group."""
+        if self.replica_of(group) == life:
+            del self._replica_by_group[group]
 
-    def preferred(self, group: str, wish: ChoiceRequest, now_s: float) -> ReplicaLife | None:
-        """Return the replica that an item of a group should go to, or None.
+    def preferred(self, group: str, query: ChoiceRequest, now_s: float) -> ReplicaLife | None:
+        """Return the replica that a group's items prefer, or None; replaces one in an evacuated zone first.
 
         Args:
             group: the item's group.
-            wish: what the item asks of any replica.
+            query: the criteria for the item's replica.
             now_s: loop time.
         """
-        life = self.of(group)
+        life = self.replica_of(group)
         state = self._replicas.of(life) if life is not None else None
-        if state is not None and state.info.zone in self._evacuated:
-            self._plan(group, wish, now_s)
-        return self.of(group)
-
-    def _plan(self, group: str, wish: ChoiceRequest, now_s: float) -> None:
-        """Give a group another replica, if possible one that no group has yet."""
-        apart = msgspec.structs.replace(wish, excluded=wish.excluded | set(self._replica_of.values()))
-        state = self._replicas.choose(apart, now_s) or self._replicas.choose(wish, now_s)
+        if state is not None and state.info.zone in self._evacuated_zones:
+            self._reassign(group, query, now_s)
+        return self.replica_of(group)
+
+    def _reassign(self, group: str, query: ChoiceRequest, now_s: float) -> None:
+        """Prefer another replica for a group: if possible one that no group prefers.
+
+        The preference stays as it is when no replica matches the query.
+        """
+        unshared_query = msgspec.structs.replace(
+            query, excluded=query.excluded | set(self._replica_by_group.values())
+        )
+        state = self._replicas.choose(unshared_query, now_s) or self._replicas.choose(query, now_s)
         if state is not None:
-            self._replica_of[group] = state.life
+            self._replica_by_group[group] = state.life
--- a/passgate/jobs/groups.py
+++ b/passgate/jobs/groups.py
@@ -1,8 +1,8 @@
-"""Which groups of a job's items are whole, and whether these are enough for its caller.
+"""Counts the item groups of a job that have all their results, and compares with what the caller waits for.
 
 >>> items = [ItemSpec(id="a1", path="/p", group="a"), ItemSpec(id="b1", path="/p", group="b")]
 >>> progress = GroupProgress(items, desired=1)
->>> progress.enough, progress.listed("b1"), progress.enough
+>>> progress.has_enough_groups, progress.record_result("b1"), progress.has_enough_groups
 (False, None, True)
 """
 
@@ -15,30 +15,32 @@
 
 
 class GroupProgress:
-    """Counts the items without a result, by group."""
+    """Number of items without a result in each group of a job, and number of complete groups."""
 
     def __init__(self, items: Sequence[ItemSpec], desired: int) -> None:
-        """Begin with no result.
+        """Create the counts of a job without results.
 
         Args:
             items: all items of the job.
-            desired: groups that the caller waits for; all of them when 0.
+            desired: number of groups that the caller waits for; 0 means all.
         """
-        self._group_of = {item.id: item.group for item in items}
-        self._missing = Counter(self._group_of.values())
-        self._wanted = min(desired or len(self._missing), len(self._missing))
-        self._whole = 0
+        self._group_by_item = {item.id: item.group for item in items}
+        self._missing_results_by_group = Counter(self._group_by_item.values())
+        self._required_groups = min(
+            desired or len(self._missing_results_by_group), len(self._missing_results_by_group)
+        )
+        self._complete_groups = 0
 
     @property
-    def enough(self) -> bool:
-        """Whether the caller waits for nothing more."""
-        return self._whole >= self._wanted
+    def has_enough_groups(self) -> bool:
+        """Whether as many groups are complete as the caller waits for."""
+        return self._complete_groups >= self._required_groups
 
-    def listed(self, item_id: str) -> None:
-        """Count an item's result; each item is counted once."""
-        group = self._group_of.pop(item_id, None)
+    def record_result(self, item_id: str) -> None:
+        """Record that an item has a result; unknown items and repeated calls are ignored."""
+        group = self._group_by_item.pop(item_id, None)
         if group is None:
             return
-        self._missing[group] -= 1
-        if not self._missing[group]:
-            self._whole += 1
+        self._missing_results_by_group[group] -= 1
+        if not self._missing_results_by_group[group]:
+            self._complete_groups += 1
--- a/passgate/jobs/journal.py
+++ b/passgate/jobs/journal.py
@@ -1,8 +1,8 @@
-"""Appends entries to one partition: in batches, one append at a time, until they stand there.
+"""Appends entries to one partition of the log: in batches, one at a time, each retried until acknowledged.
 
-Entries are harmless when repeated (see ``fold``), so an append whose answer was
-lost is simply made again.  Only a new job is appended on its own, because its
-caller must be told truthfully whether it may be on the log.
+Applying an entry twice has the same effect as once (see ``fold``), so an append whose outcome is
+unknown is repeated.  New jobs do not go through the queue, because their caller must learn whether
+the job certainly is not on the log or may be.
 """
 
 from __future__ import annotations
@@ -21,81 +21,82 @@
 
 logger = logging.getLogger("passgate.jobs")
 
-GATHER_S = 0.02
-"""Time for which entries wait for others before they are appended together."""
-FIRST_PAUSE_S = 0.05
-"""Pause after the first failed append; a calm log answers within 0.03 s."""
-MAX_PAUSE_S = 0.5
-"""Longest pause, so that appends go on soon after the log is back."""
-RENEW_S = 0.4
-"""A daemon that owns or leads something appends at least this often."""
+BATCH_DELAY_S = 0.02
+"""Time for which the first queued entry waits for others, to be appended with them."""
+FIRST_RETRY_PAUSE_S = 0.05
+"""Pause after the first failed append; doubles with each further failure."""
+MAX_RETRY_PAUSE_S = 0.5
+"""Longest pause between attempts, so that appends resume soon after the log has recovered."""
+RENEWAL_INTERVAL_S = 0.4
+"""Longest time between appends of a daemon that owns jobs or leads."""
 NO_FENCE = -1
-MAX_UNREAD = 1024
-"""Batches whose time of sending is kept until they are read back."""
-RAW_RECORD_SHARE = 0.7
-"""Share of a record's limit that uncompressed entries may fill."""
+"""Fence in the renewals of a daemon that does not lead."""
+MAX_UNREAD_BATCHES = 1024
+"""Batches whose time of sending is kept until this daemon reads them from the log."""
+MAX_RAW_RECORD_SHARE = 0.7
+"""Share of the maximum record size that a batch's entries may take before compression."""
 
 
 class Journal:
-    """One daemon's writer of one partition."""
+    """Queue of entries that one daemon appends to one partition."""
 
     def __init__(
-        self, log: SharedLog, topic: str, part: int, writer: str, *, record_bytes: int, append_bytes: int
+        self, log: SharedLog, topic: str, partition: int, writer: str, *, record_bytes: int, append_bytes: int
     ) -> None:
         self._log = log
         self._topic = topic
-        self._part = part
+        self._partition = partition
         self.writer = writer
-        self._raw_bytes = int(record_bytes * RAW_RECORD_SHARE)
-        self._append_bytes = append_bytes
+        self._max_raw_bytes = int(record_bytes * MAX_RAW_RECORD_SHARE)
+        self._max_append_bytes = append_bytes
         self._queue: list[tuple[AnyEntry, asyncio.Future[int]]] = []
         self._wakeup = asyncio.Event()
-        self.appended_s = float("-inf")
-        """When the last append that was acknowledged had been sent."""
-        self._waiting_since_s: float | None = None
-        """When the batch was sent first that has no answer yet."""
+        self.last_append_sent_s = float("-inf")
+        """Loop time at which the last acknowledged append was sent."""
+        self._unacknowledged_since_s: float | None = None
+        """Loop time since which the current batch waits to be acknowledged; None when none does."""
         self._renewal: asyncio.Future[int] | None = None
         self._sequence = 0
-        self._sent_s: dict[int, float] = {}
-        """When batches that were not read back yet were sent first."""
+        self._sent_s_by_sequence: dict[int, float] = {}
+        """Maps sequence numbers of batches not yet read from the log to the loop time of their encoding."""
 
     @property
-    def piece_bytes(self) -> int:
-        """Most bytes of a job's spec in one entry; base64 on the wire makes them longer."""
-        return self._raw_bytes // 2
+    def max_piece_bytes(self) -> int:
+        """Largest piece of a job's spec in one entry, in bytes; base64 adds a third to it in the record."""
+        return self._max_raw_bytes // 2
 
     def put(self, entry: AnyEntry) -> asyncio.Future[int]:
-        """Append an entry with the next batch; the future gives an offset once it stands on the log."""
+        """Queue an entry for the next batch; the future returns the batch's offset once it is on the log."""
         future = asyncio.get_running_loop().create_future()
         self._queue.append((entry, future))
         self._wakeup.set()
         return future
 
     @property
-    def idle(self) -> bool:
-        """Whether nothing waits to be appended."""
+    def has_no_pending_entries(self) -> bool:
+        """Whether all queued entries have been acknowledged."""
         return not self._queue
 
     @property
-    def waiting_s(self) -> float:
-        """Time for which the log has not acknowledged what was sent last; 0 when it has."""
-        return 0.0 if self._waiting_since_s is None else monotonic_s() - self._waiting_since_s
+    def unacknowledged_for_s(self) -> float:
+        """Time for which the log has not acknowledged the current batch; 0 when there is none."""
+        return 0.0 if self._unacknowledged_since_s is None else monotonic_s() - self._unacknowledged_since_s
 
-    def pending(self) -> list[AnyEntry]:
-        """Return the entries that the log has not acknowledged, in order."""
+    def unacknowledged_entries(self) -> list[AnyEntry]:
+        """Return the entries not yet acknowledged by the log, in order."""
         return [entry for entry, _ in self._queue]
 
     def renew(self, fence: int = NO_FENCE) -> None:
-        """Append a renewal when nothing else was appended for some time."""
-        waiting = self._renewal is not None and not self._renewal.done()
-        if not waiting and monotonic_s() - self.appended_s >= RENEW_S:
+        """Queue a lease renewal unless one is queued or the last append is younger than the interval."""
+        renewal_pending = self._renewal is not None and not self._renewal.done()
+        if not renewal_pending and monotonic_s() - self.last_append_sent_s >= RENEWAL_INTERVAL_S:
             self._renewal = self.put(WriterAlive(fence=fence))
 
     async def run(self) -> None:
-        """Append what is put, until cancelled."""
+        """Append queued entries until cancelled."""
         while True:
             await self._wakeup.wait()
-            await asyncio.sleep(GATHER_S)
+            await asyncio.sleep(BATCH_DELAY_S)
             self._wakeup.clear()
             while self._queue:
                 count = self._count_that_fits()
@@ -104,79 +105,84 @@
 
     def _encode(self, entries: tuple[AnyEntry, ...]) -> bytes:
         self._sequence += 1
-        self._sent_s[self._sequence] = monotonic_s()
-        if len(self._sent_s) > MAX_UNREAD:
-            del self._sent_s[next(iter(self._sent_s))]
+        self._sent_s_by_sequence[self._sequence] = monotonic_s()
+        if len(self._sent_s_by_sequence) > MAX_UNREAD_BATCHES:
+            del self._sent_s_by_sequence[next(iter(self._sent_s_by_sequence))]
         return encode_batch(Batch(writer=self.writer, entries=entries, sequence=self._sequence))
 
     def read_back(self, batch: Batch) -> float | None:
-        """Return when a batch of this writer, now read from the log, was sent first."""
-        return self._sent_s.pop(batch.sequence, None)
+        """Return the loop time at which a batch, now read from the log, was first sent, and forget it.
+
+        Returns None when the time is not known any more.  The batch must be this writer's.
+        """
+        return self._sent_s_by_sequence.pop(batch.sequence, None)
 
     def _count_that_fits(self) -> int:
         size = 0
         for count, (entry, _) in enumerate(self._queue):
             size += entry_size(entry)
-            if size > self._raw_bytes and count:
+            if size > self._max_raw_bytes and count:
                 return count
         return len(self._queue)
 
     async def _append_until_done(self, queued: Sequence[tuple[AnyEntry, asyncio.Future[int]]]) -> None:
         record = self._encode(tuple(entry for entry, _ in queued))
-        pause_s = FIRST_PAUSE_S
-        self._waiting_since_s = monotonic_s()
+        pause_s = FIRST_RETRY_PAUSE_S
+        self._unacknowledged_since_s = monotonic_s()
         while True:
             sent_s = monotonic_s()
             try:
-                offset = await hedged(lambda: self._log.append(self._topic, self._part, [record]))
+                offset = await hedged(lambda: self._log.append(self._topic, self._partition, [record]))
             except (LogUnavailable, LogAppendUnknown) as error:
                 logger.info("append_failed", extra={"error": str(error), "code": error.code})
                 await asyncio.sleep(pause_s)
-                pause_s = min(pause_s * 2.0, MAX_PAUSE_S)
+                pause_s = min(pause_s * 2.0, MAX_RETRY_PAUSE_S)
                 continue
-            self.appended_s = max(self.appended_s, sent_s)
-            self._waiting_since_s = None
+            self.last_append_sent_s = max(self.last_append_sent_s, sent_s)
+            self._unacknowledged_since_s = None
             for _, future in queued:
                 if not future.done():
                     future.set_result(offset)
             return
 
-    async def append_job(self, parts: Sequence[AnyEntry], deadline_s: float) -> int:
-        """Append a new job's entries; return the offset of the last.
+    async def append_job(self, pieces: Sequence[AnyEntry], deadline_s: float) -> int:
+        """Append a new job's entries, each as a record; return the offset of the last.
 
         Raises:
             LogUnavailable: the job is not on the log and never will be.
-            DurabilityUnknown: it may be there, now or later.
+            DurabilityUnknown: the outcome of an append is unknown; the job may be on the log, now or later.
         """
-        records = [self._encode((part,)) for part in parts]
-        in_doubt = False
-        pause_s = FIRST_PAUSE_S
+        records = [self._encode((piece,)) for piece in pieces]
+        unconfirmed = False
+        pause_s = FIRST_RETRY_PAUSE_S
         while True:
             sent_s = monotonic_s()
             try:
                 offset = await self._append_all(records)
-                self.appended_s = max(self.appended_s, sent_s)
+                self.last_append_sent_s = max(self.last_append_sent_s, sent_s)
                 return offset
             except LogAppendUnknown:
-                in_doubt = True
+                unconfirmed = True
             except LogUnavailable:
-                if not in_doubt and monotonic_s() + pause_s >= deadline_s:
+                if not unconfirmed and monotonic_s() + pause_s >= deadline_s:
                     raise
             if monotonic_s() + pause_s >= deadline_s:
                 raise DurabilityUnknown("the job may be on the log")
             await asyncio.sleep(pause_s)
-            pause_s = min(pause_s * 2.0, MAX_PAUSE_S)
+            pause_s = min(pause_s * 2.0, MAX_RETRY_PAUSE_S)
 
     async def _append_all(self, records: Sequence[bytes]) -> int:
-        # Of a job in several appends, pieces without the others make no job.
+        # Several appends are safe: readers ignore a job until they have all its pieces.
         offset = 0
-        for group in grouped(records, self._append_bytes):
-            offset = await self._log.append(self._topic, self._part, group) + len(group) - 1
+        for append_records in split_by_size(records, self._max_append_bytes):
+            offset = (
+                await self._log.append(self._topic, self._partition, append_records) + len(append_records) - 1
+            )
         return offset
 
 
 def entry_size(entry: AnyEntry) -> int:
-    """Return about how many bytes an entry takes before compression."""
+    """Return an estimate of an entry's size in bytes before compression."""
     if isinstance(entry, ItemsDone):
         return sum(len(result.text) + 100 for result in entry.results)
     if isinstance(entry, ItemProgressed):
@@ -184,19 +190,21 @@
     return len(msgspec.json.encode(entry))
 
 
-def grouped(records: Sequence[bytes], limit_bytes: int) -> list[list[bytes]]:
-    """Split records into runs of at most ``limit_bytes`` each.
+def split_by_size(records: Sequence[bytes], limit_bytes: int) -> list[list[bytes]]:
+    """Split records into lists for one append each, of at most ``limit_bytes`` with 4 bytes added per record.
+
+    A record larger than the limit gets a list of its own.
 
-    >>> grouped([b"aa", b"bb", b"c"], 12)
+    >>> split_by_size([b"aa", b"bb", b"c"], 12)
     [[b'aa', b'bb'], [b'c']]
     """
-    groups: list[list[bytes]] = []
+    appends: list[list[bytes]] = []
     size = 0
     for record in records:
-        cost = len(record) + 4
-        if not groups or size + cost > limit_bytes:
-            groups.append([])
+        record_cost = len(record) + 4
+        if not appends or size + record_cost > limit_bytes:
+            appends.append([])
             size = 0
-        groups[-1].append(record)
-        size += cost
-    return groups
+        appends[-1].append(record)
+        size += record_cost
+    return appends
--- a/passgate/jobs/liveness.py
+++ b/passgate/jobs/liveness.py
@@ -1,9 +1,8 @@
-"""Whether the owner of a job still lives.
+"""Probes writers that are silent on the log, to find out whether their daemons still run.
 
-A writer that is silent on the log is asked at its peer address.  When another life of
-the same daemon answers there, the writer has surely ended.  When nobody answers, it may
-only be unreachable, and counts as silent until it is heard again.  A writer that answers
-tells also whether the log takes what it appends.
+A probe is a call to the writer's peer address.  A response from another incarnation of the daemon
+proves that the writer's process has ended.  Without a response the writer may only be unreachable.
+A writer that responds reports also for how long the log has not acknowledged its appends.
 """
 
 from __future__ import annotations
@@ -16,79 +15,96 @@
 
 from passgate.clock import monotonic_s
 
-CUT_OFF_S = 0.45
-"""A writer whose appends have waited for this long is cut off; a slow log answers within 0.3 s."""
-ASK_AGAIN_S = 0.3
-"""Time between two questions to the same writer; about the time that an answer is waited for."""
-FORGET_S = 30.0
-"""Time for which an answer is remembered; longer than any take-over lasts."""
+CUT_OFF_AFTER_S = 0.45
+"""A writer whose current append is unacknowledged for this long counts as cut off from the log."""
+PROBE_INTERVAL_S = 0.3
+"""Shortest time between two probes of the same writer."""
+RESPONSE_TTL_S = 30.0
+"""Time for which a probe is remembered; longer than any takeover lasts."""
 
 
-class Alive(msgspec.Struct, frozen=True, kw_only=True):
-    """What a daemon answers that is asked whether it lives."""
+class AliveResponse(msgspec.Struct, frozen=True, kw_only=True):
+    """Response of a daemon to a probe."""
 
     writer: str
-    """Its present life."""
+    """Writer name of the daemon's present incarnation."""
     zone: str = ""
-    """Its zone, so that the round trip of the question can be counted."""
+    """Zone of the daemon, to which the caller attributes the round-trip time."""
     waiting_s: float = 0.0
-    """Time for which the log has not acknowledged what it appends to the partition in question."""
+    """Time for which the log has not acknowledged the daemon's append to the partition in question."""
 
 
 class Sign(enum.Enum):
-    """What a writer's address told of it."""
+    """Outcome of a probe."""
 
     ALIVE = "alive"
+    """The writer responds, and the log acknowledges its appends."""
     CUT_OFF = "cut_off"
-    """It lives, but the log does not take what it appends."""
+    """The writer responds, but the log does not acknowledge its appends."""
     REPLACED = "replaced"
-    """A later life of its daemon answers."""
+    """Another incarnation of the writer's daemon responds, so the writer has ended."""
     SILENT = "silent"
+    """Nothing responds at the writer's address."""
 
 
-class _Asked(msgspec.Struct):
-    began_s: float
-    answer: asyncio.Task[Alive | None]
+class _Probe(msgspec.Struct):
+    started_s: float
+    response: asyncio.Task[AliveResponse | None]
 
 
 class Liveness:
-    """What this daemon knows of other writers' lives."""
+    """Probes writers in the background and remembers the latest outcomes."""
 
-    def __init__(self, ask: Callable[[str], Awaitable[Alive | None]]) -> None:
-        """Make the view; ``ask`` returns what is answered at a writer's address, None without an answer."""
-        self._ask = ask
-        self._asked: dict[str, _Asked] = {}
+    def __init__(self, probe: Callable[[str], Awaitable[AliveResponse | None]]) -> None:
+        """Create the prober; ``probe`` calls a writer and returns the response, None without one."""
+        self._probe = probe
+        self._probe_by_writer: dict[str, _Probe] = {}
 
-    def sign_of(self, writer: str, heard_s: float) -> Sign | None:
-        """Return what a writer's address has told since it was heard last; asks if need be.
+    def sign_of(self, writer: str, last_contact_s: float) -> Sign | None:
+        """Return the outcome of the writer's latest probe, and start another probe if one is due.
 
-        Returns None while no answer is known that was asked for after ``heard_s``.
+        Returns None unless that probe started after the writer's last contact and has finished.  A
+        writer known to be replaced is not probed again.  Needs a running event loop; does not wait.
+
+        Args:
+            writer: name of the writer.
+            last_contact_s: loop time of the writer's last record.
         """
         now_s = monotonic_s()
-        asked = self._asked.get(writer)
-        sign = None
-        if asked is not None and asked.answer.done() and asked.began_s > heard_s:
-            sign = _sign(writer, asked.answer.result())
-        if sign is not Sign.REPLACED and (asked is None or self._may_ask_again(asked, now_s)):
-            self._begin(writer, now_s)
-        return sign
+        latest_probe = self._probe_by_writer.get(writer)
+        status = None
+        if (
+            latest_probe is not None
+            and latest_probe.response.done()
+            and latest_probe.started_s > last_contact_s
+        ):
+            status = _status_from(writer, latest_probe.response.result())
+        if status is not Sign.REPLACED and (
+            latest_probe is None or self._may_probe_again(latest_probe, now_s)
+        ):
+            self._start_probe(writer, now_s)
+        return status
 
     @staticmethod
-    def _may_ask_again(asked: _Asked, now_s: float) -> bool:
-        return asked.answer.done() and now_s - asked.began_s > ASK_AGAIN_S
+    def _may_probe_again(latest_probe: _Probe, now_s: float) -> bool:
+        return latest_probe.response.done() and now_s - latest_probe.started_s > PROBE_INTERVAL_S
 
-    def _begin(self, writer: str, now_s: float) -> None:
-        self._asked = {key: asked for key, asked in self._asked.items() if now_s - asked.began_s < FORGET_S}
-        answer = asyncio.get_running_loop().create_task(self._question(writer))
-        self._asked[writer] = _Asked(now_s, answer)
+    def _start_probe(self, writer: str, now_s: float) -> None:
+        self._probe_by_writer = {
+            key: probe
+            for key, probe in self._probe_by_writer.items()
+            if now_s - probe.started_s < RESPONSE_TTL_S
+        }
+        response = asyncio.get_running_loop().create_task(self._await_response(writer))
+        self._probe_by_writer[writer] = _Probe(now_s, response)
 
-    async def _question(self, writer: str) -> Alive | None:
-        return await self._ask(writer)
+    async def _await_response(self, writer: str) -> AliveResponse | None:
+        return await self._probe(writer)
 
 
-def _sign(writer: str, answer: Alive | None) -> Sign:
-    if answer is None:
+def _status_from(writer: str, response: AliveResponse | None) -> Sign:
+    if response is None:
         return Sign.SILENT
-    if answer.writer != writer:
+    if response.writer != writer:
         return Sign.REPLACED
-    return Sign.CUT_OFF if answer.waiting_s >= CUT_OFF_S else Sign.ALIVE
+    return Sign.CUT_OFF if response.waiting_s >= CUT_OFF_AFTER_S else Sign.ALIVE
--- a/passgate/jobs/records.py
+++ b/passgate/jobs/records.py
@@ -1,6 +1,7 @@
-"""Records on the shared log: of batch jobs, of the lead, and of the duties that go with it.
+"""Records on the shared log: of batch jobs, of leader election, and of the leader's singleton duties.
 
-One log record is a batch: its writer and some entries, as compressed JSON.
+One log record is a batch of entries by one writer, as zlib-compressed JSON.  The names of the
+fields and the tags are part of the stored format.
 
 >>> batch = Batch(writer="d1.a", entries=(JobEnded(job_id="j"),))
 >>> decode_batch(encode_batch(batch)) == batch
@@ -20,24 +21,24 @@
 
 
 class ResultState(enum.Enum):
-    """How an item ended."""
+    """Outcome of an item."""
 
     SUCCEEDED = "succeeded"
     DEAD = "dead"
 
 
 class RewardSpec(msgspec.Struct, frozen=True, kw_only=True):
-    """The reward call of an item: the request that scores its whole text."""
+    """Request that scores an item's complete text (its reward call)."""
 
     id: str
-    """Identifies the call at the replica that answers it."""
+    """Request identifier that the replica's answer must repeat."""
     host: str
     path: str
     body: bytes = b""
 
 
 class ItemSpec(msgspec.Struct, frozen=True, kw_only=True):
-    """One item of a job as its caller submitted it."""
+    """One item of a job, as submitted: a request whose streamed answer is the item's text."""
 
     id: str
     path: str
@@ -46,70 +47,77 @@
     tokens: int = 0
     group: str = ""
     reward: RewardSpec | None = None
-    """Without it the item is done once its text is whole."""
+    """None when the item is not scored; its result is then final once its text is complete."""
 
 
-class BodiesPlace(msgspec.Struct, frozen=True, kw_only=True):
-    """Where the bodies of a job stand that only some regions may hold."""
+class BodiesLocation(msgspec.Struct, frozen=True, kw_only=True):
+    """Where the bodies of a region-restricted job are stored, apart from the job itself."""
 
     topic: str
     part: int
+    """Partition of the topic."""
     first: int
-    """Offset of the first record that may hold a piece of them."""
+    """Offset of the first record that may hold a piece of the bodies."""
     last: int
-    """Offset of the last one."""
+    """Offset of the last such record."""
     nonce: str
-    """Names the pieces that belong together."""
+    """Identifies the pieces that belong together."""
     regions: frozenset[str] = frozenset()
-    """Regions that bound the job when it was accepted; they hold when its route is in force no more."""
+    """Regions allowed when the job was accepted; they still apply after its route was removed."""
 
 
 class ItemBodies(msgspec.Struct, frozen=True, array_like=True):
-    """Bodies of one item and of its reward call."""
+    """Request bodies of one item and of its reward call."""
 
     item: bytes
     reward: bytes = b""
 
 
 class BodiesPiece(msgspec.Struct, frozen=True, kw_only=True):
-    """A piece of the encoded bodies of a job."""
+    """A piece of a job's encoded bodies."""
 
     nonce: str
     index: int
+    """Position of this piece, from 0."""
     count: int
+    """Number of pieces with this nonce."""
     data: bytes
 
 
 class JobSpec(msgspec.Struct, frozen=True, kw_only=True):
-    """A whole job as its caller submitted it."""
+    """A job with all its items, as submitted."""
 
     job_id: str
     """Unique over all tenants; see :func:`passgate.gateway.access.scoped_id`."""
     host: str
     path: str
+    """Host and path of the submission; they select the job's route."""
     items: tuple[ItemSpec, ...]
     step: int = 0
+    """Training step that the job belongs to."""
     model: str = ""
     min_version: int = 0
+    """Oldest version of the weights that may make a result."""
     desired: int = 0
+    """Number of item groups that the caller waits for; 0 means all."""
     tenant: str | None = None
-    """Tenant that submitted the job, to be named to the replicas; None where there are no tenants."""
+    """Tenant that submitted the job, passed on to the replicas; None where there are no tenants."""
     priority: int | None = None
-    """Rank of the tenant's requests; replaces the rank of the route."""
-    bodies_at: BodiesPlace | None = None
-    """Where the bodies of its items stand, if these are not in the spec itself."""
+    """Priority of the tenant's requests; overrides that of the route."""
+    bodies_at: BodiesLocation | None = None
+    """Where the items' bodies are stored when the spec does not contain them."""
 
 
 class Score(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
-    """What a reward call brought."""
+    """Result of a reward call."""
 
     call_id: str
     stamp: str
-    """Signature of the replica that answered the call with a success."""
+    """Signature of the replica that answered the call successfully."""
 
 
 class Result(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
-    """The final result of an item."""
+    """Final result of an item."""
 
     item_id: str
     state: ResultState
@@ -119,23 +127,26 @@
 
 
 class Entry(msgspec.Struct, frozen=True, kw_only=True, tag_field="t"):
-    """Base of all entries."""
+    """Base class of the entries of a batch; the JSON field ``t`` holds the entry's type."""
 
 
-class JobPart(Entry, tag="part"):
-    """A piece of a job's encoded spec; the job exists once all pieces of a nonce stand on the log."""
+class JobPiece(Entry, tag="part"):
+    """A piece of a job's encoded spec; the job exists once all pieces of a nonce are on the log."""
 
     job_id: str
     nonce: str
+    """Identifies the pieces of one submission."""
     index: int
+    """Position of this piece, from 0."""
     count: int
+    """Number of pieces with this nonce."""
     data: bytes
     owner: str = ""
-    """Writer that shall run the job; nobody yet when empty."""
+    """Writer that runs the job; empty when the job starts without an owner."""
 
 
 class JobClaimed(Entry, tag="claim"):
-    """``owner`` runs the job from now on, if ``epoch`` is the next one."""
+    """``owner`` runs the job from now on; ignored unless ``epoch`` is the job's epoch plus one."""
 
     job_id: str
     owner: str
@@ -143,84 +154,90 @@
 
 
 class ItemsDone(Entry, tag="done"):
-    """Results of items of one job; a second result of an item counts for nothing."""
+    """Results of items of one job; a second result of the same item is ignored."""
 
     job_id: str
     results: tuple[Result, ...]
 
 
 class ItemProgressed(Entry, tag="run"):
-    """Events of an unfinished item, so that another daemon or a later job can go on after them."""
+    """Stream events of an unfinished item, so that another daemon or a later job can resume after them."""
 
     job_id: str
     item_id: str
     run: str
-    """Names the run that made the events, over all its attempts."""
+    """Identifies the run that produced the events; all attempts of a run share it."""
     after: int
-    """Number of events before these."""
+    """Number of the item's events before these."""
     data: tuple[str, ...]
     versions: tuple[int, ...]
+    """Version of the weights that made each event."""
     last_id: str
-    """Identifier of the last of these events."""
+    """Event identifier of the last event so far."""
     parent: str = ""
-    """Run that this one goes on from, in its first record."""
+    """Run whose events this run continues; set in the run's first record only."""
     whole: bool = False
-    """Whether these events end the output, which now waits for its reward call."""
+    """Whether these events complete the output, which then waits for its reward call."""
 
 
 class JobEnded(Entry, tag="end"):
-    """The caller wants no more of the job."""
+    """The caller cancelled the job: no item of it is run any more."""
 
     job_id: str
 
 
 class LeaderClaimed(Entry, tag="lead"):
-    """``holder`` gives orders from now on, if nothing was heard of the last leader since."""
+    """``holder`` leads from now on.
+
+    Ignored when another claim was accepted after the one at ``after``, or when the previous
+    leader appended a record after ``seen``.
+    """
 
     holder: str
     after: int
-    """Offset of the last claim that counted."""
+    """Offset of the last accepted claim; -1 when there is none."""
     seen: int = -1
-    """Offset of the last record of that leader which the claimer had read."""
+    """Offset of the previous leader's last record that the claimer had read."""
 
 
 class WriterStopped(Entry, tag="stop"):
-    """The writer of this batch ends as planned; its jobs are free."""
+    """The batch's writer shuts down gracefully; its jobs have no owner any more."""
 
 
 class WriterAlive(Entry, tag="alive"):
     """Renews the leases of the batch's writer."""
 
     fence: int = -1
-    """Fence under which the writer leads, if it does; tells those whose history began later."""
+    """Fence of the writer's leadership, -1 when it does not lead; for readers that did not read its claim."""
 
 
 class JobNoted(Entry, tag="need"):
-    """What a new job asks of its model's weights; kept apart from the job for the leader."""
+    """What a new job requires of its model's weights, for the leader, which does not read the jobs."""
 
     model: str
     lag: int
-    """How many versions behind the newest the job allows."""
+    """How many versions behind the newest one the job accepts."""
     items: int
+    """Number of items of the job."""
 
 
 Counts = dict[str, int]
-"""Tenant to number of requests."""
+"""Maps tenants to numbers of requests."""
 
 
 class UsageCounted(Entry, tag="usage"):
-    """Requests that replicas began in one window, as one daemon counted them since its last count."""
+    """Requests that replicas began in one window, as counted by one daemon since its previous count."""
 
     meter: str
-    """Life of the daemon that counted."""
+    """Incarnation of the daemon that counted."""
     number: int
-    """Numbers that daemon's counts; a repeated record counts once."""
+    """Sequence number of that daemon's counts; a repeated record is counted once."""
     window: int
     counts: Counts
 
 
 class UsageCommitted(Entry, tag="usage_commit"):
-    """The report of a window, before it is first sent; whoever reports sends exactly this."""
+    """Contents of a window's report, fixed before it is first sent; every send must be identical."""
 
     window: int
     counts: Counts
@@ -233,7 +250,7 @@
 
 
 class ReplicasDecided(Entry, tag="scale"):
-    """How many replicas of one kind a service shall have in a zone; its offset is the order's fence."""
+    """Target number of a service's spot or regular replicas in a zone; its offset fences the order."""
 
     service: str
     zone: str
@@ -242,17 +259,17 @@
 
 
 class ReplicasOrdered(Entry, tag="scale_sent"):
-    """The platform accepted or refused the order of a decision."""
+    """The platform accepted or refused the scaling order that a decision led to."""
 
     service: str
     zone: str
     spot: bool
     decided: int
-    """Offset of the decision."""
+    """Offset of the decision's record."""
 
 
 AnyEntry = (
-    JobPart
+    JobPiece
     | JobClaimed
     | ItemsDone
     | ItemProgressed
@@ -269,17 +286,17 @@
 )
 
 
-def writer_name(daemon_id: str, life: str, peer_address: str) -> str:
-    """Return the name of one life of a daemon; it tells where other daemons reach it.
+def writer_name(daemon_id: str, incarnation: str, peer_address: str) -> str:
+    """Return the name of one incarnation of a daemon, which includes its address for other daemons.
 
     >>> writer_name("front-1", "5f3a", "10.1.0.10:7720")
     'front-1.5f3a@10.1.0.10:7720'
     """
-    return f"{daemon_id}.{life}{ADDRESS_MARK}{peer_address}"
+    return f"{daemon_id}.{incarnation}{ADDRESS_MARK}{peer_address}"
 
 
 def daemon_of(writer: str) -> str:
-    """Return the daemon of a writer.
+    """Return the identifier of a writer's daemon, the same for all its incarnations.
 
     >>> daemon_of("front-1.5f3a@10.1.0.10:7720")
     'front-1'
@@ -288,12 +305,12 @@
 
 
 class Batch(msgspec.Struct, frozen=True, kw_only=True):
-    """What one append holds: entries of one writer."""
+    """One log record: entries of one writer."""
 
     writer: str
     entries: tuple[AnyEntry, ...]
     sequence: int = 0
-    """Counts the writer's batches."""
+    """Sequence number of the writer's batches, by which it recognizes its own when it reads them."""
 
 
 _encoder = msgspec.json.Encoder()
@@ -302,31 +319,38 @@
 
 
 def encode_batch(batch: Batch) -> bytes:
-    """Return the log record of a batch."""
+    """Return a batch encoded as a log record."""
     return zlib.compress(_encoder.encode(batch), COMPRESSION_LEVEL)
 
 
 def decode_batch(data: bytes) -> Batch:
-    """Return the batch of a log record; raises msgspec.DecodeError or zlib.error."""
+    """Decode a log record; raises msgspec.DecodeError or zlib.error."""
     return _decoder.decode(zlib.decompress(data))
 
 
 def encode_spec(spec: JobSpec) -> bytes:
-    """Return a job's spec, compressed."""
+    """Return a job's spec as compressed JSON."""
     return zlib.compress(_encoder.encode(spec), COMPRESSION_LEVEL)
 
 
 def decode_spec(data: bytes) -> JobSpec:
-    """Return the spec of its compressed form."""
+    """Decode a job's spec; raises msgspec.DecodeError or zlib.error."""
     return _spec_decoder.decode(zlib.decompress(data))
 
 
-def split_spec(spec: JobSpec, nonce: str, piece_bytes: int, owner: str) -> list[JobPart]:
-    """Return the entries that put a job on the log."""
+def job_pieces(spec: JobSpec, nonce: str, piece_bytes: int, owner: str) -> list[JobPiece]:
+    """Return the entries that submit a job, each with at most ``piece_bytes`` of its encoded spec.
+
+    Args:
+        spec: the job.
+        nonce: identifies this submission.
+        piece_bytes: largest size of a piece.
+        owner: writer that runs the job; empty for none.
+    """
     data = encode_spec(spec)
     pieces = [data[start : start + piece_bytes] for start in range(0, len(data), piece_bytes)]
     return [
-        JobPart(
+        JobPiece(
             job_id=spec.job_id,
             nonce=nonce,
             index=index,
--- a/passgate/jobs/reward_call.py
+++ b/passgate/jobs/reward_call.py
@@ -30,19 +30,19 @@
 from passgate.jobs.records import RewardSpec, Score
 from passgate.quarantine.identity import ITEM_CRASH_LIMIT
 
-MOST_LOAD = 0.7
+MAX_LOAD = 0.7
 """Load of a replica, in shares of its slots, from which on it gets no reward calls."""
-ROOM_STEP_S = 0.02
+POLL_INTERVAL_S = 0.02
 """Pause between looks for a route and for a replica with room."""
-LATENCIES_WAITED = 8.0
+TIMEOUT_PER_LATENCY = 8.0
 """An attempt is given up after this many times the replica's usual latency."""
-LEAST_PATIENCE_S, MOST_PATIENCE_S = 0.4, 4.0
-FIRST_PAUSE_S = 0.02
+MIN_TIMEOUT_S, MAX_TIMEOUT_S = 0.4, 4.0
+FIRST_RETRY_PAUSE_S = 0.02
 """Pause after the first failed attempt; another replica may have room at once."""
-MAX_PAUSE_S = 0.5
+MAX_RETRY_PAUSE_S = 0.5
 """Longest pause between attempts."""
-FAILED = 500
-FIRST_SUCCESS, FIRST_REDIRECTION = 200, 300
+HTTP_INTERNAL_SERVER_ERROR = 500
+MIN_SUCCESS_STATUS, MIN_REDIRECT_STATUS = 200, 300
 
 
 class RewardTools(msgspec.Struct, frozen=True, kw_only=True):
@@ -65,22 +65,22 @@
     """The reward call of one item, over all its attempts."""
 
     def __init__(
-        self, job_id: str, item_id: str, spec: RewardSpec, tools: RewardTools, tenant: str | None = None
+        self, job_id: str, item_id: str, spec: RewardSpec, context: RewardTools, tenant: str | None = None
     ) -> None:
         self._job_id = job_id
         self._tenant = tenant
         self._item_id = item_id
         self._spec = spec
-        self._tools = tools
-        self._attempts = 0
-        self._failures = 0
-        self._silences = 0
-        self._avoided: ReplicaLife | None = None
-        self._pause_s = FIRST_PAUSE_S
-        self._identity = self._request(LEAST_PATIENCE_S).identity
-        self._crashes = tools.caller.crashes
-
-    async def score(self, item_attempts: int) -> Score | None:
+        self._context = context
+        self._attempt_count = 0
+        self._error_answers = 0
+        self._timeouts = 0
+        self._avoided_replica: ReplicaLife | None = None
+        self._retry_pause_s = FIRST_RETRY_PAUSE_S
+        self._identity = self._build_request(MIN_TIMEOUT_S).identity
+        self._crashes = context.caller.crashes
+
+    async def request_score(self, item_max_attempts: int) -> Score | None:
         """Call until a score is there; return None when the call certainly fails each time.
 
         Args:
@@ -89,113 +89,115 @@
         while True:
             await self._crashes.paused(self._identity)
             await self._crashes.released(self._identity)
-            route, state = await self._wait_for_room()
-            if not await self._has_place(state):
+            route, state = await self._wait_for_slot()
+            if not await self._confirm_slot(state):
                 continue
             try:
-                stamp = await self._attempt(state)
+                stamp = await self._run_attempt(state)
             except PassgateError as error:
-                self._note_failure(state.life, error)
+                self._record_failure(state.life, error)
             else:
                 if stamp:
                     return Score(call_id=self._spec.id, stamp=stamp)
-                if self._failures >= max(route.max_attempts, item_attempts):
+                if self._error_answers >= max(route.max_attempts, item_max_attempts):
                     return None
             finally:
                 self._crashes.left(self._identity)
-            await asyncio.sleep(self._pause_s)
-            self._pause_s = min(self._pause_s * 2.0, MAX_PAUSE_S)
+            await asyncio.sleep(self._retry_pause_s)
+            self._retry_pause_s = min(self._retry_pause_s * 2.0, MAX_RETRY_PAUSE_S)
 
-    async def _wait_for_room(self) -> tuple[Route, ReplicaState]:
+    async def _wait_for_slot(self) -> tuple[Route, ReplicaState]:
         """Return the route in force and a replica with room; the room is reserved."""
         while True:
             while (route := self._route()) is None:
-                await asyncio.sleep(ROOM_STEP_S)
+                await asyncio.sleep(POLL_INTERVAL_S)
             if self._crashes.is_last_chance(self._identity):
-                state = await self._wait_in_front(route)  # out of the line, as others need no such replica
+                state = await self._poll_for_slot(route)  # out of the line, as others need no such replica
             else:
-                async with self._tools.lines[self._terms().regions]:
-                    state = await self._wait_in_front(route)
+                async with self._context.lines[self._terms().regions]:
+                    state = await self._poll_for_slot(route)
             if state is not None:
                 return route, state
 
-    async def _has_place(self, state: ReplicaState) -> bool:
+    async def _confirm_slot(self, state: ReplicaState) -> bool:
         """Return whether the call may run where it has room; gives the room back if not."""
-        has_place = False
+        may_run = False
         try:
-            has_place = await self._crashes.has_place(self._identity)
+            may_run = await self._crashes.has_place(self._identity)
         finally:
-            if not has_place:
+            if not may_run:
                 state.in_flight -= 1
                 self._crashes.left(self._identity)
-        return has_place
+        return may_run
 
-    async def _wait_in_front(self, route: Route) -> ReplicaState | None:
+    async def _poll_for_slot(self, route: Route) -> ReplicaState | None:
         """Wait for room at a replica of the route; return None when the route is not in force any more."""
         while self._route() is route:
-            state = self._choose(self._tools.parts.pick(route))
+            state = self._choose_replica(self._context.parts.pick(route))
             if state is not None:
                 state.in_flight += 1
                 self._crashes.placed(self._identity, state.life)
                 return state
-            await asyncio.sleep(ROOM_STEP_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
         return None
 
     def _route(self) -> Route | None:
-        return self._tools.find_route(self._spec.host, self._spec.path)
+        return self._context.find_route(self._spec.host, self._spec.path)
 
     def _terms(self) -> SendTerms:
         """Return what binds the call now: its own route, and the tenant of its job."""
-        return self._tools.terms_for(self._spec.host, self._spec.path, self._tenant)
+        return self._context.terms_for(self._spec.host, self._spec.path, self._tenant)
 
-    def _choose(self, service: str) -> ReplicaState | None:
-        excluded = frozenset() if self._avoided is None else frozenset({self._avoided})
-        self._avoided = None  # the only replica of a service must get its second try
+    def _choose_replica(self, service: str) -> ReplicaState | None:
+        excluded = frozenset() if self._avoided_replica is None else frozenset({self._avoided_replica})
+        self._avoided_replica = None  # the only replica of a service must get its second try
         excluded |= self._crashes.apart_from(self._identity)
         if spared := self._crashes.spared():
-            state = self._choose_without(service, excluded | spared)
+            state = self._choose_replica_excluding(service, excluded | spared)
             if state is not None:
                 return state
-        return self._choose_without(service, excluded)
+        return self._choose_replica_excluding(service, excluded)
 
-    def _choose_without(self, service: str, excluded: frozenset[ReplicaLife]) -> ReplicaState | None:
+    def _choose_replica_excluding(
+        self, service: str, excluded: frozenset[ReplicaLife]
+    ) -> ReplicaState | None:
         request = ChoiceRequest(
-            services=frozenset({service}), excluded=excluded, load_below=MOST_LOAD, terms=self._terms()
+            services=frozenset({service}), excluded=excluded, load_below=MAX_LOAD, terms=self._terms()
         )
-        return self._tools.replicas.choose(request, monotonic_s())
+        return self._context.replicas.choose(request, monotonic_s())
 
-    async def _attempt(self, state: ReplicaState) -> str:
+    async def _run_attempt(self, state: ReplicaState) -> str:
         """Send the call once; return the stamp of a success, or nothing after an answer of 500."""
         state.in_flight -= 1  # the exchange counts itself from here on
-        patience_s = self._patience_s(state)
-        exchange = self._tools.caller.open(state, self._request(patience_s))
-        self._attempts += 1
-        self._tools.decisions.write(
+        timeout_s = self._timeout_s(state)
+        exchange = self._context.caller.open(state, self._build_request(timeout_s))
+        self._attempt_count += 1
+        self._context.decisions.write(
             RewardSent(
                 job_id=self._job_id,
                 item_id=self._item_id,
                 request_id=self._spec.id,
                 replica_id=exchange.life.replica_id,
-                attempt=self._attempts,
+                attempt=self._attempt_count,
             )
         )
         try:
-            async with asyncio.timeout(patience_s):
-                return self._stamp_of(await exchange.whole_answer())
+            async with asyncio.timeout(timeout_s):
+                return self._check_answer(await exchange.whole_answer())
         except TimeoutError as error:
-            self._silences += 1
+            self._timeouts += 1
             exchange.too_slow()
             raise IncompleteAnswer("no answer to the reward call") from error
         finally:
             exchange.close()
 
-    def _patience_s(self, state: ReplicaState) -> float:
+    def _timeout_s(self, state: ReplicaState) -> float:
         """Return how long to wait for an answer: longer after each silence, as some calls take long."""
-        usual_s = state.recent_latency_s(monotonic_s())
-        patience_s = max(LATENCIES_WAITED * usual_s, LEAST_PATIENCE_S) * 2.0**self._silences
-        return min(patience_s, MOST_PATIENCE_S)
+        recent_latency_s = state.recent_latency_s(monotonic_s())
+        timeout_s = max(TIMEOUT_PER_LATENCY * recent_latency_s, MIN_TIMEOUT_S) * 2.0**self._timeouts
+        return min(timeout_s, MAX_TIMEOUT_S)
 
-    def _request(self, patience_s: float) -> ReplicaRequest:
+    def _build_request(self, timeout_s: float) -> ReplicaRequest:
         return ReplicaRequest(
             request_id=self._spec.id,
             method="POST",
@@ -203,37 +205,37 @@
             host=self._spec.host,
             headers=(),
             body=self._spec.body,
-            deadline_s=monotonic_s() + patience_s,
+            deadline_s=monotonic_s() + timeout_s,
             tenant=self._tenant,
             crash_limit=ITEM_CRASH_LIMIT,
             terms=self._terms(),
         )
 
-    def _stamp_of(self, answer: ReplicaAnswer) -> str:
-        if answer.header(self._tools.names.request_id) != self._spec.id:
+    def _check_answer(self, answer: ReplicaAnswer) -> str:
+        if answer.header(self._context.names.request_id) != self._spec.id:
             raise AnswerMismatch("answer of another request", replica=answer.replica.text())
-        if answer.status == FAILED:
-            self._failures += 1
-            self._tell_failed(answer.replica, "the replica answered 500")
-            self._avoided = answer.replica
+        if answer.status == HTTP_INTERNAL_SERVER_ERROR:
+            self._error_answers += 1
+            self._write_failure(answer.replica, "the replica answered 500")
+            self._avoided_replica = answer.replica
             return ""
-        stamp = answer.header(self._tools.names.replica_stamp)
-        if FIRST_SUCCESS <= answer.status < FIRST_REDIRECTION and stamp:
+        stamp = answer.header(self._context.names.replica_stamp)
+        if MIN_SUCCESS_STATUS <= answer.status < MIN_REDIRECT_STATUS and stamp:
             return stamp
         raise IncompleteAnswer(f"replica answered {answer.status}", execution=ExecutionStatus.RAN)
 
-    def _note_failure(self, replica: ReplicaLife, error: PassgateError) -> None:
-        self._avoided = replica
-        self._tell_failed(replica, f"{error.code}: {error}")
+    def _record_failure(self, replica: ReplicaLife, error: PassgateError) -> None:
+        self._avoided_replica = replica
+        self._write_failure(replica, f"{error.code}: {error}")
 
-    def _tell_failed(self, replica: ReplicaLife, reason: str) -> None:
-        self._tools.decisions.write(
+    def _write_failure(self, replica: ReplicaLife, reason: str) -> None:
+        self._context.decisions.write(
             RewardFailed(
                 job_id=self._job_id,
                 item_id=self._item_id,
                 request_id=self._spec.id,
                 replica_id=replica.replica_id,
                 reason=reason,
-                failures=self._failures,
+                failures=self._error_answers,
             )
         )
--- a/passgate/jobs/runner.py
+++ b/passgate/jobs/runner.py
@@ -25,25 +25,25 @@
 
 logger = logging.getLogger("passgate.jobs")
 
-CHECKPOINT_S = 0.3
+CHECKPOINT_INTERVAL_S = 0.3
 """Time between the records of a running item's events."""
-GIVE_UP_MARGIN_S = 5.0
+EXPIRY_MARGIN_S = 5.0
 """Items are given up this much later than the route allows; clocks of daemons differ."""
-CHECKPOINT_AGE_S = 0.4
+MIN_CHECKPOINT_AGE_S = 0.4
 """Items that run for less than this are not recorded before their end."""
 
 
 class JobRunner:
     """Runs one job; cancel its task when the job is not this daemon's any more."""
 
-    def __init__(self, job: JobState, fold: JobFold, journal: Journal, tools: ItemTools) -> None:
+    def __init__(self, job: JobState, projection: JobFold, journal: Journal, context: ItemTools) -> None:
         self._job = job
-        self._fold = fold
+        self._projection = projection
         self._journal = journal
-        self._tools = tools
+        self._context = context
         self._spec: JobSpec = job.spec()
-        self._running: dict[str, ItemRun] = {}
-        self._timing = JobTiming(self._spec, job.folded_s)
+        self._run_by_item: dict[str, ItemRun] = {}
+        self._timing = JobTiming(self._spec, job.known_since_s)
 
     async def run(self) -> None:
         """Run all items that have no result; return when nothing is left to do."""
@@ -51,133 +51,137 @@
             async with asyncio.timeout(self._time_left_s()):
                 await self._run_items()
         except TimeoutError:
-            self._give_up()
+            self._expire_items()
 
     def _time_left_s(self) -> float:
-        age_s = monotonic_s() - self._job.folded_s
-        return max(self._tools.route.item_time_to_live_s + GIVE_UP_MARGIN_S - age_s, 0.0)
+        age_s = monotonic_s() - self._job.known_since_s
+        return max(self._context.route.item_time_to_live_s + EXPIRY_MARGIN_S - age_s, 0.0)
 
     async def _run_items(self) -> None:
         async with asyncio.TaskGroup() as tasks:
-            checkpoints = tasks.create_task(self._checkpoint_often())
+            checkpoints = tasks.create_task(self._record_progress_periodically())
             async with asyncio.TaskGroup() as items:
-                for rank, item in self._in_order():
-                    await self._start(item, rank, items)
+                for rank, item in self._ranked_items():
+                    await self._start_item(item, rank, items)
             checkpoints.cancel()
 
-    def _give_up(self) -> None:
+    def _expire_items(self) -> None:
         """List what has no result after the time that the route allows."""
         for item in self._spec.items:
-            if item.id not in self._job.listed:
+            if item.id not in self._job.position_by_item:
                 dead = Result(item_id=item.id, state=ResultState.DEAD)
-                self._list(item, dead, attempts=0, began_s=self._job.folded_s)
+                self._append_result(item, dead, attempts=0, began_s=self._job.known_since_s)
 
-    def save(self, min_age_s: float = 0.0) -> None:
+    def record_progress(self, min_age_s: float = 0.0) -> None:
         """Record the events of the items that run for at least ``min_age_s``."""
         now_s = monotonic_s()
-        for run in self._running.values():
-            if now_s - run.began_s >= min_age_s and (entry := run.checkpoint.entry()) is not None:
+        for run in self._run_by_item.values():
+            if now_s - run.started_s >= min_age_s and (entry := run.checkpointer.take_entry()) is not None:
                 self._journal.put(entry)
 
-    def _in_order(self) -> list[tuple[Rank, ItemSpec]]:
+    def _ranked_items(self) -> list[tuple[Rank, ItemSpec]]:
         """Return the items without a result: those known from earlier jobs first, then the longest."""
-        left = [item for item in self._spec.items if item.id not in self._job.listed]
-        longest_s = max((self._expected_s(item) for item in left), default=0.0)
-        return [(self._rank(item, longest_s), item) for item in sorted(left, key=self._order)]
+        unfinished = [item for item in self._spec.items if item.id not in self._job.position_by_item]
+        longest_s = max((self._expected_s(item) for item in unfinished), default=0.0)
+        return [(self._rank(item, longest_s), item) for item in sorted(unfinished, key=self._sort_key)]
 
-    def _order(self, item: ItemSpec) -> tuple[bool, float]:
-        return (not self._is_known(item), -self._tools.expected_tokens(item))
+    def _sort_key(self, item: ItemSpec) -> tuple[bool, float]:
+        return (not self._has_earlier_progress(item), -self._context.expected_tokens(item))
 
-    def _is_known(self, item: ItemSpec) -> bool:
-        key = self._key(item.id)
-        return key in self._fold.kept or key in self._fold.finished
+    def _has_earlier_progress(self, item: ItemSpec) -> bool:
+        key = self._item_key(item.id)
+        return (
+            key in self._projection.recorded_events_by_item or key in self._projection.newest_result_by_item
+        )
 
-    def _key(self, item_id: str) -> str:
+    def _item_key(self, item_id: str) -> str:
         """Return the name under which the fold keeps what was made of an item."""
         return scoped_id(self._spec.tenant, item_id)
 
     def _expected_s(self, item: ItemSpec) -> float:
-        return self._tools.durations.expected_s(self._spec.model, self._tools.expected_tokens(item))
+        return self._context.durations.expected_s(self._spec.model, self._context.expected_tokens(item))
 
     def _rank(self, item: ItemSpec, longest_s: float) -> Rank:
-        slack_s = 0.0 if self._is_known(item) else longest_s - self._expected_s(item)
-        return Rank(start_s=self._job.folded_s + slack_s, fresh=True, number=id(item))
-
-    async def _start(self, item: ItemSpec, rank: Rank, items: asyncio.TaskGroup) -> None:
-        earlier = self._known_text(item.id)
-        if earlier is not None:
-            items.create_task(self._score(item, earlier, attempts=0, began_s=monotonic_s()))
+        slack_s = 0.0 if self._has_earlier_progress(item) else longest_s - self._expected_s(item)
+        return Rank(latest_start_s=self._job.known_since_s + slack_s, unsent=True, tie_breaker=id(item))
+
+    async def _start_item(self, item: ItemSpec, rank: Rank, task_group: asyncio.TaskGroup) -> None:
+        earlier_result = self._earlier_result(item.id)
+        if earlier_result is not None:
+            task_group.create_task(
+                self._score_and_append(item, earlier_result, attempts=0, began_s=monotonic_s())
+            )
             return
-        kept = self._fold.kept.get(self._key(item.id))
-        run = ItemRun(self._spec, item, self._tools, kept, rank, self._timing)
-        if not run.waits_apart:
+        recorded_events = self._projection.recorded_events_by_item.get(self._item_key(item.id))
+        run = ItemRun(self._spec, item, self._context, recorded_events, rank, self._timing)
+        if not run.bypasses_queue:
             await run.wait_for_replica()
-        task = items.create_task(self._run_item(run))
-        task.add_done_callback(lambda _: run.release())
+        task = task_group.create_task(self._run_item(run))
+        task.add_done_callback(lambda _: run.release_slot())
 
-    def _known_text(self, item_id: str) -> Result | None:
+    def _earlier_result(self, item_id: str) -> Result | None:
         """Return the whole text of an item from an earlier job or owner, if its versions fit."""
-        earlier = self._fold.finished.get(self._key(item_id))
-        if earlier is not None and self._fits(earlier):
-            return earlier
-        kept = self._fold.kept.get(self._key(item_id))
-        if kept is None or not kept.whole:
+        earlier_result = self._projection.newest_result_by_item.get(self._item_key(item_id))
+        if earlier_result is not None and self._is_usable(earlier_result):
+            return earlier_result
+        recorded_events = self._projection.recorded_events_by_item.get(self._item_key(item_id))
+        if recorded_events is None or not recorded_events.complete:
             return None
-        whole = Result(
+        result = Result(
             item_id=item_id,
             state=ResultState.SUCCEEDED,
-            text=kept.text(),
-            versions=kept.distinct_versions(),
+            text=recorded_events.text(),
+            versions=recorded_events.distinct_versions(),
         )
-        return whole if self._fits(whole) else None
+        return result if self._is_usable(result) else None
 
-    def _fits(self, result: Result) -> bool:
+    def _is_usable(self, result: Result) -> bool:
         if result.state is not ResultState.SUCCEEDED or not result.versions:
             return False
-        if self._tools.route.single_version and len(result.versions) > 1:
+        if self._context.route.single_version and len(result.versions) > 1:
             return False
         return min(result.versions) >= self._spec.min_version
 
     async def _run_item(self, run: ItemRun) -> None:
-        self._running[run.item.id] = run
+        self._run_by_item[run.item.id] = run
         try:
-            result = await run.result()
+            result = await run.run()
         finally:
-            del self._running[run.item.id]
-        self._learn(run, result)
+            del self._run_by_item[run.item.id]
+        self._observe_duration(run, result)
         if run.item.reward is not None and result.state is ResultState.SUCCEEDED:
-            self._journal.put(run.checkpoint.last_entry())
-        await self._score(run.item, result, run.attempts, run.began_s)
+            self._journal.put(run.checkpointer.take_final_entry())
+        await self._score_and_append(run.item, result, run.attempts, run.started_s)
 
-    def _learn(self, run: ItemRun, result: Result) -> None:
+    def _observe_duration(self, run: ItemRun, result: Result) -> None:
         """Note how long a whole output took that was made in one piece."""
         if run.attempts == 1 and not run.resumed and result.state is ResultState.SUCCEEDED:
-            tokens = self._tools.expected_tokens(run.item)
-            self._tools.durations.observe(self._spec.model, tokens, monotonic_s() - run.sent_s)
+            tokens = self._context.expected_tokens(run.item)
+            self._context.durations.observe(self._spec.model, tokens, monotonic_s() - run.last_attempt_sent_s)
 
-    async def _score(self, item: ItemSpec, result: Result, attempts: int, began_s: float) -> None:
+    async def _score_and_append(self, item: ItemSpec, result: Result, attempts: int, began_s: float) -> None:
         """Have a whole text scored where the item asks for it, and list the result."""
         if item.reward is not None and result.state is ResultState.SUCCEEDED:
-            result = await self._scored(item, item.reward, result)
-        self._list(item, result, attempts, began_s)
+            result = await self._score_result(item, item.reward, result)
+        self._append_result(item, result, attempts, began_s)
 
-    async def _scored(self, item: ItemSpec, reward: RewardSpec, result: Result) -> Result:
+    async def _score_result(self, item: ItemSpec, reward: RewardSpec, result: Result) -> Result:
         if result.score is not None and result.score.call_id == reward.id:
             return result
-        call = RewardCall(self._spec.job_id, item.id, reward, self._tools.rewards, self._spec.tenant)
-        score = await call.score(self._tools.route.max_attempts)
+        call = RewardCall(self._spec.job_id, item.id, reward, self._context.rewards, self._spec.tenant)
+        score = await call.request_score(self._context.route.max_attempts)
         if score is None:
             return Result(item_id=item.id, state=ResultState.DEAD)
         return msgspec.structs.replace(result, score=score)
 
-    async def _checkpoint_often(self) -> None:
+    async def _record_progress_periodically(self) -> None:
         while True:
-            await asyncio.sleep(CHECKPOINT_S)
-            self.save(CHECKPOINT_AGE_S)
+            await asyncio.sleep(CHECKPOINT_INTERVAL_S)
+            self.record_progress(MIN_CHECKPOINT_AGE_S)
 
-    def _list(self, item: ItemSpec, result: Result, attempts: int, began_s: float) -> None:
+    def _append_result(self, item: ItemSpec, result: Result, attempts: int, began_s: float) -> None:
         self._journal.put(ItemsDone(job_id=self._spec.job_id, results=(result,)))
-        self._tools.decisions.write(
+        self._context.decisions.write(
             ItemListed(
                 job_id=self._spec.job_id,
                 item_id=result.item_id,
@@ -188,6 +192,6 @@
                 scored=result.score is not None,
             )
         )
-        whole = self._timing.listed(item, monotonic_s(), self._job.listed.keys())
-        if whole is not None:
-            self._tools.decisions.write(whole)
+        timing_report = self._timing.record_result(item, monotonic_s(), self._job.position_by_item.keys())
+        if timing_report is not None:
+            self._context.decisions.write(timing_report)
--- a/passgate/jobs/service.py
+++ b/passgate/jobs/service.py
@@ -29,37 +29,37 @@
 )
 from passgate.gateway.messages import answered_status
 from passgate.jobs.journal import Journal
-from passgate.jobs.liveness import CUT_OFF_S, Alive
+from passgate.jobs.liveness import CUT_OFF_AFTER_S, AliveResponse
 from passgate.jobs.peers import (
-    ALIVE,
-    BODY,
-    END,
-    HAND_OVER,
-    OWN,
-    READ,
-    REMOTE_FRESH_S,
-    SUBMIT,
-    AskAlive,
-    EndJob,
-    HandedOver,
-    HandOver,
+    MAX_VIEW_AGE_FOR_PEERS_S,
+    METHOD_ALIVE,
+    METHOD_BODY,
+    METHOD_END,
+    METHOD_OWN,
+    METHOD_READ,
+    METHOD_RELEASE_JOBS,
+    METHOD_SUBMIT,
+    AliveRequest,
+    EndRequest,
     JobPeers,
-    JobTaken,
-    OwnJob,
-    ReadBody,
-    ReadJob,
-    SubmitJob,
+    OwnRequest,
+    OwnResponse,
+    ReadBodyRequest,
+    ReadResultsRequest,
+    ReleaseJobsRequest,
+    ReleaseJobsResponse,
+    SubmitRequest,
 )
-from passgate.jobs.reader import ResultPage, check_followed, find_job, read_body, read_page
-from passgate.jobs.records import JobEnded, JobNoted, JobSpec, decode_spec, split_spec
-from passgate.jobs.shards import JobShards, Shard
+from passgate.jobs.reader import ResultPage, find_job, read_body, read_page, require_followed
+from passgate.jobs.records import JobEnded, JobNoted, JobSpec, decode_spec, job_pieces
+from passgate.jobs.shards import JobPartition, JobShards
 from passgate.sharedlog.tail import FRESH_S
 
-SILENCE_S = 0.3
+PEER_APPEND_DELAY_S = 0.3
 """Time for the log to take a new job before another daemon is asked to put it there as well."""
 UNKNOWN_OFFSET = -1
-NOBODY = ""
-OWNER_HEARD_S = 0.8
+NO_OWNER = ""
+OWNER_CONTACT_MAX_AGE_S = 0.8
 """An owner heard within this time is given the next job too."""
 
 
@@ -68,16 +68,16 @@
 
     def __init__(
         self,
-        shards: JobShards,
+        partitions: JobShards,
         peers: JobPeers,
-        control: Journal,
+        control_journal: Journal,
         newest_version: Callable[[str], int],
         log_age_s: Callable[[], float],
         decisions: DecisionLog,
     ) -> None:
-        self._shards = shards
+        self._partitions = partitions
         self._peers = peers
-        self._control = control
+        self._control_journal = control_journal
         self._newest_version = newest_version
         self._log_age_s = log_age_s
         self._decisions = decisions
@@ -96,11 +96,11 @@
         if not spec.items or len({item.id for item in spec.items}) != len(spec.items):
             raise InvalidRequest("a job needs items with distinct ids", execution=ExecutionStatus.NOT_RUN)
         began_s = monotonic_s()
-        shard = self._shards.of(spec.host)
+        shard = self._partitions.of(spec.host)
         offset = UNKNOWN_OFFSET
         if spec.job_id not in shard.fold.jobs:
             try:
-                self._check_servable(spec)
+                self._require_allowed_region(spec)
                 offset = await self._append(shard, spec, deadline_s)
             except PassgateError as error:
                 self._decisions.write(
@@ -116,13 +116,13 @@
             )
         )
 
-    async def _append(self, shard: Shard, spec: JobSpec, deadline_s: float) -> int:
+    async def _append(self, shard: JobPartition, spec: JobSpec, deadline_s: float) -> int:
         """Put a job on the log, through another daemon where this one can not."""
-        here = asyncio.get_running_loop().create_task(self._append_here(shard, spec, deadline_s))
+        here = asyncio.get_running_loop().create_task(self._append_locally(shard, spec, deadline_s))
         try:
             async with asyncio.timeout_at(deadline_s):
-                await asyncio.wait([here], timeout=0.0 if self._cut_off() else SILENCE_S)
-                if here.done() or not await self._append_elsewhere(shard, spec, deadline_s, here):
+                await asyncio.wait([here], timeout=0.0 if self._is_cut_off() else PEER_APPEND_DELAY_S)
+                if here.done() or not await self._append_via_peer(shard, spec, deadline_s, here):
                     return await here
                 return UNKNOWN_OFFSET
         except TimeoutError as error:
@@ -130,12 +130,12 @@
         finally:
             here.cancel()
 
-    async def _append_elsewhere(
-        self, shard: Shard, spec: JobSpec, deadline_s: float, here: asyncio.Task[int]
+    async def _append_via_peer(
+        self, shard: JobPartition, spec: JobSpec, deadline_s: float, here: asyncio.Task[int]
     ) -> bool:
         """Return whether another daemon put the job on the log before this one did."""
         patience_s = max(deadline_s - monotonic_s(), 0.0)
-        submit = self._peers.submit(shard.part, spec, patience_s, self._regions_of(spec))
+        submit = self._peers.submit(shard.number, spec, patience_s, self._allowed_regions(spec))
         there = asyncio.get_running_loop().create_task(submit)
         try:
             await asyncio.wait([here, there], return_when=asyncio.FIRST_COMPLETED)
@@ -153,55 +153,57 @@
         finally:
             there.cancel()
 
-    async def _append_here(self, shard: Shard, spec: JobSpec, deadline_s: float) -> int:
-        owner = await self._owner_for(shard, spec)
-        if self._shards.bodies is not None:
-            spec = await self._shards.bodies.put_apart(spec, shard.part, deadline_s)
-        parts = split_spec(spec, secrets.token_hex(4), shard.journal.piece_bytes, owner)
+    async def _append_locally(self, shard: JobPartition, spec: JobSpec, deadline_s: float) -> int:
+        owner = await self._choose_owner(shard, spec)
+        if self._partitions.restricted_bodies is not None:
+            spec = await self._partitions.restricted_bodies.store_bodies(spec, shard.number, deadline_s)
+        parts = job_pieces(spec, secrets.token_hex(4), shard.journal.max_piece_bytes, owner)
         offset = await shard.journal.append_job(parts, deadline_s)
-        if owner == self._shards.writer:
-            shard.need()
+        if owner == self._partitions.writer:
+            shard.keep_following()
         lag = max(self._newest_version(spec.model) - spec.min_version, 0)
-        self._control.put(JobNoted(model=spec.model, lag=lag, items=len(spec.items)))
+        self._control_journal.put(JobNoted(model=spec.model, lag=lag, items=len(spec.items)))
         return offset
 
-    async def _owner_for(self, shard: Shard, spec: JobSpec) -> str:
+    async def _choose_owner(self, shard: JobPartition, spec: JobSpec) -> str:
         """Return who shall run a job: the owner of the model's last one, the watcher, or this daemon.
 
         One owner knows what it has sent where, and its connections are open.  A job that
         nobody owns is claimed by any watcher as soon as it reads it.
         """
         if not self._may_hold(spec.host, spec.path, spec.tenant):
-            return await self._peers.owner_in(shard.part, self._regions_of(spec))
-        if shard.current and self._regions_of(spec) is None:  # the last owner may be in another region
-            last = shard.fold.jobs.get(shard.fold.newest_job.get(spec.model, ""))
-            heard_s = shard.fold.heard_s.get(last.owner) if last is not None else None
-            if last is not None and heard_s is not None and monotonic_s() - heard_s < OWNER_HEARD_S:
+            return await self._peers.find_owner_in_regions(shard.number, self._allowed_regions(spec))
+        if (
+            shard.is_current and self._allowed_regions(spec) is None
+        ):  # the last owner may be in another region
+            last = shard.fold.jobs.get(shard.fold.newest_job_by_model.get(spec.model, ""))
+            heard_s = shard.fold.last_contact_s_by_writer.get(last.owner) if last is not None else None
+            if last is not None and heard_s is not None and monotonic_s() - heard_s < OWNER_CONTACT_MAX_AGE_S:
                 return last.owner
-        if self._shards.watches(shard.part):
-            return self._shards.writer
-        watcher = await self._peers.owner_of_new(shard.part)
-        return watcher or (self._shards.writer if self._shards.may_own_new else NOBODY)
+        if self._partitions.watches(shard.number):
+            return self._partitions.writer
+        watcher = await self._peers.find_owner(shard.number)
+        return watcher or (self._partitions.writer if self._partitions.may_own_new else NO_OWNER)
 
-    def _check_servable(self, spec: JobSpec) -> None:
+    def _require_allowed_region(self, spec: JobSpec) -> None:
         """Check that some region may serve a job; raises NoRegionAllowed."""
-        if self._regions_of(spec) == frozenset():
+        if self._allowed_regions(spec) == frozenset():
             raise NoRegionAllowed("route and tenant allow no region in common")
 
     def _may_hold(self, host: str, path: str, tenant: str | None) -> bool:
         """Whether this daemon's region may hold the bodies of a job."""
-        bodies = self._shards.bodies
+        bodies = self._partitions.restricted_bodies
         return bodies is None or bodies.may_hold(host, path, tenant)
 
-    def _regions_of(self, spec: JobSpec) -> frozenset[str] | None:
+    def _allowed_regions(self, spec: JobSpec) -> frozenset[str] | None:
         """Return the regions that a job is bound to; None where any may serve it."""
-        bodies = self._shards.bodies
-        return bodies.regions_of(spec.host, spec.path, spec.tenant) if bodies is not None else None
+        bodies = self._partitions.restricted_bodies
+        return bodies.allowed_regions(spec.host, spec.path, spec.tenant) if bodies is not None else None
 
     async def read(self, host: str, job_id: str, position: int, wait_s: float) -> ResultPage:
         """Return results from a position, waiting for one; raises NotFound or NotReady."""
         began_s = monotonic_s()
-        page = await self._read(host, job_id, position, wait_s)
+        page = await self._read_results(host, job_id, position, wait_s)
         self._decisions.write(
             JobRead(
                 job_id=job_id,
@@ -213,42 +215,42 @@
         )
         return page
 
-    async def _read(self, host: str, job_id: str, position: int, wait_s: float) -> ResultPage:
-        shard = self._shards.of(host)
-        if not self._answers(shard) and not _has_news(shard, job_id, position):
+    async def _read_results(self, host: str, job_id: str, position: int, wait_s: float) -> ResultPage:
+        shard = self._partitions.of(host)
+        if not self._can_answer(shard) and not _has_results_after(shard, job_id, position):
             try:
-                question = ReadJob(host=host, job_id=job_id, position=position, wait_s=wait_s)
-                read = self._peers.read_anywhere if self._cut_off() else self._peers.read
-                return await read(shard.part, question)
+                question = ReadResultsRequest(host=host, job_id=job_id, position=position, wait_s=wait_s)
+                read = self._peers.read_results_via_any if self._is_cut_off() else self._peers.read_results
+                return await read(shard.number, question)
             except PeerCatchingUp as error:
                 raise NotReady(str(error), execution=ExecutionStatus.NOT_RUN) from error
             except PeerError:
-                shard.need()
+                shard.keep_following()
                 wait_s = 0.0  # a part of the caller's patience is spent
         return await read_page(shard, job_id, position, wait_s)
 
     async def body(self, host: str, job_id: str, item_id: str) -> bytes:
         """Return the body of an item; raises NotFound or NotReady."""
-        shard = self._shards.of(host)
-        question = ReadBody(host=host, job_id=job_id, item_id=item_id)
+        shard = self._partitions.of(host)
+        question = ReadBodyRequest(host=host, job_id=job_id, item_id=item_id)
         try:
-            if not self._answers(shard):
-                return await self._peers.body(shard.part, question)
+            if not self._can_answer(shard):
+                return await self._peers.read_body(shard.number, question)
         except BodiesElsewhere:
-            return await self._body_of_other_region(shard, question)
+            return await self._read_body_in_other_region(shard, question)
         except PeerCatchingUp as error:
             raise NotReady(str(error), execution=ExecutionStatus.NOT_RUN) from error
         except PeerError:
-            shard.need()
+            shard.keep_following()
         try:
             return await read_body(shard, job_id, item_id)
         except BodiesElsewhere:
-            return await self._body_of_other_region(shard, question)
+            return await self._read_body_in_other_region(shard, question)
 
-    async def _body_of_other_region(self, shard: Shard, question: ReadBody) -> bytes:
+    async def _read_body_in_other_region(self, shard: JobPartition, question: ReadBodyRequest) -> bytes:
         """Return a body for a caller of a region that may not hold it; nothing of it is kept here."""
         try:
-            return await self._peers.body_elsewhere(shard.part, question)
+            return await self._peers.read_body_in_other_zones(shard.number, question)
         except PeerError as error:
             raise NotReady(str(error), execution=ExecutionStatus.NOT_RUN) from error
 
@@ -269,25 +271,25 @@
             raise
 
     async def _end(self, host: str, job_id: str, deadline_s: float) -> None:
-        shard = self._shards.of(host)
+        shard = self._partitions.of(host)
         try:
-            if self._answers(shard):
-                await self._end_here(shard, job_id, deadline_s)
+            if self._can_answer(shard):
+                await self._end_locally(shard, job_id, deadline_s)
                 return
             patience_s = max((deadline_s - monotonic_s()) / 2, 0.0)
-            question = EndJob(host=host, job_id=job_id, patience_s=patience_s)
-            end = self._peers.end_anywhere if self._cut_off() else self._peers.end
-            await end(shard.part, question)
+            question = EndRequest(host=host, job_id=job_id, patience_s=patience_s)
+            end = self._peers.end_job_via_any if self._is_cut_off() else self._peers.end_job
+            await end(shard.number, question)
         except (PeerError, NotReady):
             await self._append_end(shard, job_id, deadline_s)
 
-    async def _end_here(self, shard: Shard, job_id: str, deadline_s: float) -> None:
+    async def _end_locally(self, shard: JobPartition, job_id: str, deadline_s: float) -> None:
         job = await find_job(shard, job_id)
-        if not job.ended:
+        if not job.cancelled:
             await self._append_end(shard, job_id, deadline_s)
-        self._decisions.write(JobEndedEvent(job_id=job_id, listed=len(job.results), total=job.total))
+        self._decisions.write(JobEndedEvent(job_id=job_id, listed=len(job.results), total=job.item_count))
 
-    async def _append_end(self, shard: Shard, job_id: str, deadline_s: float) -> None:
+    async def _append_end(self, shard: JobPartition, job_id: str, deadline_s: float) -> None:
         stands = shard.journal.put(JobEnded(job_id=job_id))
         try:
             async with asyncio.timeout(max(deadline_s - monotonic_s(), 0.0)):
@@ -295,22 +297,22 @@
         except TimeoutError as error:
             raise DurabilityUnknown("the end may be on the log") from error
 
-    def _cut_off(self) -> bool:
+    def _is_cut_off(self) -> bool:
         """Whether this daemon can not read the log at present."""
         return self._log_age_s() > FRESH_S
 
-    def _refuse_if_cut_off(self) -> None:
-        if self._cut_off():
+    def _require_log_view(self) -> None:
+        if self._is_cut_off():
             raise NotReady("the log can not be read here", execution=ExecutionStatus.NOT_RUN)
 
-    def _answers(self, shard: Shard) -> bool:
+    def _can_answer(self, shard: JobPartition) -> bool:
         """Whether this daemon's own view of a partition will do.
 
         The view of an idle partition may be older than usual, as its long polls are longer.
         """
-        if self._cut_off():
-            return shard.current and shard.tail.freshness.age_s(monotonic_s()) <= FRESH_S
-        return shard.current or self._shards.watches(shard.part)
+        if self._is_cut_off():
+            return shard.is_current and shard.tail.freshness.age_s(monotonic_s()) <= FRESH_S
+        return shard.is_current or self._partitions.watches(shard.number)
 
     # --- for other daemons -------------------------------------------------------
 
@@ -322,73 +324,79 @@
             NotReady: this daemon can not tell.
             PeerCallFailed: the question is unknown.
         """
-        if method == ALIVE:
-            return msgspec.json.encode(self._sign_of_life(msgspec.json.decode(payload, type=AskAlive)))
-        if method == HAND_OVER:
-            return msgspec.json.encode(self._hand_over(msgspec.json.decode(payload, type=HandOver)))
-        if method == OWN:
-            return msgspec.json.encode(self._take(msgspec.json.decode(payload, type=OwnJob)))
-        if method == SUBMIT:
-            self._refuse_if_cut_off()
-            submitted = msgspec.json.decode(payload, type=SubmitJob)
+        if method == METHOD_ALIVE:
+            return msgspec.json.encode(self._answer_alive(msgspec.json.decode(payload, type=AliveRequest)))
+        if method == METHOD_RELEASE_JOBS:
+            return msgspec.json.encode(
+                self._answer_release_jobs(msgspec.json.decode(payload, type=ReleaseJobsRequest))
+            )
+        if method == METHOD_OWN:
+            return msgspec.json.encode(self._answer_own(msgspec.json.decode(payload, type=OwnRequest)))
+        if method == METHOD_SUBMIT:
+            self._require_log_view()
+            submitted = msgspec.json.decode(payload, type=SubmitRequest)
             spec = decode_spec(submitted.spec)
-            shard = self._shards.of(spec.host)
+            shard = self._partitions.of(spec.host)
             if spec.job_id not in shard.fold.jobs:
-                await self._append_here(shard, spec, monotonic_s() + submitted.patience_s)
+                await self._append_locally(shard, spec, monotonic_s() + submitted.patience_s)
             return b""
-        if method == READ:
-            read = msgspec.json.decode(payload, type=ReadJob)
-            return msgspec.json.encode(await self._read_for(read))
-        if method == BODY:
-            question = msgspec.json.decode(payload, type=ReadBody)
-            shard = self._shards.of(question.host)
-            check_followed(shard)
+        if method == METHOD_READ:
+            read = msgspec.json.decode(payload, type=ReadResultsRequest)
+            return msgspec.json.encode(await self._read_for_peer(read))
+        if method == METHOD_BODY:
+            question = msgspec.json.decode(payload, type=ReadBodyRequest)
+            shard = self._partitions.of(question.host)
+            require_followed(shard)
             return await read_body(shard, question.job_id, question.item_id)
-        if method == END:
-            end = msgspec.json.decode(payload, type=EndJob)
-            await self._end_for(end)
+        if method == METHOD_END:
+            end = msgspec.json.decode(payload, type=EndRequest)
+            await self._end_for_peer(end)
             return b""
         raise PeerCallFailed("unknown question", peer_code="unknown_method")
 
-    def _sign_of_life(self, question: AskAlive) -> Alive:
-        shard = self._shards.known(question.part)
-        waiting_s = shard.journal.waiting_s if shard is not None else 0.0
-        return Alive(writer=self._shards.writer, zone=self._peers.zone, waiting_s=waiting_s)
+    def _answer_alive(self, question: AliveRequest) -> AliveResponse:
+        shard = self._partitions.get(question.part)
+        waiting_s = shard.journal.unacknowledged_for_s if shard is not None else 0.0
+        return AliveResponse(writer=self._partitions.writer, zone=self._peers.zone, waiting_s=waiting_s)
 
-    def _hand_over(self, question: HandOver) -> HandedOver:
-        shard = self._shards.known(question.part)
-        if shard is None or shard.journal.waiting_s < CUT_OFF_S:
-            return HandedOver()
-        return HandedOver(entries=tuple(shard.ownership.hand_over()))
+    def _answer_release_jobs(self, question: ReleaseJobsRequest) -> ReleaseJobsResponse:
+        shard = self._partitions.get(question.part)
+        if shard is None or shard.journal.unacknowledged_for_s < CUT_OFF_AFTER_S:
+            return ReleaseJobsResponse()
+        return ReleaseJobsResponse(entries=tuple(shard.ownership.release_jobs()))
 
-    def _take(self, question: OwnJob) -> JobTaken:
-        takes = self._shards.watches(question.part)
-        return JobTaken(writer=self._shards.writer if takes else "")
+    def _answer_own(self, question: OwnRequest) -> OwnResponse:
+        takes = self._partitions.watches(question.part)
+        return OwnResponse(writer=self._partitions.writer if takes else "")
 
-    async def _end_for(self, question: EndJob) -> None:
-        shard = self._shards.of(question.host)
+    async def _end_for_peer(self, question: EndRequest) -> None:
+        shard = self._partitions.of(question.host)
         deadline_s = monotonic_s() + question.patience_s
         if question.relay:
-            self._refuse_if_cut_off()
+            self._require_log_view()
             await self._append_end(shard, question.job_id, deadline_s)
         else:
-            check_followed(shard)
-            await self._end_here(shard, question.job_id, deadline_s)
+            require_followed(shard)
+            await self._end_locally(shard, question.job_id, deadline_s)
 
-    async def _read_for(self, question: ReadJob) -> ResultPage:
-        shard = self._shards.of(question.host)
+    async def _read_for_peer(self, question: ReadResultsRequest) -> ResultPage:
+        shard = self._partitions.of(question.host)
         if question.relay:
-            self._refuse_if_cut_off()
-        if question.relay and not shard.current:
+            self._require_log_view()
+        if question.relay and not shard.is_current:
             relayed = msgspec.structs.replace(question, relay=False)
-            return await self._peers.read(shard.part, relayed)
-        check_followed(shard)
+            return await self._peers.read_results(shard.number, relayed)
+        require_followed(shard)
         return await read_page(
-            shard, question.job_id, question.position, question.wait_s, fresh_s=REMOTE_FRESH_S
+            shard,
+            question.job_id,
+            question.position,
+            question.wait_s,
+            max_view_age_s=MAX_VIEW_AGE_FOR_PEERS_S,
         )
 
 
-def _has_news(shard: Shard, job_id: str, position: int) -> bool:
+def _has_results_after(shard: JobPartition, job_id: str, position: int) -> bool:
     """Whether results from a position on are known here; what stands on the log stays as it is."""
     job = shard.fold.jobs.get(job_id)
     return job is not None and len(job.results) > position
--- a/passgate/jobs/shards.py
+++ b/passgate/jobs/shards.py
@@ -23,30 +23,30 @@
 from passgate.jobs.bound_bodies import BodiesReader, BoundBodies
 from passgate.jobs.fold import JobFold, JobState
 from passgate.jobs.journal import Journal
-from passgate.jobs.ownership import NEVER_GIVEN_UP_S, Ownership
+from passgate.jobs.ownership import UNLIMITED_TIME_TO_LIVE_S, Ownership
 from passgate.jobs.records import ItemBodies, WriterStopped, decode_batch
 from passgate.jobs.runner import JobRunner
-from passgate.jobs.take_over import OwnerPeers, TakeOver
+from passgate.jobs.take_over import OwnerClient, PartitionOwners
 from passgate.sharedlog.log import LogPage, SharedLog
 from passgate.sharedlog.tail import POLL_WAIT_S, FollowedTail, RecordTail, TailSettings
 
-TICK_S = 0.1
+UPDATE_INTERVAL_S = 0.1
 """Time between looks at ownership; a quarter of the shortest silence that is judged."""
-GAP_S = 0.03
+READ_PAUSE_S = 0.03
 """Pause between reads, so that small records arrive in batches."""
-IDLE_WAIT_S = 3.0
+IDLE_POLL_WAIT_S = 3.0
 """Longest wait of a long poll while no job of the partition is open."""
-LINGER_S = 4.0
+FOLLOW_AFTER_USE_S = 4.0
 """Time for which a partition is followed after it was asked for."""
-KEEP_S = 30.0
+STATE_TTL_S = 30.0
 """Time for which the state of a partition that is not followed is kept."""
 
-RunnerFactory = Callable[[JobFold, Journal, JobState], JobRunner | None]
+JobRunnerFactory = Callable[[JobFold, Journal, JobState], JobRunner | None]
 
 
-def partition_of(host: str, parts: int) -> int:
+def partition_of(host: str, partition_count: int) -> int:
     """Return the partition of the jobs of a host."""
-    return zlib.crc32(host.encode()) % parts
+    return zlib.crc32(host.encode()) % partition_count
 
 
 class ShardSettings(msgspec.Struct, frozen=True, kw_only=True):
@@ -61,112 +61,116 @@
     """Time for which a job that is not open stays readable."""
 
 
-class Shard:
+class JobPartition:
     """One partition: its state as this daemon knows it, and this daemon's writer."""
 
     def __init__(
         self,
-        part: int,
+        number: int,
         log: SharedLog,
         settings: ShardSettings,
-        make_runner: RunnerFactory,
-        take_over: TakeOver,
+        make_runner: JobRunnerFactory,
+        owners: PartitionOwners,
         decisions: DecisionLog,
-        bodies: BoundBodies | None = None,
+        restricted_bodies: BoundBodies | None = None,
     ) -> None:
-        self.part = part
-        self._bodies = bodies
+        self.number = number
+        self._restricted_bodies = restricted_bodies
         self._decisions = decisions
         self.fold = JobFold()
-        self.bodies = BodiesReader(bodies, self._take_bodies) if bodies is not None else None
+        self.bodies_reader = (
+            BodiesReader(restricted_bodies, self._deliver_bodies) if restricted_bodies is not None else None
+        )
         """Reads the bodies of bound jobs; None where no job is bound."""
         self.journal = Journal(
             log,
             settings.topic,
-            part,
+            number,
             settings.writer,
             record_bytes=settings.record_bytes,
             append_bytes=settings.append_bytes,
         )
-        tail_settings = TailSettings(topic=settings.topic, part=part, gap_s=GAP_S)
-        self.followed = FollowedTail(RecordTail(log, tail_settings, self._apply))
+        tail_settings = TailSettings(topic=settings.topic, part=number, gap_s=READ_PAUSE_S)
+        self.followed_tail = FollowedTail(RecordTail(log, tail_settings, self._apply))
         self.ownership = Ownership(
             self.fold,
             self.journal,
             self.tail.freshness,
             lambda job: make_runner(self.fold, self.journal, job),
-            take_over,
+            owners,
             decisions,
             self.may_hold,
             self._time_to_live_s,
         )
         self.needed_until_s = monotonic_s()
-        self._writing = asyncio.get_running_loop().create_task(self.journal.run())
+        self._append_task = asyncio.get_running_loop().create_task(self.journal.run())
 
     @property
     def tail(self) -> RecordTail:
         """Follower of the partition."""
-        return self.followed.tail
+        return self.followed_tail.tail
 
     @property
-    def current(self) -> bool:
+    def is_current(self) -> bool:
         """Whether the state here is kept up to date."""
-        return self.followed.current
+        return self.followed_tail.current
 
     def may_hold(self, job: JobState) -> bool:
         """Whether this daemon may hold a job's bodies, by the configuration in force."""
-        return self._bodies is None or self._bodies.may_hold(job.host, job.path, job.tenant, job.bodies_at)
+        return self._restricted_bodies is None or self._restricted_bodies.may_hold(
+            job.host, job.path, job.tenant, job.bodies_at
+        )
 
     def _time_to_live_s(self, job: JobState) -> float:
         """Return after which time a job's items are given up; where no job is bound, runners alone do so."""
-        if self._bodies is None:
-            return NEVER_GIVEN_UP_S
-        return self._bodies.time_to_live_s(job.host, job.path)
+        if self._restricted_bodies is None:
+            return UNLIMITED_TIME_TO_LIVE_S
+        return self._restricted_bodies.time_to_live_s(job.host, job.path)
 
     def read_bodies(self) -> None:
         """Begin to read the bodies of open jobs that this daemon may hold, and drop those it may not."""
-        if self.bodies is None:
+        if self.bodies_reader is None:
             return
         for job in self.fold.jobs.values():
             if job.bodies is not None and not self.may_hold(job):
                 job.bodies = None
-            elif job.open and job.bound is not None:
-                self.bodies.want(job.bound)
-        self.bodies.forget_all_but(self.fold.jobs)
+            elif job.open and job.bodies_to_read is not None:
+                self.bodies_reader.start_reading(job.bodies_to_read)
+        self.bodies_reader.forget_jobs_except(self.fold.jobs)
 
-    def _take_bodies(self, job_id: str, bodies: Sequence[ItemBodies]) -> bool:
+    def _deliver_bodies(self, job_id: str, bodies: Sequence[ItemBodies]) -> bool:
         """Take the bodies of a job and run it if it is this daemon's; return False when they don't fit."""
-        fit = self.fold.take_bodies(job_id, bodies)
-        if fit and self.current:
+        fit = self.fold.set_bodies(job_id, bodies)
+        if fit and self.is_current:
             self.ownership.start_runners()
         return fit
 
-    def choose_wait(self) -> None:
+    def choose_poll_wait(self) -> None:
         """Let long polls be short while a job is open, as its owner is judged by a fresh view only."""
-        self.tail.wait_s = POLL_WAIT_S if self.fold.any_open() else IDLE_WAIT_S
+        self.tail.wait_s = POLL_WAIT_S if self.fold.has_open_jobs() else IDLE_POLL_WAIT_S
 
-    def need(self) -> None:
+    def keep_following(self) -> None:
         """Follow the partition from now on, for some time."""
-        self.needed_until_s = max(self.needed_until_s, monotonic_s() + LINGER_S)
-        self.followed.set(True)
+        self.needed_until_s = max(self.needed_until_s, monotonic_s() + FOLLOW_AFTER_USE_S)
+        self.followed_tail.set(True)
 
-    def linger(self) -> None:
+    def keep_following_if_current(self) -> None:
         """Follow the partition for some time after it passes on, while the next watcher reads it.
 
         Only a daemon that has read it can answer meanwhile.  When all daemons of a zone start at
         once, each holds many partitions for a moment; reading these on would take the log's
         bytes a second from the daemons that keep them.
         """
-        if self.current:
-            self.need()
+        if self.is_current:
+            self.keep_following()
 
     def close(self) -> None:
         """End all that runs for this partition."""
-        self.followed.set(False)
-        if self.bodies is not None:
-            self.bodies.close()
-        self.ownership.cancel_all()
-        self._writing.cancel()
+        self.followed_tail.set(False)
+        if self.bodies_reader is not None:
+            self.bodies_reader.close()
+        self.ownership.cancel_runners()
+        self._append_task.cancel()
 
     def _apply(self, page: LogPage) -> None:
         now_s = monotonic_s()
@@ -178,12 +182,12 @@
                 offset = page.start + index
                 self._decisions.write(RecordUnreadable(offset=offset, reason=str(error)))
                 continue
-            self.fold.apply(page.start + index, batch, now_s, fresh=self.current)
+            self.fold.apply(page.start + index, batch, now_s, appended_now=self.is_current)
             if batch.writer == self.journal.writer:
                 self.journal.read_back(batch)
-        self.choose_wait()
+        self.choose_poll_wait()
         self.read_bodies()
-        if self.current:
+        if self.is_current:
             self.ownership.start_runners()
 
 
@@ -194,9 +198,9 @@
         self,
         log: SharedLog,
         settings: ShardSettings,
-        held: Callable[[], frozenset[int]],
-        make_runner: RunnerFactory,
-        peers: OwnerPeers,
+        watched_partitions: Callable[[], frozenset[int]],
+        make_runner: JobRunnerFactory,
+        peers: OwnerClient,
         decisions: DecisionLog,
         *,
         may_own_new: Callable[[], bool] = lambda: True,
@@ -218,20 +222,20 @@
         """
         self._log = log
         self._settings = settings
-        self._held = held
+        self._watched_partitions = watched_partitions
         self._may_own_new = may_own_new
         self._make_runner = make_runner
         self._peers = peers
         self._log_answers = log_answers
-        self.bodies = bodies
+        self.restricted_bodies = bodies
         self._decisions = decisions
-        self._shards: dict[int, Shard] = {}
+        self._partition_by_number: dict[int, JobPartition] = {}
         self.stopping = False
 
     @property
     def running(self) -> int:
         """Number of jobs that this daemon runs."""
-        return sum(shard.ownership.running for shard in self._shards.values())
+        return sum(shard.ownership.running_jobs for shard in self._partition_by_number.values())
 
     @property
     def writer(self) -> str:
@@ -243,66 +247,72 @@
         """Whether this daemon owns a new job that no watcher takes."""
         return self._may_own_new() and not self.stopping
 
-    def watches(self, part: int) -> bool:
+    def watches(self, number: int) -> bool:
         """Whether this daemon watches a partition for all."""
-        return not self.stopping and part in self._held()
+        return not self.stopping and number in self._watched_partitions()
 
-    def of(self, host: str) -> Shard:
+    def of(self, host: str) -> JobPartition:
         """Return the partition of a host's jobs."""
-        return self._shard(partition_of(host, self._settings.parts))
+        return self._get_or_create(partition_of(host, self._settings.parts))
 
-    def _shard(self, part: int) -> Shard:
-        shard = self._shards.get(part)
+    def _get_or_create(self, number: int) -> JobPartition:
+        shard = self._partition_by_number.get(number)
         if shard is None:
-            take_over = TakeOver(part, self._peers, self._log_answers)
-            shard = self._shards[part] = Shard(
-                part, self._log, self._settings, self._make_runner, take_over, self._decisions, self.bodies
+            take_over = PartitionOwners(number, self._peers, self._log_answers)
+            shard = self._partition_by_number[number] = JobPartition(
+                number,
+                self._log,
+                self._settings,
+                self._make_runner,
+                take_over,
+                self._decisions,
+                self.restricted_bodies,
             )
         return shard
 
-    def known(self, part: int) -> Shard | None:
+    def get(self, number: int) -> JobPartition | None:
         """Return a partition if this daemon has to do with it."""
-        return self._shards.get(part)
+        return self._partition_by_number.get(number)
 
     async def run(self) -> None:
         """Follow what is needed and run what is owned, until cancelled."""
         try:
             while True:
-                self._tick()
-                await asyncio.sleep(TICK_S)
+                self._update()
+                await asyncio.sleep(UPDATE_INTERVAL_S)
         finally:
-            for shard in self._shards.values():
+            for shard in self._partition_by_number.values():
                 shard.close()
 
-    def _tick(self) -> None:
+    def _update(self) -> None:
         now_s = monotonic_s()
-        held = self._held()
+        held = self._watched_partitions()
         for part in held:
-            self._shard(part)
-        for part, shard in list(self._shards.items()):
+            self._get_or_create(part)
+        for part, shard in list(self._partition_by_number.items()):
             shard.ownership.stopping = self.stopping
-            needed = part in held or shard.ownership.owns_any() or now_s < shard.needed_until_s
-            shard.followed.set(needed)
-            shard.choose_wait()
+            needed = part in held or shard.ownership.owns_open_job() or now_s < shard.needed_until_s
+            shard.followed_tail.set(needed)
+            shard.choose_poll_wait()
             shard.read_bodies()
-            if shard.current:
-                shard.ownership.tick(watching=self.watches(part))
+            if shard.is_current:
+                shard.ownership.update(is_watcher=self.watches(part))
                 shard.fold.prune(now_s, self._settings.retention_s)
             if part in held:
-                shard.linger()
+                shard.keep_following_if_current()
             elif needed:
                 shard.needed_until_s = max(shard.needed_until_s, now_s)
-            elif now_s - shard.needed_until_s > KEEP_S and shard.journal.idle:
+            elif now_s - shard.needed_until_s > STATE_TTL_S and shard.journal.has_no_pending_entries:
                 shard.close()
-                del self._shards[part]
+                del self._partition_by_number[part]
 
     def stop(self) -> list[asyncio.Future[int]]:
         """Hand all jobs over; the results are there once that stands on the log."""
         self.stopping = True
-        stands = []
-        for shard in self._shards.values():
-            if shard.ownership.running or shard.ownership.owns_any():
+        appended = []
+        for shard in self._partition_by_number.values():
+            if shard.ownership.running_jobs or shard.ownership.owns_open_job():
                 shard.ownership.stopping = True
-                shard.ownership.save_all()
-                stands.append(shard.journal.put(WriterStopped()))
-        return stands
+                shard.ownership.record_all_progress()
+                appended.append(shard.journal.put(WriterStopped()))
+        return appended
--- a/passgate/jobs/silence.py
+++ b/passgate/jobs/silence.py
@@ -1,16 +1,16 @@
-"""How long a stream without bytes is waited for before its item goes on at another replica.
+"""Detects stalled streams, so that their items resume at another replica.
 
-Going on elsewhere costs one more read of the prompt, some 50 ms; waiting for a replica
-that crashed costs the whole wait.  So a stream is left soon, but only while other
-replicas' streams bring events: when nothing comes from anybody, this daemon or its link
-is held up, and another replica would be no better.
+Resuming at another replica costs one more prefill of the prompt; waiting for a replica that
+crashed costs the whole wait.  So the limit for silence is short, but it applies only while other
+replicas' streams deliver data: when all are silent, this daemon or its network is at fault, and
+another replica would be no better.
 
 >>> streams = StreamSilence()
 >>> first, second = ReplicaLife("r1"), ReplicaLife("r2")
 >>> streams.heard(first, now_s=10.0)
 >>> streams.seems_lost(second, since_s=9.9), streams.seems_lost(first, since_s=9.9)
 (True, False)
->>> patience_for(usual_pause_s=0.04)
+>>> silence_limit_s(usual_pause_s=0.04)
 0.4
 """
 
@@ -23,65 +23,71 @@
 from passgate.clock import monotonic_s
 from passgate.eligibility.replica_info import ReplicaLife
 
-USUAL_PAUSES = 10.0
-"""A silence of so many usual pauses between events is suspicious; prompts of others cause two or three."""
-LEAST_PATIENCE_S = 0.3
-"""Shortest wait for the next event."""
-FIRST_BYTES_PATIENCE_S = 0.6
-"""Wait for an answer to begin, at a replica with room; longer than a new connection takes."""
-MOST_PATIENCE_S = 1.5
-"""A stream silent for this long is left in any case."""
-HELD_UP_S = 0.1
-"""A wait that ends this much too late shows that this daemon was held up itself."""
-MOST_REPLICAS = 4096
-"""Lives of replicas that are remembered; every restart of a replica begins another."""
+MAX_USUAL_PAUSES = 10.0
+"""Limit for silence in multiples of the usual pause between events; prefills of others cause two or three."""
+MIN_SILENCE_LIMIT_S = 0.3
+"""Lower bound of the limit for silence between events."""
+FIRST_BYTES_LIMIT_S = 0.6
+"""Limit for the time until an answer's first bytes; allows for a new connection."""
+MAX_SILENCE_LIMIT_S = 1.5
+"""Upper bound of the limit; a stream silent for this long has stalled even if all others are silent too."""
+LOOP_DELAY_S = 0.1
+"""A timeout that fires this much too late shows that this daemon's event loop was blocked."""
+MAX_REPLICAS = 4096
+"""Replica incarnations remembered; every restart of a replica adds one."""
 NEVER_S = float("-inf")
 
 T = TypeVar("T")
 
 
-def patience_for(usual_pause_s: float) -> float:
-    """Return how long to wait for the next event of a stream."""
-    return min(max(USUAL_PAUSES * usual_pause_s, LEAST_PATIENCE_S), MOST_PATIENCE_S)
+def silence_limit_s(usual_pause_s: float) -> float:
+    """Return the limit for silence between events of a stream, from their usual pause."""
+    return min(max(MAX_USUAL_PAUSES * usual_pause_s, MIN_SILENCE_LIMIT_S), MAX_SILENCE_LIMIT_S)
 
 
 class StreamSilence:
-    """When each replica's streams last brought something, over all items of a daemon."""
+    """Last data received from each replica, over all items of a daemon."""
 
     def __init__(self) -> None:
-        self._heard_s: dict[ReplicaLife, float] = {}
+        self._last_data_s_by_replica: dict[ReplicaLife, float] = {}
 
     def heard(self, replica: ReplicaLife, now_s: float) -> None:
-        """Note bytes of a replica's stream."""
-        if len(self._heard_s) >= MOST_REPLICAS and replica not in self._heard_s:
-            self._heard_s.clear()  # all that matter are heard again within a second
-        self._heard_s[replica] = now_s
+        """Record that bytes of a replica's stream were received."""
+        if len(self._last_data_s_by_replica) >= MAX_REPLICAS and replica not in self._last_data_s_by_replica:
+            self._last_data_s_by_replica.clear()  # live streams deliver data again within a second
+        self._last_data_s_by_replica[replica] = now_s
 
     def seems_lost(self, replica: ReplicaLife, since_s: float) -> bool:
-        """Whether nothing came from a replica since then, while something came from another."""
-        if self._heard_s.get(replica, NEVER_S) > since_s:
+        """Whether a replica has sent nothing since a loop time, while another one has sent something."""
+        if self._last_data_s_by_replica.get(replica, NEVER_S) > since_s:
             return False
-        return any(heard_s > since_s for heard_s in self._heard_s.values())
+        return any(data_s > since_s for data_s in self._last_data_s_by_replica.values())
 
-    async def wait(
-        self, replica: ReplicaLife, read: Callable[[], Coroutine[Any, Any, T]], patience_s: float
+    async def wait_for(
+        self, replica: ReplicaLife, read: Callable[[], Coroutine[Any, Any, T]], limit_s: float
     ) -> T:
-        """Wait for the next part of a replica's answer; raise TimeoutError once the replica seems lost.
+        """Wait for the next part of a replica's answer; raises TimeoutError once the stream has stalled.
 
         Args:
-            replica: the life of the replica.
-            read: begins to wait for the part; may be cancelled and called again.
-            patience_s: time after which the replica is suspected.
+            replica: the replica's incarnation.
+            read: returns a coroutine that waits for the part; it may be cancelled and called again
+                without losing data.
+            limit_s: limit for the silence; exceeding it counts only while another replica sends
+                data, up to the upper bound for all streams.
         """
-        began_s = monotonic_s()
+        silent_since_s = monotonic_s()
         while True:
-            asked_s = monotonic_s()
+            attempt_started_s = monotonic_s()
             try:
-                async with asyncio.timeout(patience_s):
+                async with asyncio.timeout(limit_s):
                     return await read()
             except TimeoutError:
                 now_s = monotonic_s()
-                if now_s - asked_s > patience_s + HELD_UP_S:
-                    began_s = now_s  # what came meanwhile has not been read yet
-                elif now_s - began_s >= MOST_PATIENCE_S or self.seems_lost(replica, began_s):
+                if now_s - attempt_started_s > limit_s + LOOP_DELAY_S:
+                    silent_since_s = (
+                        now_s  # the loop was blocked: data that arrived meanwhile was not read yet
+                    )
+                elif now_s - silent_since_s >= MAX_SILENCE_LIMIT_S or self.seems_lost(
+                    replica, silent_since_s
+                ):
                     raise
--- a/passgate/jobs/take_over.py
+++ b/passgate/jobs/take_over.py
@@ -1,47 +1,47 @@
-"""How a daemon learns of a partition's owners, and takes jobs from one that the log does not answer."""
+"""Contact with the owners of a partition's jobs, to decide on and carry out takeovers."""
 
 from __future__ import annotations
 
 from collections.abc import Callable, Sequence
 from typing import Protocol
 
-from passgate.jobs.liveness import Alive, Liveness
+from passgate.jobs.liveness import AliveResponse, Liveness
 from passgate.jobs.records import ItemProgressed, ItemsDone
 
-Handed = Sequence[ItemsDone | ItemProgressed]
+UnappendedEntries = Sequence[ItemsDone | ItemProgressed]
 
 
-class OwnerPeers(Protocol):
-    """Questions to the owners of jobs."""
+class OwnerClient(Protocol):
+    """Calls to the owners of jobs."""
 
-    async def life_at(self, writer: str, part: int) -> Alive | None:
-        """Return what is answered at a writer's address; None when nobody answers."""
+    async def life_at(self, writer: str, partition: int) -> AliveResponse | None:
+        """Return the response of the daemon at a writer's address; None without a response."""
         ...
 
-    async def hand_over(self, writer: str, part: int) -> Handed:
-        """Let a writer that is cut off from the log stop; return what does not stand on the log."""
+    async def release_jobs(self, writer: str, partition: int) -> UnappendedEntries:
+        """Make a writer that is cut off from the log stop its runs; return its entries missing on the log."""
         ...
 
 
-class TakeOver:
-    """What this daemon knows of the owners of one partition's jobs."""
+class PartitionOwners:
+    """Contact with the owners of one partition's jobs."""
 
-    def __init__(self, part: int, peers: OwnerPeers, log_answers: Callable[[], bool]) -> None:
-        """Begin to know nothing.
+    def __init__(self, partition: int, peers: OwnerClient, log_answers: Callable[[], bool]) -> None:
+        """Create the contact with one partition's owners.
 
         Args:
-            part: the partition.
-            peers: asks owners.
-            log_answers: whether the log has just answered this daemon.
+            partition: number of the partition.
+            peers: calls owners.
+            log_answers: returns whether the log has recently answered this daemon.
         """
-        self._part = part
+        self._partition = partition
         self._peers = peers
         self.log_answers = log_answers
-        self.liveness = Liveness(self._life_at)
+        self.liveness = Liveness(self._probe)
 
-    async def _life_at(self, writer: str) -> Alive | None:
-        return await self._peers.life_at(writer, self._part)
+    async def _probe(self, writer: str) -> AliveResponse | None:
+        return await self._peers.life_at(writer, self._partition)
 
-    async def hand_over(self, writer: str) -> Handed:
-        """Let an owner stop its runs; return what they made that does not stand on the log."""
-        return await self._peers.hand_over(writer, self._part)
+    async def release_jobs(self, writer: str) -> UnappendedEntries:
+        """Make an owner stop its runs of the partition; return its entries missing on the log."""
+        return await self._peers.release_jobs(writer, self._partition)
--- a/passgate/jobs/waiting.py
+++ b/passgate/jobs/waiting.py
@@ -1,17 +1,16 @@
-"""Order in which items that wait for a replica get one: least slack first.
+"""Queues of items that wait for a free slot at a replica, ordered by latest start time.
 
-A job is whole when its longest items are, so a short item may begin later by as much
-as the job's longest takes longer.  Items of an older job come first among those with
-equal slack.  Items of different models do not wait for each other, nor do those of one model
-that are bound to different sets of regions: one whose regions have no replica left would else hold
-up all others.
+A job is complete when its longest items are, so a shorter item may start later by the difference of
+the expected durations.  Among items with equal differences, those of the older job come first.
+Each model has queues of its own, one for each set of allowed regions: otherwise an item whose
+regions have no replica left would block all items behind it.
 
 >>> line = WaitingLine()
->>> older, newer = Rank(start_s=1.0, fresh=True), Rank(start_s=2.0, fresh=False)
->>> line.enter("m", newer); line.enter("m", older); line.enter("other", newer)
+>>> older, newer = Rank(latest_start_s=1.0, unsent=True), Rank(latest_start_s=2.0, unsent=False)
+>>> line.add("m", newer); line.add("m", older); line.add("other", newer)
 >>> line.is_first("m", older), line.is_first("m", newer), line.is_first("other", newer)
 (True, False, True)
->>> line.leave("m", older)
+>>> line.remove("m", older)
 >>> line.is_first("m", newer)
 True
 """
@@ -26,50 +25,50 @@
 
 
 class Rank(msgspec.Struct, frozen=True, order=True, kw_only=True):
-    """Place of a job's items among those that wait; less comes first."""
+    """Position of an item in its queue; the least comes first."""
 
-    start_s: float
-    """Latest time at which the item may begin without delaying its job."""
-    fresh: bool
-    """Whether these items were not sent yet; begun ones come first."""
-    number: int = 0
-    """Tells entries apart."""
+    latest_start_s: float
+    """Loop time by which the item should start, so that it does not delay its job."""
+    unsent: bool
+    """Whether the item has not been sent yet; of equal items, those sent before come first."""
+    tie_breaker: int = 0
+    """Distinguishes entries that are otherwise equal."""
 
 
-class LineName(msgspec.Struct, frozen=True, kw_only=True):
-    """What the items of one line have in common."""
+class QueueKey(msgspec.Struct, frozen=True, kw_only=True):
+    """Identifies the queue of items with the same model and allowed regions."""
 
     model: str
     regions: frozenset[str] | None
-    """Regions that may serve them; None where any may."""
+    """Regions that may serve the items; None for any region."""
 
 
 class WaitingLine:
-    """All items of one daemon that wait, by what they have in common."""
+    """All queues of one daemon."""
 
     def __init__(self) -> None:
-        self._lines: dict[Hashable, list[Rank]] = {}
+        self._ranks_by_queue: dict[Hashable, list[Rank]] = {}
 
-    def enter(self, name: Hashable, rank: Rank) -> None:
-        """Begin to wait."""
-        bisect.insort(self._lines.setdefault(name, []), rank)
+    def add(self, queue_key: Hashable, rank: Rank) -> None:
+        """Add an item to a queue."""
+        bisect.insort(self._ranks_by_queue.setdefault(queue_key, []), rank)
 
     @contextlib.contextmanager
-    def place(self, name: Hashable, rank: Rank) -> Iterator[None]:
-        """Wait within a ``with`` block."""
-        self.enter(name, rank)
+    def queued(self, queue_key: Hashable, rank: Rank) -> Iterator[None]:
+        """Return a context manager that keeps an item in a queue for the duration of its ``with`` block."""
+        self.add(queue_key, rank)
         try:
             yield
         finally:
-            self.leave(name, rank)
-
-    def leave(self, name: Hashable, rank: Rank) -> None:
-        """End waiting, with a replica or without."""
-        line = self._lines[name]
-        line.remove(rank)
-        if not line:
-            del self._lines[name]
-
-    def is_first(self, name: Hashable, rank: Rank) -> bool:
-        """Whether nobody of this line is before."""
-        return self._lines[name][0] == rank
+            self.remove(queue_key, rank)
+
+    def remove(self, queue_key: Hashable, rank: Rank) -> None:
+        """Remove an item from a queue; raises KeyError or ValueError when it is not there."""
+        ranks = self._ranks_by_queue[queue_key]
+        ranks.remove(rank)
+        if not ranks:
+            del self._ranks_by_queue[queue_key]
+
+    def is_first(self, queue_key: Hashable, rank: Rank) -> bool:
+        """Whether no other item of the queue comes before this one."""
+        return self._ranks_by_queue[queue_key][0] == rank
--- a/tests/job_daemons.py
+++ b/tests/job_daemons.py
@@ -58,13 +58,13 @@
 
     async def run(self):
         for item in self.job.spec().items:
-            if item.id not in self.job.listed:
+            if item.id not in self.job.position_by_item:
                 await asyncio.sleep(ITEM_S)
                 text = f"{item.id} by {self.daemon.name}"
                 result = Result(item_id=item.id, state=ResultState.SUCCEEDED, text=text, versions=(1,))
                 self.journal.put(ItemsDone(job_id=self.job.job_id, results=(result,)))
 
-    def save(self):
+    def record_progress(self):
         pass
 
 
--- a/tests/test_jobs_daemons.py
+++ b/tests/test_jobs_daemons.py
@@ -23,7 +23,7 @@
     encode_batch,
 )
 from passgate.jobs.shards import (
-    LINGER_S,
+    FOLLOW_AFTER_USE_S,
     partition_of,
 )
 from passgate.sharedlog.group import REFRESH_S
@@ -103,7 +103,7 @@
             assert page.results or seen == page.total
             assert (await daemon.service.read(HOST, "k", 0, 1.0)).total == 2
         await daemons[2].service.end(HOST, "k", monotonic_s() + 2.0)
-        assert (await find_job(daemons[3].shards.of(HOST), "k")).ended
+        assert (await find_job(daemons[3].shards.of(HOST), "k")).cancelled
         for daemon in daemons:
             await daemon.kill()
 
@@ -138,9 +138,11 @@
         daemons = await started(MemorySharedLog(), 12, zones)
         await daemons[0].service.submit(job_spec("j", 8), monotonic_s() + 2)
         await settle(daemons, ["j"])
-        await asyncio.sleep(LINGER_S + 0.5)  # those that held the partition while the group formed read on
+        await asyncio.sleep(
+            FOLLOW_AFTER_USE_S + 0.5
+        )  # those that held the partition while the group formed read on
         part = partition_of(HOST, 4)
-        followers = [daemon for daemon in daemons if daemon.shards._shard(part).current]
+        followers = [daemon for daemon in daemons if daemon.shards._get_or_create(part).is_current]
         assert zones <= len(followers) <= zones + 1
         for daemon in daemons:
             await daemon.kill()
@@ -161,7 +163,7 @@
             await daemons[1].service.read(HOST, "unknown", 0, 0.0)
         await daemons[2].service.end(HOST, "j", monotonic_s() + 2)
         for daemon in daemons:
-            assert (await find_job(daemon.shards.of(HOST), "j")).ended
+            assert (await find_job(daemon.shards.of(HOST), "j")).cancelled
             await daemon.kill()
 
     run_virtual(main())
@@ -175,7 +177,7 @@
         daemons = await started(log, 3)
         await daemons[0].service.submit(job_spec("j", 50), monotonic_s() + 2)
         await asyncio.sleep(0.5)
-        other = next(daemon for daemon in daemons if not daemon.shards.of(HOST).current)
+        other = next(daemon for daemon in daemons if not daemon.shards.of(HOST).is_current)
         networks[log].cut(lambda address, zone: address)
         log.faults = SharedLogFaults(refusing=True)
         with pytest.raises(DurabilityUnknown):
@@ -183,7 +185,7 @@
         assert JobEndFailed(job_id="j", reason="durability_unknown") in other.events
         log.faults = SharedLogFaults()
         await asyncio.sleep(1.0)
-        assert (await find_job(other.shards.of(HOST), "j")).ended
+        assert (await find_job(other.shards.of(HOST), "j")).cancelled
         for daemon in daemons:
             await daemon.kill()
 
@@ -325,7 +327,7 @@
         await daemons[0].service.submit(job_spec("j", 4), monotonic_s() + 2)
         await settle(daemons, ["j"])
         make_long(log)
-        await asyncio.sleep(LINGER_S + REFRESH_S)
+        await asyncio.sleep(FOLLOW_AFTER_USE_S + REFRESH_S)
         part = partition_of(HOST, log.parts)
         first = next(daemon for daemon in daemons if daemon.shards.watches(part))
         log.faults = SLOW
@@ -337,7 +339,7 @@
             page = await daemon.service.read(HOST, "j", 0, 0.0)
             assert len(page.results) == 4
         watching = {daemon.name for daemon in daemons if daemon.shards.watches(part)}
-        following = {daemon.name for daemon in daemons if daemon.shards.of(HOST).followed.following}
+        following = {daemon.name for daemon in daemons if daemon.shards.of(HOST).followed_tail.following}
         assert following <= watching | {first.name}
         for daemon in daemons:
             await daemon.kill()
@@ -375,7 +377,9 @@
             await asyncio.sleep(0.02)
         asking.cancel()
         following = {
-            f"d{number}" for number, daemon in enumerate(daemons) if daemon.shards.of(HOST).followed.following
+            f"d{number}"
+            for number, daemon in enumerate(daemons)
+            if daemon.shards.of(HOST).followed_tail.following
         }
         assert following <= watched
         assert len(watched) < len(daemons)
--- a/tests/test_jobs_liveness.py
+++ b/tests/test_jobs_liveness.py
@@ -5,7 +5,7 @@
 import pytest
 
 from passgate.clock import monotonic_s, run_virtual
-from passgate.jobs.liveness import ASK_AGAIN_S, CUT_OFF_S, Alive, Liveness, Sign
+from passgate.jobs.liveness import CUT_OFF_AFTER_S, PROBE_INTERVAL_S, AliveResponse, Liveness, Sign
 
 WRITER = "d1.a@h:1"
 ANSWER_S = 0.01
@@ -26,18 +26,18 @@
 @pytest.mark.parametrize(
     "answer, sign",
     [
-        (Alive(writer=WRITER), Sign.ALIVE),
-        (Alive(writer=WRITER, waiting_s=CUT_OFF_S), Sign.CUT_OFF),
-        (Alive(writer="d1.b@h:1"), Sign.REPLACED),
+        (AliveResponse(writer=WRITER), Sign.ALIVE),
+        (AliveResponse(writer=WRITER, waiting_s=CUT_OFF_AFTER_S), Sign.CUT_OFF),
+        (AliveResponse(writer="d1.b@h:1"), Sign.REPLACED),
         (None, Sign.SILENT),
     ],
 )
 def test_the_answer_tells_whether_the_writer_ended(answer, sign):
     async def main():
         liveness, _ = asked([answer])
-        assert liveness.sign_of(WRITER, heard_s=float("-inf")) is None
+        assert liveness.sign_of(WRITER, last_contact_s=float("-inf")) is None
         await asyncio.sleep(2 * ANSWER_S)
-        assert liveness.sign_of(WRITER, heard_s=float("-inf")) is sign
+        assert liveness.sign_of(WRITER, last_contact_s=float("-inf")) is sign
 
     run_virtual(main())
 
@@ -45,20 +45,20 @@
 def test_an_answer_older_than_the_writers_last_record_counts_no_more():
     async def main():
         liveness, _ = asked([None])
-        liveness.sign_of(WRITER, heard_s=float("-inf"))
+        liveness.sign_of(WRITER, last_contact_s=float("-inf"))
         await asyncio.sleep(2 * ANSWER_S)
-        assert liveness.sign_of(WRITER, heard_s=monotonic_s()) is None
+        assert liveness.sign_of(WRITER, last_contact_s=monotonic_s()) is None
 
     run_virtual(main())
 
 
 def test_a_silent_writer_is_asked_again_and_one_that_was_replaced_is_not():
     async def main():
-        liveness, questions = asked([None, Alive(writer="d1.b@h:1")])
+        liveness, questions = asked([None, AliveResponse(writer="d1.b@h:1")])
         for _ in range(40):
-            liveness.sign_of(WRITER, heard_s=float("-inf"))
+            liveness.sign_of(WRITER, last_contact_s=float("-inf"))
             await asyncio.sleep(0.1)
         assert len(questions) == 2
-        assert ASK_AGAIN_S < questions[1] - questions[0] <= ASK_AGAIN_S + 0.11
+        assert PROBE_INTERVAL_S < questions[1] - questions[0] <= PROBE_INTERVAL_S + 0.11
 
     run_virtual(main())
--- a/tests/test_jobs_reader.py
+++ b/tests/test_jobs_reader.py
@@ -6,7 +6,7 @@
 
 from passgate.clock import monotonic_s, run_virtual
 from passgate.emulator.shared_log import MemorySharedLog
-from passgate.jobs.reader import GATHER_S
+from passgate.jobs.reader import MORE_RESULTS_WAIT_S
 from passgate.jobs.records import ItemsDone, ItemSpec, JobSpec, Result, ResultState
 from tests.job_daemons import HOST, Daemon
 
@@ -22,7 +22,7 @@
     async def run(self):
         await asyncio.sleep(3600.0)
 
-    def save(self):
+    def record_progress(self):
         pass
 
 
@@ -69,7 +69,7 @@
 @pytest.mark.parametrize(
     "desired, results, count, after_s",
     [
-        (2, [(0.3, 0), (0.4, 1)], 2, 0.3 + GATHER_S),
+        (2, [(0.3, 0), (0.4, 1)], 2, 0.3 + MORE_RESULTS_WAIT_S),
         (1, [(0.3, 0), (0.4, 1)], 2, 0.4),
         (1, [(0.3, 0), (0.35, 2), (0.4, 3), (0.6, 1)], 3, 0.4),
         (2, [(0.9, 0)], 1, 1.0),
--- a/tests/test_jobs_regions.py
+++ b/tests/test_jobs_regions.py
@@ -13,10 +13,10 @@
 from passgate.errors import DurabilityUnknown, LogUnavailable, NoRegionAllowed, NotReady
 from passgate.gateway.distance import WINDOW_S, Distances
 from passgate.gateway.routes import ITEM_TIME_TO_LIVE_S, ConfigHolder, GatewayConfig, Route, RoutePart
-from passgate.jobs.bound_bodies import BodiesReader, BoundJob, topic_of
+from passgate.jobs.bound_bodies import BodiesReader, RestrictedJob, bodies_topic
 from passgate.jobs.reader import find_job
-from passgate.jobs.records import BodiesPlace, ItemBodies, ResultState, RewardSpec
-from passgate.jobs.runner import GIVE_UP_MARGIN_S
+from passgate.jobs.records import BodiesLocation, ItemBodies, ResultState, RewardSpec
+from passgate.jobs.runner import EXPIRY_MARGIN_S
 from passgate.sharedlog.group import REFRESH_S
 from tests.job_daemons import HOST, TAKEN_OVER_SOON_S, Daemon, by_name, job_spec, networks, settle
 
@@ -104,7 +104,7 @@
         assert fleet.holders(f"j{number}") == {"b", "c"}
         assert await fleet.region_of_owner(f"j{number}") in {"b", "c"}
     await settle(fleet.daemons, ["j0", "j1", "j2"])
-    topic = topic_of("jobs", frozenset("bc"))
+    topic = bodies_topic("jobs", frozenset("bc"))
     bound = [part for part in range(fleet.log.parts) if fleet.log.partition(topic, part).end]
     assert len(bound) == 1
 
@@ -227,7 +227,7 @@
         fleet = Fleet(MemorySharedLog(), "a")
         fleet.config.terms_for = _nowhere(fleet.config.terms_for)
         for daemon in fleet.daemons:
-            daemon.shards.bodies._terms_of = fleet.config.terms_for
+            daemon.shards.restricted_bodies._find_send_context = fleet.config.terms_for
         await asyncio.sleep(2.5)
         with pytest.raises(NoRegionAllowed):
             await submit(fleet.of("a")[0], "j")
@@ -251,13 +251,13 @@
         await asyncio.sleep(0.05)
     nowhere = _nowhere(fleet.config.terms_for)
     for daemon in fleet.daemons:
-        daemon.shards.bodies._terms_of = nowhere
+        daemon.shards.restricted_bodies._find_send_context = nowhere
     await asyncio.sleep(SOON_S)
     listed = list((await find_job(shard, "j")).results)
     assert 2 <= len(listed) < 5
     await asyncio.sleep(ITEM_TIME_TO_LIVE_S - SOON_S)
     assert (await find_job(shard, "j")).results == listed
-    await asyncio.sleep(GIVE_UP_MARGIN_S + SOON_S)
+    await asyncio.sleep(EXPIRY_MARGIN_S + SOON_S)
     job = await find_job(shard, "j")
     assert job.results[: len(listed)] == listed and not job.open
     assert {result.state for result in job.results[len(listed) :]} == {ResultState.DEAD}
@@ -270,9 +270,9 @@
         bodies = SimpleNamespace(
             may_hold=lambda *names: True, decisions=SimpleNamespace(write=lost.append), read=None
         )
-        reader = BodiesReader(bodies, take=lambda job_id, found: len(found) == 1)
-        place = BodiesPlace(topic="t", part=0, first=0, last=0, nonce="n")
-        job = BoundJob(job_id="j", host="h", path="/p/", tenant=None, place=place)
+        reader = BodiesReader(bodies, deliver=lambda job_id, found: len(found) == 1)
+        place = BodiesLocation(topic="t", part=0, first=0, last=0, nonce="n")
+        job = RestrictedJob(job_id="j", host="h", path="/p/", tenant=None, location=place)
 
         async def unreadable(where):
             reads.append(monotonic_s())
@@ -284,12 +284,12 @@
         bodies.read = unreadable
         until_s = monotonic_s() + 20.0
         while monotonic_s() < until_s:
-            await reader.want(job)
+            await reader.start_reading(job)
         assert len(reads) < 20 and not lost
         bodies.read = foreign
-        await reader.want(job)
+        await reader.start_reading(job)
         assert [event.job_id for event in lost] == ["j"]
-        assert reader.want(job) is None
+        assert reader.start_reading(job) is None
 
     run_virtual(main())
 
--- a/tests/test_jobs_silence.py
+++ b/tests/test_jobs_silence.py
@@ -6,7 +6,7 @@
 import pytest
 
 from passgate.clock import monotonic_s, run_virtual
-from passgate.jobs.silence import MOST_PATIENCE_S, StreamSilence, patience_for
+from passgate.jobs.silence import MAX_SILENCE_LIMIT_S, StreamSilence, silence_limit_s
 
 PAUSE_S = 0.04
 NEAR_S = 0.05
@@ -26,27 +26,33 @@
     tasks = [asyncio.get_running_loop().create_task(speak(silence, name)) for name in speaking]
     began_s = monotonic_s()
     with pytest.raises(TimeoutError):
-        await silence.wait("r", never, patience_for(PAUSE_S))
+        await silence.wait_for("r", never, silence_limit_s(PAUSE_S))
     for task in tasks:
         task.cancel()
     return monotonic_s() - began_s
 
 
 def test_a_replica_that_fell_silent_is_left_soon_while_others_speak():
-    assert run_virtual(left_after_s(StreamSilence(), ["other"])) <= patience_for(PAUSE_S) + NEAR_S
+    assert run_virtual(left_after_s(StreamSilence(), ["other"])) <= silence_limit_s(PAUSE_S) + NEAR_S
 
 
 def test_a_stream_is_waited_for_longer_while_nobody_speaks():
     after_s = run_virtual(left_after_s(StreamSilence(), []))
-    assert MOST_PATIENCE_S <= after_s <= MOST_PATIENCE_S + patience_for(PAUSE_S)
+    assert MAX_SILENCE_LIMIT_S <= after_s <= MAX_SILENCE_LIMIT_S + silence_limit_s(PAUSE_S)
 
 
 def test_a_stream_is_waited_for_longer_while_others_of_its_replica_speak():
-    assert run_virtual(left_after_s(StreamSilence(), ["r", "other"])) >= MOST_PATIENCE_S
+    assert run_virtual(left_after_s(StreamSilence(), ["r", "other"])) >= MAX_SILENCE_LIMIT_S
 
 
 def test_patience_grows_with_the_replicas_usual_pause():
-    assert patience_for(0.01) < patience_for(0.06) < patience_for(0.1) < patience_for(1.0) <= MOST_PATIENCE_S
+    assert (
+        silence_limit_s(0.01)
+        < silence_limit_s(0.06)
+        < silence_limit_s(0.1)
+        < silence_limit_s(1.0)
+        <= MAX_SILENCE_LIMIT_S
+    )
 
 
 def test_a_daemon_that_was_held_up_reads_what_came_meanwhile():
@@ -57,7 +63,7 @@
         async def read():
             return await asyncio.shield(arrived)
 
-        waiting = asyncio.get_running_loop().create_task(silence.wait("r", read, 0.05))
+        waiting = asyncio.get_running_loop().create_task(silence.wait_for("r", read, 0.05))
         silence.heard("other", monotonic_s() + 1.0)
         await asyncio.sleep(0)
         time.sleep(0.3)  # the loop stands still, as in a process that was stopped
--- a/tests/test_jobs_takeover.py
+++ b/tests/test_jobs_takeover.py
@@ -7,7 +7,7 @@
 from passgate.clock import monotonic_s, run_virtual
 from passgate.emulator.shared_log import MemorySharedLog, SharedLogFaults
 from passgate.jobs.fold import FIRST_EPOCH
-from passgate.jobs.ownership import TAKEOVER_S, TAKEOVER_SPREAD_S
+from passgate.jobs.ownership import TAKEOVER_AFTER_S, TAKEOVER_JITTER_S
 from passgate.jobs.reader import find_job
 from passgate.jobs.records import ItemsDone
 from passgate.jobs.shards import partition_of
@@ -42,7 +42,7 @@
 
 
 def part_of(daemon, host):
-    return daemon.shards.of(host).part
+    return daemon.shards.of(host).number
 
 
 def accepting_in(daemons, zone, host=HOST):
@@ -86,7 +86,7 @@
         killed_s = monotonic_s()
         left = [daemon for daemon in daemons if daemon is not owner]
         await settle(left, ["next"])
-        assert monotonic_s() - killed_s < TAKEOVER_S + TAKEOVER_SPREAD_S + 4 * ITEM_S + 0.5
+        assert monotonic_s() - killed_s < TAKEOVER_AFTER_S + TAKEOVER_JITTER_S + 4 * ITEM_S + 0.5
         for daemon in left:
             await daemon.kill()
 
@@ -107,7 +107,7 @@
         killed_s = monotonic_s()
         left = [daemon for daemon in daemons if daemon is not owner]
         lists = await settle(left, ["j"], host=host)
-        assert monotonic_s() - killed_s < TAKEOVER_S + 1.0 + 6 * ITEM_S
+        assert monotonic_s() - killed_s < TAKEOVER_AFTER_S + 1.0 + 6 * ITEM_S
         assert lists[0] == lists[1]
         for daemon in left:
             await daemon.kill()
@@ -260,7 +260,7 @@
             await asyncio.sleep(0.02)
         assert monotonic_s() - cut_s < HANDED_OVER_S
         assert not owner.shards.running
-        made = owner.shards.of(HOST).journal.pending()
+        made = owner.shards.of(HOST).journal.unacknowledged_entries()
         texts = {entry.results[0].text for entry in made if isinstance(entry, ItemsDone)}
         assert texts
         await asyncio.sleep(0.5)
