--- a/passgate/jobs/bound_bodies.py
+++ b/passgate/jobs/bound_bodies.py
@@ -1,8 +1,8 @@
-"""Bodies of jobs that only some regions may hold.
+"""Stores the request bodies of region-restricted jobs apart from the jobs.
 
-All daemons fold all jobs, so the bodies of a job whose route or tenant names allowed regions
-do not stand with the job on the log.  They stand on a topic of that set of regions, which only
-daemons there read: each of them that follows the job's partition, as soon as it reads the job.
+Daemons of all regions read the jobs' topic, so it holds restricted jobs without their bodies.  The
+bodies are on a separate topic for each set of regions.  Only daemons in these regions read them,
+when they follow the job's partition.
 
 >>> from passgate.jobs.records import RewardSpec
 >>> reward = RewardSpec(id="r", host="h", path="/", body=b"score")
@@ -47,44 +47,45 @@
 logger = logging.getLogger("passgate.jobs")
 
 FIRST_RETRY_PAUSE_S = 0.1
-"""Pause after the first failed call; a calm log answers within 0.03 s."""
+"""Pause between attempts to append a piece, and after the first failed read of bodies."""
 MAX_READ_RETRY_PAUSE_S = 2.0
-"""Longest pause between reads of bodies that fail: a piece may never become readable."""
+"""Longest pause between failed reads; the pause doubles, as a piece may never become readable."""
 MAX_PIECE_SHARE = 0.5
-"""Share of a record's limit that one piece fills; its base64 form is a third longer."""
+"""Largest piece as a share of the maximum record size; its base64 form is a third longer."""
 
 SendContextLookup = Callable[[str, str, str | None, frozenset[str]], SendTerms]
-"""Returns what binds a request of a host, path, tenant, and regions when it was accepted."""
+"""Returns the restrictions on a request, from its host, path, tenant and the regions allowed earlier."""
 
 
 class RestrictedBodiesSettings(Protocol):
-    """What the settings of the partitions tell that matters here."""
+    """Settings that the storage of bodies needs."""
 
     topic: str
     """Topic of the jobs."""
     record_bytes: int
+    """Maximum size of a log record."""
 
 
 def bodies_topic(jobs_topic: str, regions: frozenset[str]) -> str:
-    """Return the topic of the bodies that may be held in these regions only."""
+    """Return the topic for bodies that may be held only in these regions."""
     return f"{jobs_topic}-bodies.{'.'.join(sorted(regions))}"
 
 
 def bodies_of(spec: JobSpec) -> tuple[ItemBodies, ...]:
-    """Return the bodies of a job, in the order of its items."""
+    """Return the bodies of a job, one entry for each item, in their order."""
     return tuple(
         ItemBodies(item.body, item.reward.body if item.reward is not None else b"") for item in spec.items
     )
 
 
 def without_bodies(spec: JobSpec, location: BodiesLocation) -> JobSpec:
-    """Return a job as all daemons may read it."""
+    """Return a job with empty bodies and their location, as daemons of all regions may read it."""
     bare = tuple(_replace_bodies(item, ItemBodies(b"")) for item in spec.items)
     return msgspec.structs.replace(spec, items=bare, bodies_at=location)
 
 
 def with_bodies(spec: JobSpec, bodies: Sequence[ItemBodies]) -> JobSpec:
-    """Return a job with its bodies filled in."""
+    """Return a job with the bodies of its items; raises ValueError when their numbers differ."""
     items = tuple(_replace_bodies(item, body) for item, body in zip(spec.items, bodies, strict=True))
     return msgspec.structs.replace(spec, items=items)
 
@@ -97,7 +98,7 @@
 
 
 class BoundBodies:
-    """Puts bodies apart and reads them, for one daemon."""
+    """Stores and reads the bodies of region-restricted jobs, for one daemon."""
 
     def __init__(
         self,
@@ -108,7 +109,16 @@
         decisions: DecisionLog,
         time_to_live_s: Callable[[str, str], float],
     ) -> None:
-        """Connect the parts; ``time_to_live_s`` tells when items of a host and path are given up."""
+        """Create the storage.
+
+        Args:
+            log: holds the topics.
+            find_send_context: returns the restrictions on a request.
+            places: the region of this daemon.
+            settings: settings of the jobs' partitions.
+            decisions: receives the decision lines.
+            time_to_live_s: returns after which time items of a host and path expire.
+        """
         self.time_to_live_s = time_to_live_s
         self._log = log
         self._jobs_topic = settings.topic
@@ -118,19 +128,19 @@
         self._max_piece_bytes = int(settings.record_bytes * MAX_PIECE_SHARE)
 
     def allowed_regions(self, host: str, path: str, tenant: str | None) -> frozenset[str] | None:
-        """Return the regions that a job is bound to by the configuration in force; None where any may."""
+        """Return the regions that the active configuration allows for a job; None for any region."""
         return self._find_send_context(host, path, tenant, frozenset()).regions
 
     def may_hold(
         self, host: str, path: str, tenant: str | None, location: BodiesLocation | None = None
     ) -> bool:
-        """Whether this daemon may hold the bodies of a job, and so own it, by the configuration in force.
+        """Whether the active configuration allows this daemon to hold a job's bodies, and so to own the job.
 
         Args:
             host: host of the job.
-            path: its path.
-            tenant: name of its tenant, if it has one.
-            place: where its bodies stand, if they stand apart from it.
+            path: path of the job.
+            tenant: name of the job's tenant, if it has one.
+            location: location of the bodies, if they are stored apart from the job.
         """
         regions_at_acceptance = location.regions if location is not None else frozenset()
         return may_be_in(
@@ -138,9 +148,11 @@
         )
 
     async def store_bodies(self, spec: JobSpec, partition: int, deadline_s: float) -> JobSpec:
-        """Return a job as it may stand on the log; the bodies of a bound one stand elsewhere then.
+        """Store a region-restricted job's bodies; return the job as it may be appended to the jobs' topic.
 
-        Raises LogUnavailable when they can not be put there; the job is not on the log.
+        Jobs without restrictions, and those whose bodies are stored already, are returned unchanged.
+        Raises LogUnavailable when a piece could not be appended until the deadline; the caller must
+        not append the job then.
         """
         regions = self.allowed_regions(spec.host, spec.path, spec.tenant)
         if regions is None or spec.bodies_at is not None:
@@ -167,18 +179,27 @@
         ]
 
     async def _append_piece(self, topic: str, partition: int, record: bytes, deadline_s: float) -> int:
-        """Append a piece; one that may stand there twice is read once."""
+        """Append a piece, with retries until the deadline; readers ignore a second copy of a piece."""
         while True:
             try:
                 return await self._log.append(topic, partition, [record])
             except (LogUnavailable, LogAppendUnknown) as error:
                 if monotonic_s() + FIRST_RETRY_PAUSE_S >= deadline_s:
-                    raise LogUnavailable("the bodies can not be put on the log") from error
+                    raise LogUnavailable(
+                        "a piece of the job's bodies could not be appended in time"
+                    ) from error
                 logger.info("bodies_append_failed", extra={"error": str(error), "code": error.code})
             await asyncio.sleep(FIRST_RETRY_PAUSE_S)
 
     async def read(self, location: BodiesLocation) -> tuple[ItemBodies, ...]:
-        """Return the bodies of a job; raises LogError, and HistoryGone when they are gone for good."""
+        """Read the bodies of a job.
+
+        Raises:
+            HistoryGone: the log has deleted the bodies.
+            LogError: the log can't be read, or some pieces are missing.
+            msgspec.DecodeError: the bodies can't be decoded.
+            zlib.error: the bodies can't be decompressed.
+        """
         pieces: dict[int, BodiesPiece] = {}
         offset = location.first
         while offset <= location.last:
@@ -191,13 +212,13 @@
             offset = page.next_offset
         count = next(iter(pieces.values())).count if pieces else 0
         if not count or len(pieces) < count:
-            raise LogUnavailable("not all pieces of the bodies can be read")
+            raise LogUnavailable("some pieces of the job's bodies are missing")
         data = b"".join(pieces[index].data for index in range(count))
         return msgspec.json.decode(zlib.decompress(data), type=tuple[ItemBodies, ...])
 
 
 def _decode_piece(record: bytes) -> BodiesPiece | None:
-    """Return a piece, or None when a newer daemon wrote it in another form."""
+    """Decode a piece; return None for one in a format unknown here, as a newer daemon may write."""
     try:
         return msgspec.json.decode(record, type=BodiesPiece)
     except msgspec.DecodeError as error:
@@ -206,7 +227,7 @@
 
 
 class RestrictedJob(msgspec.Struct, frozen=True, kw_only=True):
-    """What tells where a job's bodies are and who may hold them."""
+    """A job whose bodies are stored apart: where they are, and what determines who may hold them."""
 
     job_id: str
     host: str
@@ -216,19 +237,28 @@
 
 
 class BodiesReader:
-    """Reads the bodies of the bound jobs of one partition, each once."""
+    """Reads the bodies of one partition's region-restricted jobs, in the background, each once."""
 
     def __init__(self, bodies: BoundBodies, deliver: Callable[[str, Sequence[ItemBodies]], bool]) -> None:
-        """Make the reader; ``take`` gets a job's identifier and its bodies, and returns whether they fit."""
+        """Create the reader.
+
+        Args:
+            bodies: reads the bodies of one job.
+            deliver: receives a job's identifier and bodies; returns whether their number is that of
+                the job's items.
+        """
         self._bodies = bodies
         self._deliver = deliver
         self._task_by_job: dict[str, asyncio.Task[None]] = {}
         self._unrecoverable_jobs: set[str] = set()
         self._retry_pause_s_by_job: dict[str, float] = {}
-        """Pause after the next failure, of jobs whose bodies could not be read."""
+        """Maps jobs whose bodies could not be read to the pause after the next failure."""
 
     def start_reading(self, job: RestrictedJob) -> asyncio.Task[None] | None:
-        """Begin to read a job's bodies, unless this daemon may not hold them or they are gone."""
+        """Start to read a job's bodies, unless a read is running; return the task of the read.
+
+        Returns None when this daemon may not hold the bodies, or when they are unrecoverable.
+        """
         reading = self._task_by_job.get(job.job_id)
         if reading is not None or job.job_id in self._unrecoverable_jobs:
             return reading
@@ -254,20 +284,20 @@
         else:
             self._retry_pause_s_by_job.pop(job.job_id, None)
             if not self._deliver(job.job_id, bodies):
-                self._mark_unrecoverable(job, "their number is not that of the items")
+                self._mark_unrecoverable(job, "number of bodies differs from number of items")
 
     def _mark_unrecoverable(self, job: RestrictedJob, reason: str) -> None:
         self._unrecoverable_jobs.add(job.job_id)
         self._bodies.decisions.write(JobBodiesLost(job_id=job.job_id, reason=reason))
 
     def forget_jobs_except(self, job_ids: Collection[str]) -> None:
-        """Keep nothing of jobs that are not among these."""
+        """Forget failures and pauses of all jobs but these."""
         self._unrecoverable_jobs = {job_id for job_id in self._unrecoverable_jobs if job_id in job_ids}
         self._retry_pause_s_by_job = {
             key: pause_s for key, pause_s in self._retry_pause_s_by_job.items() if key in job_ids
         }
 
     def close(self) -> None:
-        """Read nothing any more."""
+        """Cancel the running reads."""
         for task in self._task_by_job.values():
             task.cancel()
--- a/passgate/jobs/fold.py
+++ b/passgate/jobs/fold.py
@@ -5,11 +5,12 @@
 epoch and the first result of an item are accepted, later ones are ignored.
 
 >>> from passgate.jobs.records import job_pieces
->>> fold = JobFold()
+>>> projection = JobFold()
 >>> spec = JobSpec(job_id="j", host="h", path="/p/", items=(ItemSpec(id="i", path="/p/1"),))
->>> fold.apply(0, Batch(writer="d1.a", entries=tuple(job_pieces(spec, "n", 1000, "d1.a"))), now_s=0.0)
->>> job = fold.jobs["j"]
->>> job.owner, job.item_count, fold.apply(1, Batch(writer="d1.a", entries=(JobEnded(job_id="j"),)), now_s=1.0)
+>>> projection.apply(0, Batch(writer="d1.a", entries=tuple(job_pieces(spec, "n", 1000, "d1.a"))), now_s=0.0)
+>>> job = projection.jobs["j"]
+>>> cancellation = Batch(writer="d1.a", entries=(JobEnded(job_id="j"),))
+>>> job.owner, job.item_count, projection.apply(1, cancellation, now_s=1.0)
 ('d1.a', 1, None)
 >>> job.cancelled
 True
--- a/passgate/jobs/group_replicas.py
+++ b/passgate/jobs/group_replicas.py
@@ -28,13 +28,13 @@
         """Return the preferred replica of a group, or None."""
         return self._replica_by_group.get(group)
 
-    def sent(self, group: str, life: ReplicaLife) -> None:
+    def sent(self, group: str, replica: ReplicaLife) -> None:
         """Prefer the replica that an item of the group was sent to."""
-        self._replica_by_group[group] = life
+        self._replica_by_group[group] = replica
 
-    def record_refusal(self, group: str, life: ReplicaLife) -> None:
+    def record_refusal(self, group: str, replica: ReplicaLife) -> None:
         """Drop the preference for a replica that refused an item of the group."""
-        if self.replica_of(group) == life:
+        if self.replica_of(group) == replica:
             del self._replica_by_group[group]
 
     def preferred(self, group: str, query: ChoiceRequest, now_s: float) -> ReplicaLife | None:
@@ -45,8 +45,8 @@
             query: the criteria for the item's replica.
             now_s: loop time.
         """
-        life = self.replica_of(group)
-        state = self._replicas.of(life) if life is not None else None
+        replica = self.replica_of(group)
+        state = self._replicas.of(replica) if replica is not None else None
         if state is not None and state.info.zone in self._evacuated_zones:
             self._reassign(group, query, now_s)
         return self.replica_of(group)
--- a/passgate/jobs/item_run.py
+++ b/passgate/jobs/item_run.py
@@ -1,7 +1,7 @@
-"""Runs one item of a job at replicas until its whole output is there.
+"""Runs one item of a job at replicas until its output is complete or the item has failed.
 
-An interrupted item goes on at any replica after the last event received; an item
-whose events are older than the job allows starts anew.
+An interrupted item resumes at any replica after the last event received.  An item of which an
+event was made by weights older than the job accepts starts over.
 """
 
 from __future__ import annotations
@@ -39,23 +39,23 @@
 from passgate.quarantine.identity import ITEM_CRASH_LIMIT
 
 SLOT_POLL_INTERVAL_S = 0.01
-"""Pause between looks for a replica with room; a fifth of the time that going on elsewhere costs."""
+"""Time between checks for a replica with a free slot."""
 PACE_CHECK_EVENTS = 4
-"""Events between two looks for a much faster replica."""
+"""Number of an attempt's events between two checks for a much faster replica."""
 LONG_EVENTS = 30
-"""Outputs with this many events decide when a step is whole, and are likely to have many more."""
+"""Outputs with this many events count as long: they are likely to continue, and delay their training step."""
 LONG_OUTPUT_MAX_TIME_RATIO = 0.83
-"""A long output moves once, to a replica that takes at most this share of the time."""
+"""A long output moves once, to a replica whose latency is at most this share of the present one's."""
 RETRY_PAUSE_S = 0.02
-"""Pause after a failed attempt, but for those that say at once that another replica will do."""
+"""Pause after a failed attempt; there is none after a refusal or a move to a faster replica."""
 ATTEMPT_DEADLINE_S = 30.0
-"""Time for which a replica may work on one attempt."""
+"""Deadline of an attempt, which the replica is given with the request."""
 HTTP_INTERNAL_SERVER_ERROR, HTTP_UNPROCESSABLE_CONTENT = 500, 422
 HTTP_OK = 200
 
 
 class ItemTools(msgspec.Struct, frozen=True, kw_only=True):
-    """What all item runs of a job share."""
+    """Dependencies that all item runs of a job share."""
 
     route: Route
     caller: ReplicaCaller
@@ -67,28 +67,28 @@
     rewards: RewardTools
     silence: StreamSilence
     terms_for: Callable[[str, str, str | None, frozenset[str]], SendTerms]
-    """Returns what binds a request of a host, path, tenant, and regions when it was accepted."""
+    """Returns the restrictions on a request, from its host, path, tenant and the regions allowed earlier."""
     group_replicas: GroupReplicas
 
     def send_context_of(self, job: JobSpec) -> SendTerms:
-        """Return what binds the items of a job now."""
+        """Return the restrictions on a job's items by the active configuration."""
         return self.terms_for(job.host, job.path, job.tenant, self.route.allowed_regions)
 
     def queue_key(self, job: JobSpec) -> QueueKey:
-        """Return the line in which items of a job wait, by the configuration in force."""
+        """Return the queue of a job's items; a new configuration may change it with the allowed regions."""
         return QueueKey(model=job.model, regions=self.send_context_of(job).regions)
 
     def expected_tokens(self, item: ItemSpec) -> float:
-        """Return the caller's estimate of the output's length, or 0."""
-        told = item.headers.get(self.names.length_hint, "")
+        """Return the caller's estimate of the output's length in tokens, or 0 without a valid one."""
+        length_hint = item.headers.get(self.names.length_hint, "")
         try:
-            return float(told)
+            return float(length_hint)
         except ValueError:
             return 0.0
 
 
 class ItemRun:
-    """One item while it is run."""
+    """Run of one item, over all its attempts."""
 
     def __init__(
         self,
@@ -99,6 +99,7 @@
         rank: Rank,
         timing: JobTiming,
     ) -> None:
+        """Create the run; it resumes after ``recorded_events`` where the job accepts them."""
         self.item = item
         self._job_timing = timing
         self._item_times = timing.item_times(item.id)
@@ -108,14 +109,16 @@
         self._job = job
         self._context = context
         self._stream = EventStream(context.names.weight_versions)
-        usable = recorded_events if recorded_events is not None and self._is_usable(recorded_events) else None
-        self.resumed = usable is not None
-        """Whether it goes on from what an earlier run left."""
+        usable_events = (
+            recorded_events if recorded_events is not None and self._is_usable(recorded_events) else None
+        )
+        self.resumed = usable_events is not None
+        """Whether this run resumes after the recorded events of an earlier run."""
         self.last_attempt_sent_s = self.started_s
-        """When the last attempt began."""
-        if usable is not None:
-            self._stream.resume_after(usable)
-        self.checkpointer = ItemCheckpointer(job.job_id, item.id, self._stream, usable)
+        """Loop time at which the last attempt was sent."""
+        if usable_events is not None:
+            self._stream.resume_after(usable_events)
+        self.checkpointer = ItemCheckpointer(job.job_id, item.id, self._stream, usable_events)
         self._error_answers = 0
         self._moved_for_length = False
         self._avoided_replica: ReplicaLife | None = None
@@ -129,13 +132,16 @@
         return min(recorded_events.versions) >= self._job.min_version
 
     async def wait_for_replica(self) -> None:
-        """Wait in line until a replica has room for the item, and reserve the room."""
+        """Wait in the queue until a replica has a free slot for the item, and reserve it."""
         while (state := await self._wait_in_queue(self._context.queue_key(self._job))) is None:
-            pass  # the configuration in force has put the item into another line
+            pass  # a new configuration has moved the item to another queue
         self._reserve_slot(state)
 
     async def _wait_outside_queue(self) -> None:
-        """Wait for a replica without last chances; out of the line, as others need no such replica."""
+        """Wait for a replica without other isolated runs and reserve a slot there.
+
+        The item does not block the queue, because the items there may use other replicas.
+        """
         while (state := self._choose_replica()) is None:
             await asyncio.sleep(SLOT_POLL_INTERVAL_S)
         self._reserve_slot(state)
@@ -145,12 +151,12 @@
         state.in_flight += 1
         self._crashes.placed(self._identity, state.life)
 
-    async def _wait_in_queue(self, line: QueueKey) -> ReplicaState | None:
-        """Wait in a line for a replica with room; return None once the item belongs into another line."""
-        with self._context.waiting.queued(line, self._rank):
-            while self._context.queue_key(self._job) == line:
+    async def _wait_in_queue(self, queue_key: QueueKey) -> ReplicaState | None:
+        """Wait in a queue for a replica with a free slot; return None once another queue is the right one."""
+        with self._context.waiting.queued(queue_key, self._rank):
+            while self._context.queue_key(self._job) == queue_key:
                 if (
-                    self._context.waiting.is_first(line, self._rank)
+                    self._context.waiting.is_first(queue_key, self._rank)
                     and (state := self._choose_replica()) is not None
                 ):
                     return state
@@ -158,16 +164,16 @@
         return None
 
     def release_slot(self) -> None:
-        """Give back a reserved room that was not used."""
+        """Release a reserved slot that no attempt has used; does nothing when none is reserved."""
         if self._state is not None:
             self._state.in_flight -= 1
             self._state = None
             self._crashes.left(self._identity)
 
     def _replica_query(
-        self, avoided: ReplicaLife | None, replicas_to_avoid: frozenset[ReplicaLife] = frozenset()
+        self, avoided_replica: ReplicaLife | None, replicas_to_avoid: frozenset[ReplicaLife] = frozenset()
     ) -> ChoiceRequest:
-        avoided_replicas = frozenset() if avoided is None else frozenset({avoided})
+        avoided_replicas = frozenset() if avoided_replica is None else frozenset({avoided_replica})
         query = ChoiceRequest(
             services=self._context.route.services,
             excluded=self._crashes.apart_from(self._identity) | replicas_to_avoid | avoided_replicas,
@@ -181,29 +187,30 @@
 
     def _choose_replica(self) -> ReplicaState | None:
         replicas, now_s = self._context.replicas, monotonic_s()
-        if spared := self._crashes.spared():
-            state = replicas.choose(self._replica_query(self._avoided_replica, spared), now_s)
+        if replicas_to_avoid := self._crashes.spared():
+            state = replicas.choose(self._replica_query(self._avoided_replica, replicas_to_avoid), now_s)
             if state is not None:
                 return state
         state = replicas.choose(self._replica_query(self._avoided_replica), now_s)
         if state is None:
-            self._avoided_replica = None
+            self._avoided_replica = None  # the replica of the last failure may be used if no other can
         return state
 
     @property
     def is_quarantined(self) -> bool:
-        """Whether replicas have ended under the item, so that it must not be sent."""
+        """Whether the item must not be sent now, because replicas crashed while running it."""
         return self._crashes.is_held(self._identity)
 
     @property
     def bypasses_queue(self) -> bool:
-        """Whether replicas have ended under the item, so that it does not wait in line with others."""
+        """Whether the item is quarantined or needs an isolated run, so that it does not wait in the queue."""
         return self.is_quarantined or self._crashes.is_last_chance(self._identity)
 
     async def run(self) -> Result:
-        """Run the item to its end, over as many attempts as it takes.
+        """Run the item, over as many attempts as it takes, and return its result.
 
-        It needs no reserved room if it waits apart.
+        Waits for a slot first unless one is reserved.  The result is DEAD when a replica answers that the
+        item can't be processed, or after as many answers of status 500 as the route allows attempts.
         """
         while True:
             if self._state is None:
@@ -214,7 +221,7 @@
             state = self._state
             assert state is not None
             self._state = None
-            state.in_flight -= 1  # the attempt counts itself from here on
+            state.in_flight -= 1  # the exchange counts itself as in flight from here on
             try:
                 result = await self._run_attempt(state)
             finally:
@@ -223,7 +230,7 @@
                 return result
 
     async def _wait_for_next_attempt(self) -> None:
-        """Wait for a replica after an attempt, or until the item may be sent at all."""
+        """Wait until the item may be sent and a slot is reserved for it."""
         await self._wait_out_quarantine()
         if self._crashes.is_last_chance(self._identity):
             await self._wait_outside_queue()
@@ -232,7 +239,7 @@
         await self.wait_for_replica()
 
     async def _wait_out_quarantine(self) -> None:
-        """Wait while the item is held; its job gives it up when the route's time for it is over."""
+        """Wait while the item is quarantined; the job's runner cancels the wait when the item expires."""
         await self._crashes.paused(self._identity)
         if not self.is_quarantined:
             return
@@ -268,7 +275,7 @@
         )
 
     def _open_exchange(self, state: ReplicaState) -> ReplicaExchange:
-        """Send the item; nothing counts as sent that a rule keeps back."""
+        """Send the item and record the attempt; nothing is recorded when a rule excludes the replica."""
         exchange = self._context.caller.open(state, self._build_request())
         self.attempts += 1
         self.last_attempt_sent_s = exchange.began_s
@@ -306,7 +313,11 @@
         )
 
     def _move_if_slow(self, exchange: ReplicaExchange, attempt_events: int, now_s: float) -> None:
-        """Leave a replica that is much slower than another one with room."""
+        """Raise MovedElsewhere when another replica with a free slot is sufficiently faster.
+
+        Checks after every few events of the attempt.  A long output moves also for a smaller gain, but
+        only once.
+        """
         if attempt_events < PACE_CHECK_EVENTS or attempt_events % PACE_CHECK_EVENTS:
             return
         query = self._replica_query(exchange.life)
@@ -370,14 +381,14 @@
             if not data:
                 break
             limit_s = silence_limit_s(exchange.usual_pause_s)
-            before = self._stream.count
+            count_before = self._stream.count
             self._stream.feed(data)
             now_s = monotonic_s()
             stall_detector.heard(replica, now_s)
-            if self._stream.count > before:
-                self._item_times.record_events(now_s, self._stream.count - before)
-            if last_data_s is not None and self._stream.count > before:
-                exchange.observe_pace((now_s - last_data_s) / (self._stream.count - before))
+            if self._stream.count > count_before:
+                self._item_times.record_events(now_s, self._stream.count - count_before)
+            if last_data_s is not None and self._stream.count > count_before:
+                exchange.observe_pace((now_s - last_data_s) / (self._stream.count - count_before))
             last_data_s = now_s
             self._move_if_slow(exchange, self._stream.count - events_before_attempt, now_s)
         if self._stream.has_partial_event or not exchange.proven_whole:
--- a/passgate/jobs/journal.py
+++ b/passgate/jobs/journal.py
@@ -1,6 +1,6 @@
 """Appends entries to one partition of the log: in batches, one at a time, each retried until acknowledged.
 
-Applying an entry twice has the same effect as once (see ``fold``), so an append whose outcome is
+Applying an entry twice has the same effect as applying it once, so an append whose outcome is
 unknown is repeated.  New jobs do not go through the queue, because their caller must learn whether
 the job certainly is not on the log or may be.
 """
--- a/passgate/jobs/ownership.py
+++ b/passgate/jobs/ownership.py
@@ -1,9 +1,9 @@
-"""Decides which jobs of a partition this daemon runs and starts and stops their runners.
+"""Decides which jobs of a partition this daemon runs, and starts and stops their runners.
 
-A job is born with an owner.  Any batch of a writer on the partition renews its
-leases; of a writer that ended or is silent for too long the partition's watcher takes
-the jobs over by a claim with the next epoch, and the first such claim on the log
-counts.  Other daemons that follow the partition wait somewhat longer and do the same.
+Every batch that a writer appends to the partition renews its leases on the jobs that it owns there.
+The partition's watcher takes over the jobs of a writer that has ended or is silent for too long, by
+claims with the next epoch; the first such claim on the log is accepted.  Other daemons that follow
+the partition do the same after a longer silence.
 """
 
 from __future__ import annotations
@@ -26,32 +26,33 @@
 logger = logging.getLogger("passgate.jobs")
 
 TAKEOVER_AFTER_S = 1.5
-"""Silence of an owner after which its jobs are taken over."""
+"""Silence of an owner after which its jobs are taken over, whatever its probe says."""
 PROBE_AFTER_S = 0.55
-"""Silence of an owner after which it is asked whether it lives; it appends each 0.4 s."""
+"""Silence of an owner after which it is probed; longer than the interval of its renewals."""
 DEAD_AFTER_S = 0.8
-"""Silence after which an owner that does not answer either counts as dead."""
+"""Silence after which an owner that does not respond to a probe counts as dead."""
 NON_WATCHER_DELAY_S = 2.0
-"""Time that daemons which do not watch the partition leave to the one that does."""
+"""Additional time after which a daemon that does not watch the partition claims a job."""
 RELEASE_PAUSE_S = 2.0
-"""Time after a hand-over within which the claim of whoever asked for it stands on the log."""
+"""Time after a release within which the claim of the daemon that requested it is on the log."""
 CLAIM_READ_TIME_S = 0.5
-"""Time after a claim stands on the log within which it must have been read."""
+"""Time for an appended claim to be read; the job is not claimed again before."""
 TAKEOVER_JITTER_S = 0.3
-"""Random part of the wait, so that few daemons claim at once."""
+"""Upper bound of the random time added to the silence, so that few daemons claim at once."""
 
 NEVER_S = float("-inf")
+"""Last contact with a writer of which no record was read."""
 UNLIMITED_TIME_TO_LIVE_S = float("inf")
-"""Time to live of a job that is listed by its runner only, however long that takes."""
+"""Time to live of a job whose items expire only by its runner."""
 NO_OWNER = ""
 """Owner of a job that any watcher may claim at once."""
 
 JobRunnerFactory = Callable[[JobState], JobRunner | None]
-"""Makes a job's runner; None while no route fits."""
+"""Makes a job's runner; returns None while the job matches no route."""
 
 
 class Ownership:
-    """Keeps the runners of this daemon in step with the fold of one partition."""
+    """Keeps this daemon's runners in line with the state of one partition, and claims jobs there."""
 
     def __init__(
         self,
@@ -64,15 +65,23 @@
         may_own: Callable[[JobState], bool] = lambda job: True,
         time_to_live_s: Callable[[JobState], float] = lambda job: UNLIMITED_TIME_TO_LIVE_S,
     ) -> None:
-        """Begin with no runner.
+        """Create the ownership without runners.
 
-        ``may_own`` tells whether this daemon's region may hold a job's bodies, ``time_to_live_s``
-        after which time its items may be given up.
+        Args:
+            projection: state of the partition's jobs.
+            journal: appends to the partition.
+            freshness: age of this daemon's view of the partition.
+            make_runner: makes the runner of a job.
+            owners: contact with the owners of jobs.
+            decisions: receives the decision lines.
+            may_own: returns whether a job's bodies may be held in this daemon's region.
+            time_to_live_s: returns after which time the items of a job expire, also at daemons that
+                can't run it.
         """
         self._may_own = may_own
         self._time_to_live_s = time_to_live_s
         self._expired_jobs: set[str] = set()
-        """Jobs whose items without a result were put on the log as dead."""
+        """Jobs whose missing results this daemon has appended as dead."""
         self._projection = projection
         self._journal = journal
         self._freshness = freshness
@@ -82,12 +91,13 @@
         self._runner_by_job: dict[str, tuple[JobRunner, asyncio.Task[None]]] = {}
         self._jobs_being_claimed: set[str] = set()
         self._released_since_s_by_job: dict[str, float] = {}
-        """Jobs whose runs were stopped for another daemon, with the time."""
+        """Maps jobs whose runs were stopped for another daemon to the loop time of the release."""
         self.stopping = False
+        """Whether the daemon shuts down; it claims no jobs then."""
 
     @property
     def writer(self) -> str:
-        """Name of this daemon's present life."""
+        """Writer name of this daemon's present incarnation."""
         return self._journal.writer
 
     @property
@@ -96,16 +106,19 @@
         return len(self._runner_by_job)
 
     def owns_open_job(self) -> bool:
-        """Whether an open job of the partition is this daemon's."""
+        """Whether this daemon owns an open job of the partition."""
         return any(job.open and job.owner == self.writer for job in self._projection.jobs.values())
 
     def record_all_progress(self) -> None:
-        """Record the events of all running items, before others take the jobs over."""
+        """Queue the events of all running items for the log, so that other daemons can resume the items."""
         for runner, _ in self._runner_by_job.values():
             runner.record_progress()
 
     def release_jobs(self) -> UnappendedEntries:
-        """Stop all runs, as the log does not take what they make; return what does not stand there."""
+        """Stop all runs because the log acknowledges no appends; return the progress it has not acknowledged.
+
+        The daemon that requested the release appends these entries and claims the jobs.
+        """
         now_s = monotonic_s()
         self.record_all_progress()
         for job_id in self._runner_by_job:
@@ -118,16 +131,16 @@
         ]
 
     def cancel_runners(self) -> None:
-        """End all runners."""
+        """Cancel all runners."""
         for _, task in self._runner_by_job.values():
             task.cancel()
         self._runner_by_job.clear()
 
     def update(self, *, is_watcher: bool) -> None:
-        """Start, stop and claim as the fold says.
+        """Start and stop runners, claim jobs and renew the leases, as the partition's state requires.
 
         Args:
-            watching: whether this daemon watches the partition for all.
+            is_watcher: whether this daemon watches the partition for its zone.
         """
         now_s = monotonic_s()
         self.start_runners()
@@ -145,7 +158,7 @@
             self._journal.renew()
 
     def start_runners(self) -> None:
-        """Run the open jobs that this daemon owns; called also as soon as records were read."""
+        """Start the missing runners of open jobs that this daemon owns and may run."""
         for job in [job for job in self._projection.jobs.values() if job.open and job.owner == self.writer]:
             if not self._is_released(job.job_id) and self._may_run(job):
                 self._ensure_runner(job)
@@ -155,12 +168,12 @@
         return self._may_own(job) and job.bodies_to_read is None
 
     def _must_expire(self, job: JobState, now_s: float) -> bool:
-        """Whether a job that can't be run here is so old that its items are given up, without its bodies."""
+        """Whether a job that can't be run here has expired; expiring it does not need its bodies."""
         age_s = now_s - job.known_since_s
         return not self._may_run(job) and age_s > self._time_to_live_s(job) + EXPIRY_MARGIN_S
 
     def _expire_items(self, job: JobState, now_s: float) -> None:
-        """List what has no result as dead, once; whoever may run the job has not done so in time."""
+        """Append dead results for a job's items without a result, once: no daemon has run them in time."""
         if job.job_id in self._expired_jobs:
             return
         self._expired_jobs.add(job.job_id)
@@ -184,7 +197,10 @@
             )
 
     def _is_released(self, job_id: str) -> bool:
-        """Whether another daemon may have claimed a job, which is not known while the log is away."""
+        """Whether a job was released and may have been claimed by another daemon since.
+
+        Assumed for some time after the release, and for as long as the log can't be read.
+        """
         released_since_s = self._released_since_s_by_job.get(job_id)
         if released_since_s is None:
             return False
@@ -195,6 +211,10 @@
         return False
 
     def _may_claim(self, job: JobState, is_watcher: bool, now_s: float) -> bool:
+        """Whether this daemon may claim a job that it does not own.
+
+        Never while its view of the log is old: it might just not have read the owner's renewals.
+        """
         if job.job_id in self._jobs_being_claimed or self._freshness.age_s(now_s) >= FRESH_S:
             return False
         if not self._may_run(job) and not self._must_expire(job, now_s):
@@ -208,6 +228,10 @@
         return self._owner_silence_s(job, now_s) > required_silence_s
 
     def _is_owner_lost(self, job: JobState, now_s: float) -> bool:
+        """Whether a job's owner has ended, is presumably dead, or is cut off from a log that answers here.
+
+        An earlier incarnation of this daemon has certainly ended.  The owner is probed as a side effect.
+        """
         writer = job.owner
         if daemon_of(writer) == daemon_of(self.writer):
             return True
@@ -221,10 +245,10 @@
         return status is Sign.REPLACED or (status is Sign.SILENT and silent_s >= DEAD_AFTER_S)
 
     def _owner_silence_s(self, job: JobState, now_s: float) -> float:
-        """Return for how long the owner has been silent about a job.
+        """Return for how long a job's owner has been silent since it got the job.
 
-        One that had no job of the partition appended nothing there, so what came before it was
-        given this one says nothing; counted in, other zones took 13 of 19 jobs from living owners.
+        The silence before does not count: a writer without jobs in the partition appends nothing
+        there, so it would count as dead as soon as it gets a job.
         """
         last_contact_s = self._projection.last_contact_s_by_writer.get(job.owner, NEVER_S)
         return self._freshness.silence_s(max(last_contact_s, job.owner_since_s), now_s)
@@ -236,7 +260,7 @@
         task.add_done_callback(_log_task_failure)
 
     async def _append_claim(self, job: JobState, silent_s: float) -> None:
-        """Claim a job; what its owner made and could not append goes before the claim."""
+        """Claim a job; if its owner is cut off from the log, append the owner's released progress first."""
         previous, epoch = job.owner, job.epoch
         last_contact_s = self._projection.last_contact_s_by_writer.get(previous, NEVER_S)
         if previous and self._owners.liveness.sign_of(previous, last_contact_s) is Sign.CUT_OFF:
@@ -258,7 +282,7 @@
         )
 
     def _release_if_not_allowed(self, job: JobState) -> None:
-        """Leave a job to others once a changed configuration keeps it from this daemon's region."""
+        """Give up the ownership of a job when the active configuration excludes this daemon's region."""
         if self._may_own(job) or job.job_id in self._jobs_being_claimed:
             return
         self._jobs_being_claimed.add(job.job_id)
--- a/passgate/jobs/peers.py
+++ b/passgate/jobs/peers.py
@@ -1,10 +1,8 @@
-"""Questions about jobs between daemons.
+"""Calls about jobs between daemons: the client, and the messages of client and server.
 
-A daemon that does not follow a job's partition asks the one that watches it in its zone.  The
-watcher's name in the log's group holds its address, so no daemon needs to know the
-others.  An answer that does not come costs little: the partition is then read from
-the log.  The watcher of a partition also asks an owner that is silent on the log
-whether it lives, and so need not wait for its whole patience when it does not.
+A daemon that does not follow a job's partition calls the zone's watcher of the partition, whose
+member name in the log's group contains its address.  When the call fails, it reads the partition from
+the log itself.  Watchers also probe owners that are silent on the log, to take their jobs over sooner.
 """
 
 from __future__ import annotations
@@ -38,26 +36,26 @@
 from passgate.sharedlog.member_names import address_of
 
 RESPONSE_TIMEOUT_S = 0.35
-"""Time for an answer beyond the wait that is asked for."""
+"""Timeout of a response, in addition to the wait that the request contains."""
 OWN_TIMEOUT_S = 0.1
-"""Time for a watcher to say that it takes a new job."""
+"""Timeout of a watcher's response whether it takes a new job."""
 MAX_VIEW_AGE_FOR_PEERS_S = 0.6
-"""Greatest age of the view of the log with which "nothing new" is said to another daemon."""
+"""Maximum age of the view of the log from which another daemon gets a page without results."""
 NEXT_CALL_DELAY_S = 0.15
-"""Time for a daemon to answer before another one is asked as well."""
+"""Time for a daemon to respond before the next one is called as well."""
 MAX_CALLED_IN_ZONE = 3
-"""Daemons that are asked by one that can not reach the log."""
+"""Number of daemons of its own zone that a daemon cut off from the log calls at most."""
 MAX_CALLED_PER_DISTANCE = 2
-"""Daemons of other zones of the region, and of other regions, that are asked after those."""
+"""Number of daemons that it calls at most in its region's other zones, and as many in other regions."""
 CATCH_UP_TIMEOUT_S = 3.0
-"""Time for a zone to find a watcher (a lost one lapses after 1.2 s) and for it to read a partition."""
+"""Time for a zone to get a new watcher after a loss, and for the watcher to read the partition."""
 CATCH_UP_RETRY_PAUSE_S = 0.1
-"""Time before a watcher that still reads its partition is asked again."""
+"""Pause before a watcher that still reads its partition is called again."""
 ALIVE_TIMEOUT_S = 0.3
-"""Time for a daemon to say that it lives."""
+"""Timeout of a response to a probe."""
 
 RELEASE_JOBS_TIMEOUT_S = 0.3
-"""Time for a daemon that is cut off from the log to hand over what it made."""
+"""Timeout of a response with the entries of released jobs."""
 
 METHOD_ALIVE, METHOD_RELEASE_JOBS, METHOD_OWN, METHOD_SUBMIT = (
     "jobs.alive",
@@ -65,79 +63,89 @@
     "jobs.own",
     "jobs.submit",
 )
-METHOD_READ, METHOD_BODY, METHOD_END = "jobs.read", "jobs.body", "jobs.end"
+METHOD_READ, METHOD_BODY, METHOD_CANCEL = "jobs.read", "jobs.body", "jobs.end"
 
 
 class AliveRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """Asks which life of a daemon runs at an address; answered by :class:`AliveResponse`."""
+    """Asks which incarnation of a daemon runs at an address; the reply is an :class:`AliveResponse`."""
 
     part: int
-    """Partition of which the asker judges the daemon's jobs."""
+    """Partition about whose jobs the caller has to decide."""
 
 
 class ReleaseJobsRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """Asks a daemon that is cut off from the log to stop the runs of a partition's jobs."""
+    """Asks a daemon that is cut off from the log to stop its runs of a partition's jobs."""
 
     part: int
+    """Number of the partition."""
 
 
 class ReleaseJobsResponse(msgspec.Struct, frozen=True, kw_only=True):
-    """What the runs made that does not stand on the log."""
+    """Results and events of the stopped runs that the log has not acknowledged."""
 
     entries: tuple[ItemsDone | ItemProgressed, ...] = ()
 
 
 class OwnRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """Asks whether the watcher of a partition takes a new job."""
+    """Asks a watcher whether it will own a new job of its partition."""
 
     part: int
+    """Number of the partition."""
 
 
 class OwnResponse(msgspec.Struct, frozen=True, kw_only=True):
-    """Writer that owns the new job; empty when it does not."""
+    """Whether the called daemon will own the new job."""
 
     writer: str
+    """Writer name of the daemon; empty when it will not own the job."""
 
 
 class SubmitRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """Asks to put a job on the log, for a daemon that can not reach it."""
+    """Asks to append a job to the log, on behalf of a daemon that can't reach the log."""
 
     spec: bytes
-    """Encoded, see :func:`passgate.jobs.records.encode_spec`."""
+    """The job, encoded by :func:`passgate.jobs.records.encode_spec`."""
     patience_s: float
+    """Time after which the caller does not wait any more."""
 
 
 class ReadResultsRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """Asks for results from a position on."""
+    """Asks for results of a job from a position on; the reply is a page of results."""
 
     host: str
     job_id: str
     position: int
     wait_s: float
+    """Longest wait for the first result."""
     relay: bool = False
-    """The sender can not reach the log; whoever is asked shall ask the watcher if need be."""
+    """Whether a daemon that does not follow the partition must pass the request on to the watcher."""
 
 
 class ReadBodyRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """Asks for the body of an item."""
+    """Asks for the body of an item; the reply is the body itself."""
 
     host: str
     job_id: str
     item_id: str
 
 
-class EndRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """Asks to end a job."""
+class CancelRequest(msgspec.Struct, frozen=True, kw_only=True):
+    """Asks to cancel a job."""
 
     host: str
     job_id: str
     patience_s: float
+    """Time after which the caller does not wait any more."""
     relay: bool = False
-    """The sender can not reach the log; the end is to be written unchecked."""
+    """Whether to append the cancellation without checking that the job exists."""
 
 
 class JobPeers:
-    """Asks the watchers of partitions; every failure is a PeerError, but for NotFound."""
+    """Calls the watchers of partitions and the owners of jobs.
+
+    Failed calls raise PeerError, except answers that a job or item does not exist (NotFound) and that
+    the daemon's region may not hold the job's bodies (BodiesElsewhere).
+    """
 
     def __init__(
         self,
@@ -148,15 +156,15 @@
         distances: Distances | None = None,
         other_zones: OtherZones | None = None,
     ) -> None:
-        """Connect the parts.
+        """Create the client.
 
         Args:
-            transport: carries questions to other daemons.
-            directory: the members of this daemon's zone.
-            member: this daemon's own name among them.
-            decisions: where decisions are noted.
-            distances: round trips to the zones; without them, all is taken to be near.
-            elsewhere: the members of the other zones; None where no other region is known.
+            transport: carries the calls.
+            directory: members of this daemon's zone and the partitions that they watch.
+            member_name: this daemon's own name among them.
+            decisions: receives the decision lines.
+            distances: round-trip times to the zones; None to treat all daemons as near.
+            other_zones: directories of the other zones; None to call no daemon there.
         """
         self._distances = distances or Distances(Places(zone=""))
         self._other_zones = other_zones
@@ -165,7 +173,7 @@
         self._member_name = member_name
         self._decisions = decisions
         self._unanswered_since_s_by_partition: dict[int, float] = {}
-        """Since when nobody could tell of a partition, by partition."""
+        """Maps partitions to the loop time since which their watchers were still catching up."""
 
     @property
     def zone(self) -> str:
@@ -173,58 +181,58 @@
         return self._distances.places.zone
 
     async def life_at(self, writer: str, partition: int) -> AliveResponse | None:
-        """Return what is answered at a writer's address; None when nobody answers."""
-        payload_of_request = msgspec.json.encode(AliveRequest(part=partition))
+        """Return the response of the daemon at a writer's address; None without a valid response."""
+        request = msgspec.json.encode(AliveRequest(part=partition))
         try:
             began_s = monotonic_s()
-            patience_s = self._distances.patience_s(ALIVE_TIMEOUT_S)
-            payload = await self._transport.call(
-                address_of(writer), METHOD_ALIVE, payload_of_request, patience_s
-            )
+            timeout_s = self._distances.patience_s(ALIVE_TIMEOUT_S)
+            payload = await self._transport.call(address_of(writer), METHOD_ALIVE, request, timeout_s)
             alive = msgspec.json.decode(payload, type=AliveResponse)
             if alive.zone:
                 self._distances.observe(alive.zone, monotonic_s() - began_s, monotonic_s())
             return alive
         except (PeerError, msgspec.DecodeError):
-            return None  # the caller notes who counts as dead, and why
+            return None  # expected of a writer that has ended, so no decision line is written
 
     async def release_jobs(self, writer: str, partition: int) -> UnappendedEntries:
-        """Let a writer that is cut off from the log stop; nothing is handed over when it does not answer."""
-        question = msgspec.json.encode(ReleaseJobsRequest(part=partition))
+        """Make a writer that is cut off from the log stop its runs; return its unacknowledged entries.
+
+        Returns no entries when the writer does not respond, or is not cut off any more.
+        """
+        request = msgspec.json.encode(ReleaseJobsRequest(part=partition))
         try:
-            patience_s = self._distances.patience_s(RELEASE_JOBS_TIMEOUT_S)
-            payload = await self._transport.call(
-                address_of(writer), METHOD_RELEASE_JOBS, question, patience_s
-            )
+            timeout_s = self._distances.patience_s(RELEASE_JOBS_TIMEOUT_S)
+            payload = await self._transport.call(address_of(writer), METHOD_RELEASE_JOBS, request, timeout_s)
             return msgspec.json.decode(payload, type=ReleaseJobsResponse).entries
         except (PeerError, msgspec.DecodeError) as error:
             self._decisions.write(PeerFailed(peer=address_of(writer), part=partition, reason=str(error)))
             return ()
 
     async def find_owner(self, partition: int) -> str:
-        """Return the writer of the watcher that takes a new job, or nothing."""
+        """Return the writer name of the zone's watcher if it will own a new job, else an empty string."""
         try:
-            patience_s = self._distances.patience_s(OWN_TIMEOUT_S, self.zone)
-            payload = await self._call_watcher(partition, METHOD_OWN, OwnRequest(part=partition), patience_s)
+            timeout_s = self._distances.patience_s(OWN_TIMEOUT_S, self.zone)
+            payload = await self._call_watcher(partition, METHOD_OWN, OwnRequest(part=partition), timeout_s)
         except PeerError:
             return ""
         return msgspec.json.decode(payload, type=OwnResponse).writer
 
     async def find_owner_in_regions(self, partition: int, regions: frozenset[str] | None) -> str:
-        """Return the writer of the nearest watcher in some regions that takes a new job, or nothing.
+        """Return the writer name of the nearest watcher in some regions that will own a new job, or empty.
 
-        Such a watcher claims a job that nobody owns, but only once its view of the log is fresh.
+        Without an owner from the start, the job would wait until a watcher with a fresh view of the log
+        claims it.
         """
-        question = OwnRequest(part=partition)
+        request = OwnRequest(part=partition)
         for zone, watcher in await self._watchers_in_other_zones(partition):
             if not may_be_in(regions, self._distances.places.region_of(zone)):
                 continue
-            patience_s = self._distances.patience_s(OWN_TIMEOUT_S, zone)
+            timeout_s = self._distances.patience_s(OWN_TIMEOUT_S, zone)
             began_s = monotonic_s()
             try:
-                payload = await self._call_member(watcher, partition, METHOD_OWN, question, patience_s)
+                payload = await self._call_member(watcher, partition, METHOD_OWN, request, timeout_s)
             except PeerError:
-                continue  # noted with its reason; the next one is asked
+                continue  # the failed call has written a decision line; try the next watcher
             self._distances.observe(zone, monotonic_s() - began_s, monotonic_s())
             if writer := msgspec.json.decode(payload, type=OwnResponse).writer:
                 return writer
@@ -233,19 +241,26 @@
     async def submit(
         self, partition: int, spec: JobSpec, timeout_s: float, regions: frozenset[str] | None = None
     ) -> None:
-        """Let a daemon of some regions put a job on the log; raises PeerError when it may not stand there."""
+        """Have a daemon of some regions append a job to the log.
+
+        Raises PeerError when no daemon has confirmed it; the job may be on the log even then, unless the
+        error's execution is NOT_RUN.
+        """
         request = SubmitRequest(spec=encode_spec(spec), patience_s=timeout_s)
         await self._call_any(partition, METHOD_SUBMIT, request, timeout_s, regions)
 
     async def read_results(self, partition: int, request: ReadResultsRequest) -> ResultPage:
-        """Return results from a position on; raises PeerError or NotFound."""
+        """Read results at the partition's watcher; raises PeerError or NotFound."""
         payload = await self._call_until_caught_up(
             partition, METHOD_READ, request, request.wait_s + self._response_timeout_s()
         )
         return msgspec.json.decode(payload, type=ResultPage)
 
     async def read_results_via_any(self, partition: int, request: ReadResultsRequest) -> ResultPage:
-        """Do the same for a daemon that can not reach the log, and so may not know who watches."""
+        """Read results through any daemon, for a daemon cut off from the log that may not know the watcher.
+
+        Raises PeerError or NotFound.
+        """
         relay_request = msgspec.structs.replace(request, relay=True)
         payload = await self._call_any(
             partition, METHOD_READ, relay_request, request.wait_s + 2 * self._response_timeout_s()
@@ -253,22 +268,25 @@
         return msgspec.json.decode(payload, type=ResultPage)
 
     async def read_body(self, partition: int, request: ReadBodyRequest) -> bytes:
-        """Return the body of an item; raises PeerError or NotFound."""
+        """Read the body of an item at the partition's watcher.
+
+        Raises PeerError, NotFound, or BodiesElsewhere when the watcher's region may not hold it.
+        """
         return await self._call_until_caught_up(partition, METHOD_BODY, request, self._response_timeout_s())
 
     async def read_body_in_other_zones(self, partition: int, request: ReadBodyRequest) -> bytes:
-        """Return the body of an item that other regions hold; raises PeerError or NotFound."""
+        """Read the body of an item at the watchers of other zones in turn; raises PeerError or NotFound."""
         failure: PassgateError | None = None
         for zone, watcher in await self._watchers_in_other_zones(partition):
-            patience_s = self._distances.patience_s(RESPONSE_TIMEOUT_S, zone)
+            timeout_s = self._distances.patience_s(RESPONSE_TIMEOUT_S, zone)
             try:
-                return await self._call_member(watcher, partition, METHOD_BODY, request, patience_s)
+                return await self._call_member(watcher, partition, METHOD_BODY, request, timeout_s)
             except (PeerError, BodiesElsewhere) as error:
                 failure = error
-        raise PeerUnreachable("no daemon of another zone has the body", part=partition) from failure
+        raise PeerUnreachable("no watcher in another zone returned the body", part=partition) from failure
 
     async def _watchers_in_other_zones(self, partition: int) -> list[tuple[str, str]]:
-        """Return other zones and their watchers of a partition: own region, then others, nearest first."""
+        """Return pairs of another zone and its watcher of a partition: local region first, then nearest."""
         if self._other_zones is None:
             return []
         zones = self._other_zones.nearest_first()
@@ -276,24 +294,28 @@
         return [(zone, watcher) for (zone, _), watcher in zip(zones, watchers, strict=True) if watcher]
 
     def _response_timeout_s(self) -> float:
-        """Return the time for an answer; the watcher may be in another zone when this one has none."""
+        """Return the timeout of a response from any zone, as the watcher may be in another one."""
         return self._distances.patience_s(RESPONSE_TIMEOUT_S)
 
-    async def end_job(self, partition: int, request: EndRequest) -> None:
-        """End a job and return once that stands on the log; raises PeerError or NotFound."""
-        await self._call_watcher(partition, METHOD_END, request, request.patience_s)
+    async def cancel_job(self, partition: int, request: CancelRequest) -> None:
+        """Have the partition's watcher cancel a job; return once that is on the log.
 
-    async def end_job_via_any(self, partition: int, request: EndRequest) -> None:
-        """Do the same for a daemon that can not reach the log."""
+        Raises PeerError or NotFound.
+        """
+        await self._call_watcher(partition, METHOD_CANCEL, request, request.patience_s)
+
+    async def cancel_job_via_any(self, partition: int, request: CancelRequest) -> None:
+        """Have any daemon cancel a job, without a check that it exists; raises PeerError."""
         relay_request = msgspec.structs.replace(request, relay=True)
-        await self._call_any(partition, METHOD_END, relay_request, request.patience_s)
+        await self._call_any(partition, METHOD_CANCEL, relay_request, request.patience_s)
 
     async def _call_until_caught_up(
         self, partition: int, method: str, request: msgspec.Struct, timeout_s: float
     ) -> bytes:
-        """Ask until an answer comes or its time is over; a watcher that has just begun reads first.
+        """Call the watcher, again while it is still reading its partition, until it responds or the timeout.
 
-        Raises PeerCatchingUp when an answer may soon be had, and after a while PeerUnreachable.
+        Raises PeerCatchingUp when the watcher may respond soon, and PeerUnreachable when the partition
+        has been without a watcher that has caught up for longer than usual.
         """
         until_s = monotonic_s() + timeout_s
         while True:
@@ -307,7 +329,7 @@
                     now_s - self._unanswered_since_s_by_partition.setdefault(partition, now_s)
                     > CATCH_UP_TIMEOUT_S
                 ):
-                    raise PeerUnreachable("nobody can tell of the partition", part=partition) from error
+                    raise PeerUnreachable("no watcher has caught up in time", part=partition) from error
                 if now_s + CATCH_UP_RETRY_PAUSE_S >= until_s:
                     raise
             await asyncio.sleep(CATCH_UP_RETRY_PAUSE_S)
@@ -315,7 +337,10 @@
     async def _call_watcher(
         self, partition: int, method: str, request: msgspec.Struct, timeout_s: float
     ) -> bytes:
-        """Ask the watcher; when it can not tell, ask the one before it, which reads on for some time."""
+        """Call the watcher; while it still reads the partition, call the previous one, which follows on.
+
+        Raises PeerCatchingUp when no watcher is known, and PeerUnreachable when this daemon is the watcher.
+        """
         until_s = monotonic_s() + timeout_s
         watcher = await self._directory.member_of(partition)
         if watcher is None and self._distances.several_regions:
@@ -323,7 +348,7 @@
         if watcher is None:
             raise PeerCatchingUp("no watcher is known", part=partition)
         if watcher == self._member_name:
-            raise PeerUnreachable("nobody else watches the partition", part=partition)
+            raise PeerUnreachable("this daemon itself is the partition's watcher", part=partition)
         try:
             return await self._call_member(watcher, partition, method, request, timeout_s)
         except PeerCatchingUp:
@@ -333,21 +358,23 @@
             return await self._call_member(earlier, partition, method, request, until_s - monotonic_s())
 
     async def _nearest_watcher_in_other_zones(self, partition: int) -> str | None:
-        """Return the nearest watcher of another zone, as there is none in this one."""
+        """Return the member name of the nearest watcher in another zone, or None."""
         return next((watcher for _, watcher in await self._watchers_in_other_zones(partition)), None)
 
     def _members_to_call(self, regions: frozenset[str] | None) -> list[str]:
-        """Return members of some regions: those of the own zone last, as the last is asked first."""
+        """Return members in some regions in reverse order of the calls: those of the own zone are last."""
         places = self._distances.places
         remote_members = self._other_zones.known_members() if self._other_zones is not None else []
         remote_members = [
             (zone, member) for zone, member in remote_members if may_be_in(regions, places.region_of(zone))
         ]
-        local_region = [member for zone, member in remote_members if self._distances.is_home(zone)][
+        local_region_members = [member for zone, member in remote_members if self._distances.is_home(zone)][
             :MAX_CALLED_PER_DISTANCE
         ]
-        remote_regions = [member for zone, member in remote_members if not self._distances.is_home(zone)]
-        members = [*local_region, *remote_regions[:MAX_CALLED_PER_DISTANCE]][::-1]
+        other_region_members = [
+            member for zone, member in remote_members if not self._distances.is_home(zone)
+        ]
+        members = [*local_region_members, *other_region_members[:MAX_CALLED_PER_DISTANCE]][::-1]
         if may_be_in(regions, places.region):
             members += self._directory.others(self._member_name)[:MAX_CALLED_IN_ZONE]
         return members
@@ -360,7 +387,12 @@
         timeout_s: float,
         regions: frozenset[str] | None = None,
     ) -> bytes:
-        """Ask members one after the other, without waiting long for each; return the first answer."""
+        """Call members, the next one after a short delay even if the previous have not responded.
+
+        Returns the first successful response and cancels the other calls.  A response that the job does
+        not exist counts as one, and raises NotFound.  Raises PeerUnreachable when there is no member to
+        call, and PeerError when all calls have failed.
+        """
         members = self._members_to_call(regions)
         if not members:
             raise PeerUnreachable("no other daemon is known", part=partition)
@@ -371,9 +403,11 @@
                 if members:
                     call = self._call_member(members.pop(), partition, method, request, timeout_s)
                     pending_calls.add(asyncio.get_running_loop().create_task(call))
-                patience_s = self._distances.patience_s(NEXT_CALL_DELAY_S, self.zone) if members else None
+                next_call_delay_s = (
+                    self._distances.patience_s(NEXT_CALL_DELAY_S, self.zone) if members else None
+                )
                 done, pending_calls = await asyncio.wait(
-                    pending_calls, timeout=patience_s, return_when=asyncio.FIRST_COMPLETED
+                    pending_calls, timeout=next_call_delay_s, return_when=asyncio.FIRST_COMPLETED
                 )
                 for task in done:
                     if task.exception() is None or isinstance(task.exception(), NotFound):
@@ -382,7 +416,7 @@
         finally:
             for task in pending_calls:
                 task.cancel()
-        raise PeerError("no other daemon can tell", part=partition) from failure
+        raise PeerError("the calls to all other daemons failed", part=partition) from failure
 
     async def _call_member(
         self, member: str, partition: int, method: str, request: msgspec.Struct, timeout_s: float
--- a/passgate/jobs/reader.py
+++ b/passgate/jobs/reader.py
@@ -1,4 +1,4 @@
-"""Answers questions about jobs from a partition that this daemon follows."""
+"""Reads jobs, results and bodies from a partition that this daemon follows."""
 
 from __future__ import annotations
 
@@ -13,24 +13,26 @@
 from passgate.jobs.shards import JobPartition
 
 MAX_PAGE_TEXT_BYTES = 450_000
-"""Text in one page; a page must also fit into one answer between daemons."""
+"""Estimated size of a page's results; a page must fit into one message between daemons."""
 CATCH_UP_TIMEOUT_S = 0.9
 """Time for a partition that was not followed to be read to its end."""
 CONFIRM_TIMEOUT_S = 0.5
-"""Time for reading the log to its end before a job is said to be unknown."""
+"""Time for a read up to the log's end, which confirms that this daemon's view is complete."""
 MAX_VIEW_AGE_S = 2.6
-"""With a view of the log older than this, "nothing new" is not said to a caller."""
+"""Maximum age of the view of the log from which a caller gets a page without results."""
 RESULT_OVERHEAD_BYTES = 200
-"""Bytes of a result beside its text: identifiers, state, versions."""
+"""Estimated size of a result without its text: identifiers, state, versions."""
 MORE_RESULTS_WAIT_S = 0.2
-"""Time for further results of a job whose caller waits; the last items of a step end within 0.15 s."""
+"""Time to wait for further results after the first, so that one page holds results that arrive together."""
 
 
 class ResultPage(msgspec.Struct, frozen=True, kw_only=True):
     """Results of a job from a position on."""
 
     total: int
+    """Number of the job's items."""
     next_position: int
+    """Position after the page's last result."""
     results: tuple[Result, ...]
 
 
@@ -42,18 +44,19 @@
     *,
     max_view_age_s: float = MAX_VIEW_AGE_S,
 ) -> ResultPage:
-    """Return results from a position, waiting for one and for those that come just after it.
+    """Return results from a position on; wait for the first one and then shortly for further ones.
 
     Args:
-        shard: the partition of the job.
-        job_id: the job.
-        position: results before it are left out.
-        wait_s: how long to wait for the first.
-        fresh_s: greatest age of the view of the log that may say "nothing new".
+        partition: partition of the job.
+        job_id: identifier of the job.
+        position: position of the page's first result.
+        wait_s: longest wait for the first result.
+        max_view_age_s: maximum age of the view of the log from which an empty page is returned while
+            the job has items without a result.
 
     Raises:
         NotFound: there is no such job.
-        NotReady: the log can not be read.
+        NotReady: the log can't be read, so that it is unknown whether there are results.
     """
     job = await find_job(partition, job_id)
     until_s = monotonic_s() + wait_s
@@ -67,10 +70,10 @@
 
 
 async def _wait_for_more_results(partition: JobPartition, job: JobState, until_s: float) -> None:
-    """Wait for results that come together with those that are there.
+    """Wait until the caller has enough results or the job is not open, at most until a loop time.
 
-    Items that began together end together, and a caller pauses after each page (some for
-    0.5 s), so a page with the first of them only would delay the rest by that pause.
+    Items that started together end together, and callers pause between pages, so a page with
+    only the first result would delay the others by that pause.
     """
     while not job.has_enough_results and job.open:
         if not await partition.tail.wait_past(partition.tail.next_offset, until_s - monotonic_s()):
@@ -78,16 +81,22 @@
 
 
 def require_followed(partition: JobPartition) -> None:
-    """Check that a partition is followed here and known to its end; raises NotReady.
+    """Raise NotReady unless the partition is followed here and was read to its end.
 
-    Another daemon that asks is told at once, and need not wait until it is.
+    Used for calls of other daemons, which can ask elsewhere at once instead of waiting here.
     """
     if not partition.is_current:
-        raise NotReady("the partition is not known here yet", execution=ExecutionStatus.NOT_RUN)
+        raise NotReady("this daemon has not read the partition to its end", execution=ExecutionStatus.NOT_RUN)
 
 
 async def read_body(partition: JobPartition, job_id: str, item_id: str) -> bytes:
-    """Return the body of an item; raises NotFound, NotReady, or BodiesElsewhere."""
+    """Return the body of an item.
+
+    Raises:
+        NotFound: there is no such job or item.
+        NotReady: the log or the job's bodies can't be read.
+        BodiesElsewhere: this daemon's region may not hold the job's bodies.
+    """
     job = await find_job(partition, job_id)
     await _ensure_bodies(partition, job)
     item = job.item(item_id)
@@ -97,7 +106,7 @@
 
 
 async def _ensure_bodies(partition: JobPartition, job: JobState) -> None:
-    """Read the bodies of a job that stand apart; raises BodiesElsewhere or NotReady."""
+    """Read the bodies of a job if they are stored apart; raises BodiesElsewhere or NotReady."""
     if job.bodies_at is None:
         return
     if not partition.may_hold(job):
@@ -109,11 +118,16 @@
     ):
         await asyncio.wait([task], timeout=CONFIRM_TIMEOUT_S)
     if job.bodies_to_read is not None:
-        raise NotReady("the bodies can not be read", execution=ExecutionStatus.NOT_RUN)
+        raise NotReady("the job's bodies could not be read in time", execution=ExecutionStatus.NOT_RUN)
 
 
 async def find_job(partition: JobPartition, job_id: str) -> JobState:
-    """Return a job; raises NotFound when there is none, NotReady when that is not sure."""
+    """Return a job, and keep following its partition.
+
+    Raises:
+        NotFound: there is no such job; the log was read to its end.
+        NotReady: the log can't be read to its end, so that it is unknown whether there is one.
+    """
     partition.keep_following()
     job = partition.fold.jobs.get(job_id)
     if job is not None and partition.is_current:
--- a/passgate/jobs/reward_call.py
+++ b/passgate/jobs/reward_call.py
@@ -1,13 +1,10 @@
-"""Has the whole text of an item scored: the reward call, repeated until it brings a score.
+"""Sends the reward call of an item, with retries until a replica returns a score.
 
-A reward call may be repeated, so every failure but one leads to a further attempt; an
-item is given up only after as many answers of 500 as its routes allow, each of them
-read from a replica.  Attempts follow each other, so nothing is counted twice.
+A reward call is safe to repeat, so every failure leads to another attempt; only the number of
+answers with status 500 is limited.  Attempts of one call never overlap, so each answer is counted once.
 
-Calls wait in line for a replica with room, and leave one place in some at each replica
-to callers of the same service.  Only the first in line looks for room.  Calls that are bound to
-different sets of regions stand in different lines: one whose regions have no replica left would
-else hold up all others.
+Calls queue for a slot, with a queue for each set of allowed regions, so that calls whose regions
+have no replica left do not block the others.
 """
 
 from __future__ import annotations
@@ -31,14 +28,15 @@
 from passgate.quarantine.identity import ITEM_CRASH_LIMIT
 
 MAX_LOAD = 0.7
-"""Load of a replica, in shares of its slots, from which on it gets no reward calls."""
+"""Load of a replica from which on it gets no reward calls; the other slots are left to other callers."""
 POLL_INTERVAL_S = 0.02
-"""Pause between looks for a route and for a replica with room."""
+"""Time between checks for a route and for a replica with a free slot."""
 TIMEOUT_PER_LATENCY = 8.0
-"""An attempt is given up after this many times the replica's usual latency."""
+"""Timeout of an attempt in multiples of the replica's recent latency."""
 MIN_TIMEOUT_S, MAX_TIMEOUT_S = 0.4, 4.0
+"""Bounds of an attempt's timeout."""
 FIRST_RETRY_PAUSE_S = 0.02
-"""Pause after the first failed attempt; another replica may have room at once."""
+"""Pause after the first failed attempt; doubles with each further one."""
 MAX_RETRY_PAUSE_S = 0.5
 """Longest pause between attempts."""
 HTTP_INTERNAL_SERVER_ERROR = 500
@@ -46,19 +44,19 @@
 
 
 class RewardTools(msgspec.Struct, frozen=True, kw_only=True):
-    """What all reward calls of a daemon share."""
+    """Dependencies that all reward calls of a daemon share."""
 
     find_route: Callable[[str, str], Route | None]
-    """Returns the route in force of a host and path, or None."""
+    """Returns the route for a host and path by the active configuration, or None."""
     terms_for: Callable[[str, str, str | None], SendTerms]
-    """Returns what binds a request of a host, path and tenant by the configuration in force."""
+    """Returns the restrictions on a request by the active configuration, from its host, path and tenant."""
     caller: ReplicaCaller
     replicas: ReplicaTable
     names: HeaderNames
     decisions: DecisionLog
     parts: WeightedChoice
     lines: defaultdict[frozenset[str] | None, asyncio.Lock]
-    """By the regions that may serve a call: held by the one that looks for room; hands itself on in order."""
+    """Maps allowed regions to the lock that a call holds while it looks for a slot; the lock is fair."""
 
 
 class RewardCall:
@@ -81,10 +79,11 @@
         self._crashes = context.caller.crashes
 
     async def request_score(self, item_max_attempts: int) -> Score | None:
-        """Call until a score is there; return None when the call certainly fails each time.
+        """Send the call until a replica returns a score; return None after too many answers of status 500.
 
         Args:
-            item_attempts: attempts that the item's own route allows; the larger bound counts.
+            item_max_attempts: attempts that the item's own route allows; the limit is this or the
+                number that the call's route allows, whichever is larger.
         """
         while True:
             await self._crashes.paused(self._identity)
@@ -107,12 +106,13 @@
             self._retry_pause_s = min(self._retry_pause_s * 2.0, MAX_RETRY_PAUSE_S)
 
     async def _wait_for_slot(self) -> tuple[Route, ReplicaState]:
-        """Return the route in force and a replica with room; the room is reserved."""
+        """Wait for a route and a replica with a free slot; return them with the slot reserved."""
         while True:
             while (route := self._route()) is None:
                 await asyncio.sleep(POLL_INTERVAL_S)
             if self._crashes.is_last_chance(self._identity):
-                state = await self._poll_for_slot(route)  # out of the line, as others need no such replica
+                # Does not block the queue, because the calls there may use other replicas.
+                state = await self._poll_for_slot(route)
             else:
                 async with self._context.lines[self._terms().regions]:
                     state = await self._poll_for_slot(route)
@@ -120,7 +120,7 @@
                 return route, state
 
     async def _confirm_slot(self, state: ReplicaState) -> bool:
-        """Return whether the call may run where it has room; gives the room back if not."""
+        """Return whether the call may run in its reserved slot; release the slot if not."""
         may_run = False
         try:
             may_run = await self._crashes.has_place(self._identity)
@@ -131,7 +131,7 @@
         return may_run
 
     async def _poll_for_slot(self, route: Route) -> ReplicaState | None:
-        """Wait for room at a replica of the route; return None when the route is not in force any more."""
+        """Wait for a free slot and reserve it; return None when the route is not the active one any more."""
         while self._route() is route:
             state = self._choose_replica(self._context.parts.pick(route))
             if state is not None:
@@ -145,15 +145,15 @@
         return self._context.find_route(self._spec.host, self._spec.path)
 
     def _terms(self) -> SendTerms:
-        """Return what binds the call now: its own route, and the tenant of its job."""
+        """Return the call's restrictions by the active configuration: its own route and its job's tenant."""
         return self._context.terms_for(self._spec.host, self._spec.path, self._tenant)
 
     def _choose_replica(self, service: str) -> ReplicaState | None:
         excluded = frozenset() if self._avoided_replica is None else frozenset({self._avoided_replica})
-        self._avoided_replica = None  # the only replica of a service must get its second try
+        self._avoided_replica = None  # exclude it once only: the service may have no other replica
         excluded |= self._crashes.apart_from(self._identity)
-        if spared := self._crashes.spared():
-            state = self._choose_replica_excluding(service, excluded | spared)
+        if replicas_to_avoid := self._crashes.spared():
+            state = self._choose_replica_excluding(service, excluded | replicas_to_avoid)
             if state is not None:
                 return state
         return self._choose_replica_excluding(service, excluded)
@@ -167,8 +167,11 @@
         return self._context.replicas.choose(request, monotonic_s())
 
     async def _run_attempt(self, state: ReplicaState) -> str:
-        """Send the call once; return the stamp of a success, or nothing after an answer of 500."""
-        state.in_flight -= 1  # the exchange counts itself from here on
+        """Send the call once; return the stamp of a success, or an empty string after a status of 500.
+
+        Raises PassgateError for every other outcome.
+        """
+        state.in_flight -= 1  # the exchange counts itself as in flight from here on
         timeout_s = self._timeout_s(state)
         exchange = self._context.caller.open(state, self._build_request(timeout_s))
         self._attempt_count += 1
@@ -192,7 +195,7 @@
             exchange.close()
 
     def _timeout_s(self, state: ReplicaState) -> float:
-        """Return how long to wait for an answer: longer after each silence, as some calls take long."""
+        """Return the next attempt's timeout; doubled for each earlier timeout, as some calls take long."""
         recent_latency_s = state.recent_latency_s(monotonic_s())
         timeout_s = max(TIMEOUT_PER_LATENCY * recent_latency_s, MIN_TIMEOUT_S) * 2.0**self._timeouts
         return min(timeout_s, MAX_TIMEOUT_S)
--- a/passgate/jobs/runner.py
+++ b/passgate/jobs/runner.py
@@ -1,8 +1,8 @@
 """Runs the items of one job until each has a result on the log.
 
-Items wait for a replica with a free slot: first those that an earlier job did not
-finish, then the longest expected, as these decide when a step is whole.  What the
-log keeps of an item from an earlier run or job is used where its versions fit.
+Items are started in order: first those with progress from an earlier run or job, then those with the
+longest expected output, as these determine when the job is complete.  Earlier progress on the log
+is reused where its weight versions satisfy the job.
 """
 
 from __future__ import annotations
@@ -26,15 +26,15 @@
 logger = logging.getLogger("passgate.jobs")
 
 CHECKPOINT_INTERVAL_S = 0.3
-"""Time between the records of a running item's events."""
+"""Time between records of a running item's events."""
 EXPIRY_MARGIN_S = 5.0
-"""Items are given up this much later than the route allows; clocks of daemons differ."""
+"""Time added to the items' time to live before they expire; daemons know a job since different times."""
 MIN_CHECKPOINT_AGE_S = 0.4
-"""Items that run for less than this are not recorded before their end."""
+"""Age below which a running item's events are not recorded."""
 
 
 class JobRunner:
-    """Runs one job; cancel its task when the job is not this daemon's any more."""
+    """Runs one job; its task must be cancelled when this daemon no longer owns the job."""
 
     def __init__(self, job: JobState, projection: JobFold, journal: Journal, context: ItemTools) -> None:
         self._job = job
@@ -46,7 +46,10 @@
         self._timing = JobTiming(self._spec, job.known_since_s)
 
     async def run(self) -> None:
-        """Run all items that have no result; return when nothing is left to do."""
+        """Run all items without a result; return when all results are queued for the log.
+
+        Items still without a result when their time to live is over get the result DEAD.
+        """
         try:
             async with asyncio.timeout(self._time_left_s()):
                 await self._run_items()
@@ -66,21 +69,21 @@
             checkpoints.cancel()
 
     def _expire_items(self) -> None:
-        """List what has no result after the time that the route allows."""
+        """Append the result DEAD for all items without a result."""
         for item in self._spec.items:
             if item.id not in self._job.position_by_item:
                 dead = Result(item_id=item.id, state=ResultState.DEAD)
                 self._append_result(item, dead, attempts=0, began_s=self._job.known_since_s)
 
     def record_progress(self, min_age_s: float = 0.0) -> None:
-        """Record the events of the items that run for at least ``min_age_s``."""
+        """Queue the new events of all items that have run for at least ``min_age_s`` for the log."""
         now_s = monotonic_s()
         for run in self._run_by_item.values():
             if now_s - run.started_s >= min_age_s and (entry := run.checkpointer.take_entry()) is not None:
                 self._journal.put(entry)
 
     def _ranked_items(self) -> list[tuple[Rank, ItemSpec]]:
-        """Return the items without a result: those known from earlier jobs first, then the longest."""
+        """Return the items without a result and their ranks: first those with progress, then the longest."""
         unfinished = [item for item in self._spec.items if item.id not in self._job.position_by_item]
         longest_s = max((self._expected_s(item) for item in unfinished), default=0.0)
         return [(self._rank(item, longest_s), item) for item in sorted(unfinished, key=self._sort_key)]
@@ -95,7 +98,7 @@
         )
 
     def _item_key(self, item_id: str) -> str:
-        """Return the name under which the fold keeps what was made of an item."""
+        """Return the key of an item in the projection's mappings: its id, scoped by tenant."""
         return scoped_id(self._spec.tenant, item_id)
 
     def _expected_s(self, item: ItemSpec) -> float:
@@ -120,7 +123,7 @@
         task.add_done_callback(lambda _: run.release_slot())
 
     def _earlier_result(self, item_id: str) -> Result | None:
-        """Return the whole text of an item from an earlier job or owner, if its versions fit."""
+        """Return an item's complete output from an earlier job or owner, if its versions satisfy the job."""
         earlier_result = self._projection.newest_result_by_item.get(self._item_key(item_id))
         if earlier_result is not None and self._is_usable(earlier_result):
             return earlier_result
@@ -154,13 +157,13 @@
         await self._score_and_append(run.item, result, run.attempts, run.started_s)
 
     def _observe_duration(self, run: ItemRun, result: Result) -> None:
-        """Note how long a whole output took that was made in one piece."""
+        """Record the duration of a complete output that was made by a single attempt."""
         if run.attempts == 1 and not run.resumed and result.state is ResultState.SUCCEEDED:
             tokens = self._context.expected_tokens(run.item)
             self._context.durations.observe(self._spec.model, tokens, monotonic_s() - run.last_attempt_sent_s)
 
     async def _score_and_append(self, item: ItemSpec, result: Result, attempts: int, began_s: float) -> None:
-        """Have a whole text scored where the item asks for it, and list the result."""
+        """Send the item's reward call, if it has one, and append the result."""
         if item.reward is not None and result.state is ResultState.SUCCEEDED:
             result = await self._score_result(item, item.reward, result)
         self._append_result(item, result, attempts, began_s)
--- a/passgate/jobs/service.py
+++ b/passgate/jobs/service.py
@@ -1,7 +1,7 @@
-"""Answers callers of batch jobs at any daemon.
+"""Submits, reads and cancels batch jobs, for callers and for other daemons.
 
-A daemon that follows a job's partition answers from its own state, any other asks the
-partition's watcher, and reads the partition itself when no answer comes.
+A daemon that follows a job's partition answers from its own state.  Any other calls the partition's
+watcher, and reads the partition itself when that fails.
 """
 
 from __future__ import annotations
@@ -34,13 +34,13 @@
     MAX_VIEW_AGE_FOR_PEERS_S,
     METHOD_ALIVE,
     METHOD_BODY,
-    METHOD_END,
+    METHOD_CANCEL,
     METHOD_OWN,
     METHOD_READ,
     METHOD_RELEASE_JOBS,
     METHOD_SUBMIT,
     AliveRequest,
-    EndRequest,
+    CancelRequest,
     JobPeers,
     OwnRequest,
     OwnResponse,
@@ -56,15 +56,16 @@
 from passgate.sharedlog.tail import FRESH_S
 
 PEER_APPEND_DELAY_S = 0.3
-"""Time for the log to take a new job before another daemon is asked to put it there as well."""
+"""Time for the log to acknowledge a new job before another daemon is called to append it as well."""
 UNKNOWN_OFFSET = -1
+"""Offset in the decision line of a job that another daemon appended, or that was on the log before."""
 NO_OWNER = ""
 OWNER_CONTACT_MAX_AGE_S = 0.8
-"""An owner heard within this time is given the next job too."""
+"""Age of the last contact up to which the owner of the model's previous job gets the next one too."""
 
 
 class JobService:
-    """Submits, reads and ends jobs."""
+    """Submits, reads and cancels jobs; answers the calls of other daemons' job clients."""
 
     def __init__(
         self,
@@ -85,23 +86,23 @@
     # --- for callers -------------------------------------------------------------
 
     async def submit(self, spec: JobSpec, deadline_s: float) -> None:
-        """Put a job on the log once; return when it stands there.
+        """Append a job to the log and return once it is there; does nothing when it was there before.
 
         Raises:
-            InvalidRequest: items are missing or not distinct.
-            NoRegionAllowed: no region may serve it.
-            LogUnavailable: the job never runs.
-            DurabilityUnknown: it may run.
+            InvalidRequest: the job has no items, or two with the same identifier.
+            NoRegionAllowed: route and tenant have no allowed region in common.
+            LogUnavailable: the job is not on the log and never will be.
+            DurabilityUnknown: the outcome is unknown; the job may be on the log and run.
         """
         if not spec.items or len({item.id for item in spec.items}) != len(spec.items):
             raise InvalidRequest("a job needs items with distinct ids", execution=ExecutionStatus.NOT_RUN)
         began_s = monotonic_s()
-        shard = self._partitions.of(spec.host)
+        partition = self._partitions.of(spec.host)
         offset = UNKNOWN_OFFSET
-        if spec.job_id not in shard.fold.jobs:
+        if spec.job_id not in partition.fold.jobs:
             try:
                 self._require_allowed_region(spec)
-                offset = await self._append(shard, spec, deadline_s)
+                offset = await self._append(partition, spec, deadline_s)
             except PassgateError as error:
                 self._decisions.write(
                     JobAcceptFailed(job_id=spec.job_id, status=answered_status(error), reason=error.code)
@@ -116,92 +117,108 @@
             )
         )
 
-    async def _append(self, shard: JobPartition, spec: JobSpec, deadline_s: float) -> int:
-        """Put a job on the log, through another daemon where this one can not."""
-        here = asyncio.get_running_loop().create_task(self._append_locally(shard, spec, deadline_s))
+    async def _append(self, partition: JobPartition, spec: JobSpec, deadline_s: float) -> int:
+        """Append a job to the log, through another daemon if this one can't; return its offset if known."""
+        local_append = asyncio.get_running_loop().create_task(
+            self._append_locally(partition, spec, deadline_s)
+        )
         try:
             async with asyncio.timeout_at(deadline_s):
-                await asyncio.wait([here], timeout=0.0 if self._is_cut_off() else PEER_APPEND_DELAY_S)
-                if here.done() or not await self._append_via_peer(shard, spec, deadline_s, here):
-                    return await here
+                await asyncio.wait([local_append], timeout=0.0 if self._is_cut_off() else PEER_APPEND_DELAY_S)
+                if local_append.done() or not await self._append_via_peer(
+                    partition, spec, deadline_s, local_append
+                ):
+                    return await local_append
                 return UNKNOWN_OFFSET
         except TimeoutError as error:
             raise DurabilityUnknown("the job may be on the log") from error
         finally:
-            here.cancel()
+            local_append.cancel()
 
     async def _append_via_peer(
-        self, shard: JobPartition, spec: JobSpec, deadline_s: float, here: asyncio.Task[int]
+        self, partition: JobPartition, spec: JobSpec, deadline_s: float, local_append: asyncio.Task[int]
     ) -> bool:
-        """Return whether another daemon put the job on the log before this one did."""
+        """Have another daemon append the job; return whether it did so before this one.
+
+        Raises DurabilityUnknown when the local append fails and the other daemon's outcome is unknown.
+        """
         patience_s = max(deadline_s - monotonic_s(), 0.0)
-        submit = self._peers.submit(shard.number, spec, patience_s, self._allowed_regions(spec))
-        there = asyncio.get_running_loop().create_task(submit)
+        submit = self._peers.submit(partition.number, spec, patience_s, self._allowed_regions(spec))
+        peer_append = asyncio.get_running_loop().create_task(submit)
         try:
-            await asyncio.wait([here, there], return_when=asyncio.FIRST_COMPLETED)
-            if not here.done():
-                return there.exception() is None
-            if here.exception() is None:
+            await asyncio.wait([local_append, peer_append], return_when=asyncio.FIRST_COMPLETED)
+            if not local_append.done():
+                return peer_append.exception() is None
+            if local_append.exception() is None:
                 return False
-            await asyncio.wait([there])
-            error = there.exception()
+            await asyncio.wait([peer_append])
+            error = peer_append.exception()
             if isinstance(error, PeerError) and error.execution is ExecutionStatus.NOT_RUN:
-                return False  # nobody was asked, so what became of it here is all
+                return False  # no other daemon was called, so the outcome of the local append is final
             if error is not None:
                 raise DurabilityUnknown("the job may be on the log") from error
             return True
         finally:
-            there.cancel()
+            peer_append.cancel()
 
-    async def _append_locally(self, shard: JobPartition, spec: JobSpec, deadline_s: float) -> int:
-        owner = await self._choose_owner(shard, spec)
+    async def _append_locally(self, partition: JobPartition, spec: JobSpec, deadline_s: float) -> int:
+        """Append a job from this daemon, its restricted bodies first; return the job's offset."""
+        owner = await self._choose_owner(partition, spec)
         if self._partitions.restricted_bodies is not None:
-            spec = await self._partitions.restricted_bodies.store_bodies(spec, shard.number, deadline_s)
-        parts = job_pieces(spec, secrets.token_hex(4), shard.journal.max_piece_bytes, owner)
-        offset = await shard.journal.append_job(parts, deadline_s)
+            spec = await self._partitions.restricted_bodies.store_bodies(spec, partition.number, deadline_s)
+        pieces = job_pieces(spec, secrets.token_hex(4), partition.journal.max_piece_bytes, owner)
+        offset = await partition.journal.append_job(pieces, deadline_s)
         if owner == self._partitions.writer:
-            shard.keep_following()
+            partition.keep_following()
         lag = max(self._newest_version(spec.model) - spec.min_version, 0)
         self._control_journal.put(JobNoted(model=spec.model, lag=lag, items=len(spec.items)))
         return offset
 
-    async def _choose_owner(self, shard: JobPartition, spec: JobSpec) -> str:
-        """Return who shall run a job: the owner of the model's last one, the watcher, or this daemon.
+    async def _choose_owner(self, partition: JobPartition, spec: JobSpec) -> str:
+        """Return the writer that will run a new job, or empty for none.
 
-        One owner knows what it has sent where, and its connections are open.  A job that
-        nobody owns is claimed by any watcher as soon as it reads it.
+        The owner of the model's previous job is preferred, because it knows the load that it causes at the
+        replicas and has connections to them; then the partition's watcher; then this daemon.  A
+        job without an owner is claimed by a watcher that reads it.
         """
         if not self._may_hold(spec.host, spec.path, spec.tenant):
-            return await self._peers.find_owner_in_regions(shard.number, self._allowed_regions(spec))
-        if (
-            shard.is_current and self._allowed_regions(spec) is None
-        ):  # the last owner may be in another region
-            last = shard.fold.jobs.get(shard.fold.newest_job_by_model.get(spec.model, ""))
-            heard_s = shard.fold.last_contact_s_by_writer.get(last.owner) if last is not None else None
-            if last is not None and heard_s is not None and monotonic_s() - heard_s < OWNER_CONTACT_MAX_AGE_S:
-                return last.owner
-        if self._partitions.watches(shard.number):
+            return await self._peers.find_owner_in_regions(partition.number, self._allowed_regions(spec))
+        # The previous job's owner may be in a region that is not allowed for a restricted job.
+        if partition.is_current and self._allowed_regions(spec) is None:
+            previous_job = partition.fold.jobs.get(partition.fold.newest_job_by_model.get(spec.model, ""))
+            contact_s = (
+                partition.fold.last_contact_s_by_writer.get(previous_job.owner)
+                if previous_job is not None
+                else None
+            )
+            if (
+                previous_job is not None
+                and contact_s is not None
+                and monotonic_s() - contact_s < OWNER_CONTACT_MAX_AGE_S
+            ):
+                return previous_job.owner
+        if self._partitions.watches(partition.number):
             return self._partitions.writer
-        watcher = await self._peers.find_owner(shard.number)
+        watcher = await self._peers.find_owner(partition.number)
         return watcher or (self._partitions.writer if self._partitions.may_own_new else NO_OWNER)
 
     def _require_allowed_region(self, spec: JobSpec) -> None:
-        """Check that some region may serve a job; raises NoRegionAllowed."""
+        """Raise NoRegionAllowed when route and tenant have no allowed region in common."""
         if self._allowed_regions(spec) == frozenset():
             raise NoRegionAllowed("route and tenant allow no region in common")
 
     def _may_hold(self, host: str, path: str, tenant: str | None) -> bool:
-        """Whether this daemon's region may hold the bodies of a job."""
+        """Whether the bodies of a job may be held in this daemon's region."""
         bodies = self._partitions.restricted_bodies
         return bodies is None or bodies.may_hold(host, path, tenant)
 
     def _allowed_regions(self, spec: JobSpec) -> frozenset[str] | None:
-        """Return the regions that a job is bound to; None where any may serve it."""
+        """Return the regions allowed for a job; None for any region."""
         bodies = self._partitions.restricted_bodies
         return bodies.allowed_regions(spec.host, spec.path, spec.tenant) if bodies is not None else None
 
     async def read(self, host: str, job_id: str, position: int, wait_s: float) -> ResultPage:
-        """Return results from a position, waiting for one; raises NotFound or NotReady."""
+        """Return results from a position on, after waiting for the first; raises NotFound or NotReady."""
         began_s = monotonic_s()
         page = await self._read_results(host, job_id, position, wait_s)
         self._decisions.write(
@@ -216,113 +233,127 @@
         return page
 
     async def _read_results(self, host: str, job_id: str, position: int, wait_s: float) -> ResultPage:
-        shard = self._partitions.of(host)
-        if not self._can_answer(shard) and not _has_results_after(shard, job_id, position):
+        partition = self._partitions.of(host)
+        if not self._can_answer(partition) and not _has_results_after(partition, job_id, position):
             try:
-                question = ReadResultsRequest(host=host, job_id=job_id, position=position, wait_s=wait_s)
+                request = ReadResultsRequest(host=host, job_id=job_id, position=position, wait_s=wait_s)
                 read = self._peers.read_results_via_any if self._is_cut_off() else self._peers.read_results
-                return await read(shard.number, question)
+                return await read(partition.number, request)
             except PeerCatchingUp as error:
                 raise NotReady(str(error), execution=ExecutionStatus.NOT_RUN) from error
             except PeerError:
-                shard.keep_following()
-                wait_s = 0.0  # a part of the caller's patience is spent
-        return await read_page(shard, job_id, position, wait_s)
+                partition.keep_following()
+                wait_s = 0.0  # the failed call has used up some of the caller's waiting time
+        return await read_page(partition, job_id, position, wait_s)
 
     async def body(self, host: str, job_id: str, item_id: str) -> bytes:
         """Return the body of an item; raises NotFound or NotReady."""
-        shard = self._partitions.of(host)
-        question = ReadBodyRequest(host=host, job_id=job_id, item_id=item_id)
+        partition = self._partitions.of(host)
+        request = ReadBodyRequest(host=host, job_id=job_id, item_id=item_id)
         try:
-            if not self._can_answer(shard):
-                return await self._peers.read_body(shard.number, question)
+            if not self._can_answer(partition):
+                return await self._peers.read_body(partition.number, request)
         except BodiesElsewhere:
-            return await self._read_body_in_other_region(shard, question)
+            return await self._read_body_in_other_region(partition, request)
         except PeerCatchingUp as error:
             raise NotReady(str(error), execution=ExecutionStatus.NOT_RUN) from error
         except PeerError:
-            shard.keep_following()
+            partition.keep_following()
         try:
-            return await read_body(shard, job_id, item_id)
+            return await read_body(partition, job_id, item_id)
         except BodiesElsewhere:
-            return await self._read_body_in_other_region(shard, question)
+            return await self._read_body_in_other_region(partition, request)
 
-    async def _read_body_in_other_region(self, shard: JobPartition, question: ReadBodyRequest) -> bytes:
-        """Return a body for a caller of a region that may not hold it; nothing of it is kept here."""
+    async def _read_body_in_other_region(self, partition: JobPartition, request: ReadBodyRequest) -> bytes:
+        """Return a body that this region may not hold, from another region; it is not stored here.
+
+        Raises NotFound or NotReady.
+        """
         try:
-            return await self._peers.read_body_in_other_zones(shard.number, question)
+            return await self._peers.read_body_in_other_zones(partition.number, request)
         except PeerError as error:
             raise NotReady(str(error), execution=ExecutionStatus.NOT_RUN) from error
 
     async def end(self, host: str, job_id: str, deadline_s: float) -> None:
-        """End a job; return once that stands on the log.  Repeats do nothing.
+        """Cancel a job; return once that is on the log.  Repeated calls do nothing.
 
-        An end that can not be checked is written all the same, as its caller will not
-        come back for ever.
+        When it can't be checked whether the job exists, the cancellation is appended anyway, because
+        callers do not retry for ever and the items must not run on.
 
         Raises:
             NotFound: there is no such job.
-            DurabilityUnknown: the end may take effect.
+            DurabilityUnknown: the outcome is unknown; the cancellation may take effect.
         """
         try:
-            await self._end(host, job_id, deadline_s)
+            await self._cancel(host, job_id, deadline_s)
         except PassgateError as error:
             self._decisions.write(JobEndFailed(job_id=job_id, reason=error.code))
             raise
 
-    async def _end(self, host: str, job_id: str, deadline_s: float) -> None:
-        shard = self._partitions.of(host)
+    async def _cancel(self, host: str, job_id: str, deadline_s: float) -> None:
+        partition = self._partitions.of(host)
         try:
-            if self._can_answer(shard):
-                await self._end_locally(shard, job_id, deadline_s)
+            if self._can_answer(partition):
+                await self._cancel_locally(partition, job_id, deadline_s)
                 return
             patience_s = max((deadline_s - monotonic_s()) / 2, 0.0)
-            question = EndRequest(host=host, job_id=job_id, patience_s=patience_s)
-            end = self._peers.end_job_via_any if self._is_cut_off() else self._peers.end_job
-            await end(shard.number, question)
+            request = CancelRequest(host=host, job_id=job_id, patience_s=patience_s)
+            cancel = self._peers.cancel_job_via_any if self._is_cut_off() else self._peers.cancel_job
+            await cancel(partition.number, request)
         except (PeerError, NotReady):
-            await self._append_end(shard, job_id, deadline_s)
+            await self._append_cancellation(partition, job_id, deadline_s)
 
-    async def _end_locally(self, shard: JobPartition, job_id: str, deadline_s: float) -> None:
-        job = await find_job(shard, job_id)
+    async def _cancel_locally(self, partition: JobPartition, job_id: str, deadline_s: float) -> None:
+        job = await find_job(partition, job_id)
         if not job.cancelled:
-            await self._append_end(shard, job_id, deadline_s)
+            await self._append_cancellation(partition, job_id, deadline_s)
         self._decisions.write(JobEndedEvent(job_id=job_id, listed=len(job.results), total=job.item_count))
 
-    async def _append_end(self, shard: JobPartition, job_id: str, deadline_s: float) -> None:
-        stands = shard.journal.put(JobEnded(job_id=job_id))
+    async def _append_cancellation(self, partition: JobPartition, job_id: str, deadline_s: float) -> None:
+        appended = partition.journal.put(JobEnded(job_id=job_id))
         try:
             async with asyncio.timeout(max(deadline_s - monotonic_s(), 0.0)):
-                await asyncio.shield(stands)
+                await asyncio.shield(appended)
         except TimeoutError as error:
-            raise DurabilityUnknown("the end may be on the log") from error
+            raise DurabilityUnknown("the job's cancellation may be on the log") from error
 
     def _is_cut_off(self) -> bool:
-        """Whether this daemon can not read the log at present."""
+        """Whether this daemon has not read the log to its end recently."""
         return self._log_age_s() > FRESH_S
 
     def _require_log_view(self) -> None:
+        """Raise NotReady when this daemon is cut off from the log, so that the caller tries another one."""
         if self._is_cut_off():
-            raise NotReady("the log can not be read here", execution=ExecutionStatus.NOT_RUN)
+            raise NotReady("this daemon can not read the log", execution=ExecutionStatus.NOT_RUN)
 
-    def _can_answer(self, shard: JobPartition) -> bool:
-        """Whether this daemon's own view of a partition will do.
+    def _can_answer(self, partition: JobPartition) -> bool:
+        """Whether to answer from this daemon's own view of a partition.
 
-        The view of an idle partition may be older than usual, as its long polls are longer.
+        While the daemon is cut off from the log, the view must also be fresh.  Otherwise its age does not
+        matter, because the view of an idle partition may be older: its long polls are longer.
         """
         if self._is_cut_off():
-            return shard.is_current and shard.tail.freshness.age_s(monotonic_s()) <= FRESH_S
-        return shard.is_current or self._partitions.watches(shard.number)
+            return partition.is_current and partition.tail.freshness.age_s(monotonic_s()) <= FRESH_S
+        return partition.is_current or self._partitions.watches(partition.number)
 
     # --- for other daemons -------------------------------------------------------
 
     async def answer_peer(self, sender: str, method: str, payload: bytes) -> bytes:
-        """Answer another daemon's question from this daemon's own view of the log.
+        """Handle another daemon's call; return the encoded response.
+
+        Args:
+            sender: the calling daemon.
+            method: one of the methods in :mod:`passgate.jobs.peers`.
+            payload: the encoded request.
 
         Raises:
             NotFound: there is no such job or item.
-            NotReady: this daemon can not tell.
-            PeerCallFailed: the question is unknown.
+            NotReady: this daemon can't read the log, or has not read the partition to its end.
+            BodiesElsewhere: this daemon's region may not hold the job's bodies.
+            LogUnavailable: a submitted job is not on the log and never will be.
+            DurabilityUnknown: a submitted job or a cancellation may be on the log.
+            PeerError: a read that was passed on to the partition's watcher failed.
+            PeerCallFailed: the method is unknown.
         """
         if method == METHOD_ALIVE:
             return msgspec.json.encode(self._answer_alive(msgspec.json.decode(payload, type=AliveRequest)))
@@ -334,69 +365,69 @@
             return msgspec.json.encode(self._answer_own(msgspec.json.decode(payload, type=OwnRequest)))
         if method == METHOD_SUBMIT:
             self._require_log_view()
-            submitted = msgspec.json.decode(payload, type=SubmitRequest)
-            spec = decode_spec(submitted.spec)
-            shard = self._partitions.of(spec.host)
-            if spec.job_id not in shard.fold.jobs:
-                await self._append_locally(shard, spec, monotonic_s() + submitted.patience_s)
+            submit_request = msgspec.json.decode(payload, type=SubmitRequest)
+            spec = decode_spec(submit_request.spec)
+            partition = self._partitions.of(spec.host)
+            if spec.job_id not in partition.fold.jobs:
+                await self._append_locally(partition, spec, monotonic_s() + submit_request.patience_s)
             return b""
         if method == METHOD_READ:
-            read = msgspec.json.decode(payload, type=ReadResultsRequest)
-            return msgspec.json.encode(await self._read_for_peer(read))
+            read_request = msgspec.json.decode(payload, type=ReadResultsRequest)
+            return msgspec.json.encode(await self._read_for_peer(read_request))
         if method == METHOD_BODY:
-            question = msgspec.json.decode(payload, type=ReadBodyRequest)
-            shard = self._partitions.of(question.host)
-            require_followed(shard)
-            return await read_body(shard, question.job_id, question.item_id)
-        if method == METHOD_END:
-            end = msgspec.json.decode(payload, type=EndRequest)
-            await self._end_for_peer(end)
+            body_request = msgspec.json.decode(payload, type=ReadBodyRequest)
+            partition = self._partitions.of(body_request.host)
+            require_followed(partition)
+            return await read_body(partition, body_request.job_id, body_request.item_id)
+        if method == METHOD_CANCEL:
+            cancel_request = msgspec.json.decode(payload, type=CancelRequest)
+            await self._cancel_for_peer(cancel_request)
             return b""
-        raise PeerCallFailed("unknown question", peer_code="unknown_method")
+        raise PeerCallFailed("unknown method of a call about jobs", peer_code="unknown_method")
 
-    def _answer_alive(self, question: AliveRequest) -> AliveResponse:
-        shard = self._partitions.get(question.part)
-        waiting_s = shard.journal.unacknowledged_for_s if shard is not None else 0.0
+    def _answer_alive(self, request: AliveRequest) -> AliveResponse:
+        partition = self._partitions.get(request.part)
+        waiting_s = partition.journal.unacknowledged_for_s if partition is not None else 0.0
         return AliveResponse(writer=self._partitions.writer, zone=self._peers.zone, waiting_s=waiting_s)
 
-    def _answer_release_jobs(self, question: ReleaseJobsRequest) -> ReleaseJobsResponse:
-        shard = self._partitions.get(question.part)
-        if shard is None or shard.journal.unacknowledged_for_s < CUT_OFF_AFTER_S:
+    def _answer_release_jobs(self, request: ReleaseJobsRequest) -> ReleaseJobsResponse:
+        partition = self._partitions.get(request.part)
+        if partition is None or partition.journal.unacknowledged_for_s < CUT_OFF_AFTER_S:
             return ReleaseJobsResponse()
-        return ReleaseJobsResponse(entries=tuple(shard.ownership.release_jobs()))
+        return ReleaseJobsResponse(entries=tuple(partition.ownership.release_jobs()))
 
-    def _answer_own(self, question: OwnRequest) -> OwnResponse:
-        takes = self._partitions.watches(question.part)
-        return OwnResponse(writer=self._partitions.writer if takes else "")
+    def _answer_own(self, request: OwnRequest) -> OwnResponse:
+        is_watcher = self._partitions.watches(request.part)
+        return OwnResponse(writer=self._partitions.writer if is_watcher else "")
 
-    async def _end_for_peer(self, question: EndRequest) -> None:
-        shard = self._partitions.of(question.host)
-        deadline_s = monotonic_s() + question.patience_s
-        if question.relay:
+    async def _cancel_for_peer(self, request: CancelRequest) -> None:
+        partition = self._partitions.of(request.host)
+        deadline_s = monotonic_s() + request.patience_s
+        if request.relay:
             self._require_log_view()
-            await self._append_end(shard, question.job_id, deadline_s)
+            await self._append_cancellation(partition, request.job_id, deadline_s)
         else:
-            require_followed(shard)
-            await self._end_locally(shard, question.job_id, deadline_s)
+            require_followed(partition)
+            await self._cancel_locally(partition, request.job_id, deadline_s)
 
-    async def _read_for_peer(self, question: ReadResultsRequest) -> ResultPage:
-        shard = self._partitions.of(question.host)
-        if question.relay:
+    async def _read_for_peer(self, request: ReadResultsRequest) -> ResultPage:
+        partition = self._partitions.of(request.host)
+        if request.relay:
             self._require_log_view()
-        if question.relay and not shard.is_current:
-            relayed = msgspec.structs.replace(question, relay=False)
-            return await self._peers.read_results(shard.number, relayed)
-        require_followed(shard)
+        if request.relay and not partition.is_current:
+            watcher_request = msgspec.structs.replace(request, relay=False)
+            return await self._peers.read_results(partition.number, watcher_request)
+        require_followed(partition)
         return await read_page(
-            shard,
-            question.job_id,
-            question.position,
-            question.wait_s,
+            partition,
+            request.job_id,
+            request.position,
+            request.wait_s,
             max_view_age_s=MAX_VIEW_AGE_FOR_PEERS_S,
         )
 
 
-def _has_results_after(shard: JobPartition, job_id: str, position: int) -> bool:
-    """Whether results from a position on are known here; what stands on the log stays as it is."""
-    job = shard.fold.jobs.get(job_id)
+def _has_results_after(partition: JobPartition, job_id: str, position: int) -> bool:
+    """Whether results after a position are known here; results never change, so they need no fresh view."""
+    job = partition.fold.jobs.get(job_id)
     return job is not None and len(job.results) > position
--- a/passgate/jobs/shards.py
+++ b/passgate/jobs/shards.py
@@ -1,10 +1,8 @@
-"""Partitions of batch jobs, each followed only by the daemons that need it.
+"""Partitions of the batch jobs on the log, each followed only by the daemons that need its state.
 
-All records of a job stand in one partition, chosen by its route's host, so the jobs
-of one trainer stand together.  In each zone one daemon watches a partition, as the
-log's group of the zone deals them.  A daemon follows a partition while it watches it,
-while it runs jobs there, and for some time after it was asked about them in vain.  All
-others know nothing of the partition and ask the watcher in their zone.
+All records of a job are in the partition of its host.  In each zone one daemon watches a partition;
+the zone's group on the log assigns the partitions.  A daemon follows a partition while it watches it
+or owns jobs there, and for some time after a request needed it.  All others call the watcher.
 
 >>> partition_of("h.example", 12) == partition_of("h.example", 12)
 True
@@ -31,38 +29,43 @@
 from passgate.sharedlog.tail import POLL_WAIT_S, FollowedTail, RecordTail, TailSettings
 
 UPDATE_INTERVAL_S = 0.1
-"""Time between looks at ownership; a quarter of the shortest silence that is judged."""
+"""Time between updates of the ownership; short compared with the silences after which jobs are taken over."""
 READ_PAUSE_S = 0.03
 """Pause between reads, so that small records arrive in batches."""
 IDLE_POLL_WAIT_S = 3.0
 """Longest wait of a long poll while no job of the partition is open."""
 FOLLOW_AFTER_USE_S = 4.0
-"""Time for which a partition is followed after it was asked for."""
+"""Time for which a partition is followed after its last use by a request, or after the end of the watch."""
 STATE_TTL_S = 30.0
-"""Time for which the state of a partition that is not followed is kept."""
+"""Time for which the state of a partition is kept after it was last needed."""
 
 JobRunnerFactory = Callable[[JobFold, Journal, JobState], JobRunner | None]
+"""Makes a job's runner; returns None while the job matches no route."""
 
 
 def partition_of(host: str, partition_count: int) -> int:
-    """Return the partition of the jobs of a host."""
+    """Return the number of the partition that holds the jobs of a host."""
     return zlib.crc32(host.encode()) % partition_count
 
 
 class ShardSettings(msgspec.Struct, frozen=True, kw_only=True):
-    """What all shards of a daemon share."""
+    """Settings that all partitions of a daemon share."""
 
     topic: str
     parts: int
+    """Number of partitions."""
     writer: str
+    """Writer name of the daemon's present incarnation."""
     record_bytes: int
+    """Maximum size of a log record."""
     append_bytes: int
+    """Maximum size of an append."""
     retention_s: float
     """Time for which a job that is not open stays readable."""
 
 
 class JobPartition:
-    """One partition: its state as this daemon knows it, and this daemon's writer."""
+    """One partition at this daemon: its state, its ownership, and the journal that appends to it."""
 
     def __init__(
         self,
@@ -81,7 +84,7 @@
         self.bodies_reader = (
             BodiesReader(restricted_bodies, self._deliver_bodies) if restricted_bodies is not None else None
         )
-        """Reads the bodies of bound jobs; None where no job is bound."""
+        """Reads the bodies of region-restricted jobs; None where no job is restricted."""
         self.journal = Journal(
             log,
             settings.topic,
@@ -103,32 +106,33 @@
             self._time_to_live_s,
         )
         self.needed_until_s = monotonic_s()
+        """Loop time until which requests need the partition; once past, when it was last needed."""
         self._append_task = asyncio.get_running_loop().create_task(self.journal.run())
 
     @property
     def tail(self) -> RecordTail:
-        """Follower of the partition."""
+        """Reads and applies the partition's records."""
         return self.followed_tail.tail
 
     @property
     def is_current(self) -> bool:
-        """Whether the state here is kept up to date."""
+        """Whether the partition is followed and was read to its end."""
         return self.followed_tail.current
 
     def may_hold(self, job: JobState) -> bool:
-        """Whether this daemon may hold a job's bodies, by the configuration in force."""
+        """Whether the active configuration allows this daemon to hold a job's bodies."""
         return self._restricted_bodies is None or self._restricted_bodies.may_hold(
             job.host, job.path, job.tenant, job.bodies_at
         )
 
     def _time_to_live_s(self, job: JobState) -> float:
-        """Return after which time a job's items are given up; where no job is bound, runners alone do so."""
+        """Return the time to live of a job's items; where no job is restricted, only runners expire items."""
         if self._restricted_bodies is None:
             return UNLIMITED_TIME_TO_LIVE_S
         return self._restricted_bodies.time_to_live_s(job.host, job.path)
 
     def read_bodies(self) -> None:
-        """Begin to read the bodies of open jobs that this daemon may hold, and drop those it may not."""
+        """Start to read the missing bodies of open jobs, and discard bodies that may not be held any more."""
         if self.bodies_reader is None:
             return
         for job in self.fold.jobs.values():
@@ -139,33 +143,33 @@
         self.bodies_reader.forget_jobs_except(self.fold.jobs)
 
     def _deliver_bodies(self, job_id: str, bodies: Sequence[ItemBodies]) -> bool:
-        """Take the bodies of a job and run it if it is this daemon's; return False when they don't fit."""
-        fit = self.fold.set_bodies(job_id, bodies)
-        if fit and self.is_current:
+        """Set a job's bodies and start its runner if it is owned here; return False if they don't match."""
+        matches = self.fold.set_bodies(job_id, bodies)
+        if matches and self.is_current:
             self.ownership.start_runners()
-        return fit
+        return matches
 
     def choose_poll_wait(self) -> None:
-        """Let long polls be short while a job is open, as its owner is judged by a fresh view only."""
+        """Use short long polls while a job is open, because takeovers require a fresh view."""
         self.tail.wait_s = POLL_WAIT_S if self.fold.has_open_jobs() else IDLE_POLL_WAIT_S
 
     def keep_following(self) -> None:
-        """Follow the partition from now on, for some time."""
+        """Follow the partition for some time from now."""
         self.needed_until_s = max(self.needed_until_s, monotonic_s() + FOLLOW_AFTER_USE_S)
         self.followed_tail.set(True)
 
     def keep_following_if_current(self) -> None:
-        """Follow the partition for some time after it passes on, while the next watcher reads it.
+        """Follow a partition that was read to its end for some time, also if another daemon watches it next.
 
-        Only a daemon that has read it can answer meanwhile.  When all daemons of a zone start at
-        once, each holds many partitions for a moment; reading these on would take the log's
-        bytes a second from the daemons that keep them.
+        Until the next watcher has read the partition, only this daemon can answer requests.  A partition
+        that was not read to its end is not followed on: when all daemons of a zone start, each
+        watches many partitions for a moment, and reading them all would exceed the log's throughput.
         """
         if self.is_current:
             self.keep_following()
 
     def close(self) -> None:
-        """End all that runs for this partition."""
+        """Stop following, and cancel all runners, reads and appends of this partition."""
         self.followed_tail.set(False)
         if self.bodies_reader is not None:
             self.bodies_reader.close()
@@ -178,7 +182,7 @@
             try:
                 batch = decode_batch(record)
             except (msgspec.DecodeError, zlib.error) as error:
-                # A newer daemon's record, for example; a daemon that ended here would never get past it.
+                # For example a newer daemon's record; to fail here would block the partition for ever.
                 offset = page.start + index
                 self._decisions.write(RecordUnreadable(offset=offset, reason=str(error)))
                 continue
@@ -192,7 +196,7 @@
 
 
 class JobShards:
-    """All partitions that this daemon has to do with."""
+    """All partitions of which this daemon has a state."""
 
     def __init__(
         self,
@@ -207,18 +211,18 @@
         log_answers: Callable[[], bool] = lambda: True,
         bodies: BoundBodies | None = None,
     ) -> None:
-        """Begin with no partition.
+        """Create the collection without partitions.
 
         Args:
             log: the log.
-            settings: what all shards share.
-            held: the partitions that this daemon watches for its zone.
+            settings: settings that all partitions share.
+            watched_partitions: returns the partitions that this daemon watches for its zone.
             make_runner: makes the runner of a job.
-            peers: asks the owners of jobs.
-            decisions: where decisions are noted.
-            may_own_new: whether this daemon is large enough for a job that no watcher takes.
-            log_answers: whether the log has just answered this daemon.
-            bodies: keeps the bodies of bound jobs apart; None where no job is bound.
+            peers: calls the owners of jobs.
+            decisions: receives the decision lines.
+            may_own_new: returns whether this daemon is large enough to own a job that no watcher takes.
+            log_answers: returns whether the log has recently answered this daemon.
+            bodies: stores the bodies of region-restricted jobs; None where no job is restricted.
         """
         self._log = log
         self._settings = settings
@@ -235,84 +239,86 @@
     @property
     def running(self) -> int:
         """Number of jobs that this daemon runs."""
-        return sum(shard.ownership.running_jobs for shard in self._partition_by_number.values())
+        return sum(partition.ownership.running_jobs for partition in self._partition_by_number.values())
 
     @property
     def writer(self) -> str:
-        """Name of this daemon's present life."""
+        """Writer name of this daemon's present incarnation."""
         return self._settings.writer
 
     @property
     def may_own_new(self) -> bool:
-        """Whether this daemon owns a new job that no watcher takes."""
+        """Whether this daemon may own a new job that no watcher takes."""
         return self._may_own_new() and not self.stopping
 
     def watches(self, number: int) -> bool:
-        """Whether this daemon watches a partition for all."""
+        """Whether this daemon watches a partition for its zone."""
         return not self.stopping and number in self._watched_partitions()
 
     def of(self, host: str) -> JobPartition:
-        """Return the partition of a host's jobs."""
+        """Return the partition of a host's jobs; it is created, but not followed, on first use."""
         return self._get_or_create(partition_of(host, self._settings.parts))
 
     def _get_or_create(self, number: int) -> JobPartition:
-        shard = self._partition_by_number.get(number)
-        if shard is None:
-            take_over = PartitionOwners(number, self._peers, self._log_answers)
-            shard = self._partition_by_number[number] = JobPartition(
+        partition = self._partition_by_number.get(number)
+        if partition is None:
+            owners = PartitionOwners(number, self._peers, self._log_answers)
+            partition = self._partition_by_number[number] = JobPartition(
                 number,
                 self._log,
                 self._settings,
                 self._make_runner,
-                take_over,
+                owners,
                 self._decisions,
                 self.restricted_bodies,
             )
-        return shard
+        return partition
 
     def get(self, number: int) -> JobPartition | None:
-        """Return a partition if this daemon has to do with it."""
+        """Return a partition if this daemon has a state of it, else None."""
         return self._partition_by_number.get(number)
 
     async def run(self) -> None:
-        """Follow what is needed and run what is owned, until cancelled."""
+        """Update followed partitions and job ownership periodically until cancelled."""
         try:
             while True:
                 self._update()
                 await asyncio.sleep(UPDATE_INTERVAL_S)
         finally:
-            for shard in self._partition_by_number.values():
-                shard.close()
+            for partition in self._partition_by_number.values():
+                partition.close()
 
     def _update(self) -> None:
         now_s = monotonic_s()
-        held = self._watched_partitions()
-        for part in held:
-            self._get_or_create(part)
-        for part, shard in list(self._partition_by_number.items()):
-            shard.ownership.stopping = self.stopping
-            needed = part in held or shard.ownership.owns_open_job() or now_s < shard.needed_until_s
-            shard.followed_tail.set(needed)
-            shard.choose_poll_wait()
-            shard.read_bodies()
-            if shard.is_current:
-                shard.ownership.update(is_watcher=self.watches(part))
-                shard.fold.prune(now_s, self._settings.retention_s)
-            if part in held:
-                shard.keep_following_if_current()
+        watched = self._watched_partitions()
+        for number in watched:
+            self._get_or_create(number)
+        for number, partition in list(self._partition_by_number.items()):
+            partition.ownership.stopping = self.stopping
+            needed = (
+                number in watched or partition.ownership.owns_open_job() or now_s < partition.needed_until_s
+            )
+            partition.followed_tail.set(needed)
+            partition.choose_poll_wait()
+            partition.read_bodies()
+            if partition.is_current:
+                partition.ownership.update(is_watcher=self.watches(number))
+                partition.fold.prune(now_s, self._settings.retention_s)
+            if number in watched:
+                partition.keep_following_if_current()
             elif needed:
-                shard.needed_until_s = max(shard.needed_until_s, now_s)
-            elif now_s - shard.needed_until_s > STATE_TTL_S and shard.journal.has_no_pending_entries:
-                shard.close()
-                del self._partition_by_number[part]
+                partition.needed_until_s = max(partition.needed_until_s, now_s)
+            elif now_s - partition.needed_until_s > STATE_TTL_S and partition.journal.has_no_pending_entries:
+                partition.close()
+                del self._partition_by_number[number]
 
     def stop(self) -> list[asyncio.Future[int]]:
-        """Hand all jobs over; the results are there once that stands on the log."""
+        """Release all jobs for a graceful shutdown; return futures that finish once that is on the log."""
         self.stopping = True
         appended = []
-        for shard in self._partition_by_number.values():
-            if shard.ownership.running_jobs or shard.ownership.owns_open_job():
-                shard.ownership.stopping = True
-                shard.ownership.record_all_progress()
-                appended.append(shard.journal.put(WriterStopped()))
+        for partition in self._partition_by_number.values():
+            if partition.ownership.running_jobs or partition.ownership.owns_open_job():
+                partition.ownership.stopping = True
+                partition.ownership.record_all_progress()
+                appended.append(partition.journal.put(WriterStopped()))
         return appended
--- a/passgate/jobs/silence.py
+++ b/passgate/jobs/silence.py
@@ -5,10 +5,10 @@
 replicas' streams deliver data: when all are silent, this daemon or its network is at fault, and
 another replica would be no better.
 
->>> streams = StreamSilence()
+>>> detector = StreamSilence()
 >>> first, second = ReplicaLife("r1"), ReplicaLife("r2")
->>> streams.heard(first, now_s=10.0)
->>> streams.seems_lost(second, since_s=9.9), streams.seems_lost(first, since_s=9.9)
+>>> detector.heard(first, now_s=10.0)
+>>> detector.seems_lost(second, since_s=9.9), detector.seems_lost(first, since_s=9.9)
 (True, False)
 >>> silence_limit_s(usual_pause_s=0.04)
 0.4
--- a/passgate/jobs/waiting.py
+++ b/passgate/jobs/waiting.py
@@ -1,17 +1,16 @@
 """Queues of items that wait for a free slot at a replica, ordered by latest start time.
 
 A job is complete when its longest items are, so a shorter item may start later by the difference of
-the expected durations.  Among items with equal differences, those of the older job come first.
-Each model has queues of its own, one for each set of allowed regions: otherwise an item whose
-regions have no replica left would block all items behind it.
+the expected durations.  Each model has a queue for each set of allowed regions, so that items whose
+regions have no replica left do not block the others.
 
->>> line = WaitingLine()
+>>> queues = WaitingLine()
 >>> older, newer = Rank(latest_start_s=1.0, unsent=True), Rank(latest_start_s=2.0, unsent=False)
->>> line.add("m", newer); line.add("m", older); line.add("other", newer)
->>> line.is_first("m", older), line.is_first("m", newer), line.is_first("other", newer)
+>>> queues.add("m", newer); queues.add("m", older); queues.add("other", newer)
+>>> queues.is_first("m", older), queues.is_first("m", newer), queues.is_first("other", newer)
 (True, False, True)
->>> line.remove("m", older)
->>> line.is_first("m", newer)
+>>> queues.remove("m", older)
+>>> queues.is_first("m", newer)
 True
 """
 
--- a/tests/job_daemons.py
+++ b/tests/job_daemons.py
@@ -1,4 +1,4 @@
-"""Daemons of batch jobs over one log in virtual time, without replicas and callers."""
+"""Runs the job services of several daemons over one in-memory log in virtual time, without replicas."""
 
 import asyncio
 import random
@@ -35,21 +35,32 @@
 from passgate.versions.control import ControlTopic
 
 LEASE_S = 3.0
-FAULTS = ["kill", "cut", "silent", "refuse", "lost", "slow", "deal", "lapse", "part", "none"]
+FAULTS = [
+    "kill",
+    "cut_off",
+    "silent",
+    "refuse",
+    "lose_answers",
+    "slow",
+    "reassign",
+    "expire_members",
+    "split_zone",
+    "none",
+]
 HOST = "h"
 ITEM_S = 0.4
-TAKEN_OVER_SOON_S = 0.8
-"""Time from the start of all daemons until an open job runs again: joining the group, reading, claiming."""
-HANDED_OVER_S = 1.3
-"""Time from the cut until another daemon runs the job: the owner's next append, 0.45 s, one question."""
-READ_SOON_S = 0.05
-"""Time after its acceptance within which the owner has read a job from the log."""
-networks = weakref.WeakKeyDictionary()
-"""Network between the daemons of each log."""
+TAKEOVER_LIMIT_S = 0.8
+"""Limit from the start of all daemons until an open job runs: joining the group, reading, claiming."""
+RELEASE_LIMIT_S = 1.3
+"""Limit from the cut until another daemon runs the job: the owner's next append, its timeout, one probe."""
+RUN_START_LIMIT_S = 0.05
+"""Limit from a job's acceptance until its owner has read it from the log and runs it."""
+network_by_log = weakref.WeakKeyDictionary()
+"""Maps each log to the network between its daemons."""
 
 
-class Runner:
-    """Stands for the items' runs: each takes some time, its text names who made it."""
+class FakeRunner:
+    """Replaces the runner of a job: each item takes some time, and its text names the daemon."""
 
     def __init__(self, daemon, journal, job):
         self.daemon = daemon
@@ -68,20 +79,20 @@
         pass
 
 
-def _ignore_records(records, start):
+def ignore_records(records, start):
     pass
 
 
 class Daemon:
-    """A daemon without replicas and callers; the rest is the product's own code."""
+    """The job service of a daemon with its log followers and group membership; only runners are fake."""
 
-    def __init__(self, log, name, life=0, zone="a", cores=2.0, config=None, regions=None):
-        """Make a daemon; ``config`` holds what binds jobs to the ``regions`` of zones, if anything does."""
+    def __init__(self, log, name, incarnation=0, zone="a", cores=2.0, config=None, region_by_zone=None):
+        """Create a daemon; ``config`` restricts the regions of jobs, if given."""
         self.zone = zone
         self.client = log.client(name)
-        self.network = networks.setdefault(log, MemoryNetwork(random.Random(1)))
+        self.network = network_by_log.setdefault(log, MemoryNetwork(random.Random(1)))
         self.transport = self.network.transport(f"{name}:7720", name)
-        self.name = writer_name(name, str(life), self.transport.address)
+        self.name = writer_name(name, str(incarnation), self.transport.address)
         self.events = []
         decisions = DecisionLog(name, write=len, observe=self.events.append)
         member = member_name(name, self.transport.address, cores)
@@ -91,7 +102,7 @@
         )
         sizes = {"record_bytes": 262_144, "append_bytes": 2_000_000}
         self.directory = directory = GroupDirectory(self.client, f"watch.{zone}", "jobs", candidacy)
-        places = Places(zone=zone, regions=regions or {})
+        places = Places(zone=zone, regions=region_by_zone or {})
         distances = Distances(places)
         self.elsewhere = elsewhere = OtherZones(
             self.client, "watch", "jobs", distances.nearest_first, distances.fallback_zones
@@ -131,19 +142,19 @@
             else None,
         )
         settings = TailSettings(topic="keyed.op", gap_s=0.05)
-        self.operator = KeyedTail(self.client, settings, replace=_ignore_records, update=_ignore_records)
+        self.operator_tail = KeyedTail(self.client, settings, replace=ignore_records, update=ignore_records)
         self.service = JobService(
             self.shards,
             peers,
             self.journal,
             lambda model: 0,
-            lambda: self.operator.freshness.age_s(monotonic_s()),
+            lambda: self.operator_tail.freshness.age_s(monotonic_s()),
             decisions,
         )
         self.tasks = []
 
     def make_runner(self, fold, journal, job):
-        return Runner(self, journal, job)
+        return FakeRunner(self, journal, job)
 
     def start(self):
         loop = asyncio.get_running_loop()
@@ -154,13 +165,13 @@
             self.shards.run(),
             self.directory.keep_known(),
             self.elsewhere.keep_known(),
-            self.operator.run(),
+            self.operator_tail.run(),
         )
         self.tasks = [loop.create_task(part) for part in parts]
         return self
 
     async def stop(self):
-        """Hand over as in a planned stop."""
+        """Shut down gracefully: release the jobs and leave the group."""
         await asyncio.wait([*self.shards.stop(), self.control.stop()])
         await self.member.leave()
 
@@ -170,12 +181,12 @@
         await asyncio.gather(*self.tasks, return_exceptions=True)
         await self.transport.close()
 
-    async def owner(self, job_id, host=HOST):
-        """Return who owns a job, as this daemon reads it from the log."""
+    async def read_owner(self, job_id, host=HOST):
+        """Return the owner of a job, as this daemon reads it from the log."""
         return (await find_job(self.shards.of(host), job_id)).owner
 
-    async def listed(self, job_id, host=HOST):
-        """Return a job's results as a caller reads them here, or None when it can not."""
+    async def read_all(self, job_id, host=HOST):
+        """Return whether a job is complete and its results, as read here; None when it can't be read."""
         try:
             page = await self.service.read(host, job_id, 0, 0.0)
         except NotReady:
@@ -190,41 +201,41 @@
     return JobSpec(job_id=job_id, host=host, path="/p/", items=items)
 
 
-class Orders:
-    """Samples who may give orders."""
+class LeaderSampler:
+    """Checks periodically that at most one daemon leads, and records each change of the leader."""
 
     def __init__(self, daemons):
         self.daemons = daemons
-        self.turns = []
+        self.leaderships = []
 
-    async def watch(self):
+    async def sample(self):
         while True:
             allowed = [
                 daemon.name for daemon in self.daemons if daemon.tasks and daemon.leadership.may_order()
             ]
             assert len(allowed) <= 1, f"{allowed} may order at once"
-            if allowed and (not self.turns or self.turns[-1][1] != allowed[0]):
-                self.turns.append((monotonic_s(), allowed[0]))
+            if allowed and (not self.leaderships or self.leaderships[-1][1] != allowed[0]):
+                self.leaderships.append((monotonic_s(), allowed[0]))
             await asyncio.sleep(0.05)
 
 
-async def settle(daemons, jobs, timeout_s=60.0, host=HOST):
-    """Wait until all jobs are whole, as read at every daemon; return their lists by daemon."""
+async def wait_until_complete(daemons, jobs, timeout_s=60.0, host=HOST):
+    """Wait until all jobs are complete at every daemon; return each daemon's results of each job."""
     until_s = monotonic_s() + timeout_s
     while monotonic_s() < until_s:
-        seen = [[await daemon.listed(job_id, host) for job_id in jobs] for daemon in daemons]
+        seen = [[await daemon.read_all(job_id, host) for job_id in jobs] for daemon in daemons]
         if all(page is not None and page[0] for pages in seen for page in pages):
             return [[rows for _, rows in pages] for pages in seen]
         await asyncio.sleep(0.2)
-    raise AssertionError(f"jobs are not finished everywhere: {seen}")
+    raise AssertionError(f"jobs are not complete at every daemon: {seen}")
 
 
-async def started(log, count, zones=1):
-    """Return daemons among which the partitions are dealt."""
+async def start_daemons(log, count, zones=1):
+    """Start daemons in some zones; return them once the partitions are assigned."""
     daemons = [Daemon(log, f"d{number}", zone=f"z{number % zones}").start() for number in range(count)]
     await asyncio.sleep(2.5)
     return daemons
 
 
-def by_name(daemons, writer):
+def daemon_of_writer(daemons, writer):
     return next(daemon for daemon in daemons if daemon.name == writer)
--- a/tests/test_jobs_daemons.py
+++ b/tests/test_jobs_daemons.py
@@ -1,7 +1,7 @@
 """Several daemons over one log in virtual time, under faults of the log and of daemons.
 
-Whatever happens, all daemons list the same results at the same positions, every
-job is finished once the faults end, and no two daemons may give orders at once.
+Under all faults, every daemon has the same results at the same positions, jobs are completed once
+the faults end, and at most one daemon leads.
 """
 
 import asyncio
@@ -30,23 +30,23 @@
 from tests.job_daemons import (
     FAULTS,
     HOST,
-    READ_SOON_S,
+    RUN_START_LIMIT_S,
     Daemon,
-    Orders,
+    LeaderSampler,
     job_spec,
-    networks,
-    settle,
-    started,
+    network_by_log,
+    start_daemons,
+    wait_until_complete,
 )
 
 
 @pytest.mark.parametrize("host", ["h", "h1", "h2", "h3"])
 def test_a_daemon_cut_off_from_the_log_accepts_jobs_through_another(host):
-    """Also when it watches the partition itself."""
+    """Also when the cut-off daemon is the partition's watcher."""
 
     async def main():
         log = MemorySharedLog()
-        daemons = await started(log, 3)
+        daemons = await start_daemons(log, 3)
         await asyncio.sleep(REFRESH_S)
         for number, daemon in enumerate(daemons):
             log.cut_off = {f"d{number}"}
@@ -55,7 +55,7 @@
             assert monotonic_s() - began_s < 1.0
             log.cut_off = set()
             await asyncio.sleep(1.0)
-        await settle(daemons, ["j0", "j1", "j2"], host=host)
+        await wait_until_complete(daemons, ["j0", "j1", "j2"], host=host)
         for daemon in daemons:
             await daemon.kill()
 
@@ -64,15 +64,15 @@
 
 @pytest.mark.parametrize("host", ["h", "h1", "h2", "h3"])
 def test_new_results_are_read_at_a_daemon_cut_off_from_the_log(host):
-    """Also at the watcher of the partition, which knows the results up to the cut."""
+    """Also when the cut-off daemon is the watcher and knows only the results up to the cut."""
 
     async def main():
         log = MemorySharedLog()
-        daemons = await started(log, 4)
+        daemons = await start_daemons(log, 4)
         await asyncio.sleep(REFRESH_S)
         await daemons[0].service.submit(job_spec("j", 10, host=host), monotonic_s() + 3.0)
         await asyncio.sleep(1.0)
-        owner = await daemons[0].owner("j", host)
+        owner = await daemons[0].read_owner("j", host)
         victim = next(daemon for daemon in daemons if daemon.member.held() and daemon.name != owner)
         log.cut_off = {victim.name.split(".")[0]}
         await asyncio.sleep(2.0)
@@ -85,12 +85,12 @@
     run_virtual(main())
 
 
-def test_one_daemon_that_reaches_the_log_serves_for_all_of_its_zone():
-    """Whichever of the others is asked, and whoever watched the partition before the cut."""
+def test_one_daemon_that_reaches_the_log_serves_its_whole_zone():
+    """Through each of the others, and whichever of them watched the partition before the cut."""
 
     async def main():
         log = MemorySharedLog()
-        daemons = await started(log, 4)
+        daemons = await start_daemons(log, 4)
         await asyncio.sleep(REFRESH_S)
         await daemons[0].service.submit(job_spec("j", 12), monotonic_s() + 3.0)
         await asyncio.sleep(0.5)
@@ -113,7 +113,7 @@
 def test_a_job_that_no_daemon_can_put_on_the_log_is_answered_by_its_deadline():
     async def main():
         log = MemorySharedLog()
-        daemons = await started(log, 3)
+        daemons = await start_daemons(log, 3)
         await asyncio.sleep(REFRESH_S)
         log.faults.silent = True
         for daemon in daemons:
@@ -135,9 +135,9 @@
     """Twelve daemons, four partitions: a job is read everywhere and followed by one in each zone."""
 
     async def main():
-        daemons = await started(MemorySharedLog(), 12, zones)
+        daemons = await start_daemons(MemorySharedLog(), 12, zones)
         await daemons[0].service.submit(job_spec("j", 8), monotonic_s() + 2)
-        await settle(daemons, ["j"])
+        await wait_until_complete(daemons, ["j"])
         await asyncio.sleep(
             FOLLOW_AFTER_USE_S + 0.5
         )  # those that held the partition while the group formed read on
@@ -153,12 +153,12 @@
 def test_a_job_is_read_from_the_log_when_its_watcher_does_not_answer():
     async def main():
         log = MemorySharedLog()
-        daemons = await started(log, 4)
+        daemons = await start_daemons(log, 4)
         await daemons[0].service.submit(job_spec("j", 2), monotonic_s() + 2)
-        await settle(daemons, ["j"])
-        networks[log].cut(lambda address, zone: address)
+        await wait_until_complete(daemons, ["j"])
+        network_by_log[log].cut(lambda address, zone: address)
         for daemon in daemons:
-            assert (await daemon.listed("j"))[0]
+            assert (await daemon.read_all("j"))[0]
         with pytest.raises(NotFound):
             await daemons[1].service.read(HOST, "unknown", 0, 0.0)
         await daemons[2].service.end(HOST, "j", monotonic_s() + 2)
@@ -169,16 +169,16 @@
     run_virtual(main())
 
 
-def test_an_end_is_written_also_when_nobody_can_say_whether_the_job_exists():
-    """The caller does not come back for ever; items must not run on."""
+def test_a_cancellation_is_appended_if_it_is_unknown_whether_the_job_exists():
+    """Guards against items that run on because the caller stops retrying."""
 
     async def main():
         log = MemorySharedLog()
-        daemons = await started(log, 3)
+        daemons = await start_daemons(log, 3)
         await daemons[0].service.submit(job_spec("j", 50), monotonic_s() + 2)
         await asyncio.sleep(0.5)
         other = next(daemon for daemon in daemons if not daemon.shards.of(HOST).is_current)
-        networks[log].cut(lambda address, zone: address)
+        network_by_log[log].cut(lambda address, zone: address)
         log.faults = SharedLogFaults(refusing=True)
         with pytest.raises(DurabilityUnknown):
             await other.service.end(HOST, "j", monotonic_s() + 1)
@@ -192,7 +192,7 @@
     run_virtual(main())
 
 
-def test_refused_appends_are_a_promise_and_lost_answers_are_not():
+def test_a_job_whose_append_was_refused_never_runs_and_one_with_a_lost_answer_may():
     async def main():
         log = MemorySharedLog()
         daemon = Daemon(log, "d0").start()
@@ -202,12 +202,12 @@
             await daemon.service.submit(job_spec("refused"), monotonic_s() + 1)
         log.faults = SharedLogFaults(lost_answers=1.0, late_s=(3.0, 4.0))
         with pytest.raises(DurabilityUnknown):
-            await daemon.service.submit(job_spec("doubtful"), monotonic_s() + 1)
+            await daemon.service.submit(job_spec("unconfirmed"), monotonic_s() + 1)
         log.faults = SharedLogFaults()
         await asyncio.sleep(6.0)
-        assert await daemon.listed("doubtful")
+        assert await daemon.read_all("unconfirmed")
         with pytest.raises(NotFound):
-            await daemon.listed("refused")
+            await daemon.read_all("refused")
         await daemon.kill()
 
     run_virtual(main())
@@ -230,53 +230,55 @@
 
 
 @pytest.mark.parametrize("seed", range(24))
-def test_random_faults_leave_one_order_giver_and_one_list(seed):
+def test_random_faults_leave_at_most_one_leader_and_equal_results_everywhere(seed):
     async def main():
-        chance = random.Random(seed)
+        rng = random.Random(seed)
         log = MemorySharedLog(seed)
-        zones = chance.choice([1, 2, 4])
+        zones = rng.choice([1, 2, 4])
         daemons = [Daemon(log, f"d{number}", zone=f"z{number % zones}").start() for number in range(4)]
-        lives = dict.fromkeys(range(4), 0)
-        watch = asyncio.create_task(Orders(daemons).watch())
+        incarnation_by_daemon = dict.fromkeys(range(4), 0)
+        watch = asyncio.create_task(LeaderSampler(daemons).sample())
         await asyncio.sleep(1.0)
         jobs = []
         for step in range(14):
-            await asyncio.sleep(chance.uniform(0.3, 1.5))
-            victim = chance.randrange(4)
-            match chance.choice(FAULTS):
+            await asyncio.sleep(rng.uniform(0.3, 1.5))
+            victim = rng.randrange(4)
+            match rng.choice(FAULTS):
                 case "kill":
                     await daemons[victim].kill()
-                    lives[victim] += 1
+                    incarnation_by_daemon[victim] += 1
                     zone = f"z{victim % zones}"
-                    daemons[victim] = Daemon(log, f"d{victim}", lives[victim], zone).start()
-                case "cut":
+                    daemons[victim] = Daemon(log, f"d{victim}", incarnation_by_daemon[victim], zone).start()
+                case "cut_off":
                     log.cut_off = {f"d{victim}"}
-                case "deal":
+                case "reassign":
                     log.groups.deal_anew()
-                case "lapse":
+                case "expire_members":
                     log.groups.drop_members()
-                case "part":
-                    networks[log].cut(lambda address, zone, apart=f"d{victim}": zone == apart)
+                case "split_zone":
+                    network_by_log[log].cut(
+                        lambda address, zone, split_daemon=f"d{victim}": zone == split_daemon
+                    )
                 case "silent":
                     log.faults = SharedLogFaults(silent=True)
                 case "refuse":
                     log.faults = SharedLogFaults(refusing=True)
-                case "lost":
+                case "lose_answers":
                     log.faults = SharedLogFaults(lost_answers=0.4, late_s=(0.5, 4.0))
                 case "slow":
                     log.faults = SharedLogFaults(slow_s=0.25)
                 case "none":
                     log.faults, log.cut_off = SharedLogFaults(), set()
-                    networks[log].heal()
+                    network_by_log[log].heal()
             job_id = f"j{step}"
             try:
-                await daemons[chance.randrange(4)].service.submit(job_spec(job_id), monotonic_s() + 2)
+                await daemons[rng.randrange(4)].service.submit(job_spec(job_id), monotonic_s() + 2)
                 jobs.append(job_id)
             except (LogUnavailable, DurabilityUnknown):
                 pass
         log.faults, log.cut_off = SharedLogFaults(), set()
-        networks[log].heal()
-        lists = await settle(daemons, jobs)
+        network_by_log[log].heal()
+        lists = await wait_until_complete(daemons, jobs)
         if watch.done():
             watch.result()
         assert all(positions == lists[0] for positions in lists)
@@ -289,12 +291,12 @@
     run_virtual(main())
 
 
-def test_a_new_job_is_begun_as_soon_as_its_record_was_read():
+def test_a_new_job_starts_as_soon_as_its_record_was_read():
     async def main():
         log = MemorySharedLog()
-        (daemon,) = await started(log, 1)
+        (daemon,) = await start_daemons(log, 1)
         await daemon.service.submit(job_spec("warm"), monotonic_s() + 5.0)
-        await settle([daemon], ["warm"])
+        await wait_until_complete([daemon], ["warm"])
         spent = []
         for number in range(8):
             await daemon.service.submit(job_spec(f"j{number}", count=1), monotonic_s() + 5.0)
@@ -302,17 +304,17 @@
             while not daemon.shards.running:
                 await asyncio.sleep(0.005)
             spent.append(monotonic_s() - accepted_s)
-            await settle([daemon], [f"j{number}"])
-        assert max(spent) <= READ_SOON_S
+            await wait_until_complete([daemon], [f"j{number}"])
+        assert max(spent) <= RUN_START_LIMIT_S
 
     run_virtual(main())
 
 
-SLOW = SharedLogFaults(slow_s=0.5)
+SLOW_LOG = SharedLogFaults(slow_s=0.5)
 
 
-def make_long(log):
-    """Let the partition of the jobs take some seconds to read once the log is slow."""
+def fill_partition(log):
+    """Append so much to the jobs' partition that it takes seconds to read from a slow log."""
     texts = [log.random.randbytes(1_000_000).hex() for _ in range(4)]
     results = (Result(item_id="i", state=ResultState.SUCCEEDED, text=text, versions=(1,)) for text in texts)
     for result in results:
@@ -323,14 +325,14 @@
 def test_a_job_is_read_through_the_earlier_watcher_while_the_next_one_reads_the_log():
     async def main():
         log = MemorySharedLog()
-        daemons = await started(log, 6)
+        daemons = await start_daemons(log, 6)
         await daemons[0].service.submit(job_spec("j", 4), monotonic_s() + 2)
-        await settle(daemons, ["j"])
-        make_long(log)
+        await wait_until_complete(daemons, ["j"])
+        fill_partition(log)
         await asyncio.sleep(FOLLOW_AFTER_USE_S + REFRESH_S)
         part = partition_of(HOST, log.parts)
         first = next(daemon for daemon in daemons if daemon.shards.watches(part))
-        log.faults = SLOW
+        log.faults = SLOW_LOG
         log.groups.deal_anew()
         while not any(daemon.shards.watches(part) for daemon in daemons if daemon is not first):
             await asyncio.sleep(0.02)
@@ -347,7 +349,7 @@
     run_virtual(main())
 
 
-async def ask_often(daemons):
+async def read_periodically(daemons):
     await asyncio.sleep(1.2)  # until the log was read once
     while True:
         for daemon in daemons:
@@ -355,23 +357,23 @@
                 await daemon.service.read(HOST, "j", 0, 0.0)
 
 
-def test_daemons_wait_for_a_watcher_that_reads_the_log_instead_of_reading_it_too():
-    """Fails where each one reads for itself: after a loss of all daemons the log has no time for it."""
+def test_daemons_wait_for_a_watcher_that_reads_the_log_instead_of_reading_it_themselves():
+    """Guards against an overload of the log after a restart of all daemons."""
 
     async def main():
         log = MemorySharedLog()
-        daemons = await started(log, 6)
+        daemons = await start_daemons(log, 6)
         await daemons[0].service.submit(job_spec("j", 4), monotonic_s() + 2)
-        await settle(daemons, ["j"])
+        await wait_until_complete(daemons, ["j"])
         for daemon in daemons:
             await daemon.kill()
         log.groups.drop_members()
-        make_long(log)
-        log.faults = SLOW
-        daemons = [Daemon(log, f"d{number}", life=1).start() for number in range(6)]
+        fill_partition(log)
+        log.faults = SLOW_LOG
+        daemons = [Daemon(log, f"d{number}", incarnation=1).start() for number in range(6)]
         part = partition_of(HOST, log.parts)
         watched = set()
-        asking = asyncio.get_running_loop().create_task(ask_often(daemons))
+        asking = asyncio.get_running_loop().create_task(read_periodically(daemons))
         for _ in range(100):
             watched.add(log.groups.owners("watch.a").get(("jobs", part), "").partition("~")[0])
             await asyncio.sleep(0.02)
@@ -383,18 +385,18 @@
         }
         assert following <= watched
         assert len(watched) < len(daemons)
-        await settle(daemons, ["j"])
+        await wait_until_complete(daemons, ["j"])
         for daemon in daemons:
             await daemon.kill()
 
     run_virtual(main())
 
 
-LED_AGAIN_S = 1.5
-"""Time from the start of all daemons until one leads: join, read, silence, one question, claim."""
+ELECTION_LIMIT_S = 1.5
+"""Limit from the start of all daemons until one leads: join, read, silence, one probe, claim."""
 
 
-def test_daemons_that_all_start_anew_do_not_wait_for_the_lease_of_a_leader_that_is_gone():
+def test_restarted_daemons_do_not_wait_for_the_lease_of_a_leader_that_has_ended():
     async def main():
         log = MemorySharedLog(parts=4)
         daemons = [Daemon(log, f"d{number}").start() for number in range(3)]
@@ -402,8 +404,8 @@
         assert any(daemon.leadership.may_order() for daemon in daemons)
         for daemon in daemons:
             await daemon.kill()
-        daemons = [Daemon(log, f"d{number}", life=1).start() for number in range(3)]
-        await asyncio.sleep(LED_AGAIN_S)
+        daemons = [Daemon(log, f"d{number}", incarnation=1).start() for number in range(3)]
+        await asyncio.sleep(ELECTION_LIMIT_S)
         assert sum(daemon.leadership.may_order() for daemon in daemons) == 1
 
     run_virtual(main())
--- a/tests/test_jobs_liveness.py
+++ b/tests/test_jobs_liveness.py
@@ -1,4 +1,4 @@
-"""What a daemon concludes from the answers at a silent writer's address."""
+"""The status of a silent writer, as concluded from the responses to probes."""
 
 import asyncio
 
@@ -11,8 +11,8 @@
 ANSWER_S = 0.01
 
 
-def asked(answers):
-    """Return the view of a daemon whose questions get these answers, and the questions."""
+def prober_with_responses(answers):
+    """Return a prober whose probes get these responses in turn, and the list of the probes' times."""
     questions = []
 
     async def ask(writer):
@@ -32,9 +32,9 @@
         (None, Sign.SILENT),
     ],
 )
-def test_the_answer_tells_whether_the_writer_ended(answer, sign):
+def test_the_response_determines_the_status_of_the_writer(answer, sign):
     async def main():
-        liveness, _ = asked([answer])
+        liveness, _ = prober_with_responses([answer])
         assert liveness.sign_of(WRITER, last_contact_s=float("-inf")) is None
         await asyncio.sleep(2 * ANSWER_S)
         assert liveness.sign_of(WRITER, last_contact_s=float("-inf")) is sign
@@ -42,9 +42,9 @@
     run_virtual(main())
 
 
-def test_an_answer_older_than_the_writers_last_record_counts_no_more():
+def test_a_response_older_than_the_writers_last_record_is_ignored():
     async def main():
-        liveness, _ = asked([None])
+        liveness, _ = prober_with_responses([None])
         liveness.sign_of(WRITER, last_contact_s=float("-inf"))
         await asyncio.sleep(2 * ANSWER_S)
         assert liveness.sign_of(WRITER, last_contact_s=monotonic_s()) is None
@@ -52,9 +52,9 @@
     run_virtual(main())
 
 
-def test_a_silent_writer_is_asked_again_and_one_that_was_replaced_is_not():
+def test_a_silent_writer_is_probed_again_and_a_replaced_one_is_not():
     async def main():
-        liveness, questions = asked([None, AliveResponse(writer="d1.b@h:1")])
+        liveness, questions = prober_with_responses([None, AliveResponse(writer="d1.b@h:1")])
         for _ in range(40):
             liveness.sign_of(WRITER, last_contact_s=float("-inf"))
             await asyncio.sleep(0.1)
--- a/tests/test_jobs_rewards.py
+++ b/tests/test_jobs_rewards.py
@@ -1,4 +1,4 @@
-"""Reward calls of items over real sockets: when they are sent, what their answers decide."""
+"""Reward calls of items over real sockets: when they are sent, and the results of their answers."""
 
 import asyncio
 import contextlib
@@ -6,8 +6,8 @@
 from tests import platform_stand_ins as stand_ins
 from tests.test_platform_daemon import in_world
 
-ATTEMPTS = 3
-"""What both routes of these tests allow."""
+MAX_ATTEMPTS = 3
+"""Largest number of attempts that the routes of these tests allow."""
 
 
 def runs_of(world, request_id):
@@ -16,37 +16,40 @@
     ]
 
 
-async def start(world, apps=2, **replica_fields):
+async def start_world(world, apps=2, **replica_fields):
     world.replica("i-llm", "llm", models={"m": 1}.items(), **replica_fields)
     for number in range(apps):
         world.replica(f"i-app{number}", "app")
-    world.configure(1, stand_ins.safe_route(maxAttempts=ATTEMPTS), stand_ins.batch_route(maxAttempts=2))
+    world.configure(1, stand_ins.safe_route(maxAttempts=MAX_ATTEMPTS), stand_ins.batch_route(maxAttempts=2))
     await world.start()
 
 
-def apps(world):
+def app_replicas(world):
     return [replica for replica in world.replicas.values() if replica.service == "app"]
 
 
 @in_world
-async def test_a_result_has_the_score_of_its_own_call_made_after_its_text(world):
-    await start(world)
+async def test_a_result_has_the_score_of_its_own_call_which_follows_the_complete_text(world):
+    await start_world(world)
     assert (await world.submit(["aa1", "aa2", "bb1"], scored=True)).status == 202
     rows = await world.all_results("job1")
     assert {row["id"] for row in rows} == {"aa1", "aa2", "bb1"}
     for row in rows:
-        (made,) = runs_of(world, row["id"])
-        (scored,) = runs_of(world, stand_ins.reward_id(row["id"]))
+        (item_run,) = runs_of(world, row["id"])
+        (reward_run,) = runs_of(world, stand_ins.reward_id(row["id"]))
         assert row["state"] == "succeeded"
         assert row["text"] == stand_ins.whole_text(row["id"])
-        assert row["score"] == f"{scored.replica_id}.{scored.request_id}"
-        assert scored.began_s >= made.ended_s
-        assert (scored.path, scored.body) == (f"/call/score/{row['id']}", f"score {row['id']}".encode())
+        assert row["score"] == f"{reward_run.replica_id}.{reward_run.request_id}"
+        assert reward_run.began_s >= item_run.ended_s
+        assert (reward_run.path, reward_run.body) == (
+            f"/call/score/{row['id']}",
+            f"score {row['id']}".encode(),
+        )
 
 
 @in_world
-async def test_a_job_without_scorers_has_no_scores(world):
-    await start(world)
+async def test_a_job_without_reward_calls_has_no_scores(world):
+    await start_world(world)
     await world.submit(["aa1"])
     (row,) = await world.all_results("job1")
     assert "score" not in row
@@ -54,20 +57,20 @@
 
 @in_world
 async def test_an_item_is_dead_only_after_as_many_answers_of_500_as_its_routes_allow(world):
-    await start(world)
-    for app in apps(world):
+    await start_world(world)
+    for app in app_replicas(world):
         app.faults.failing = 500
     await world.submit(["aa1"], scored=True)
     (row,) = await world.all_results("job1")
     assert row["state"] == "dead"
-    assert len(runs_of(world, stand_ins.reward_id("aa1"))) == ATTEMPTS
+    assert len(runs_of(world, stand_ins.reward_id("aa1"))) == MAX_ATTEMPTS
     assert len(runs_of(world, "aa1")) == 1
 
 
 @in_world
-async def test_lost_answers_refusals_and_other_failures_end_no_item(world):
-    await start(world)
-    first, second = apps(world)
+async def test_lost_answers_refusals_and_other_failures_do_not_fail_an_item(world):
+    await start_world(world)
+    first, second = app_replicas(world)
     first.faults.lost_answers = 1.0
     second.faults.failing = 504
     await world.submit(["aa1"], scored=True)
@@ -75,7 +78,7 @@
     second.faults.failing = 0
     second.faults.refusing = True
     await asyncio.sleep(0.3)
-    assert len(runs_of(world, stand_ins.reward_id("aa1"))) > ATTEMPTS
+    assert len(runs_of(world, stand_ins.reward_id("aa1"))) > MAX_ATTEMPTS
     assert not (await world.results("job1", wait_ms=0))["results"]
     second.faults.refusing = False
     (row,) = await world.all_results("job1")
@@ -83,9 +86,9 @@
 
 
 @in_world
-async def test_a_call_that_takes_longer_than_usual_is_scored_in_the_end(world):
-    await start(world, apps=1)
-    (app,) = apps(world)
+async def test_a_call_that_takes_longer_than_usual_gets_its_score(world):
+    await start_world(world, apps=1)
+    (app,) = app_replicas(world)
     app.faults.slow = 90.0
     await world.submit(["aa1"], scored=True)
     (row,) = await world.all_results("job1")
@@ -94,8 +97,8 @@
 
 @in_world
 async def test_an_answer_of_another_request_is_no_score(world):
-    await start(world)
-    first, second = apps(world)
+    await start_world(world)
+    first, second = app_replicas(world)
     first.faults.wrong_id = True
     await world.submit([f"aa{number}" for number in range(6)], scored=True)
     for row in await world.all_results("job1"):
@@ -103,7 +106,7 @@
 
 
 @in_world
-async def test_a_reward_call_waits_for_its_route_and_goes_by_the_one_in_force(world):
+async def test_a_reward_call_waits_for_its_route_and_uses_the_active_one(world):
     world.replica("i-llm", "llm", models={"m": 1}.items())
     world.replica("i-old", "app")
     world.replica("i-new", "other")
@@ -118,32 +121,32 @@
 
 
 @in_world
-async def test_nothing_is_scored_after_the_end_of_the_job(world):
-    await start(world)
-    for app in apps(world):
+async def test_a_cancelled_job_sends_no_further_reward_calls(world):
+    await start_world(world)
+    for app in app_replicas(world):
         app.faults.refusing = True
     await world.submit(["aa1"], scored=True)
     await asyncio.sleep(0.4)
     assert (await world.call("DELETE", "/-/lots/job1")).status == 200
     await asyncio.sleep(0.4)
-    for app in apps(world):
+    for app in app_replicas(world):
         app.faults.refusing = False
     await asyncio.sleep(0.8)
     assert not runs_of(world, stand_ins.reward_id("aa1"))
 
 
 @in_world
-async def test_another_life_repeats_the_reward_call_only(world):
-    """The text stands on the log; whoever owns the job next does not generate it again."""
-    await start(world)
-    for app in apps(world):
+async def test_a_restarted_daemon_repeats_the_reward_call_only(world):
+    """The complete text is on the log, so the next owner of the job does not generate it again."""
+    await start_world(world)
+    for app in app_replicas(world):
         app.faults.refusing = True
     await world.submit(["aa1", "aa2"], scored=True)
     await asyncio.sleep(0.8)
     world.task.cancel()
     with contextlib.suppress(asyncio.CancelledError):
         await world.task
-    for app in apps(world):
+    for app in app_replicas(world):
         app.faults.refusing = False
     await world.start()
     rows = await world.all_results("job1", timeout_s=15.0)
@@ -153,13 +156,13 @@
 
 
 @in_world
-async def test_a_later_job_that_carries_an_item_on_uses_its_text_and_score(world):
-    await start(world)
-    for app in apps(world):
+async def test_a_later_job_with_the_same_item_reuses_its_text_and_score(world):
+    await start_world(world)
+    for app in app_replicas(world):
         app.faults.failing = 500
     await world.submit(["aa1"], scored=True)
     assert (await world.all_results("job1"))[0]["state"] == "dead"
-    for app in apps(world):
+    for app in app_replicas(world):
         app.faults.failing = 0
     await world.submit(["aa1", "bb1"], request_id="job2", step=2, scored=True)
     rows = await world.all_results("job2")
@@ -173,11 +176,11 @@
 
 
 @in_world
-async def test_a_burst_of_reward_calls_leaves_places_to_callers(world):
-    """Four places: two calls of items at a time, so that a caller is never refused."""
+async def test_a_burst_of_reward_calls_leaves_slots_to_other_callers(world):
+    """Guards against refusals of other callers while many items of a job are scored."""
     world.replica("i-llm", "llm", models={"m": 1}.items(), slots=64)
     app = world.replica("i-app", "app", slots=4, work_s=0.1)
-    world.configure(1, stand_ins.safe_route(maxAttempts=ATTEMPTS), stand_ins.batch_route())
+    world.configure(1, stand_ins.safe_route(maxAttempts=MAX_ATTEMPTS), stand_ins.batch_route())
     await world.start()
     await world.submit([f"aa{number}" for number in range(30)], scored=True)
     most = 0
--- a/tests/test_jobs_timing.py
+++ b/tests/test_jobs_timing.py
@@ -1,4 +1,4 @@
-"""The line that tells where the time of a job's run went."""
+"""The report that breaks down the time of a job."""
 
 from passgate.jobs.records import ItemSpec, JobSpec
 from passgate.jobs.timing import JobTiming
@@ -8,25 +8,25 @@
     return ItemSpec(id=item_id, path="/p/x", group=group)
 
 
-def test_the_line_comes_once_with_the_last_group_that_is_waited_for():
+def test_the_report_is_made_once_when_the_last_required_group_is_complete():
     items = (item("a1", "a"), item("a2", "a"), item("b1", "b"), item("c1", "c"))
     timing = JobTiming(JobSpec(job_id="j", host="h", path="/p/", items=items, desired=2), started_s=10.0)
     for entry in items:
         timing.item_times(entry.id).record_send(10.5)
     assert timing.record_result(items[0], 11.0, listed_items=()) is None
     assert timing.record_result(items[2], 12.0, listed_items=()) is None
-    line = timing.record_result(items[1], 13.0, listed_items=())
-    assert (line.last_item, line.whole_ms, line.waited_ms) == ("a2", 3000.0, 500.0)
+    report = timing.record_result(items[1], 13.0, listed_items=())
+    assert (report.last_item, report.whole_ms, report.waited_ms) == ("a2", 3000.0, 500.0)
     assert timing.record_result(items[3], 14.0, listed_items=()) is None
 
 
-def test_items_listed_by_an_earlier_owner_count():
+def test_results_of_an_earlier_owner_count():
     items = (item("a1", "a"), item("a2", "a"))
     timing = JobTiming(JobSpec(job_id="j", host="h", path="/p/", items=items, desired=1), started_s=0.0)
     assert timing.record_result(items[1], 2.0, listed_items={"a1"}).whole_ms == 2000.0
 
 
-def test_time_between_attempts_is_told_apart_from_time_for_events():
+def test_time_between_attempts_is_reported_apart_from_time_for_events():
     items = (item("a1", "a"),)
     timing = JobTiming(JobSpec(job_id="j", host="h", path="/p/", items=items, desired=1), started_s=0.0)
     times = timing.item_times("a1")
@@ -37,11 +37,11 @@
     times.record_events(2.5, 1)
     times.record_events(3.0, 10)
     timing.failure_count_by_code["incomplete_answer"] += 1
-    line = timing.record_result(items[0], 3.25, listed_items=())
-    assert (line.waited_ms, line.first_event_ms, line.stalled_ms, line.events_ms) == (
+    report = timing.record_result(items[0], 3.25, listed_items=())
+    assert (report.waited_ms, report.first_event_ms, report.stalled_ms, report.events_ms) == (
         250.0,
         250.0,
         1500.0,
         1000.0,
     )
-    assert (line.attempts, line.events, line.failures) == (2, 22, {"incomplete_answer": 1})
+    assert (report.attempts, report.events, report.failures) == (2, 22, {"incomplete_answer": 1})
--- a/tests/test_jobs_waiting.py
+++ b/tests/test_jobs_waiting.py
@@ -1,4 +1,4 @@
-"""In which order the items of several jobs get replicas."""
+"""The order in which the items of several jobs get replicas."""
 
 from passgate.jobs.durations import OutputDurations
 from passgate.jobs.fold import JobState
@@ -8,8 +8,8 @@
 MODEL = "m"
 
 
-class Tools:
-    """What a runner asks of its tools for the order of its items."""
+class FakeContext:
+    """The part of a run's context that determines the order of a job's items."""
 
     def __init__(self):
         self.durations = OutputDurations()
@@ -19,26 +19,26 @@
         return float(item.headers["hint"])
 
 
-class NothingKept:
+class EmptyProjection:
     recorded_events_by_item = newest_result_by_item = {}
 
 
-def ranks(tools, job_id, folded_s, hints):
+def ranked_items(tools, job_id, folded_s, hints):
     items = tuple(ItemSpec(id=f"{job_id}{hint}", path="/p/x", headers={"hint": str(hint)}) for hint in hints)
     spec = JobSpec(job_id=job_id, host="h", path="/p/", items=items, model=MODEL)
-    runner = JobRunner(JobState(spec, "d.a", folded_s), NothingKept(), None, tools)
+    runner = JobRunner(JobState(spec, "d.a", folded_s), EmptyProjection(), None, tools)
     return [(rank, item.id) for rank, item in runner._ranked_items()]
 
 
 def test_long_items_of_a_newer_job_come_before_short_ones_of_an_older_job():
-    tools = Tools()
-    waiting = ranks(tools, "old", 0.0, [1000, 50, 900]) + ranks(tools, "new", 4.0, [1000, 50])
+    tools = FakeContext()
+    waiting = ranked_items(tools, "old", 0.0, [1000, 50, 900]) + ranked_items(tools, "new", 4.0, [1000, 50])
     assert [item for _, item in sorted(waiting)] == ["old1000", "old900", "new1000", "old50", "new50"]
 
 
-def test_without_experience_the_older_job_comes_first_and_each_begins_with_its_longest():
-    tools = Tools()
+def test_without_known_durations_the_older_job_comes_first_and_starts_with_its_longest_item():
+    tools = FakeContext()
     tools.durations = OutputDurations()
-    order = ranks(tools, "old", 0.0, [50, 1000])
+    order = ranked_items(tools, "old", 0.0, [50, 1000])
     assert [item for _, item in order] == ["old1000", "old50"]
-    assert max(order)[0].latest_start_s < min(ranks(tools, "new", 4.0, [1000]))[0].latest_start_s
+    assert max(order)[0].latest_start_s < min(ranked_items(tools, "new", 4.0, [1000]))[0].latest_start_s
