--- a/passgate/jobs/bound_bodies.py
+++ b/passgate/jobs/bound_bodies.py
@@ -169,13 +169,13 @@
 
     def _encoded_pieces(self, spec: JobSpec, nonce: str) -> list[bytes]:
         data = zlib.compress(msgspec.json.encode(bodies_of(spec)), COMPRESSION_LEVEL)
-        parts = [
+        pieces = [
             data[start : start + self._max_piece_bytes]
             for start in range(0, len(data), self._max_piece_bytes)
         ]
         return [
-            msgspec.json.encode(BodiesPiece(nonce=nonce, index=index, count=len(parts), data=piece))
-            for index, piece in enumerate(parts)
+            msgspec.json.encode(BodiesPiece(nonce=nonce, index=index, count=len(pieces), data=piece))
+            for index, piece in enumerate(pieces)
         ]
 
     async def _append_piece(self, topic: str, partition: int, record: bytes, deadline_s: float) -> int:
@@ -251,6 +251,7 @@
         self._deliver = deliver
         self._task_by_job: dict[str, asyncio.Task[None]] = {}
         self._unrecoverable_jobs: set[str] = set()
+        """Jobs whose bodies were deleted from the log, can't be decoded, or don't match the items."""
         self._retry_pause_s_by_job: dict[str, float] = {}
         """Maps jobs whose bodies could not be read to the pause after the next failure."""
 
@@ -259,9 +260,9 @@
 
         Returns None when this daemon may not hold the bodies, or when they are unrecoverable.
         """
-        reading = self._task_by_job.get(job.job_id)
-        if reading is not None or job.job_id in self._unrecoverable_jobs:
-            return reading
+        running_task = self._task_by_job.get(job.job_id)
+        if running_task is not None or job.job_id in self._unrecoverable_jobs:
+            return running_task
         if not self._bodies.may_hold(job.host, job.path, job.tenant, job.location):
             return None
         task = asyncio.get_running_loop().create_task(self._read(job))
--- a/passgate/jobs/checkpoint.py
+++ b/passgate/jobs/checkpoint.py
@@ -29,7 +29,7 @@
         self._stream = stream
         self._run_id = secrets.token_hex(4)
         self._parent_run_id = resumed.run_id if resumed is not None else ""
-        self._recorded_count = stream.count
+        self._recorded_count = stream.event_count
 
     def start_new_run(self) -> None:
         """Start a new run, after the stream's events were discarded."""
@@ -39,7 +39,7 @@
 
     def take_entry(self) -> ItemProgressed | None:
         """Return an entry with the events since the last entry, or None when there are none."""
-        return self._take_entry(complete=False) if self._stream.count > self._recorded_count else None
+        return self._take_entry(complete=False) if self._stream.event_count > self._recorded_count else None
 
     def take_final_entry(self) -> ItemProgressed:
         """Return an entry that marks the output as complete, with the events since the last entry, if any."""
@@ -58,6 +58,6 @@
             parent=self._parent_run_id,
             whole=complete,
         )
-        self._recorded_count = self._stream.count
+        self._recorded_count = self._stream.event_count
         self._parent_run_id = ""
         return entry
--- a/passgate/jobs/durations.py
+++ b/passgate/jobs/durations.py
@@ -6,7 +6,7 @@
 >>> durations.expected_s("m", 1000.0)
 0.0
 >>> for _ in range(100):
-...     durations.observe("m", tokens=500.0, duration_s=1.0)
+...     durations.record_output("m", tokens=500.0, duration_s=1.0)
 >>> round(durations.expected_s("m", 250.0), 3), round(durations.expected_s("m", 90_000.0), 3)
 (0.5, 1.0)
 """
@@ -33,7 +33,7 @@
     def __init__(self) -> None:
         self._totals_by_model: dict[str, _DecayedTotals] = {}
 
-    def observe(self, model: str, tokens: float, duration_s: float) -> None:
+    def record_output(self, model: str, tokens: float, duration_s: float) -> None:
         """Record an output whose length was estimated at ``tokens`` and that took ``duration_s``."""
         totals = self._totals_by_model.setdefault(model, _DecayedTotals())
         totals.tokens = totals.tokens * DECAY_PER_OUTPUT + tokens
--- a/passgate/jobs/event_stream.py
+++ b/passgate/jobs/event_stream.py
@@ -49,7 +49,7 @@
         """Identifier of the last complete event, after which the next attempt resumes; empty when none."""
 
     @property
-    def count(self) -> int:
+    def event_count(self) -> int:
         """Number of complete events."""
         return len(self._data)
 
@@ -74,7 +74,7 @@
         self.last_event_id = recorded_events.last_event_id
 
     def events_after(self, count: int) -> tuple[tuple[str, ...], tuple[int, ...]]:
-        """Return data and versions of the events after the first ``count``."""
+        """Return data and versions of the events after the first ``event_count``."""
         return tuple(self._data[count:]), tuple(self._versions[count:])
 
     def begin_attempt(self, version: int | None) -> None:
--- a/passgate/jobs/fold.py
+++ b/passgate/jobs/fold.py
@@ -94,7 +94,7 @@
         return scoped_id(self.tenant, item_id)
 
     @property
-    def open(self) -> bool:
+    def is_open(self) -> bool:
         """Whether the job is not cancelled and some items have no result."""
         return not self.cancelled and len(self.results) < self.item_count
 
@@ -117,7 +117,7 @@
         spec = decode_spec(self.packed_spec)
         return spec if self.bodies is None else with_bodies(spec, self.bodies)
 
-    def item(self, item_id: str) -> ItemSpec | None:
+    def find_item(self, item_id: str) -> ItemSpec | None:
         """Return an item as submitted, or None when the job has no such item."""
         if item_id not in self.item_ids:
             return None
@@ -292,12 +292,12 @@
 
     def has_open_jobs(self) -> bool:
         """Whether any job is open."""
-        return any(job.open for job in self.jobs.values())
+        return any(job.is_open for job in self.jobs.values())
 
     def prune(self, now_s: float, retention_s: float) -> None:
         """Remove jobs that are not open and have been known for longer than ``retention_s``."""
         for job in list(self.jobs.values()):
-            if now_s - job.known_since_s > retention_s and not job.open:
+            if now_s - job.known_since_s > retention_s and not job.is_open:
                 self._remove_job(job)
 
     def _remove_job(self, job: JobState) -> None:
--- a/passgate/jobs/item_run.py
+++ b/passgate/jobs/item_run.py
@@ -49,7 +49,7 @@
 RETRY_PAUSE_S = 0.02
 """Pause after a failed attempt; there is none after a refusal or a move to a faster replica."""
 ATTEMPT_DEADLINE_S = 30.0
-"""Deadline of an attempt, which the replica is given with the request."""
+"""Time from the send of an attempt to the deadline that is passed on to the replica."""
 HTTP_INTERNAL_SERVER_ERROR, HTTP_UNPROCESSABLE_CONTENT = 500, 422
 HTTP_OK = 200
 
@@ -120,13 +120,17 @@
             self._stream.resume_after(usable_events)
         self.checkpointer = ItemCheckpointer(job.job_id, item.id, self._stream, usable_events)
         self._error_answers = 0
+        """Answers of status 500, over all attempts."""
         self._moved_for_length = False
         self._avoided_replica: ReplicaLife | None = None
+        """Replica of the last failed attempt, which is not chosen while another one is available."""
         self._state: ReplicaState | None = None
+        """Replica at which a slot is reserved for the next attempt."""
         self._identity = self._build_request().identity
         self._crashes = context.caller.crashes
 
     def _is_usable(self, recorded_events: RecordedEvents) -> bool:
+        """Whether the run may resume after recorded events: all were made by accepted weights."""
         if not recorded_events.data or self._context.route.single_version:
             return False
         return min(recorded_events.versions) >= self._job.min_version
@@ -270,7 +274,7 @@
                 item_id=self.item.id,
                 replica_id=replica.replica_id,
                 reason=f"{error.code}: {error}",
-                events_kept=self._stream.count,
+                events_kept=self._stream.event_count,
             )
         )
 
@@ -287,7 +291,7 @@
                 item_id=self.item.id,
                 replica_id=exchange.life.replica_id,
                 attempt=self.attempts,
-                events_kept=self._stream.count,
+                events_kept=self._stream.event_count,
             )
         )
         return exchange
@@ -323,7 +327,7 @@
         query = self._replica_query(exchange.life)
         if self._context.replicas.has_faster(exchange.life, query, now_s):
             raise MovedElsewhere("another replica is much faster")
-        is_long = self._stream.count >= LONG_EVENTS and not self._moved_for_length
+        is_long = self._stream.event_count >= LONG_EVENTS and not self._moved_for_length
         if is_long and self._context.replicas.has_faster(
             exchange.life, query, now_s, LONG_OUTPUT_MAX_TIME_RATIO
         ):
@@ -332,7 +336,7 @@
 
     def _build_request(self) -> ReplicaRequest:
         headers = list(self.item.headers.items())
-        if self._stream.count:
+        if self._stream.event_count:
             headers.append((self._context.names.last_event_id, self._stream.last_event_id))
         return ReplicaRequest(
             request_id=self.item.id,
@@ -353,6 +357,7 @@
         return self._context.route.priority if self._job.priority is None else self._job.priority
 
     def _handle_error_status(self, status: int) -> Result | None:
+        """Return the result DEAD if a status allows no further attempt; else raise IncompleteAnswer."""
         dead_result = Result(item_id=self.item.id, state=ResultState.DEAD)
         if status == HTTP_UNPROCESSABLE_CONTENT:
             return dead_result
@@ -375,22 +380,22 @@
         stall_detector, replica = self._context.silence, exchange.life
         limit_s = FIRST_BYTES_LIMIT_S
         last_data_s: float | None = None
-        events_before_attempt = self._stream.count
+        events_before_attempt = self._stream.event_count
         while True:
             data = await stall_detector.wait_for(replica, exchange.read, limit_s)
             if not data:
                 break
             limit_s = silence_limit_s(exchange.usual_pause_s)
-            count_before = self._stream.count
+            count_before = self._stream.event_count
             self._stream.feed(data)
             now_s = monotonic_s()
             stall_detector.heard(replica, now_s)
-            if self._stream.count > count_before:
-                self._item_times.record_events(now_s, self._stream.count - count_before)
-            if last_data_s is not None and self._stream.count > count_before:
-                exchange.observe_pace((now_s - last_data_s) / (self._stream.count - count_before))
+            if self._stream.event_count > count_before:
+                self._item_times.record_events(now_s, self._stream.event_count - count_before)
+            if last_data_s is not None and self._stream.event_count > count_before:
+                exchange.observe_pace((now_s - last_data_s) / (self._stream.event_count - count_before))
             last_data_s = now_s
-            self._move_if_slow(exchange, self._stream.count - events_before_attempt, now_s)
+            self._move_if_slow(exchange, self._stream.event_count - events_before_attempt, now_s)
         if self._stream.has_partial_event or not exchange.proven_whole:
             raise IncompleteAnswer("the stream broke off")
         if any(version < self._job.min_version for version in self._stream.versions):
--- a/passgate/jobs/journal.py
+++ b/passgate/jobs/journal.py
@@ -118,6 +118,7 @@
         return self._sent_s_by_sequence.pop(batch.sequence, None)
 
     def _count_that_fits(self) -> int:
+        """Return how many queued entries fit in one record; at least one, however large it is."""
         size = 0
         for count, (entry, _) in enumerate(self._queue):
             size += entry_size(entry)
@@ -172,6 +173,7 @@
             pause_s = min(pause_s * 2.0, MAX_RETRY_PAUSE_S)
 
     async def _append_all(self, records: Sequence[bytes]) -> int:
+        """Append records, in several appends where one would be too large; return the last one's offset."""
         # Several appends are safe: readers ignore a job until they have all its pieces.
         offset = 0
         for append_records in split_by_size(records, self._max_append_bytes):
--- a/passgate/jobs/liveness.py
+++ b/passgate/jobs/liveness.py
@@ -48,6 +48,8 @@
 
 
 class _Probe(msgspec.Struct):
+    """A probe that is running or has finished."""
+
     started_s: float
     response: asyncio.Task[AliveResponse | None]
 
--- a/passgate/jobs/ownership.py
+++ b/passgate/jobs/ownership.py
@@ -90,6 +90,7 @@
         self._decisions = decisions
         self._runner_by_job: dict[str, tuple[JobRunner, asyncio.Task[None]]] = {}
         self._jobs_being_claimed: set[str] = set()
+        """Jobs for which this daemon has queued a claim or a release that it may not have read yet."""
         self._released_since_s_by_job: dict[str, float] = {}
         """Maps jobs whose runs were stopped for another daemon to the loop time of the release."""
         self.stopping = False
@@ -107,7 +108,7 @@
 
     def owns_open_job(self) -> bool:
         """Whether this daemon owns an open job of the partition."""
-        return any(job.open and job.owner == self.writer for job in self._projection.jobs.values())
+        return any(job.is_open and job.owner == self.writer for job in self._projection.jobs.values())
 
     def record_all_progress(self) -> None:
         """Queue the events of all running items for the log, so that other daemons can resume the items."""
@@ -144,7 +145,7 @@
         """
         now_s = monotonic_s()
         self.start_runners()
-        for job in [job for job in self._projection.jobs.values() if job.open]:
+        for job in [job for job in self._projection.jobs.values() if job.is_open]:
             if job.owner == self.writer:
                 if self._must_expire(job, now_s):
                     self._expire_items(job, now_s)
@@ -159,7 +160,9 @@
 
     def start_runners(self) -> None:
         """Start the missing runners of open jobs that this daemon owns and may run."""
-        for job in [job for job in self._projection.jobs.values() if job.open and job.owner == self.writer]:
+        for job in [
+            job for job in self._projection.jobs.values() if job.is_open and job.owner == self.writer
+        ]:
             if not self._is_released(job.job_id) and self._may_run(job):
                 self._ensure_runner(job)
 
@@ -304,7 +307,7 @@
     def _stop_runners(self) -> None:
         for job_id, (runner, task) in list(self._runner_by_job.items()):
             job = self._projection.jobs.get(job_id)
-            if job is None or not job.open or job.owner != self.writer or not self._may_own(job):
+            if job is None or not job.is_open or job.owner != self.writer or not self._may_own(job):
                 runner.record_progress()
                 task.cancel()
                 del self._runner_by_job[job_id]
--- a/passgate/jobs/reader.py
+++ b/passgate/jobs/reader.py
@@ -75,7 +75,7 @@
     Items that started together end together, and callers pause between pages, so a page with
     only the first result would delay the others by that pause.
     """
-    while not job.has_enough_results and job.open:
+    while not job.has_enough_results and job.is_open:
         if not await partition.tail.wait_past(partition.tail.next_offset, until_s - monotonic_s()):
             return
 
@@ -99,7 +99,7 @@
     """
     job = await find_job(partition, job_id)
     await _ensure_bodies(partition, job)
-    item = job.item(item_id)
+    item = job.find_item(item_id)
     if item is None:
         raise NotFound("no such item", execution=ExecutionStatus.NOT_RUN)
     return item.body
--- a/passgate/jobs/records.py
+++ b/passgate/jobs/records.py
@@ -24,7 +24,9 @@
     """Outcome of an item."""
 
     SUCCEEDED = "succeeded"
+    """The item has its complete text, and a score if it asks for one."""
     DEAD = "dead"
+    """The item has failed for good or expired; a later job may submit it again."""
 
 
 class RewardSpec(msgspec.Struct, frozen=True, kw_only=True):
--- a/passgate/jobs/reward_call.py
+++ b/passgate/jobs/reward_call.py
@@ -55,6 +55,7 @@
     names: HeaderNames
     decisions: DecisionLog
     parts: WeightedChoice
+    """Picks one of a route's services by their weights."""
     lines: defaultdict[frozenset[str] | None, asyncio.Lock]
     """Maps allowed regions to the lock that a call holds while it looks for a slot; the lock is fair."""
 
@@ -72,6 +73,7 @@
         self._context = context
         self._attempt_count = 0
         self._error_answers = 0
+        """Answers of status 500, over all attempts."""
         self._timeouts = 0
         self._avoided_replica: ReplicaLife | None = None
         self._retry_pause_s = FIRST_RETRY_PAUSE_S
@@ -108,13 +110,13 @@
     async def _wait_for_slot(self) -> tuple[Route, ReplicaState]:
         """Wait for a route and a replica with a free slot; return them with the slot reserved."""
         while True:
-            while (route := self._route()) is None:
+            while (route := self._find_route()) is None:
                 await asyncio.sleep(POLL_INTERVAL_S)
             if self._crashes.is_last_chance(self._identity):
                 # Does not block the queue, because the calls there may use other replicas.
                 state = await self._poll_for_slot(route)
             else:
-                async with self._context.lines[self._terms().regions]:
+                async with self._context.lines[self._find_send_context().regions]:
                     state = await self._poll_for_slot(route)
             if state is not None:
                 return route, state
@@ -132,7 +134,7 @@
 
     async def _poll_for_slot(self, route: Route) -> ReplicaState | None:
         """Wait for a free slot and reserve it; return None when the route is not the active one any more."""
-        while self._route() is route:
+        while self._find_route() is route:
             state = self._choose_replica(self._context.parts.pick(route))
             if state is not None:
                 state.in_flight += 1
@@ -141,10 +143,10 @@
             await asyncio.sleep(POLL_INTERVAL_S)
         return None
 
-    def _route(self) -> Route | None:
+    def _find_route(self) -> Route | None:
         return self._context.find_route(self._spec.host, self._spec.path)
 
-    def _terms(self) -> SendTerms:
+    def _find_send_context(self) -> SendTerms:
         """Return the call's restrictions by the active configuration: its own route and its job's tenant."""
         return self._context.terms_for(self._spec.host, self._spec.path, self._tenant)
 
@@ -162,7 +164,10 @@
         self, service: str, excluded: frozenset[ReplicaLife]
     ) -> ReplicaState | None:
         request = ChoiceRequest(
-            services=frozenset({service}), excluded=excluded, load_below=MAX_LOAD, terms=self._terms()
+            services=frozenset({service}),
+            excluded=excluded,
+            load_below=MAX_LOAD,
+            terms=self._find_send_context(),
         )
         return self._context.replicas.choose(request, monotonic_s())
 
@@ -211,10 +216,14 @@
             deadline_s=monotonic_s() + timeout_s,
             tenant=self._tenant,
             crash_limit=ITEM_CRASH_LIMIT,
-            terms=self._terms(),
+            terms=self._find_send_context(),
         )
 
     def _check_answer(self, answer: ReplicaAnswer) -> str:
+        """Return the stamp of a success, or an empty string after a status of 500.
+
+        Raises AnswerMismatch for the answer of another request, and IncompleteAnswer otherwise.
+        """
         if answer.header(self._context.names.request_id) != self._spec.id:
             raise AnswerMismatch("answer of another request", replica=answer.replica.text())
         if answer.status == HTTP_INTERNAL_SERVER_ERROR:
--- a/passgate/jobs/runner.py
+++ b/passgate/jobs/runner.py
@@ -105,10 +105,15 @@
         return self._context.durations.expected_s(self._spec.model, self._context.expected_tokens(item))
 
     def _rank(self, item: ItemSpec, longest_s: float) -> Rank:
+        """Return an item's rank; ``longest_s`` is the longest expected time of the job's unfinished items."""
         slack_s = 0.0 if self._has_earlier_progress(item) else longest_s - self._expected_s(item)
         return Rank(latest_start_s=self._job.known_since_s + slack_s, unsent=True, tie_breaker=id(item))
 
     async def _start_item(self, item: ItemSpec, rank: Rank, task_group: asyncio.TaskGroup) -> None:
+        """Start an item in a task: with an earlier complete text its scoring, else its run.
+
+        Waits first until a slot is reserved for the run, so that items start in order.
+        """
         earlier_result = self._earlier_result(item.id)
         if earlier_result is not None:
             task_group.create_task(
@@ -139,6 +144,7 @@
         return result if self._is_usable(result) else None
 
     def _is_usable(self, result: Result) -> bool:
+        """Whether the job accepts the weight versions of a successful result."""
         if result.state is not ResultState.SUCCEEDED or not result.versions:
             return False
         if self._context.route.single_version and len(result.versions) > 1:
@@ -151,16 +157,18 @@
             result = await run.run()
         finally:
             del self._run_by_item[run.item.id]
-        self._observe_duration(run, result)
+        self._record_duration(run, result)
         if run.item.reward is not None and result.state is ResultState.SUCCEEDED:
             self._journal.put(run.checkpointer.take_final_entry())
         await self._score_and_append(run.item, result, run.attempts, run.started_s)
 
-    def _observe_duration(self, run: ItemRun, result: Result) -> None:
+    def _record_duration(self, run: ItemRun, result: Result) -> None:
         """Record the duration of a complete output that was made by a single attempt."""
         if run.attempts == 1 and not run.resumed and result.state is ResultState.SUCCEEDED:
             tokens = self._context.expected_tokens(run.item)
-            self._context.durations.observe(self._spec.model, tokens, monotonic_s() - run.last_attempt_sent_s)
+            self._context.durations.record_output(
+                self._spec.model, tokens, monotonic_s() - run.last_attempt_sent_s
+            )
 
     async def _score_and_append(self, item: ItemSpec, result: Result, attempts: int, began_s: float) -> None:
         """Send the item's reward call, if it has one, and append the result."""
--- a/passgate/jobs/shards.py
+++ b/passgate/jobs/shards.py
@@ -138,7 +138,7 @@
         for job in self.fold.jobs.values():
             if job.bodies is not None and not self.may_hold(job):
                 job.bodies = None
-            elif job.open and job.bodies_to_read is not None:
+            elif job.is_open and job.bodies_to_read is not None:
                 self.bodies_reader.start_reading(job.bodies_to_read)
         self.bodies_reader.forget_jobs_except(self.fold.jobs)
 
--- a/passgate/jobs/timing.py
+++ b/passgate/jobs/timing.py
@@ -7,7 +7,7 @@
 >>> timing = JobTiming(JobSpec(job_id="j", host="h", path="/p", items=(item,), desired=1), started_s=1.0)
 >>> times = timing.item_times("i")
 >>> times.record_send(1.5); times.record_events(2.0, 1); times.record_events(4.0, 50)
->>> report = timing.record_result(item, now_s=4.1, listed_items=())
+>>> report = timing.record_result(item, now_s=4.1, items_with_result=())
 >>> report.waited_ms, report.first_event_ms, report.events, report.stalled_ms, report.whole_ms
 (500.0, 500.0, 51, 0.0, 3100.0)
 """
@@ -72,15 +72,17 @@
         """Return the times of an item, for the caller to update."""
         return self._times_by_item.setdefault(item_id, ItemTimes())
 
-    def record_result(self, item: ItemSpec, now_s: float, listed_items: Collection[str]) -> JobWhole | None:
+    def record_result(
+        self, item: ItemSpec, now_s: float, items_with_result: Collection[str]
+    ) -> JobWhole | None:
         """Record a result; return the report once, when the groups that the caller waits for are complete.
 
         Args:
             item: the item that got a result.
             now_s: loop time.
-            listed_items: items with a result on the log, from this daemon or earlier owners.
+            items_with_result: items with a result on the log, from this daemon or earlier owners.
         """
-        for item_id in (*listed_items, item.id):
+        for item_id in (*items_with_result, item.id):
             self._progress.record_result(item_id)
         if self._reported or not self._progress.has_enough_groups:
             return None
--- a/tests/test_jobs_daemons.py
+++ b/tests/test_jobs_daemons.py
@@ -237,7 +237,7 @@
         zones = rng.choice([1, 2, 4])
         daemons = [Daemon(log, f"d{number}", zone=f"z{number % zones}").start() for number in range(4)]
         incarnation_by_daemon = dict.fromkeys(range(4), 0)
-        watch = asyncio.create_task(LeaderSampler(daemons).sample())
+        sampler_task = asyncio.create_task(LeaderSampler(daemons).sample())
         await asyncio.sleep(1.0)
         jobs = []
         for step in range(14):
@@ -279,12 +279,12 @@
         log.faults, log.cut_off = SharedLogFaults(), set()
         network_by_log[log].heal()
         lists = await wait_until_complete(daemons, jobs)
-        if watch.done():
-            watch.result()
+        if sampler_task.done():
+            sampler_task.result()
         assert all(positions == lists[0] for positions in lists)
         for positions in lists[0]:
             assert len({item for item, _ in positions}) == len(positions)
-        watch.cancel()
+        sampler_task.cancel()
         for daemon in daemons:
             await daemon.kill()
 
--- a/tests/test_jobs_fold.py
+++ b/tests/test_jobs_fold.py
@@ -133,7 +133,7 @@
     log.add("d1.x", done_entry("a"))
     log.add("d2.x", JobEnded(job_id="j"))
     job = log.fold.jobs["j"]
-    assert not job.open
+    assert not job.is_open
     assert [result.item_id for result in job.results] == ["a"]
 
 
--- a/tests/test_jobs_regions.py
+++ b/tests/test_jobs_regions.py
@@ -149,7 +149,7 @@
     fleet.daemons = fleet.daemons_in("a") + fleet.daemons_in("c")
     await asyncio.sleep(6.0)
     job = await find_job(fleet.daemons[0].shards.of(HOST), "j")
-    assert job.open and job.owner in {daemon.name for daemon in lost}
+    assert job.is_open and job.owner in {daemon.name for daemon in lost}
     fleet.daemons += [
         Daemon(
             fleet.log, f"d{n}b1", incarnation=1, zone="b1", config=fleet.config, region_by_zone=REGION_BY_ZONE
@@ -266,46 +266,48 @@
     partition = fleet.daemons_in("a")[0].shards.of(HOST)
     while len((await find_job(partition, "j")).results) < 2:
         await asyncio.sleep(0.05)
-    nowhere = allow_no_region(fleet.config.terms_for)
+    no_region = allow_no_region(fleet.config.terms_for)
     for daemon in fleet.daemons:
-        daemon.shards.restricted_bodies._find_send_context = nowhere
+        daemon.shards.restricted_bodies._find_send_context = no_region
     await asyncio.sleep(PROPAGATION_S)
-    listed = list((await find_job(partition, "j")).results)
-    assert 2 <= len(listed) < 5
+    results_before = list((await find_job(partition, "j")).results)
+    assert 2 <= len(results_before) < 5
     await asyncio.sleep(ITEM_TIME_TO_LIVE_S - PROPAGATION_S)
-    assert (await find_job(partition, "j")).results == listed
+    assert (await find_job(partition, "j")).results == results_before
     await asyncio.sleep(EXPIRY_MARGIN_S + PROPAGATION_S)
     job = await find_job(partition, "j")
-    assert job.results[: len(listed)] == listed and not job.open
-    assert {result.state for result in job.results[len(listed) :]} == {ResultState.DEAD}
+    assert job.results[: len(results_before)] == results_before and not job.is_open
+    assert {result.state for result in job.results[len(results_before) :]} == {ResultState.DEAD}
     assert not any(daemon.shards.running for daemon in fleet.daemons)
 
 
 def test_failed_reads_of_bodies_are_retried_with_growing_pauses_and_mismatched_bodies_are_not():
     async def main():
-        reads, lost = [], []
+        reads, lost_bodies_events = [], []
         bodies = SimpleNamespace(
-            may_hold=lambda *names: True, decisions=SimpleNamespace(write=lost.append), read=None
+            may_hold=lambda *names: True,
+            decisions=SimpleNamespace(write=lost_bodies_events.append),
+            read=None,
         )
         reader = BodiesReader(bodies, deliver=lambda job_id, found: len(found) == 1)
-        place = BodiesLocation(topic="t", part=0, first=0, last=0, nonce="n")
-        job = RestrictedJob(job_id="j", host="h", path="/p/", tenant=None, location=place)
+        location = BodiesLocation(topic="t", part=0, first=0, last=0, nonce="n")
+        job = RestrictedJob(job_id="j", host="h", path="/p/", tenant=None, location=location)
 
         async def unreadable(where):
             reads.append(monotonic_s())
-            raise LogUnavailable("not all pieces of the bodies can be read")
+            raise LogUnavailable("some pieces of the job's bodies are missing")
 
-        async def foreign(where):
+        async def mismatched(where):
             return (ItemBodies(b"one"), ItemBodies(b"two"))
 
         bodies.read = unreadable
         until_s = monotonic_s() + 20.0
         while monotonic_s() < until_s:
             await reader.start_reading(job)
-        assert len(reads) < 20 and not lost
-        bodies.read = foreign
+        assert len(reads) < 20 and not lost_bodies_events
+        bodies.read = mismatched
         await reader.start_reading(job)
-        assert [event.job_id for event in lost] == ["j"]
+        assert [event.job_id for event in lost_bodies_events] == ["j"]
         assert reader.start_reading(job) is None
 
     run_virtual(main())
--- a/tests/test_jobs_takeover.py
+++ b/tests/test_jobs_takeover.py
@@ -263,8 +263,8 @@
         texts = {entry.results[0].text for entry in unacknowledged if isinstance(entry, ItemsDone)}
         assert texts
         await asyncio.sleep(0.5)
-        listed = {result.text for result in (await find_job(others[0].shards.of(HOST), "j")).results}
-        assert texts <= listed
+        result_texts = {result.text for result in (await find_job(others[0].shards.of(HOST), "j")).results}
+        assert texts <= result_texts
         log.cut_off = set()
         await wait_until_complete(others, ["j"])
         for daemon in (owner, *others):
--- a/tests/test_jobs_timing.py
+++ b/tests/test_jobs_timing.py
@@ -13,17 +13,17 @@
     timing = JobTiming(JobSpec(job_id="j", host="h", path="/p/", items=items, desired=2), started_s=10.0)
     for entry in items:
         timing.item_times(entry.id).record_send(10.5)
-    assert timing.record_result(items[0], 11.0, listed_items=()) is None
-    assert timing.record_result(items[2], 12.0, listed_items=()) is None
-    report = timing.record_result(items[1], 13.0, listed_items=())
+    assert timing.record_result(items[0], 11.0, items_with_result=()) is None
+    assert timing.record_result(items[2], 12.0, items_with_result=()) is None
+    report = timing.record_result(items[1], 13.0, items_with_result=())
     assert (report.last_item, report.whole_ms, report.waited_ms) == ("a2", 3000.0, 500.0)
-    assert timing.record_result(items[3], 14.0, listed_items=()) is None
+    assert timing.record_result(items[3], 14.0, items_with_result=()) is None
 
 
 def test_results_of_an_earlier_owner_count():
     items = (item("a1", "a"), item("a2", "a"))
     timing = JobTiming(JobSpec(job_id="j", host="h", path="/p/", items=items, desired=1), started_s=0.0)
-    assert timing.record_result(items[1], 2.0, listed_items={"a1"}).whole_ms == 2000.0
+    assert timing.record_result(items[1], 2.0, items_with_result={"a1"}).whole_ms == 2000.0
 
 
 def test_time_between_attempts_is_reported_apart_from_time_for_events():
@@ -37,7 +37,7 @@
     times.record_events(2.5, 1)
     times.record_events(3.0, 10)
     timing.failure_count_by_code["incomplete_answer"] += 1
-    report = timing.record_result(items[0], 3.25, listed_items=())
+    report = timing.record_result(items[0], 3.25, items_with_result=())
     assert (report.waited_ms, report.first_event_ms, report.stalled_ms, report.events_ms) == (
         250.0,
         250.0,
--- a/tests/test_jobs_waiting.py
+++ b/tests/test_jobs_waiting.py
@@ -13,7 +13,7 @@
 
     def __init__(self):
         self.durations = OutputDurations()
-        self.durations.observe(MODEL, tokens=1000.0, duration_s=6.0)
+        self.durations.record_output(MODEL, tokens=1000.0, duration_s=6.0)
 
     def expected_tokens(self, item):
         return float(item.headers["hint"])
