--- a/passgate/jobs/reward_call.py
+++ b/passgate/jobs/reward_call.py
@@ -1,13 +1,10 @@
-"""Has the whole text of an item scored: the reward call, repeated until it brings a score.
+"""Sends the reward call of an item, with retries until a replica returns a score.
 
-A reward call may be repeated, so every failure but one leads to a further attempt; an
-item is given up only after as many answers of 500 as its routes allow, each of them
-read from a replica.  Attempts follow each other, so nothing is counted twice.
+A reward call is safe to repeat, so every failure leads to another attempt; only the number of
+answers with status 500 is limited.  Attempts of one call never overlap, so each answer is counted once.
 
-Calls wait in line for a replica with room, and leave one place in some at each replica
-to callers of the same service.  Only the first in line looks for room.  Calls that are bound to
-different sets of regions stand in different lines: one whose regions have no replica left would
-else hold up all others.
+Calls queue for a slot, with a queue for each set of allowed regions, so that calls whose regions
+have no replica left do not block the others.
 """
 
 from __future__ import annotations
@@ -30,172 +27,185 @@
 from passgate.jobs.records import RewardSpec, Score
 from passgate.quarantine.identity import ITEM_CRASH_LIMIT
 
-MOST_LOAD = 0.7
-"""Load of a replica, in shares of its slots, from which on it gets no reward calls."""
-ROOM_STEP_S = 0.02
-"""Pause between looks for a route and for a replica with room."""
-LATENCIES_WAITED = 8.0
-"""An attempt is given up after this many times the replica's usual latency."""
-LEAST_PATIENCE_S, MOST_PATIENCE_S = 0.4, 4.0
-FIRST_PAUSE_S = 0.02
-"""Pause after the first failed attempt; another replica may have room at once."""
-MAX_PAUSE_S = 0.5
+MAX_LOAD = 0.7
+"""Load of a replica from which on it gets no reward calls; the other slots are left to other callers."""
+POLL_INTERVAL_S = 0.02
+"""Time between checks for a route and for a replica with a free slot."""
+TIMEOUT_PER_LATENCY = 8.0
+"""Timeout of an attempt in multiples of the replica's recent latency."""
+MIN_TIMEOUT_S, MAX_TIMEOUT_S = 0.4, 4.0
+"""Bounds of an attempt's timeout."""
+FIRST_RETRY_PAUSE_S = 0.02
+"""Pause after the first failed attempt; doubles with each further one."""
+MAX_RETRY_PAUSE_S = 0.5
 """Longest pause between attempts."""
-FAILED = 500
-FIRST_SUCCESS, FIRST_REDIRECTION = 200, 300
+HTTP_INTERNAL_SERVER_ERROR = 500
+MIN_SUCCESS_STATUS, MIN_REDIRECT_STATUS = 200, 300
 
 
 class RewardTools(msgspec.Struct, frozen=True, kw_only=True):
-    """What all reward calls of a daemon share."""
+    """Dependencies that all reward calls of a daemon share."""
 
     find_route: Callable[[str, str], Route | None]
-    """Returns the route in force of a host and path, or None."""
+    """Returns the route for a host and path by the active configuration, or None."""
     terms_for: Callable[[str, str, str | None], SendTerms]
-    """Returns what binds a request of a host, path and tenant by the configuration in force."""
+    """Returns the restrictions on a request by the active configuration, from its host, path and tenant."""
     caller: ReplicaCaller
     replicas: ReplicaTable
     names: HeaderNames
     decisions: DecisionLog
     parts: WeightedChoice
+    """Picks one of a route's services by their weights."""
     lines: defaultdict[frozenset[str] | None, asyncio.Lock]
-    """By the regions that may serve a call: held by the one that looks for room; hands itself on in order."""
+    """Maps allowed regions to the lock that a call holds while it looks for a slot; the lock is fair."""
 
 
 class RewardCall:
     """The reward call of one item, over all its attempts."""
 
     def __init__(
-        self, job_id: str, item_id: str, spec: RewardSpec, tools: RewardTools, tenant: str | None = None
+        self, job_id: str, item_id: str, spec: RewardSpec, context: RewardTools, tenant: str | None = None
     ) -> None:
         self._job_id = job_id
         self._tenant = tenant
         self._item_id = item_id
         self._spec = spec
-        self._tools = tools
-        self._attempts = 0
-        self._failures = 0
-        self._silences = 0
-        self._avoided: ReplicaLife | None = None
-        self._pause_s = FIRST_PAUSE_S
-        self._identity = self._request(LEAST_PATIENCE_S).identity
-        self._crashes = tools.caller.crashes
-
-    async def score(self, item_attempts: int) -> Score | None:
-        """Call until a score is there; return None when the call certainly fails each time.
+        self._context = context
+        self._attempt_count = 0
+        self._error_answers = 0
+        """Answers of status 500, over all attempts."""
+        self._timeouts = 0
+        self._avoided_replica: ReplicaLife | None = None
+        self._retry_pause_s = FIRST_RETRY_PAUSE_S
+        self._identity = self._build_request(MIN_TIMEOUT_S).identity
+        self._crashes = context.caller.crashes
+
+    async def request_score(self, item_max_attempts: int) -> Score | None:
+        """Send the call until a replica returns a score; return None after too many answers of status 500.
 
         Args:
-            item_attempts: attempts that the item's own route allows; the larger bound counts.
+            item_max_attempts: attempts that the item's own route allows; the limit is this or the
+                number that the call's route allows, whichever is larger.
         """
         while True:
             await self._crashes.paused(self._identity)
             await self._crashes.released(self._identity)
-            route, state = await self._wait_for_room()
-            if not await self._has_place(state):
+            route, state = await self._wait_for_slot()
+            if not await self._confirm_slot(state):
                 continue
             try:
-                stamp = await self._attempt(state)
+                stamp = await self._run_attempt(state)
             except PassgateError as error:
-                self._note_failure(state.life, error)
+                self._record_failure(state.life, error)
             else:
                 if stamp:
                     return Score(call_id=self._spec.id, stamp=stamp)
-                if self._failures >= max(route.max_attempts, item_attempts):
+                if self._error_answers >= max(route.max_attempts, item_max_attempts):
                     return None
             finally:
                 self._crashes.left(self._identity)
-            await asyncio.sleep(self._pause_s)
-            self._pause_s = min(self._pause_s * 2.0, MAX_PAUSE_S)
+            await asyncio.sleep(self._retry_pause_s)
+            self._retry_pause_s = min(self._retry_pause_s * 2.0, MAX_RETRY_PAUSE_S)
 
-    async def _wait_for_room(self) -> tuple[Route, ReplicaState]:
-        """Return the route in force and a replica with room; the room is reserved."""
+    async def _wait_for_slot(self) -> tuple[Route, ReplicaState]:
+        """Wait for a route and a replica with a free slot; return them with the slot reserved."""
         while True:
-            while (route := self._route()) is None:
-                await asyncio.sleep(ROOM_STEP_S)
+            while (route := self._find_route()) is None:
+                await asyncio.sleep(POLL_INTERVAL_S)
             if self._crashes.is_last_chance(self._identity):
-                state = await self._wait_in_front(route)  # out of the line, as others need no such replica
+                # Does not block the queue, because the calls there may use other replicas.
+                state = await self._poll_for_slot(route)
             else:
-                async with self._tools.lines[self._terms().regions]:
-                    state = await self._wait_in_front(route)
+                async with self._context.lines[self._find_send_context().regions]:
+                    state = await self._poll_for_slot(route)
             if state is not None:
                 return route, state
 
-    async def _has_place(self, state: ReplicaState) -> bool:
-        """Return whether the call may run where it has room; gives the room back if not."""
-        has_place = False
+    async def _confirm_slot(self, state: ReplicaState) -> bool:
+        """Return whether the call may run in its reserved slot; release the slot if not."""
+        may_run = False
         try:
-            has_place = await self._crashes.has_place(self._identity)
+            may_run = await self._crashes.has_place(self._identity)
         finally:
-            if not has_place:
+            if not may_run:
                 state.in_flight -= 1
                 self._crashes.left(self._identity)
-        return has_place
+        return may_run
 
-    async def _wait_in_front(self, route: Route) -> ReplicaState | None:
-        """Wait for room at a replica of the route; return None when the route is not in force any more."""
-        while self._route() is route:
-            state = self._choose(self._tools.parts.pick(route))
+    async def _poll_for_slot(self, route: Route) -> ReplicaState | None:
+        """Wait for a free slot and reserve it; return None when the route is not the active one any more."""
+        while self._find_route() is route:
+            state = self._choose_replica(self._context.parts.pick(route))
             if state is not None:
                 state.in_flight += 1
                 self._crashes.placed(self._identity, state.life)
                 return state
-            await asyncio.sleep(ROOM_STEP_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
         return None
 
-    def _route(self) -> Route | None:
-        return self._tools.find_route(self._spec.host, self._spec.path)
+    def _find_route(self) -> Route | None:
+        return self._context.find_route(self._spec.host, self._spec.path)
 
-    def _terms(self) -> SendTerms:
-        """Return what binds the call now: its own route, and the tenant of its job."""
-        return self._tools.terms_for(self._spec.host, self._spec.path, self._tenant)
+    def _find_send_context(self) -> SendTerms:
+        """Return the call's restrictions by the active configuration: its own route and its job's tenant."""
+        return self._context.terms_for(self._spec.host, self._spec.path, self._tenant)
 
-    def _choose(self, service: str) -> ReplicaState | None:
-        excluded = frozenset() if self._avoided is None else frozenset({self._avoided})
-        self._avoided = None  # the only replica of a service must get its second try
+    def _choose_replica(self, service: str) -> ReplicaState | None:
+        excluded = frozenset() if self._avoided_replica is None else frozenset({self._avoided_replica})
+        self._avoided_replica = None  # exclude it once only: the service may have no other replica
         excluded |= self._crashes.apart_from(self._identity)
-        if spared := self._crashes.spared():
-            state = self._choose_without(service, excluded | spared)
+        if replicas_to_avoid := self._crashes.spared():
+            state = self._choose_replica_excluding(service, excluded | replicas_to_avoid)
             if state is not None:
                 return state
-        return self._choose_without(service, excluded)
+        return self._choose_replica_excluding(service, excluded)
 
-    def _choose_without(self, service: str, excluded: frozenset[ReplicaLife]) -> ReplicaState | None:
+    def _choose_replica_excluding(
+        self, service: str, excluded: frozenset[ReplicaLife]
+    ) -> ReplicaState | None:
         request = ChoiceRequest(
-            services=frozenset({service}), excluded=excluded, load_below=MOST_LOAD, terms=self._terms()
+            services=frozenset({service}),
+            excluded=excluded,
+            load_below=MAX_LOAD,
+            terms=self._find_send_context(),
         )
-        return self._tools.replicas.choose(request, monotonic_s())
-
-    async def _attempt(self, state: ReplicaState) -> str:
-        """Send the call once; return the stamp of a success, or nothing after an answer of 500."""
-        state.in_flight -= 1  # the exchange counts itself from here on
-        patience_s = self._patience_s(state)
-        exchange = self._tools.caller.open(state, self._request(patience_s))
-        self._attempts += 1
-        self._tools.decisions.write(
+        return self._context.replicas.choose(request, monotonic_s())
+
+    async def _run_attempt(self, state: ReplicaState) -> str:
+        """Send the call once; return the stamp of a success, or an empty string after a status of 500.
+
+        Raises PassgateError for every other outcome.
+        """
+        state.in_flight -= 1  # the exchange counts itself as in flight from here on
+        timeout_s = self._timeout_s(state)
+        exchange = self._context.caller.open(state, self._build_request(timeout_s))
+        self._attempt_count += 1
+        self._context.decisions.write(
             RewardSent(
                 job_id=self._job_id,
                 item_id=self._item_id,
                 request_id=self._spec.id,
                 replica_id=exchange.life.replica_id,
-                attempt=self._attempts,
+                attempt=self._attempt_count,
             )
         )
         try:
-            async with asyncio.timeout(patience_s):
-                return self._stamp_of(await exchange.whole_answer())
+            async with asyncio.timeout(timeout_s):
+                return self._check_answer(await exchange.whole_answer())
         except TimeoutError as error:
-            self._silences += 1
+            self._timeouts += 1
             exchange.too_slow()
             raise IncompleteAnswer("no answer to the reward call") from error
         finally:
             exchange.close()
 
-    def _patience_s(self, state: ReplicaState) -> float:
-        """Return how long to wait for an answer: longer after each silence, as some calls take long."""
-        usual_s = state.recent_latency_s(monotonic_s())
-        patience_s = max(LATENCIES_WAITED * usual_s, LEAST_PATIENCE_S) * 2.0**self._silences
-        return min(patience_s, MOST_PATIENCE_S)
+    def _timeout_s(self, state: ReplicaState) -> float:
+        """Return the next attempt's timeout; doubled for each earlier timeout, as some calls take long."""
+        recent_latency_s = state.recent_latency_s(monotonic_s())
+        timeout_s = max(TIMEOUT_PER_LATENCY * recent_latency_s, MIN_TIMEOUT_S) * 2.0**self._timeouts
+        return min(timeout_s, MAX_TIMEOUT_S)
 
-    def _request(self, patience_s: float) -> ReplicaRequest:
+    def _build_request(self, timeout_s: float) -> ReplicaRequest:
         return ReplicaRequest(
             request_id=self._spec.id,
             method="POST",
@@ -203,37 +213,41 @@
             host=self._spec.host,
             headers=(),
             body=self._spec.body,
-            deadline_s=monotonic_s() + patience_s,
+            deadline_s=monotonic_s() + timeout_s,
             tenant=self._tenant,
             crash_limit=ITEM_CRASH_LIMIT,
-            terms=self._terms(),
+            terms=self._find_send_context(),
         )
 
-    def _stamp_of(self, answer: ReplicaAnswer) -> str:
-        if answer.header(self._tools.names.request_id) != self._spec.id:
+    def _check_answer(self, answer: ReplicaAnswer) -> str:
+        """Return the stamp of a success, or an empty string after a status of 500.
+
+        Raises AnswerMismatch for the answer of another request, and IncompleteAnswer otherwise.
+        """
+        if answer.header(self._context.names.request_id) != self._spec.id:
             raise AnswerMismatch("answer of another request", replica=answer.replica.text())
-        if answer.status == FAILED:
-            self._failures += 1
-            self._tell_failed(answer.replica, "the replica answered 500")
-            self._avoided = answer.replica
+        if answer.status == HTTP_INTERNAL_SERVER_ERROR:
+            self._error_answers += 1
+            self._write_failure(answer.replica, "the replica answered 500")
+            self._avoided_replica = answer.replica
             return ""
-        stamp = answer.header(self._tools.names.replica_stamp)
-        if FIRST_SUCCESS <= answer.status < FIRST_REDIRECTION and stamp:
+        stamp = answer.header(self._context.names.replica_stamp)
+        if MIN_SUCCESS_STATUS <= answer.status < MIN_REDIRECT_STATUS and stamp:
             return stamp
         raise IncompleteAnswer(f"replica answered {answer.status}", execution=ExecutionStatus.RAN)
 
-    def _note_failure(self, replica: ReplicaLife, error: PassgateError) -> None:
-        self._avoided = replica
-        self._tell_failed(replica, f"{error.code}: {error}")
+    def _record_failure(self, replica: ReplicaLife, error: PassgateError) -> None:
+        self._avoided_replica = replica
+        self._write_failure(replica, f"{error.code}: {error}")
 
-    def _tell_failed(self, replica: ReplicaLife, reason: str) -> None:
-        self._tools.decisions.write(
+    def _write_failure(self, replica: ReplicaLife, reason: str) -> None:
+        self._context.decisions.write(
             RewardFailed(
                 job_id=self._job_id,
                 item_id=self._item_id,
                 request_id=self._spec.id,
                 replica_id=replica.replica_id,
                 reason=reason,
-                failures=self._failures,
+                failures=self._error_answers,
             )
         )
--- a/tests/test_jobs_liveness.py
+++ b/tests/test_jobs_liveness.py
@@ -1,18 +1,18 @@
-"""What a daemon concludes from the answers at a silent writer's address."""
+"""The status of a silent writer, as concluded from the responses to probes."""
 
 import asyncio
 
 import pytest
 
 from passgate.clock import monotonic_s, run_virtual
-from passgate.jobs.liveness import ASK_AGAIN_S, CUT_OFF_S, Alive, Liveness, Sign
+from passgate.jobs.liveness import CUT_OFF_AFTER_S, PROBE_INTERVAL_S, AliveResponse, Liveness, Sign
 
 WRITER = "d1.a@h:1"
 ANSWER_S = 0.01
 
 
-def asked(answers):
-    """Return the view of a daemon whose questions get these answers, and the questions."""
+def prober_with_responses(answers):
+    """Return a prober whose probes get these responses in turn, and the list of the probes' times."""
     questions = []
 
     async def ask(writer):
@@ -26,39 +26,39 @@
 @pytest.mark.parametrize(
     "answer, sign",
     [
-        (Alive(writer=WRITER), Sign.ALIVE),
-        (Alive(writer=WRITER, waiting_s=CUT_OFF_S), Sign.CUT_OFF),
-        (Alive(writer="d1.b@h:1"), Sign.REPLACED),
+        (AliveResponse(writer=WRITER), Sign.ALIVE),
+        (AliveResponse(writer=WRITER, waiting_s=CUT_OFF_AFTER_S), Sign.CUT_OFF),
+        (AliveResponse(writer="d1.b@h:1"), Sign.REPLACED),
         (None, Sign.SILENT),
     ],
 )
-def test_the_answer_tells_whether_the_writer_ended(answer, sign):
+def test_the_response_determines_the_status_of_the_writer(answer, sign):
     async def main():
-        liveness, _ = asked([answer])
-        assert liveness.sign_of(WRITER, heard_s=float("-inf")) is None
+        liveness, _ = prober_with_responses([answer])
+        assert liveness.sign_of(WRITER, last_contact_s=float("-inf")) is None
         await asyncio.sleep(2 * ANSWER_S)
-        assert liveness.sign_of(WRITER, heard_s=float("-inf")) is sign
+        assert liveness.sign_of(WRITER, last_contact_s=float("-inf")) is sign
 
     run_virtual(main())
 
 
-def test_an_answer_older_than_the_writers_last_record_counts_no_more():
+def test_a_response_older_than_the_writers_last_record_is_ignored():
     async def main():
-        liveness, _ = asked([None])
-        liveness.sign_of(WRITER, heard_s=float("-inf"))
+        liveness, _ = prober_with_responses([None])
+        liveness.sign_of(WRITER, last_contact_s=float("-inf"))
         await asyncio.sleep(2 * ANSWER_S)
-        assert liveness.sign_of(WRITER, heard_s=monotonic_s()) is None
+        assert liveness.sign_of(WRITER, last_contact_s=monotonic_s()) is None
 
     run_virtual(main())
 
 
-def test_a_silent_writer_is_asked_again_and_one_that_was_replaced_is_not():
+def test_a_silent_writer_is_probed_again_and_a_replaced_one_is_not():
     async def main():
-        liveness, questions = asked([None, Alive(writer="d1.b@h:1")])
+        liveness, questions = prober_with_responses([None, AliveResponse(writer="d1.b@h:1")])
         for _ in range(40):
-            liveness.sign_of(WRITER, heard_s=float("-inf"))
+            liveness.sign_of(WRITER, last_contact_s=float("-inf"))
             await asyncio.sleep(0.1)
         assert len(questions) == 2
-        assert ASK_AGAIN_S < questions[1] - questions[0] <= ASK_AGAIN_S + 0.11
+        assert PROBE_INTERVAL_S < questions[1] - questions[0] <= PROBE_INTERVAL_S + 0.11
 
     run_virtual(main())
