--- a/passgate/eligibility/__init__.py
+++ b/passgate/eligibility/__init__.py
@@ -1,1 +1,1 @@
-"""Which replicas a request may be sent to now: one check before every send."""
+"""Rules that decide to which replicas a request may be sent; they are checked before every send."""
--- a/passgate/eligibility/cold_replicas.py
+++ b/passgate/eligibility/cold_replicas.py
@@ -1,9 +1,9 @@
-"""Which replicas are cold, or may be, and until when.
+"""Tracks which replicas are cold, or possibly cold, and until when.
 
-A replica tells in its entry how long it stays cold.  Between its entries it may turn cold
-unnoticed: its zone's evacuation ends, or it was out of reach and may have started again.  Then it
-counts as cold until an entry that was surely written later tells otherwise.  A replica whose
-service limits nothing while cold never counts as cold.
+A cold replica serves only a limited rate of requests; its discovery entry states for how long.  Between
+entries it may become cold unnoticed, after its zone's evacuation or a restart while it was unreachable.
+It then counts as cold until an entry that was certainly written later is read.  Replicas of services
+without a limit are never cold.
 
 >>> limits = {"s": ColdLimit(lasts_s=3.0, most_per_s=29)}
 >>> cold = ColdReplicas(limits.get)
@@ -22,104 +22,126 @@
 
 from passgate.eligibility.replica_info import ReplicaInfo
 
-ENTRY_LAG_S = 1.0
-"""Longest time from the writing of an entry until it is read here, on a log that answers; a replica
-writes about each second and a list is read four times a second."""
-NEVER_S = float("-inf")
+MAX_ENTRY_DELAY_S = 1.0
+"""Longest time between writing an entry and reading it here while the log is available."""
+DISTANT_PAST_S = float("-inf")
+"""Loop time before any other; the end of a period that was never recorded."""
 
 
 class ColdLimit(msgspec.Struct, frozen=True, kw_only=True):
-    """What may reach a cold replica of a service."""
+    """Limit on the requests that a cold replica of a service may get."""
 
     lasts_s: float
-    """Longest time for which a replica is cold."""
+    """Longest time for which a replica stays cold."""
     most_per_s: int
-    """Requests that may reach one replica in any second, from all daemons together."""
+    """Most requests that one replica may get in any second, from all daemons together."""
 
 
-class _Doubt(msgspec.Struct, kw_only=True):
-    """A replica that may have turned cold unnoticed."""
+class _PossiblyCold(msgspec.Struct, kw_only=True):
+    """Period in which a replica may be cold without having reported it."""
 
     since_s: float
     until_s: float
+    """Infinite while the replica is unreachable."""
 
 
 def no_limit(service: str) -> ColdLimit | None:
-    """Limit no service."""
+    """Return None: the service has no limit."""
     return None
 
 
 class ColdReplicas:
-    """Cold replicas as one daemon knows them; times are loop times."""
+    """Cold and possibly cold replicas as one daemon knows them; all times are loop times."""
 
     def __init__(self, limit_of: Callable[[str], ColdLimit | None] = no_limit) -> None:
-        """Begin with no cold replica; ``limit_of`` returns the limit of a service, if it has one."""
+        """Start without cold replicas; ``limit_of`` returns the limit of a service, or None."""
         self.limit_of = limit_of
-        self._until_s: dict[str, float] = {}
-        """Replica to the end of the cold spell that its last entry told of."""
-        self._doubts: dict[str, _Doubt] = {}
+        self._cold_until_s_by_id: dict[str, float] = {}
+        """Replica ID to the end of the cold period that was last reported for it."""
+        self._possibly_cold_by_id: dict[str, _PossiblyCold] = {}
+        """Replica ID to the period in which the replica is possibly cold."""
 
     def entry_read(self, info: ReplicaInfo, now_s: float, *, listed: bool = False) -> None:
-        """Take an entry of discovery that was just read.
+        """Apply a discovery entry that was just read.
 
         Args:
             info: the entry.
             now_s: loop time.
-            listed: whether it came in a whole list; it may then be older than a doubt, and ends none.
+            listed: whether the entry is part of a full list.  It may then have been written before the
+                replica became possibly cold, so it does not end that period.
         """
         replica_id = info.replica_id
-        doubt = self._doubts.get(replica_id)
-        if doubt is not None and not listed and now_s - doubt.since_s >= ENTRY_LAG_S:
-            del self._doubts[replica_id]
+        possibly_cold = self._possibly_cold_by_id.get(replica_id)
+        if possibly_cold is not None and not listed and now_s - possibly_cold.since_s >= MAX_ENTRY_DELAY_S:
+            del self._possibly_cold_by_id[replica_id]
         if info.cold_ms > 0:
-            self._until_s[replica_id] = now_s + info.cold_ms / 1000
+            self._cold_until_s_by_id[replica_id] = now_s + info.cold_ms / 1000
         else:
-            self._until_s.pop(replica_id, None)
+            self._cold_until_s_by_id.pop(replica_id, None)
 
-    def told_cold(self, replica_id: str, left_s: float, now_s: float) -> None:
-        """Take from another daemon that a replica stays cold for some time."""
-        self._until_s[replica_id] = max(self._until_s.get(replica_id, NEVER_S), now_s + left_s)
+    def record_reported_cold(self, replica_id: str, remaining_s: float, now_s: float) -> None:
+        """Record that another daemon reported a replica to stay cold; a later known end is kept."""
+        self._cold_until_s_by_id[replica_id] = max(
+            self._cold_until_s_by_id.get(replica_id, DISTANT_PAST_S), now_s + remaining_s
+        )
 
     def unreachable(self, info: ReplicaInfo, now_s: float) -> None:
-        """Doubt a replica that could not be reached: it may come back cold at any later moment."""
+        """Mark a replica that could not be reached as possibly cold; it may restart cold at any time."""
         if self.limit_of(info.service) is not None:
-            self._doubts[info.replica_id] = _Doubt(since_s=now_s, until_s=math.inf)
+            self._possibly_cold_by_id[info.replica_id] = _PossiblyCold(since_s=now_s, until_s=math.inf)
 
     def reached(self, info: ReplicaInfo, now_s: float) -> None:
-        """Note an answer: a replica that was out of reach is back now at the latest."""
-        doubt = self._doubts.get(info.replica_id)
+        """Record a response: a replica that was unreachable has restarted by now if it has at all.
+
+        It is possibly cold for at most the service's longest cold period from now on.
+        """
+        possibly_cold = self._possibly_cold_by_id.get(info.replica_id)
         limit = self.limit_of(info.service)
-        if doubt is not None and limit is not None:
-            doubt.until_s = min(doubt.until_s, now_s + limit.lasts_s)
+        if possibly_cold is not None and limit is not None:
+            possibly_cold.until_s = min(possibly_cold.until_s, now_s + limit.lasts_s)
 
     def turned_cold(self, infos: Iterable[ReplicaInfo], now_s: float) -> None:
-        """Take replicas to have just turned cold, until a later entry tells otherwise."""
+        """Mark replicas that may have just become cold, until a later entry is read for each."""
         for info in infos:
             limit = self.limit_of(info.service)
             if limit is not None:
-                self._doubts[info.replica_id] = _Doubt(since_s=now_s, until_s=now_s + limit.lasts_s)
+                self._possibly_cold_by_id[info.replica_id] = _PossiblyCold(
+                    since_s=now_s, until_s=now_s + limit.lasts_s
+                )
 
     @property
     def any(self) -> bool:
-        """Whether any replica may count as cold."""
-        return bool(self._until_s or self._doubts)
+        """Whether any replica is recorded as cold or possibly cold."""
+        return bool(self._cold_until_s_by_id or self._possibly_cold_by_id)
 
     def is_cold(self, info: ReplicaInfo, now_s: float) -> bool:
-        """Whether a replica is cold or may be."""
+        """Whether a replica is cold or possibly cold."""
         return self.any and self.left_s(info, now_s) > 0.0
 
     def left_s(self, info: ReplicaInfo, now_s: float) -> float:
-        """Return for how long a replica still counts as cold; 0 if it is warm."""
+        """Return for how long a replica still counts as cold; 0 if it is warm, infinite if unreachable."""
         if self.limit_of(info.service) is None:
             return 0.0
-        doubt = self._doubts.get(info.replica_id)
-        doubted_s = doubt.until_s if doubt is not None else NEVER_S
-        return max(self._until_s.get(info.replica_id, NEVER_S) - now_s, doubted_s - now_s, 0.0)
-
-    def forget(self, listed: set[str], now_s: float) -> None:
-        """Drop what is over, and what concerns replicas that are not listed any more."""
-        for replica_id in [key for key, end in self._until_s.items() if end <= now_s or key not in listed]:
-            del self._until_s[replica_id]
-        ended = [key for key, doubt in self._doubts.items() if doubt.until_s <= now_s or key not in listed]
+        possibly_cold = self._possibly_cold_by_id.get(info.replica_id)
+        possibly_until_s = possibly_cold.until_s if possibly_cold is not None else DISTANT_PAST_S
+        return max(
+            self._cold_until_s_by_id.get(info.replica_id, DISTANT_PAST_S) - now_s,
+            possibly_until_s - now_s,
+            0.0,
+        )
+
+    def forget(self, listed_ids: set[str], now_s: float) -> None:
+        """Drop periods that are over and those of replicas that discovery no longer lists."""
+        for replica_id in [
+            key
+            for key, until_s in self._cold_until_s_by_id.items()
+            if until_s <= now_s or key not in listed_ids
+        ]:
+            del self._cold_until_s_by_id[replica_id]
+        ended = [
+            key
+            for key, period in self._possibly_cold_by_id.items()
+            if period.until_s <= now_s or key not in listed_ids
+        ]
         for replica_id in ended:
-            del self._doubts[replica_id]
+            del self._possibly_cold_by_id[replica_id]
--- a/passgate/eligibility/cold_rule.py
+++ b/passgate/eligibility/cold_rule.py
@@ -1,18 +1,18 @@
-"""The rule that nothing goes to a cold replica without a permit.
+"""Send rule: a request to a cold replica needs a permit.
 
 >>> from passgate.eligibility.cold_replicas import ColdLimit
 >>> from passgate.eligibility.rules import ANY_REQUEST
 >>> cold = ColdReplicas({"s": ColdLimit(lasts_s=3.0, most_per_s=29)}.get)
->>> stock = PermitStock()
->>> rule = ColdRule(cold, stock)
+>>> permits = PermitStock()
+>>> rule = ColdRule(cold, permits)
 >>> info = ReplicaInfo(replica_id="r", service="s", address="h:1", zone="z", slots=4, cold_ms=2000)
 >>> cold.entry_read(info, now_s=0.0)
 >>> rule.allows(info, ANY_REQUEST, now_s=0.1)
 False
->>> stock.add({"r": 1}, asked_s=0.1, now_s=0.2)
+>>> permits.add({"r": 1}, requested_s=0.1, now_s=0.2)
 >>> rule.allows(info, ANY_REQUEST, now_s=0.2)
 True
->>> round(rule.sent(info, ANY_REQUEST, now_s=0.2), 3)
+>>> round(rule.record_send(info, ANY_REQUEST, now_s=0.2), 3)
 0.5
 >>> rule.allows(info, ANY_REQUEST, now_s=0.2), rule.allows(info, ANY_REQUEST, now_s=3.0)
 (False, True)
@@ -21,40 +21,46 @@
 from __future__ import annotations
 
 from passgate.eligibility.cold_replicas import ColdReplicas
-from passgate.eligibility.permits import SEND_MARGIN_S, PermitStock
+from passgate.eligibility.permits import MAX_SEND_DELAY_S, PermitStock
 from passgate.eligibility.replica_info import ReplicaInfo
 from passgate.eligibility.rules import SendKind, SendTerms
 
 
 class ColdRule:
-    """Lets requests to cold replicas pass for permits."""
+    """Allows a request to a cold replica only against a permit; control messages need none."""
 
     name = "cold"
 
-    def __init__(self, cold: ColdReplicas, stock: PermitStock) -> None:
+    def __init__(self, cold: ColdReplicas, permits: PermitStock) -> None:
         self._cold = cold
-        self._stock = stock
+        self._permits = permits
 
-    def allows(self, replica: ReplicaInfo, terms: SendTerms, now_s: float) -> bool:
-        """Whether the replica is warm, or a permit is there."""
-        return not self._limits(replica, terms, now_s) or self._stock.holds(replica.replica_id, now_s)
+    def allows(self, replica: ReplicaInfo, context: SendTerms, now_s: float) -> bool:
+        """Whether the replica is warm or a permit for it is held."""
+        return not self._needs_permit(replica, context, now_s) or self._permits.has_permit(
+            replica.replica_id, now_s
+        )
 
-    def sent(self, replica: ReplicaInfo, terms: SendTerms, now_s: float) -> float | None:
-        """Use up a permit; return until when the request may leave, None where no permit is asked."""
-        if self._limits(replica, terms, now_s):
-            return self._stock.use(replica.replica_id, now_s) + SEND_MARGIN_S
+    def record_send(self, replica: ReplicaInfo, context: SendTerms, now_s: float) -> float | None:
+        """Use up a permit if one is needed; it must be held.
+
+        Returns:
+            Loop time until which the request may leave this daemon; None if it needs no permit.
+        """
+        if self._needs_permit(replica, context, now_s):
+            return self._permits.use_permit(replica.replica_id, now_s) + MAX_SEND_DELAY_S
         return None
 
-    def has_room(self, replica: ReplicaInfo, terms: SendTerms, now_s: float) -> bool:
-        """Whether a request may be sent beside those for which the replica was just chosen."""
-        if not self._limits(replica, terms, now_s):
+    def has_room(self, replica: ReplicaInfo, context: SendTerms, now_s: float) -> bool:
+        """Whether a permit is left that no recently chosen request has claimed; true if none is needed."""
+        if not self._needs_permit(replica, context, now_s):
             return True
-        return self._stock.holds_unclaimed(replica.replica_id, now_s)
+        return self._permits.has_unclaimed_permit(replica.replica_id, now_s)
 
-    def chosen(self, replica: ReplicaInfo, terms: SendTerms, now_s: float) -> None:
-        """Keep a permit for the request for which the replica was chosen."""
-        if self._limits(replica, terms, now_s):
-            self._stock.claim(replica.replica_id, now_s)
+    def chosen(self, replica: ReplicaInfo, context: SendTerms, now_s: float) -> None:
+        """Claim a permit for the request for which the replica was chosen, if it needs one."""
+        if self._needs_permit(replica, context, now_s):
+            self._permits.claim_permit(replica.replica_id, now_s)
 
-    def _limits(self, replica: ReplicaInfo, terms: SendTerms, now_s: float) -> bool:
-        return terms.kind is SendKind.REQUEST and self._cold.is_cold(replica, now_s)
+    def _needs_permit(self, replica: ReplicaInfo, context: SendTerms, now_s: float) -> bool:
+        return context.kind is SendKind.REQUEST and self._cold.is_cold(replica, now_s)
--- a/passgate/eligibility/evacuation.py
+++ b/passgate/eligibility/evacuation.py
@@ -1,7 +1,7 @@
-"""Zones that the operator evacuates: nothing further is sent to their replicas.
+"""Zones that the operator evacuates, and the send rule that excludes their replicas.
 
-The evacuated zones are a set with the offset up to which the operator's topic was read.  Of two
-views the one with the higher offset is right as a whole, so views are replaced and never merged.
+A view is the set of evacuated zones as of an offset of the operator's topic.  Of two views the one with
+the higher offset is right as a whole, so a view is replaced and never merged with another one.
 
 >>> zones = EvacuatedZones(DecisionLog("d1", write=len))
 >>> zones.replace({"z1"}, next_offset=7)
@@ -20,8 +20,8 @@
 from passgate.eligibility.replica_info import ReplicaInfo
 from passgate.eligibility.rules import SendTerms
 
-LOG, PEER = "log", "peer"
-"""Where a view came from, as decision lines name it."""
+SOURCE_LOG, SOURCE_PEER = "log", "peer"
+"""Values of `source` in decision lines: the operator's topic, or another daemon."""
 
 
 class EvacuationView(msgspec.Struct, frozen=True, kw_only=True):
@@ -33,34 +33,37 @@
 
 
 class EvacuationChange(msgspec.Struct, frozen=True, kw_only=True):
-    """One record of the operator's topic that begins or ends an evacuation."""
+    """One record of the operator's topic that starts or ends the evacuation of a zone."""
 
     offset: int
+    """Offset of the record."""
     zone: str
     evacuated: bool
 
 
-class _Source(msgspec.Struct, frozen=True, kw_only=True):
-    """Where a view came from."""
+class _ViewSource(msgspec.Struct, frozen=True, kw_only=True):
+    """Origin of a view."""
 
     name: str
+    """`SOURCE_LOG` or `SOURCE_PEER`."""
     peer: str = ""
+    """Address of the daemon that sent the view; empty for a view from the log."""
     age_s: float = 0.0
-    """Age of the view when it was learned; one that is read from the log is the present one."""
+    """Age of the view when it was received; 0 for a view from the log."""
 
 
 class EvacuatedZones:
-    """The zones that are evacuated, as far as this daemon knows."""
+    """The zones that are evacuated, as far as this daemon knows; writes a decision line for each change."""
 
     def __init__(self, decisions: DecisionLog) -> None:
         self._decisions = decisions
         self._view = EvacuationView(offset=0)
         self.on_ended: list[Callable[[str], None]] = []
-        """Called with each zone whose evacuation has ended; its replicas may be cold."""
+        """Callbacks that get each zone whose evacuation has ended; its replicas may be cold."""
 
     @property
     def view(self) -> EvacuationView:
-        """What is known, to be told to other daemons."""
+        """The newest known view, to be sent to other daemons."""
         return self._view
 
     def __contains__(self, zone: object) -> bool:
@@ -72,12 +75,17 @@
         return len(self._view.zones)
 
     def replace(self, zones: Iterable[str], next_offset: int) -> None:
-        """Take a snapshot of the operator's topic; an evacuation that it lacks has ended."""
+        """Apply a snapshot of the operator's topic, unless a newer view is known.
+
+        An evacuation that the snapshot lacks has ended.
+        """
         if next_offset >= self._view.offset:
-            self._take(EvacuationView(offset=next_offset, zones=frozenset(zones)), _Source(name=LOG))
+            self._set_view(
+                EvacuationView(offset=next_offset, zones=frozenset(zones)), _ViewSource(name=SOURCE_LOG)
+            )
 
     def update(self, changes: Iterable[EvacuationChange], next_offset: int) -> None:
-        """Take records of the operator's topic; those that the view already contains change nothing."""
+        """Apply records of the operator's topic; those that the view already contains are skipped."""
         zones = set(self._view.zones)
         for change in changes:
             if change.offset < self._view.offset:
@@ -87,23 +95,31 @@
             else:
                 zones.discard(change.zone)
         offset = max(next_offset, self._view.offset)
-        self._take(EvacuationView(offset=offset, zones=frozenset(zones)), _Source(name=LOG))
+        self._set_view(EvacuationView(offset=offset, zones=frozenset(zones)), _ViewSource(name=SOURCE_LOG))
 
     def learn(self, view: EvacuationView, *, peer: str, age_s: float) -> None:
-        """Take another daemon's view if it is newer; ``age_s`` is the age of that view."""
+        """Replace the view by another daemon's if that is newer.
+
+        Args:
+            view: the other daemon's view.
+            peer: address of that daemon.
+            age_s: age of the view.
+        """
         if view.offset > self._view.offset:
-            self._take(view, _Source(name=PEER, peer=peer, age_s=age_s))
+            self._set_view(view, _ViewSource(name=SOURCE_PEER, peer=peer, age_s=age_s))
 
-    def _take(self, view: EvacuationView, source: _Source) -> None:
+    def _set_view(self, view: EvacuationView, source: _ViewSource) -> None:
         before, self._view = self._view.zones, view
         for zone in sorted(view.zones - before):
-            self._note(ZoneEvacuated, zone, source)
+            self._write_decision(ZoneEvacuated, zone, source)
         for zone in sorted(before - view.zones):
-            self._note(EvacuationEnded, zone, source)
+            self._write_decision(EvacuationEnded, zone, source)
             for ended in self.on_ended:
                 ended(zone)
 
-    def _note(self, event: type[ZoneEvacuated] | type[EvacuationEnded], zone: str, source: _Source) -> None:
+    def _write_decision(
+        self, event: type[ZoneEvacuated] | type[EvacuationEnded], zone: str, source: _ViewSource
+    ) -> None:
         self._decisions.write(
             event(
                 zone=zone,
@@ -116,16 +132,16 @@
 
 
 class EvacuationRule:
-    """Nothing goes to an evacuated zone: no request, no report, no order."""
+    """Forbids every send to a replica in an evacuated zone, control messages included."""
 
     name = "evacuation"
 
     def __init__(self, evacuated: EvacuatedZones) -> None:
         self._evacuated = evacuated
 
-    def allows(self, replica: ReplicaInfo, terms: SendTerms, now_s: float) -> bool:
-        """Whether the replica's zone is in use."""
+    def allows(self, replica: ReplicaInfo, context: SendTerms, now_s: float) -> bool:
+        """Whether the replica's zone is not evacuated."""
         return replica.zone not in self._evacuated
 
-    def sent(self, replica: ReplicaInfo, terms: SendTerms, now_s: float) -> None:
-        """Keep nothing."""
+    def record_send(self, replica: ReplicaInfo, context: SendTerms, now_s: float) -> None:
+        """Do nothing; the rule counts no sends."""
--- a/passgate/eligibility/known_service.py
+++ b/passgate/eligibility/known_service.py
@@ -1,6 +1,8 @@
-"""Keeps requests and orders from replicas of services that no configuration names.
+"""Send rule: replicas of services that the configuration does not name get nothing.
 
->>> replica = ReplicaInfo(replica_id="r", service="unheard-of", address="h:1", zone="z", slots=4)
+Another writer of the discovery topic may list a replica of a service that does not exist.
+
+>>> replica = ReplicaInfo(replica_id="r", service="unlisted", address="h:1", zone="z", slots=4)
 >>> KnownServiceRule({"app"}.__contains__).allows(replica, SendTerms(), now_s=0.0)
 False
 """
@@ -14,16 +16,16 @@
 
 
 class KnownServiceRule:
-    """An entry of discovery may come from another writer and name a service that does not exist."""
+    """Forbids every send to a replica of an unknown service, control messages included."""
 
     name = "unknown_service"
 
     def __init__(self, is_known: Callable[[str], bool]) -> None:
         self._is_known = is_known
 
-    def allows(self, replica: ReplicaInfo, terms: SendTerms, now_s: float) -> bool:
-        """Whether the configuration in force names the replica's service."""
+    def allows(self, replica: ReplicaInfo, context: SendTerms, now_s: float) -> bool:
+        """Whether the active configuration names the replica's service."""
         return self._is_known(replica.service)
 
-    def sent(self, replica: ReplicaInfo, terms: SendTerms, now_s: float) -> None:
-        """Keep nothing."""
+    def record_send(self, replica: ReplicaInfo, context: SendTerms, now_s: float) -> None:
+        """Do nothing; the rule counts no sends."""
--- a/passgate/eligibility/permit_grantor.py
+++ b/passgate/eligibility/permit_grantor.py
@@ -1,4 +1,4 @@
-"""The daemon that grants permits to send to cold replicas: the one that leads the control topic."""
+"""The permit issuer: grants permits to send to cold replicas while its daemon leads the control topic."""
 
 from __future__ import annotations
 
@@ -13,96 +13,104 @@
 from passgate.eligibility.permits import PermitGrants, PermitTally
 
 
-class AskPermits(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """Asks for permits, at any of some replicas."""
+class PermitRequest(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
+    """Requests permits for any of some replicas, or the list of cold replicas, or both."""
 
     count: int = 0
-    replicas: dict[str, str] = {}
-    """Replica to its service."""
-    tell_cold: bool = False
-    """Whether the asker may not know which replicas are cold."""
+    """Permits requested in total."""
+    service_by_replica_id: dict[str, str] = msgspec.field(name="replicas", default={})
+    include_cold: bool = msgspec.field(name="tell_cold", default=False)
+    """Whether the response is to list the cold replicas."""
 
 
-class PermitsGiven(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """Answers a question for permits."""
+class PermitResponse(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
+    """Response to a permit request."""
 
     granted: dict[str, int] | None = None
-    """Replica to permits; None from a daemon that does not lead."""
+    """Replica ID to its number of permits; None from a daemon that does not lead."""
     leader: str = ""
-    """Writer that leads, as far as a daemon that does not lead knows."""
-    cold_ms: dict[str, int] = {}
-    """Replica to the time for which it stays cold, if that was asked for."""
+    """Name of the leader if the responding daemon does not lead but knows it; else empty."""
+    remaining_cold_ms_by_id: dict[str, int] = msgspec.field(name="cold_ms", default={})
+    """Replica ID to the time for which it stays cold, if the request included it."""
 
 
-class Lead(Protocol):
-    """The lease of the one daemon that may grant."""
+class LeaderLease(Protocol):
+    """The lease of the daemon that leads, which alone may grant permits."""
 
     @property
     def fence(self) -> int:
-        """Number that rises with each leader."""
+        """Fencing token; it increases with each leader."""
         ...
 
     def may_order(self) -> bool:
-        """Whether this daemon leads, and no other daemon can."""
+        """Whether this daemon leads, and no other daemon can lead at this moment."""
         ...
 
 
 class PermitGrantor:
-    """Answers questions for permits while this daemon leads."""
+    """Responds to permit requests: grants permits while this daemon leads, else names the leader."""
 
     def __init__(
         self,
-        lead: Lead,
+        lease: LeaderLease,
         leader: Callable[[], str],
         limit_of: Callable[[str], ColdLimit | None],
         cold_ms: Callable[[], dict[str, int]],
         tally: PermitTally,
         decisions: DecisionLog,
     ) -> None:
-        """Connect the grantor.
+        """Create the issuer.
 
         Args:
-            lead: the lease.
-            leader: returns the writer that leads, as this daemon knows it.
-            limit_of: returns the limit of a service, if it has one.
-            cold_ms: returns the cold replicas, with the time for which they stay so.
-            tally: where permits are counted.
-            decisions: where decisions are noted.
+            lease: the leader's lease.
+            leader: returns the name of the leader as far as this daemon knows it.
+            limit_of: returns the limit of a service, or None.
+            cold_ms: returns the IDs of the cold replicas, each with the time for which it stays cold.
+            tally: counters of permits.
+            decisions: log of decision lines.
         """
-        self._lead = lead
-        self._leader = leader
+        self._lease = lease
+        self._find_leader = leader
         self._limit_of = limit_of
-        self._cold_ms = cold_ms
-        self._tally = tally
+        self._list_cold_ms = cold_ms
+        self._counts = tally
         self._decisions = decisions
-        self._grants = PermitGrants()
-        self._began_fence: int | None = None
+        self._allocator = PermitGrants()
+        self._announced_fence: int | None = None
+        """Fence for which a `PermitsBegan` line was written last."""
 
     def tick(self) -> None:
-        """Note whether this daemon leads; to be called often, as a new leader waits from when it is noted."""
+        """Update the leadership, drop expired grants, and write a decision line once grants may begin.
+
+        To be called often: a new leader may grant only some time after the call that finds it leading.
+        """
         now_s = monotonic_s()
-        self._grants.forget_old(now_s)
-        if self._note_lead(now_s) and self._grants.ready(now_s) and self._began_fence != self._lead.fence:
-            self._began_fence = self._lead.fence
-            self._decisions.write(PermitsBegan(fence=self._lead.fence))
-
-    def _note_lead(self, now_s: float) -> bool:
-        """Note whether this daemon leads, and return it."""
-        may_order = self._lead.may_order()
-        self._grants.lead(self._lead.fence if may_order else None, now_s)
+        self._allocator.drop_expired(now_s)
+        if (
+            self._update_leadership(now_s)
+            and self._allocator.may_grant(now_s)
+            and self._announced_fence != self._lease.fence
+        ):
+            self._announced_fence = self._lease.fence
+            self._decisions.write(PermitsBegan(fence=self._lease.fence))
+
+    def _update_leadership(self, now_s: float) -> bool:
+        """Pass on to the allocator whether this daemon leads, and return it."""
+        may_order = self._lease.may_order()
+        self._allocator.lead(self._lease.fence if may_order else None, now_s)
         return may_order
 
-    def answer(self, asker: str, question: AskPermits) -> PermitsGiven:
-        """Answer a daemon, by its address."""
-        if not self._note_lead(monotonic_s()):
-            return PermitsGiven(leader=self._leader())
-        limits = {}
-        for replica_id, service in question.replicas.items():
+    def answer(self, requester: str, request: PermitRequest) -> PermitResponse:
+        """Return the response to a permit request of the daemon at an address."""
+        if not self._update_leadership(monotonic_s()):
+            return PermitResponse(leader=self._find_leader())
+        limit_by_replica_id = {}
+        for replica_id, service in request.service_by_replica_id.items():
             limit = self._limit_of(service)
             if limit is not None:
-                limits[replica_id] = limit.most_per_s
-        granted = self._grants.grant(asker, limits, question.count, monotonic_s())
-        self._tally.given += sum(granted.values())
-        self._tally.refused += question.count > 0 and not granted
-        cold_ms = self._cold_ms() if question.tell_cold else {}
-        return PermitsGiven(granted=granted, cold_ms=cold_ms)
+                limit_by_replica_id[replica_id] = limit.most_per_s
+        granted = self._allocator.grant(requester, limit_by_replica_id, request.count, monotonic_s())
+        self._counts.given += sum(granted.values())
+        self._counts.refused += request.count > 0 and not granted
+        remaining_cold_ms_by_id = self._list_cold_ms() if request.include_cold else {}
+        return PermitResponse(granted=granted, remaining_cold_ms_by_id=remaining_cold_ms_by_id)
--- a/passgate/eligibility/permit_peers.py
+++ b/passgate/eligibility/permit_peers.py
@@ -1,9 +1,8 @@
-"""Asks the daemon that leads for permits to send to cold replicas.
+"""Requests permits to send to cold replicas from the permit issuer, the daemon that leads.
 
-Only few daemons know who leads, so a daemon asks the leader it was told of last, else one that
-watches the control partition; a daemon that does not lead names the leader.  One question is under
-way at a time; it is for all replicas that are wanted, and for as many permits as were lately used
-and some more.  A daemon that the log does not answer also asks which replicas are cold.
+A request goes to the daemon that last responded as leader; without one, to this daemon, a watcher of the
+control partition and others in turn.  A daemon that does not lead names the leader, which is tried next.
+While the view of the log is stale, the request also asks for the list of cold replicas.
 """
 
 from __future__ import annotations
@@ -18,8 +17,8 @@
 
 from passgate.clock import monotonic_s
 from passgate.eligibility.cold_replicas import ColdReplicas
-from passgate.eligibility.permit_grantor import AskPermits, PermitGrantor, PermitsGiven
-from passgate.eligibility.permits import PERMIT_LIFE_S, PermitStock
+from passgate.eligibility.permit_grantor import PermitGrantor, PermitRequest, PermitResponse
+from passgate.eligibility.permits import PERMIT_LIFETIME_S, PermitStock
 from passgate.errors import PeerError
 from passgate.peers.transport import PeerTransport
 from passgate.sharedlog.member_names import address_of
@@ -27,145 +26,166 @@
 logger = logging.getLogger("passgate.eligibility")
 
 PERMITS_METHOD = "cold.permits"
-ANSWER_S = PERMIT_LIFE_S * 0.8
-"""Time for an answer; permits that come later have all but run out."""
-ASK_GAP_S = 0.05
-"""Time between two questions that bring permits; a sixth of a permit's life, so that they follow use."""
-MOST_GAP_S = 0.4
-"""Time to which the pause grows, doubled, while questions bring none; some permits' lives, so that a refused
-asker costs the leader two or three questions a second."""
-MOST_PERMITS = 64
-"""Permits asked for at once, so that one daemon can not take what many cold replicas bear for a while."""
-GROWTH = 2
-"""Permits asked for by each that was used since the last question, so that few run out unused."""
+RESPONSE_TIMEOUT_S = PERMIT_LIFETIME_S * 0.8
+"""Timeout of a request; permits that arrive later would expire at once."""
+MIN_REQUEST_INTERVAL_S = 0.05
+"""Pause after a request that brought permits; short against PERMIT_LIFETIME_S, to follow the use."""
+MAX_REQUEST_INTERVAL_S = 0.4
+"""Upper bound of the pause, which doubles after each request that brought no permits; it limits the load
+that refused requesters put on the leader."""
+MAX_PERMITS_PER_REQUEST = 64
+"""Most permits in one request, so that one daemon cannot take the rate of many cold replicas."""
+REQUESTED_PER_USED_PERMIT = 2
+"""Permits to request for each one used since the last request; a small factor lets few expire unused."""
 TICK_S = 0.1
-"""Time between looks at who leads and at the age of the log."""
-STALE_S = 1.3
-"""Age of the log's view from which others are asked what is cold; a calm log confirms it each second."""
-KNOW_GAP_S = 0.5
-"""Time between such questions; cold spells last seconds."""
-MOST_HOPS = 4
-"""Daemons asked one after the other for one question."""
+"""Interval of the checks of the leadership and of the age of the log's view."""
+STALE_LOG_AGE_S = 1.3
+"""Age of the view of the log from which it counts as stale; without news it is confirmed every second."""
+COLD_REQUEST_INTERVAL_S = 0.5
+"""Shortest time between two requests for the list of cold replicas if no permits are needed."""
+MAX_REQUESTS_PER_ROUND = 4
+"""Most daemons to which one request is sent, one after the other."""
 
 
 class PermitPeers:
-    """Keeps a daemon's stock of permits filled as they are wanted."""
+    """Requests permits for this daemon as they are needed, and responds to other daemons' requests."""
 
     def __init__(
         self,
         transport: PeerTransport,
-        grantor: PermitGrantor,
+        issuer: PermitGrantor,
         stock: PermitStock,
         cold: ColdReplicas,
         watcher: Callable[[], Awaitable[str | None]],
         others: Callable[[], list[str]],
         log_age_s: Callable[[], float],
     ) -> None:
-        """Connect the parts.
+        """Create the client; it has at most one request in flight.
 
         Args:
-            transport: carries questions to other daemons.
-            grantor: answers in case this daemon leads.
-            stock: the permits of this daemon.
-            cold: which replicas are cold.
-            watcher: returns a daemon that probably knows the leader.
+            transport: sends requests to other daemons.
+            issuer: this daemon's permit issuer, which responds in case it leads.
+            stock: the permits that this daemon holds.
+            cold: the cold replicas as this daemon knows them.
+            watcher: returns the name of a daemon that probably knows the leader, or None.
             others: returns the names of other daemons, in any order.
             log_age_s: returns the age of this daemon's view of the log.
         """
         self._transport = transport
-        self._grantor = grantor
-        self._stock = stock
+        self._issuer = issuer
+        self._permits = stock
         self._cold = cold
-        self._watcher = watcher
-        self._others = others
+        self._find_watcher = watcher
+        self._list_others = others
         self._log_age_s = log_age_s
         self.leader = ""
-        """Address that granted last."""
-        self._used = 0
-        """Permits used up to the last question."""
-        self._gap_s = ASK_GAP_S
-        self._asked_cold_s = float("-inf")
-        """Loop time of the last question which replicas are cold."""
+        """Address of the daemon that responded as leader last; empty if none did."""
+        self._used_at_last_request = 0
+        """Value of the counter of used permits at the last request."""
+        self._request_interval_s = MIN_REQUEST_INTERVAL_S
+        self._cold_requested_s = float("-inf")
+        """Loop time of the last request for the list of cold replicas."""
 
     async def run(self) -> None:
-        """Ask as permits are wanted, until cancelled."""
+        """Send requests as permits or the list of cold replicas are needed, until cancelled."""
         while True:
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(TICK_S):
-                    await self._stock.wish.wait()
-            if self._stock.wanted or self._must_be_told():
-                await self._ask_once()
-                await asyncio.sleep(self._gap_s)
-
-    def _must_be_told(self) -> bool:
-        return self._log_age_s() >= STALE_S and monotonic_s() - self._asked_cold_s >= KNOW_GAP_S
-
-    async def _ask_once(self) -> None:
-        question = self._question()
-        answer = await self._ask_leader(question)
-        if answer is None:
-            self._stock.tally.unanswered += 1
-        elif question.count and not answer.granted:
-            self._stock.tally.wanting += 1
-        brought = answer is not None and bool(answer.granted)
-        self._gap_s = ASK_GAP_S if brought else min(2 * self._gap_s, MOST_GAP_S)
-
-    def _question(self) -> AskPermits:
-        tell_cold = self._log_age_s() >= STALE_S
-        if tell_cold:
-            self._asked_cold_s = monotonic_s()
-        wanted = self._stock.take_wanted()
-        used = self._stock.tally.used
-        count = min(GROWTH * (used - self._used) + 1, MOST_PERMITS) if wanted else 0
-        self._used = used
-        return AskPermits(count=count, replicas=wanted, tell_cold=tell_cold)
-
-    async def _ask_leader(self, question: AskPermits) -> PermitsGiven | None:
-        """Ask from daemon to daemon until one leads; None when none is found."""
-        left = deque(await self._candidates())
-        asked: set[str] = set()
-        while left and len(asked) < MOST_HOPS:
-            address = left.popleft()
-            if not address or address in asked:
+                    await self._permits.permits_requested.wait()
+            if self._permits.requested_services_by_id or self._must_request_cold():
+                await self._request_once()
+                await asyncio.sleep(self._request_interval_s)
+
+    def _must_request_cold(self) -> bool:
+        return (
+            self._log_age_s() >= STALE_LOG_AGE_S
+            and monotonic_s() - self._cold_requested_s >= COLD_REQUEST_INTERVAL_S
+        )
+
+    async def _request_once(self) -> None:
+        request = self._make_request()
+        response = await self._request_from_leader(request)
+        if response is None:
+            self._permits.tally.unanswered += 1
+        elif request.count and not response.granted:
+            self._permits.tally.wanting += 1
+        was_granted = response is not None and bool(response.granted)
+        self._request_interval_s = (
+            MIN_REQUEST_INTERVAL_S
+            if was_granted
+            else min(2 * self._request_interval_s, MAX_REQUEST_INTERVAL_S)
+        )
+
+    def _make_request(self) -> PermitRequest:
+        include_cold = self._log_age_s() >= STALE_LOG_AGE_S
+        if include_cold:
+            self._cold_requested_s = monotonic_s()
+        service_by_replica_id = self._permits.take_requested()
+        used = self._permits.tally.used
+        count = (
+            min(REQUESTED_PER_USED_PERMIT * (used - self._used_at_last_request) + 1, MAX_PERMITS_PER_REQUEST)
+            if service_by_replica_id
+            else 0
+        )
+        self._used_at_last_request = used
+        return PermitRequest(
+            count=count, service_by_replica_id=service_by_replica_id, include_cold=include_cold
+        )
+
+    async def _request_from_leader(self, request: PermitRequest) -> PermitResponse | None:
+        """Send a request to one daemon after the other until one responds as leader; None if none does."""
+        candidates = deque(await self._leader_candidates())
+        tried: set[str] = set()
+        while candidates and len(tried) < MAX_REQUESTS_PER_ROUND:
+            address = candidates.popleft()
+            if not address or address in tried:
                 continue
-            asked.add(address)
-            answer = await self._ask_at(address, question)
-            if answer is not None and answer.granted is not None:
+            tried.add(address)
+            response = await self._request_from(address, request)
+            if response is not None and response.granted is not None:
                 self.leader = address
-                return answer
-            if answer is not None:
-                left.appendleft(address_of(answer.leader))
+                return response
+            if response is not None:
+                candidates.appendleft(address_of(response.leader))
         self.leader = ""
         return None
 
-    async def _candidates(self) -> list[str]:
+    async def _leader_candidates(self) -> list[str]:
+        """Return addresses of daemons to try, the most probable leader first."""
         if self.leader:
             return [self.leader]
-        watcher = await self._watcher()
-        return [self._transport.address, *(address_of(name) for name in [watcher or "", *self._others()])]
-
-    async def _ask_at(self, address: str, question: AskPermits) -> PermitsGiven | None:
-        """Ask one daemon and take what it grants; None when it does not answer."""
-        asked_s = monotonic_s()
+        watcher = await self._find_watcher()
+        return [
+            self._transport.address,
+            *(address_of(name) for name in [watcher or "", *self._list_others()]),
+        ]
+
+    async def _request_from(self, address: str, request: PermitRequest) -> PermitResponse | None:
+        """Send a request to one daemon and apply its response; None if there is no readable one."""
+        requested_s = monotonic_s()
         if address == self._transport.address:
-            answer = self._grantor.answer(address, question)
+            response = self._issuer.answer(address, request)
         else:
             try:
-                payload = msgspec.json.encode(question)
-                reply = await self._transport.call(address, PERMITS_METHOD, payload, ANSWER_S)
-                answer = msgspec.json.decode(reply, type=PermitsGiven)
+                payload = msgspec.json.encode(request)
+                reply = await self._transport.call(address, PERMITS_METHOD, payload, RESPONSE_TIMEOUT_S)
+                response = msgspec.json.decode(reply, type=PermitResponse)
             except PeerError:
-                return None  # counted as unanswered, unless the next one answers
+                return None  # the next candidate may respond; if none does, the request counts as unanswered
             except msgspec.DecodeError as error:
                 logger.info("permits_unreadable", extra={"peer": address, "error": str(error)})
                 return None
         now_s = monotonic_s()
-        self._stock.add(answer.granted or {}, asked_s, now_s)
-        for replica_id, left_ms in answer.cold_ms.items():
-            self._cold.told_cold(replica_id, left_ms / 1000, now_s)
-        return answer
+        self._permits.add(response.granted or {}, requested_s, now_s)
+        for replica_id, remaining_ms in response.remaining_cold_ms_by_id.items():
+            self._cold.record_reported_cold(replica_id, remaining_ms / 1000, now_s)
+        return response
 
     def answer(self, sender: str, payload: bytes) -> bytes:
-        """Answer another daemon; raises msgspec.DecodeError for what is no question."""
-        question = msgspec.json.decode(payload, type=AskPermits)
-        return msgspec.json.encode(self._grantor.answer(sender, question))
+        """Return the encoded response to another daemon's request.
+
+        Raises:
+            msgspec.DecodeError: the payload is no permit request.
+        """
+        request = msgspec.json.decode(payload, type=PermitRequest)
+        return msgspec.json.encode(self._issuer.answer(sender, request))
--- a/passgate/eligibility/permits.py
+++ b/passgate/eligibility/permits.py
@@ -1,16 +1,15 @@
-"""Permits to send one request to a cold replica: how they are given out, and how they are kept.
+"""Permits, each for one request to a cold replica: their allocation, and the pool of one daemon.
 
-A permit ends PERMIT_LIFE_S after its question was sent, by the asker's clock.  The question reached
-the grantor later, so whatever it grants is used within that time after the grant.  Sends within
-one second therefore used permits of a span of a second and a permit's life, and grants in each such
-span stay within what the replica may get in a second.
+A permit expires PERMIT_LIFETIME_S after its permit request was sent, hence within that time after its
+grant.  The request leaves within MAX_SEND_DELAY_S of the permit's check.  So all requests of one second
+use permits of one GRANT_WINDOW_S, in which no more are granted than the replica's limit.
 
->>> grants = PermitGrants()
->>> grants.lead(1, now_s=0.0)
->>> wish = {"r": 3}
->>> grants.grant("a", wish, count=2, now_s=1.0), grants.grant("a", wish, count=2, now_s=2.0)
+>>> allocator = PermitGrants()
+>>> allocator.lead(1, now_s=0.0)
+>>> limits = {"r": 3}
+>>> allocator.grant("a", limits, count=2, now_s=1.0), allocator.grant("a", limits, count=2, now_s=2.0)
 ({}, {'r': 2})
->>> grants.grant("b", wish, count=2, now_s=2.1), grants.grant("b", wish, count=2, now_s=2.2)
+>>> allocator.grant("b", limits, count=2, now_s=2.1), allocator.grant("b", limits, count=2, now_s=2.2)
 ({'r': 1}, {})
 """
 
@@ -23,143 +22,166 @@
 
 import msgspec
 
-PERMIT_LIFE_S = 0.3
-"""Time from a question for which its permits are valid: several round trips between regions.  A longer
-one costs rate, as a grantor counts a permit for a second and this."""
-SEND_MARGIN_S = 0.1
-"""Longest time from the check of a permit until its request leaves; a busy daemon takes some 50 ms."""
+PERMIT_LIFETIME_S = 0.3
+"""Time for which permits are valid after their request was sent.  A longer time widens GRANT_WINDOW_S and
+so lowers the usable rate."""
+MAX_SEND_DELAY_S = 0.1
+"""Longest time from the check of a permit until its request leaves the daemon."""
 RATE_WINDOW_S = 1.0
-"""Window of a cold replica's limit."""
-SPAN_S = RATE_WINDOW_S + PERMIT_LIFE_S + SEND_MARGIN_S
-"""Span in which no more is granted than a replica may get in one window."""
-DEMAND_LIFE_S = 0.5
-"""Time for which an asker counts as one that wants permits; longer than the pause between questions."""
-CLAIM_S = 0.05
-"""Time for which a choice keeps its permit for itself until it is sent; usually the loop's next round."""
+"""Window to which a cold replica's limit applies."""
+GRANT_WINDOW_S = RATE_WINDOW_S + PERMIT_LIFETIME_S + MAX_SEND_DELAY_S
+"""Window in which no more permits are granted than a replica may get requests in RATE_WINDOW_S."""
+DEMAND_LIFETIME_S = 0.5
+"""Time for which a permit request counts as demand; longer than the interval between two requests."""
+CLAIM_LIFETIME_S = 0.05
+"""Time for which a chosen request claims its permit; it is usually sent in the loop's next iteration."""
 
 
 class _Grant(msgspec.Struct, frozen=True):
-    at_s: float
-    asker: str
+    """Permits that a requester got at once for one replica."""
+
+    granted_s: float
+    requester: str
     count: int
 
 
 class _Demand(msgspec.Struct, frozen=True):
-    at_s: float
+    """Number of permits that a requester has last requested."""
+
+    requested_s: float
     count: int
 
 
 class _ReplicaGrants:
-    """What was lately granted for one replica, and who wants more."""
+    """Recent grants of permits for one replica, and the current demand for more."""
 
     def __init__(self) -> None:
         self.grants: deque[_Grant] = deque()
-        self.demands: dict[str, _Demand] = {}
+        self.demand_by_requester: dict[str, _Demand] = {}
 
-    def forget_old_grants(self, now_s: float, span_s: float) -> None:
-        while self.grants and now_s - self.grants[0].at_s > span_s:
+    def drop_expired_grants(self, now_s: float, window_s: float) -> None:
+        while self.grants and now_s - self.grants[0].granted_s > window_s:
             self.grants.popleft()
 
-    def forget_old_demands(self, now_s: float) -> None:
-        old = [asker for asker, demand in self.demands.items() if now_s - demand.at_s > DEMAND_LIFE_S]
-        for asker in old:
-            del self.demands[asker]
+    def drop_expired_demands(self, now_s: float) -> None:
+        expired = [
+            requester
+            for requester, demand in self.demand_by_requester.items()
+            if now_s - demand.requested_s > DEMAND_LIFETIME_S
+        ]
+        for requester in expired:
+            del self.demand_by_requester[requester]
+
+    def grantable(self, requester: str, limit: int, now_s: float) -> int:
+        """Return how many permits one requester may get now within the replica's limit.
 
-    def room(self, asker: str, limit: int, now_s: float) -> int:
-        """Return what one asker may get now: its share, and what the others don't lack of theirs."""
+        It may get the rest of its fair share, or whatever the unmet fair shares of the others leave.
+        """
         left = limit - sum(grant.count for grant in self.grants)
         if left <= 0:
-            return 0  # most questions of many askers end here, before all of them are looked at
-        self.forget_old_demands(now_s)
+            return 0  # the usual case with many requesters; skips the loops over all of them
+        self.drop_expired_demands(now_s)
         granted: Counter[str] = Counter()
         for grant in self.grants:
-            granted[grant.asker] += grant.count
-        wants = {other: granted[other] + demand.count for other, demand in self.demands.items()}
-        share = fair_share(limit, wants.values())
-        others_lack = sum(
-            max(min(want, share) - granted[other], 0) for other, want in wants.items() if other != asker
+            granted[grant.requester] += grant.count
+        demands = {other: granted[other] + demand.count for other, demand in self.demand_by_requester.items()}
+        share = fair_share(limit, demands.values())
+        reserved_for_others = sum(
+            max(min(demand, share) - granted[other], 0)
+            for other, demand in demands.items()
+            if other != requester
         )
-        return max(min(left, share - granted[asker]), left - others_lack, 0)
+        return max(min(left, share - granted[requester]), left - reserved_for_others, 0)
 
 
 class PermitGrants:
-    """The grantor's books; only the daemon that leads grants."""
+    """Grants permits within the limit of each replica; grants none unless this daemon has led for a while.
+
+    The caller must ask it for grants only while this daemon holds the leader's lease.
+    """
 
-    def __init__(self, span_s: float = SPAN_S) -> None:
-        self._span_s = span_s
+    def __init__(self, span_s: float = GRANT_WINDOW_S) -> None:
+        self._window_s = span_s
         self._fence: int | None = None
-        self._led_s = math.inf
-        """Since when this daemon has led without another in between."""
-        self._replicas: dict[str, _ReplicaGrants] = {}
+        self._leading_since_s = math.inf
+        """Loop time since which this daemon has led under ``_fence``; infinite before it first leads."""
+        self._grants_by_replica_id: dict[str, _ReplicaGrants] = {}
 
     def lead(self, fence: int | None, now_s: float) -> None:
-        """Note under which fence this daemon leads now; None if it does not."""
+        """Record under which fence this daemon leads now; None, which changes nothing, if it does not."""
         if fence is not None and fence != self._fence:
             self._fence = fence
-            self._led_s = now_s
+            self._leading_since_s = now_s
 
-    def ready(self, now_s: float) -> bool:
-        """Whether a leader may grant: all that its predecessor may have granted has run out."""
-        return now_s - self._led_s > self._span_s
+    def may_grant(self, now_s: float) -> bool:
+        """Whether GRANT_WINDOW_S has passed since this daemon became leader, so that no grant of its
+        predecessor counts any more."""
+        return now_s - self._leading_since_s > self._window_s
 
-    def grant(self, asker: str, limits: Mapping[str, int], count: int, now_s: float) -> dict[str, int]:
-        """Grant up to ``count`` permits, spread over replicas.
+    def grant(
+        self, requester: str, limit_by_replica_id: Mapping[str, int], count: int, now_s: float
+    ) -> dict[str, int]:
+        """Grant up to ``count`` permits, distributed over replicas.
 
         Args:
-            asker: who gets them.
-            limits: replica to what it may get in a second.
-            count: permits wanted, at any of the replicas.
+            requester: address of the daemon that gets the permits.
+            limit_by_replica_id: replica ID to the requests that it may get in a second.
+            count: permits requested in total, for any of the replicas.
             now_s: loop time.
 
         Returns:
-            Replica to permits; replicas without any are left out.
+            Replica ID to its number of permits; replicas without any are left out.
         """
-        if not self.ready(now_s) or count <= 0:
+        if not self.may_grant(now_s) or count <= 0:
             return {}
-        rooms = {
-            replica: self._room(asker, replica, limit, count, now_s) for replica, limit in limits.items()
+        grantable_by_id = {
+            replica_id: self._grantable(requester, replica_id, limit, count, now_s)
+            for replica_id, limit in limit_by_replica_id.items()
         }
-        return self._spread(asker, rooms, count, now_s)
+        return self._distribute(requester, grantable_by_id, count, now_s)
 
-    def _room(self, asker: str, replica_id: str, limit: int, count: int, now_s: float) -> int:
-        replica = self._replicas.setdefault(replica_id, _ReplicaGrants())
-        replica.forget_old_grants(now_s, self._span_s)
-        replica.demands[asker] = _Demand(now_s, count)
-        return replica.room(asker, limit, now_s)
+    def _grantable(self, requester: str, replica_id: str, limit: int, count: int, now_s: float) -> int:
+        replica = self._grants_by_replica_id.setdefault(replica_id, _ReplicaGrants())
+        replica.drop_expired_grants(now_s, self._window_s)
+        replica.demand_by_requester[requester] = _Demand(now_s, count)
+        return replica.grantable(requester, limit, now_s)
 
-    def _spread(self, asker: str, rooms: dict[str, int], count: int, now_s: float) -> dict[str, int]:
+    def _distribute(
+        self, requester: str, grantable_by_id: dict[str, int], count: int, now_s: float
+    ) -> dict[str, int]:
         granted: dict[str, int] = {}
-        widest_first = sorted(rooms, key=lambda replica: -rooms[replica])
-        for place, replica_id in enumerate(widest_first):
-            even_share = math.ceil(count / (len(widest_first) - place))
-            given = min(rooms[replica_id], even_share)
-            if given > 0:
-                granted[replica_id] = given
-                count -= given
-                self._replicas[replica_id].grants.append(_Grant(now_s, asker, given))
+        most_grantable_first = sorted(grantable_by_id, key=lambda replica_id: -grantable_by_id[replica_id])
+        for index, replica_id in enumerate(most_grantable_first):
+            even_share = math.ceil(count / (len(most_grantable_first) - index))
+            permits = min(grantable_by_id[replica_id], even_share)
+            if permits > 0:
+                granted[replica_id] = permits
+                count -= permits
+                self._grants_by_replica_id[replica_id].grants.append(_Grant(now_s, requester, permits))
         return granted
 
-    def forget_old(self, now_s: float) -> None:
-        """Drop replicas of which nothing is left to know."""
-        for replica_id, replica in list(self._replicas.items()):
-            replica.forget_old_grants(now_s, self._span_s)
-            replica.forget_old_demands(now_s)
-            if not replica.grants and not replica.demands:
-                del self._replicas[replica_id]
+    def drop_expired(self, now_s: float) -> None:
+        """Drop expired grants and demands, and replicas without any."""
+        for replica_id, replica in list(self._grants_by_replica_id.items()):
+            replica.drop_expired_grants(now_s, self._window_s)
+            replica.drop_expired_demands(now_s)
+            if not replica.grants and not replica.demand_by_requester:
+                del self._grants_by_replica_id[replica_id]
 
 
 def fair_share(limit: int, demands: Iterable[int]) -> int:
-    """Return the most that one of several askers may get so that small demands are met in full.
+    """Return the max-min fair share of a limit: the most that one requester may get.
 
-    It is rounded down; the rest goes to whoever asks next.
+    Demands below the share are met in full.  The share is rounded down but at least 1; what rounding
+    leaves goes to the next request.
 
     >>> fair_share(29, [40, 40]), fair_share(29, [1, 1, 40]), fair_share(2, [1] * 84)
     (14, 27, 1)
     """
     left = limit
-    waiting = sorted(demands)
-    for place, demand in enumerate(waiting):
-        share = max(left // (len(waiting) - place), 1)
+    smallest_first = sorted(demands)
+    for index, demand in enumerate(smallest_first):
+        share = max(left // (len(smallest_first) - index), 1)
         left -= min(demand, share)
         if demand > share or left <= 0:
             return share
@@ -167,100 +189,117 @@
 
 
 class PermitTally(msgspec.Struct):
-    """Permits of one asker, counted; each counter only rises."""
+    """Counters of one daemon's permits and permit requests; each only increases."""
 
     got: int = 0
+    """Permits received, also those that had expired on receipt."""
     used: int = 0
     expired: int = 0
+    """Permits that expired unused."""
     wanting: int = 0
-    """Questions that brought no permit."""
+    """Requests for permits that the leader answered without granting any."""
     unanswered: int = 0
-    """Questions that no leader answered."""
+    """Requests that no leader answered."""
     given: int = 0
-    """Permits granted, where this daemon is the grantor."""
+    """Permits that this daemon granted as permit issuer."""
     refused: int = 0
-    """Questions that the grantor answered without any."""
+    """Requests for permits that this daemon answered as permit issuer without granting any."""
 
 
 class PermitStock:
-    """The permits that a daemon holds, and the replicas that it wants more for."""
+    """The permits that a daemon holds, and the replicas for which it needs more."""
 
     def __init__(self) -> None:
-        self._ends_s: dict[str, deque[float]] = {}
-        """Replica to the end of each of its permits, the earliest first."""
-        self._claims_s: dict[str, deque[float]] = {}
-        """Replica to the times at which it was chosen for a request that is not sent yet."""
-        self.wanted: dict[str, str] = {}
-        """Replica that had too few permits since the last question, to its service."""
-        self.wish = asyncio.Event()
-        """Set while replicas are wanted."""
+        self._expiry_times_s_by_id: dict[str, deque[float]] = {}
+        """Replica ID to the expiry times of its permits, earliest first."""
+        self._claim_times_s_by_id: dict[str, deque[float]] = {}
+        """Replica ID to the times at which it was chosen for requests that were not sent yet."""
+        self.requested_services_by_id: dict[str, str] = {}
+        """ID of each replica that lacked a permit since the last permit request, to its service."""
+        self.permits_requested = asyncio.Event()
+        """Set while ``requested_services_by_id`` is not empty."""
         self.tally = PermitTally()
 
-    def add(self, granted: Mapping[str, int], asked_s: float, now_s: float) -> None:
-        """Take the permits that a question sent at ``asked_s`` brought."""
-        end_s = asked_s + PERMIT_LIFE_S
+    def add(self, granted: Mapping[str, int], requested_s: float, now_s: float) -> None:
+        """Add granted permits; those that have already expired are only counted.
+
+        Args:
+            granted: replica ID to its number of permits.
+            requested_s: loop time at which the permit request was sent; permits expire by it.
+            now_s: loop time.
+        """
+        expires_s = requested_s + PERMIT_LIFETIME_S
         for replica_id, count in granted.items():
             self.tally.got += count
-            if now_s >= end_s:
+            if now_s >= expires_s:
                 self.tally.expired += count
                 continue
-            self._ends_s.setdefault(replica_id, deque()).extend([end_s] * count)
+            self._expiry_times_s_by_id.setdefault(replica_id, deque()).extend([expires_s] * count)
 
     def want(self, replica_id: str, service: str) -> None:
-        """Note that a request would go to a replica of a service if there were a permit."""
-        self.wanted[replica_id] = service
-        self.wish.set()
-
-    def take_wanted(self) -> dict[str, str]:
-        """Return the replicas that are wanted, to be asked for now."""
-        wanted, self.wanted = self.wanted, {}
-        self.wish.clear()
-        return wanted
-
-    def holds(self, replica_id: str, now_s: float) -> bool:
-        """Whether a request may be sent now."""
-        return self._valid(replica_id, now_s) > 0
-
-    def holds_unclaimed(self, replica_id: str, now_s: float) -> bool:
-        """Whether a permit is there that no choice of this moment relies on."""
-        valid = self._valid(replica_id, now_s)
-        return valid > 0 and valid > self._claims(replica_id, now_s)
-
-    def claim(self, replica_id: str, now_s: float) -> None:
-        """Keep a permit for a request that is about to be sent."""
-        self._claims_s.setdefault(replica_id, deque()).append(now_s)
-
-    def use(self, replica_id: str, now_s: float) -> float:
-        """Use up a permit, of which there must be one; return its end."""
-        self._valid(replica_id, now_s)
-        end_s = self._ends_s[replica_id].popleft()
+        """Request a permit for a replica to which a request would be sent if there were one."""
+        self.requested_services_by_id[replica_id] = service
+        self.permits_requested.set()
+
+    def take_requested(self) -> dict[str, str]:
+        """Return the replicas for which permits are to be requested now, and clear them.
+
+        Returns:
+            Replica ID to its service.
+        """
+        requested, self.requested_services_by_id = self.requested_services_by_id, {}
+        self.permits_requested.clear()
+        return requested
+
+    def has_permit(self, replica_id: str, now_s: float) -> bool:
+        """Whether an unexpired permit for a replica is held."""
+        return self._count_valid(replica_id, now_s) > 0
+
+    def has_unclaimed_permit(self, replica_id: str, now_s: float) -> bool:
+        """Whether an unexpired permit is held beyond those that recently chosen requests have claimed."""
+        valid = self._count_valid(replica_id, now_s)
+        return valid > 0 and valid > self._count_claims(replica_id, now_s)
+
+    def claim_permit(self, replica_id: str, now_s: float) -> None:
+        """Claim a permit, for CLAIM_LIFETIME_S, for a request that is about to be sent."""
+        self._claim_times_s_by_id.setdefault(replica_id, deque()).append(now_s)
+
+    def use_permit(self, replica_id: str, now_s: float) -> float:
+        """Use up the oldest unexpired permit and one claim; return the permit's expiry time.
+
+        The replica must have an unexpired permit; see :meth:`has_permit`.
+        """
+        self._count_valid(replica_id, now_s)  # drops expired permits
+        expires_s = self._expiry_times_s_by_id[replica_id].popleft()
         self.tally.used += 1
-        if self._claims(replica_id, now_s):
-            self._claims_s[replica_id].popleft()
-        return end_s
+        if self._count_claims(replica_id, now_s):
+            self._claim_times_s_by_id[replica_id].popleft()
+        return expires_s
 
     def forget_old(self, now_s: float) -> None:
-        """Drop permits that have run out."""
-        for replica_id in list(self._ends_s):
-            if not self._valid(replica_id, now_s):
-                del self._ends_s[replica_id]
-        for replica_id in list(self._claims_s):
-            if not self._claims(replica_id, now_s):
-                del self._claims_s[replica_id]
-
-    def _valid(self, replica_id: str, now_s: float) -> int:
-        ends_s = self._ends_s.get(replica_id)
-        if ends_s is None:
+        """Drop expired permits and claims."""
+        for replica_id in list(self._expiry_times_s_by_id):
+            if not self._count_valid(replica_id, now_s):
+                del self._expiry_times_s_by_id[replica_id]
+        for replica_id in list(self._claim_times_s_by_id):
+            if not self._count_claims(replica_id, now_s):
+                del self._claim_times_s_by_id[replica_id]
+
+    def _count_valid(self, replica_id: str, now_s: float) -> int:
+        """Return the number of unexpired permits, after dropping and counting the expired ones."""
+        expiry_times_s = self._expiry_times_s_by_id.get(replica_id)
+        if expiry_times_s is None:
             return 0
-        while ends_s and ends_s[0] <= now_s:
-            ends_s.popleft()
+        while expiry_times_s and expiry_times_s[0] <= now_s:
+            expiry_times_s.popleft()
             self.tally.expired += 1
-        return len(ends_s)
+        return len(expiry_times_s)
 
-    def _claims(self, replica_id: str, now_s: float) -> int:
-        claims_s = self._claims_s.get(replica_id)
-        if claims_s is None:
+    def _count_claims(self, replica_id: str, now_s: float) -> int:
+        """Return the number of claims, after dropping the expired ones."""
+        claim_times_s = self._claim_times_s_by_id.get(replica_id)
+        if claim_times_s is None:
             return 0
-        while claims_s and now_s - claims_s[0] > CLAIM_S:
-            claims_s.popleft()
-        return len(claims_s)
+        while claim_times_s and now_s - claim_times_s[0] > CLAIM_LIFETIME_S:
+            claim_times_s.popleft()
+        return len(claim_times_s)
--- a/passgate/eligibility/places.py
+++ b/passgate/eligibility/places.py
@@ -1,4 +1,4 @@
-"""Zones and the regions that they lie in, as the settings tell them.
+"""Zones and the regions that they belong to, from the settings.
 
 >>> places = Places(zone="a1", regions={"a1": "a", "a2": "a", "b1": "b"})
 >>> places.region, places.region_of("b1"), places.region_of("unknown")
@@ -10,15 +10,16 @@
 import msgspec
 
 UNKNOWN_REGION = ""
-"""Region of a zone that the settings don't name; it is in no list of allowed regions."""
+"""Region of a zone that the settings do not name; no list of allowed regions contains it."""
 
 
 class Places(msgspec.Struct, frozen=True, kw_only=True):
-    """Where this daemon is, and the layout around it."""
+    """The zone of this daemon and the region of each zone."""
 
     zone: str
+    """Zone of this daemon."""
     regions: dict[str, str] = {}
-    """Zone to its region."""
+    """Zone to region."""
 
     @property
     def region(self) -> str:
@@ -26,5 +27,5 @@
         return self.region_of(self.zone)
 
     def region_of(self, zone: str) -> str:
-        """Return the region of a zone."""
+        """Return the region of a zone, or `UNKNOWN_REGION`."""
         return self.regions.get(zone, UNKNOWN_REGION)
--- a/passgate/eligibility/regions.py
+++ b/passgate/eligibility/regions.py
@@ -1,7 +1,7 @@
-"""Bounds on regions: where a request may be served.
+"""Send rule: a region-restricted request may be sent only to replicas in its allowed regions.
 
-A route and a tenant may each name allowed regions.  Both bind, so a request may go only to
-regions that both name; it can go nowhere when they have none in common.
+A route and a tenant may each name allowed regions.  A request may be served only in regions that both
+allow, and nowhere if they have none in common.
 
 >>> common_regions(frozenset({"a", "b"}), frozenset({"b", "c"})) == {"b"}
 True
@@ -17,44 +17,48 @@
 from passgate.eligibility.replica_info import ReplicaInfo
 from passgate.eligibility.rules import SendKind, SendTerms
 
-CountSend = Callable[[str, bool], None]
-"""Takes the region to which work was sent, and whether that is another one than this daemon's."""
+SendCounter = Callable[[str, bool], None]
+"""Called with the region that a request was sent to, and whether it differs from this daemon's region."""
 
 
-def common_regions(*bounds: frozenset[str]) -> frozenset[str] | None:
-    """Return the regions that all bounds allow; an empty bound allows any, None stands for any."""
+def common_regions(*restrictions: frozenset[str]) -> frozenset[str] | None:
+    """Return the regions that all restrictions allow.
+
+    An empty restriction allows any region.  The result is None if any region is allowed, and empty if
+    none is.
+    """
     allowed: frozenset[str] | None = None
-    for bound in bounds:
-        if bound:
-            allowed = bound if allowed is None else allowed & bound
+    for restriction in restrictions:
+        if restriction:
+            allowed = restriction if allowed is None else allowed & restriction
     return allowed
 
 
-def may_be_in(regions: frozenset[str] | None, region: str) -> bool:
-    """Whether what is bound to some regions may be in one of them.
+def may_be_in(allowed_regions: frozenset[str] | None, region: str) -> bool:
+    """Whether a region is among the allowed ones; None allows any region.
 
     >>> may_be_in(None, "a"), may_be_in(frozenset({"b"}), "a")
     (True, False)
     """
-    return regions is None or region in regions
+    return allowed_regions is None or region in allowed_regions
 
 
 class RegionRule:
-    """A request reaches replicas only in regions that its route and its tenant allow."""
+    """Allows sends only to replicas in the allowed regions of the request."""
 
     name = "regions"
 
-    def __init__(self, places: Places, count: CountSend) -> None:
-        """Make the rule; ``count`` hears of each request that is sent, bound or not."""
-        self._places = places
-        self._count = count
+    def __init__(self, topology: Places, count_send: SendCounter) -> None:
+        """Create the rule; ``count_send`` is called for each request sent, region-restricted or not."""
+        self._topology = topology
+        self._count_send = count_send
 
-    def allows(self, replica: ReplicaInfo, terms: SendTerms, now_s: float) -> bool:
-        """Whether the replica's region may serve the request; a zone of no known region may not."""
-        return terms.regions is None or may_be_in(terms.regions, self._places.region_of(replica.zone))
+    def allows(self, replica: ReplicaInfo, context: SendTerms, now_s: float) -> bool:
+        """Whether the replica's region is allowed; the unknown region is allowed only without restriction."""
+        return context.regions is None or may_be_in(context.regions, self._topology.region_of(replica.zone))
 
-    def sent(self, replica: ReplicaInfo, terms: SendTerms, now_s: float) -> None:
-        """Count where the request went."""
-        if terms.kind is SendKind.REQUEST:
-            region = self._places.region_of(replica.zone)
-            self._count(region, region != self._places.region)
+    def record_send(self, replica: ReplicaInfo, context: SendTerms, now_s: float) -> None:
+        """Count a request by the region of its replica; control messages are not counted."""
+        if context.kind is SendKind.REQUEST:
+            region = self._topology.region_of(replica.zone)
+            self._count_send(region, region != self._topology.region)
--- a/passgate/eligibility/replica_info.py
+++ b/passgate/eligibility/replica_info.py
@@ -1,9 +1,9 @@
-"""One replica as discovery tells it, and the life of a replica: what everything learnt of it belongs to.
+"""A replica as discovery lists it, and the incarnation of a replica: one run of its process.
 
->>> life = ReplicaLife("r1", 1_700_000_000_000)
->>> life.text()
+>>> incarnation = ReplicaLife("r1", 1_700_000_000_000)
+>>> incarnation.text()
 'r1@1700000000000'
->>> ReplicaLife.from_text(life.text()) == life
+>>> ReplicaLife.from_text(incarnation.text()) == incarnation
 True
 """
 
@@ -11,55 +11,58 @@
 
 import msgspec
 
-BORN_MARK = "@"
-"""Stands between the identifier and the moment of the start where a life is written as text."""
+START_TIME_SEPARATOR = "@"
+"""Separates the replica ID from the start time in the text form of an incarnation."""
 
 
 class ReplicaLife(msgspec.Struct, frozen=True, cache_hash=True):
-    """One run of a replica's process, from its start to its end.
+    """One run of a replica's process.
 
-    A replica that starts again may keep its identifier, but it holds and knows nothing of before, so
-    whatever a daemon learns of a replica is kept by its life.
+    A replica that restarts may keep its replica ID but loses its state, so daemons key what they observe
+    of a replica by its incarnation.
     """
 
     replica_id: str
     born_unix_ms: int = 0
-    """Moment of its start; 0 where it tells none, and identifiers are not used again."""
+    """Start time in Unix milliseconds; 0 if not reported, in which case replica IDs are never reused."""
 
     def text(self) -> str:
-        """Return the form for records; the identifier alone where no start is told."""
-        if not self.born_unix_ms and BORN_MARK not in self.replica_id:
+        """Return the text form for records; the replica ID alone if no start time is reported."""
+        if not self.born_unix_ms and START_TIME_SEPARATOR not in self.replica_id:
             return self.replica_id
-        return f"{self.replica_id}{BORN_MARK}{self.born_unix_ms}"
+        return f"{self.replica_id}{START_TIME_SEPARATOR}{self.born_unix_ms}"
 
     @classmethod
     def from_text(cls, text: str) -> ReplicaLife:
-        """Return the life of a text."""
-        replica_id, mark, born = text.rpartition(BORN_MARK)
-        if mark and born.isdecimal():
-            return cls(replica_id, int(born))
+        """Return the incarnation of a text form."""
+        replica_id, separator, started = text.rpartition(START_TIME_SEPARATOR)
+        if separator and started.isdecimal():
+            return cls(replica_id, int(started))
         return cls(text)
 
 
 class ReplicaInfo(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """One replica as discovery tells it."""
+    """Discovery's entry for one replica."""
 
     replica_id: str
     service: str
     address: str
+    """``HOST:PORT`` at which it listens."""
     zone: str
     slots: int
+    """Requests that it runs at the same time."""
     draining: bool = False
+    """Whether it is shutting down and takes no new requests."""
     spot: bool = False
-    """Whether the platform may take it away at short notice."""
+    """Whether the platform may preempt it at short notice."""
     model_versions: dict[str, int] = {}
-    """Version of the weights of each model it holds."""
-    born_unix_ms: int = 0
-    """Moment of its start; 0 where it tells none.  A replica that starts again may keep its identifier."""
+    """Model name to the version of the weights that it holds."""
+    born_unix_ms: int = msgspec.field(name="born_unix_ms", default=0)
+    """Start time in Unix milliseconds; 0 if not reported."""
     cold_ms: int = 0
-    """Time for which it stays cold, counted from when it wrote this; 0 when it is warm."""
+    """Time for which it stays cold, from the writing of this entry; 0 if it is warm."""
 
     @property
     def life(self) -> ReplicaLife:
-        """The life that this tells of."""
+        """The incarnation that wrote this entry."""
         return ReplicaLife(self.replica_id, self.born_unix_ms)
--- a/passgate/eligibility/rules.py
+++ b/passgate/eligibility/rules.py
@@ -1,7 +1,7 @@
-"""The check before every send: each rule may keep a request from a replica.
+"""The check before every send: each rule may forbid sending to a replica.
 
-A replica is chosen only among those that all rules allow, and the attempt asks once more when it
-is sent, so that no way of sending a request can go round a rule, however long it waited.
+A replica is chosen only among those that all rules allow.  The rules are checked again when the attempt
+is sent, so that no send bypasses a rule that changed its verdict after the choice.
 
 >>> replica = ReplicaInfo(replica_id="r", service="s", address="h:1", zone="z", slots=4, draining=True)
 >>> SendRules([DrainingRule()]).allows(replica, SendTerms(), now_s=0.0)
@@ -22,111 +22,120 @@
 
 
 class SendKind(enum.Enum):
-    """What is sent to a replica."""
+    """Kind of message that is sent to a replica."""
 
     REQUEST = "request"
-    """Work of a caller: plain, streamed, an item of a job, a reward call."""
+    """Work for a caller: a plain or streamed request, an item of a job, a reward call."""
     CONTROL = "control"
-    """A report that is read, or an order."""
+    """Control message of a daemon: reading a replica's report, or an order."""
 
 
 class SendTerms(msgspec.Struct, frozen=True, kw_only=True):
-    """What decides, beside the replica itself, whether something may be sent."""
+    """What a rule needs to know about a send besides the replica."""
 
     kind: SendKind = SendKind.REQUEST
     regions: frozenset[str] | None = None
-    """Regions that may serve the request; None where any may, empty where none may."""
+    """Regions that may serve the request; None if any may, empty if none may."""
 
 
 ANY_REQUEST = SendTerms()
-"""A request that any region may serve."""
+"""Context of a request that any region may serve."""
 CONTROL = SendTerms(kind=SendKind.CONTROL)
-"""A report that is read, or an order; no region is barred to it."""
+"""Context of a control message; it may be sent to any region."""
 
 
 class SendRule(Protocol):
-    """One reason not to send."""
+    """One condition under which sending to a replica is forbidden."""
 
     name: str
-    """Word for log lines and metrics."""
+    """Name of the rule in errors and metrics."""
 
-    def allows(self, replica: ReplicaInfo, terms: SendTerms, now_s: float) -> bool:
-        """Whether something may be sent to a replica now; changes nothing."""
+    def allows(self, replica: ReplicaInfo, context: SendTerms, now_s: float) -> bool:
+        """Whether sending to a replica is allowed now; must not change any state."""
         ...
 
-    def sent(self, replica: ReplicaInfo, terms: SendTerms, now_s: float) -> float | None:
-        """Note that it is sent now, after all rules have allowed it; return until when it may leave."""
+    def record_send(self, replica: ReplicaInfo, context: SendTerms, now_s: float) -> float | None:
+        """Record a send, after all rules have allowed it.
+
+        Returns:
+            Loop time until which the send may still leave this daemon; None without a limit.
+        """
         ...
 
 
-class CheckedAt(enum.Enum):
-    """Where a rule kept something from a replica."""
+class CheckStage(enum.Enum):
+    """Stage at which a rule excluded a replica."""
 
     CHOICE = "choice"
-    """The replica was passed over."""
+    """The replica was not considered in a choice."""
     SEND = "send"
-    """The replica had been chosen before, and nothing was sent."""
+    """The replica had been chosen, but nothing was sent to it."""
 
 
 class KeptBack(msgspec.Struct, frozen=True, kw_only=True):
-    """What kept something from a replica, as it is counted."""
+    """Labels under which the exclusion of a replica by a rule is counted."""
 
     rule: str
     kind: SendKind
-    checked_at: CheckedAt
+    checked_at: CheckStage
 
 
 class SendRules:
-    """All rules in force."""
+    """All active send rules, and counts of the exclusions that they caused."""
 
     def __init__(self, rules: Sequence[SendRule] = ()) -> None:
         self._rules = list(rules)
         self.kept_back: Counter[KeptBack] = Counter()
-        """How often replicas were passed over, and sends stopped."""
+        """Number of exclusions, of replicas in a choice and of sends, by their labels."""
 
     def add(self, rule: SendRule) -> None:
-        """Put a further rule in force."""
+        """Add a rule; rules are checked in the order in which they were added."""
         self._rules.append(rule)
 
-    def allows(self, replica: ReplicaInfo, terms: SendTerms, now_s: float) -> bool:
-        """Whether all rules allow a send."""
-        rule = self._forbidding(replica, terms, now_s)
+    def allows(self, replica: ReplicaInfo, context: SendTerms, now_s: float) -> bool:
+        """Whether all rules allow a send, asked while choosing a replica; counts an exclusion if not."""
+        rule = self._first_forbidding_rule(replica, context, now_s)
         if rule is None:
             return True
-        self._count(rule, terms, CheckedAt.CHOICE)
+        self._count_exclusion(rule, context, CheckStage.CHOICE)
         return False
 
-    def admit(self, replica: ReplicaInfo, terms: SendTerms, now_s: float) -> float | None:
-        """Let a send pass and note it with each rule; raises SendForbidden, not run.
+    def admit(self, replica: ReplicaInfo, context: SendTerms, now_s: float) -> float | None:
+        """Check a send just before it happens, and record it with each rule.
 
         Returns:
-            Loop time after which it must not leave any more; None without a limit.
+            Loop time after which the send must not leave this daemon; None without a limit.
+
+        Raises:
+            SendForbidden: a rule forbids it; nothing is sent, so its execution status is not run.
         """
-        forbidding = self._forbidding(replica, terms, now_s)
+        forbidding = self._first_forbidding_rule(replica, context, now_s)
         if forbidding is not None:
-            self._count(forbidding, terms, CheckedAt.SEND)
+            self._count_exclusion(forbidding, context, CheckStage.SEND)
             raise SendForbidden(
-                f"{forbidding.name} keeps requests from the replica", execution=ExecutionStatus.NOT_RUN
+                f"{forbidding.name} rule forbids sending to the replica", execution=ExecutionStatus.NOT_RUN
             )
-        ends_s = [rule.sent(replica, terms, now_s) for rule in self._rules]
-        return min((end_s for end_s in ends_s if end_s is not None), default=None)
+        deadlines_s = [rule.record_send(replica, context, now_s) for rule in self._rules]
+        return min((deadline_s for deadline_s in deadlines_s if deadline_s is not None), default=None)
 
-    def _forbidding(self, replica: ReplicaInfo, terms: SendTerms, now_s: float) -> SendRule | None:
+    def _first_forbidding_rule(
+        self, replica: ReplicaInfo, context: SendTerms, now_s: float
+    ) -> SendRule | None:
         """Return the first rule that forbids a send, or None."""
-        return next((rule for rule in self._rules if not rule.allows(replica, terms, now_s)), None)
+        return next((rule for rule in self._rules if not rule.allows(replica, context, now_s)), None)
 
-    def _count(self, rule: SendRule, terms: SendTerms, checked_at: CheckedAt) -> None:
-        self.kept_back[KeptBack(rule=rule.name, kind=terms.kind, checked_at=checked_at)] += 1
+    def _count_exclusion(self, rule: SendRule, context: SendTerms, stage: CheckStage) -> None:
+        self.kept_back[KeptBack(rule=rule.name, kind=context.kind, checked_at=stage)] += 1
 
 
 class DrainingRule:
-    """A replica that is leaving gets no new request; its loads need not end either."""
+    """Forbids every send to a draining replica, control messages such as load orders included."""
 
     name = "draining"
 
-    def allows(self, replica: ReplicaInfo, terms: SendTerms, now_s: float) -> bool:
-        """Whether the replica stays."""
+    def allows(self, replica: ReplicaInfo, context: SendTerms, now_s: float) -> bool:
+        """Whether the replica is not draining."""
         return not replica.draining
 
-    def sent(self, replica: ReplicaInfo, terms: SendTerms, now_s: float) -> None:
-        """Keep nothing."""
+    def record_send(self, replica: ReplicaInfo, context: SendTerms, now_s: float) -> None:
+        """Do nothing; the rule counts no sends."""
--- a/tests/cold_world.py
+++ b/tests/cold_world.py
@@ -1,4 +1,5 @@
-"""Daemons that send to cold replicas, in virtual time: a lease that passes on, cuts, freezes, ends."""
+"""Test daemons that send to cold replicas in virtual time, with a lease that changes holders, network cuts,
+freezes and kills."""
 
 import asyncio
 import random
@@ -18,39 +19,41 @@
 from passgate.peers.memory_transport import MemoryNetwork
 
 LIMIT = ColdLimit(lasts_s=3.0, most_per_s=29)
-WISH = ChoiceRequest(services=frozenset({"s"}), load_below=FULL_LOAD)
+QUERY = ChoiceRequest(services=frozenset({"s"}), load_below=FULL_LOAD)
 SLOTS = 6
-RUN_S = 0.15
-"""Time that a request takes at a replica."""
+REQUEST_DURATION_S = 0.15
+"""Time that a replica takes for a request."""
 
 
-class Lead:
-    """What one daemon believes of the lease."""
+class StubLease:
+    """The leader's lease as one daemon believes it to be."""
 
     def __init__(self):
         self.fence = -1
-        self.until_s = float("-inf")
+        self.valid_until_s = float("-inf")
 
-    def take(self, fence, until_s=float("inf")):
-        self.fence, self.until_s = fence, until_s
+    def acquire(self, fence, valid_until_s=float("inf")):
+        self.fence, self.valid_until_s = fence, valid_until_s
 
     def may_order(self):
-        return monotonic_s() < self.until_s
+        return monotonic_s() < self.valid_until_s
 
 
 class Daemon:
+    """A daemon's replica table, permit issuer and permit client."""
+
     def __init__(self, world, number):
         self.world = world
         self.transport = world.network.transport(f"d{number}:7720", "z")
         self.name = f"d{number}@{self.transport.address}"
-        self.lead = Lead()
+        self.lease = StubLease()
         self.table = ReplicaTable(Places(zone="z"), seed=number)
         self.table.cold.limit_of = {"s": LIMIT}.get
         self.frozen = False
         self.log_age_s = lambda: 0.0
-        self.told_leader = ""
+        self.reported_leader = ""
         self.grantor = PermitGrantor(
-            self.lead,
+            self.lease,
             lambda: world.leader,
             {"s": LIMIT}.get,
             self._cold_ms,
@@ -67,15 +70,15 @@
             lambda: self.log_age_s(),
         )
         self.tasks = []
-        self.sent = {}
-        """Replica to the times at which this daemon sent there."""
+        self.send_times_s_by_id = {}
+        """Replica ID to the loop times at which this daemon sent a request there."""
 
     def _cold_ms(self):
         now_s = monotonic_s()
-        left = {
+        remaining_s_by_id = {
             state.info.replica_id: self.table.cold.left_s(state.info, now_s) for state in self.table.all()
         }
-        return {key: round(left_s * 1000) for key, left_s in left.items() if left_s > 0}
+        return {key: round(left_s * 1000) for key, left_s in remaining_s_by_id.items() if left_s > 0}
 
     async def _watcher(self):
         return self.world.daemons[0].name
@@ -98,13 +101,13 @@
                 self.grantor.tick()
             await asyncio.sleep(TICK_S)
 
-    async def load(self, waiting):
-        """Send ``waiting`` requests at a time for as long as the world runs."""
-        await asyncio.gather(*(self._send_often() for _ in range(waiting)))
+    async def send_requests(self, concurrency):
+        """Send requests, ``concurrency`` at a time, until cancelled."""
+        await asyncio.gather(*(self._send_repeatedly() for _ in range(concurrency)))
 
-    async def _send_often(self):
+    async def _send_repeatedly(self):
         while True:
-            state = None if self.frozen else self.table.choose(WISH, monotonic_s())
+            state = None if self.frozen else self.table.choose(QUERY, monotonic_s())
             if state is None:
                 await asyncio.sleep(0.01)
                 continue
@@ -121,31 +124,31 @@
         except SendForbidden:
             await asyncio.sleep(0.02)
             return
-        for sent in (self.sent, self.world.sent):
-            sent.setdefault(state.info.replica_id, []).append(monotonic_s())
-        await asyncio.sleep(RUN_S)
+        for send_times_s_by_id in (self.send_times_s_by_id, self.world.send_times_s_by_id):
+            send_times_s_by_id.setdefault(state.info.replica_id, []).append(monotonic_s())
+        await asyncio.sleep(REQUEST_DURATION_S)
 
     def freeze(self):
         self.frozen = True
         self.transport.pause()
 
-    def wake(self):
+    def resume(self):
         self.frozen = False
         self.transport.resume()
 
     async def kill(self):
         for task in self.tasks:
             task.cancel()
-        self.lead.until_s = float("-inf")
+        self.lease.valid_until_s = float("-inf")
         await self.transport.close()
 
 
 class World:
-    """Some daemons that know some replicas, and when each request was sent."""
+    """Daemons that know the same replicas, and the times at which all requests were sent."""
 
     def __init__(self, daemons=12, replicas=3, seed=1):
         self.network = MemoryNetwork(random.Random(seed))
-        self.sent = {}
+        self.send_times_s_by_id = {}
         self.leader = ""
         self.daemons = []
         self.daemons.extend(Daemon(self, number) for number in range(daemons))
@@ -156,36 +159,36 @@
         for daemon in self.daemons:
             daemon.start()
 
-    def entries(self, cold_ms, daemons=None):
-        """Let daemons read the entries of all replicas."""
+    def read_entries(self, cold_ms, daemons=None):
+        """Make daemons read a discovery entry of every replica."""
         for daemon in self.daemons if daemons is None else daemons:
             for info in self.infos:
                 daemon.table.entry_read(msgspec.structs.replace(info, cold_ms=cold_ms), monotonic_s())
 
-    def lead(self, number, fence, until_s=float("inf")):
-        self.daemons[number].lead.take(fence, until_s)
+    def set_leader(self, number, fence, valid_until_s=float("inf")):
+        self.daemons[number].lease.acquire(fence, valid_until_s)
         self.leader = self.daemons[number].name
 
-    def load(self, waiting, daemons=None):
+    def start_requests(self, concurrency, daemons=None):
         loop = asyncio.get_running_loop()
         for daemon in self.daemons if daemons is None else daemons:
-            daemon.tasks.append(loop.create_task(daemon.load(waiting)))
+            daemon.tasks.append(loop.create_task(daemon.send_requests(concurrency)))
 
     @property
     def served(self):
-        return sum(len(times) for times in self.sent.values())
+        return sum(len(times_s) for times_s in self.send_times_s_by_id.values())
 
     @property
-    def worst_second(self):
-        """Most requests that were sent to one replica within one second."""
-        return max((worst_window(times) for times in self.sent.values()), default=0)
+    def max_sends_per_s(self):
+        """Most requests that were sent to one replica within any second."""
+        return max((max_sends_in_window(times_s) for times_s in self.send_times_s_by_id.values()), default=0)
 
 
-def worst_window(times, window_s=1.0):
-    times = sorted(times)
-    first, worst = 0, 0
-    for last, time_s in enumerate(times):
-        while time_s - times[first] > window_s:
+def max_sends_in_window(times_s, window_s=1.0):
+    times_s = sorted(times_s)
+    first, most = 0, 0
+    for last, time_s in enumerate(times_s):
+        while time_s - times_s[first] > window_s:
             first += 1
-        worst = max(worst, last - first + 1)
-    return worst
+        most = max(most, last - first + 1)
+    return most
--- a/tests/test_cold_send.py
+++ b/tests/test_cold_send.py
@@ -1,4 +1,4 @@
-"""A request to a cold replica leaves while its permit lasts or not at all, over real sockets."""
+"""Over real sockets: a request to a cold replica must not leave after its permit has expired."""
 
 import contextlib
 import math
@@ -9,7 +9,7 @@
 
 from passgate.clock import monotonic_s
 from passgate.eligibility.cold_replicas import ColdLimit
-from passgate.eligibility.permits import PERMIT_LIFE_S, SEND_MARGIN_S
+from passgate.eligibility.permits import MAX_SEND_DELAY_S, PERMIT_LIFETIME_S
 from passgate.eligibility.places import Places
 from passgate.eligibility.replica_info import ReplicaInfo
 from passgate.errors import AnswerMismatch, BackendRefused, ExecutionStatus, SendTooLate
@@ -23,7 +23,7 @@
 
 @contextlib.asynccontextmanager
 async def cold_replica(answer=reply_ok):
-    """Yield a server, the table that knows it as a cold replica with a permit, and a caller."""
+    """Yield a server, a table that lists it as a cold replica with one permit, and a caller."""
     async with raw_server(answer) as (raw, http, url):
         table = ReplicaTable(Places(zone="z"))
         table.cold.limit_of = {"s": ColdLimit(lasts_s=8.0, most_per_s=29)}.get
@@ -34,7 +34,7 @@
         yield raw, table, ReplicaCaller(http, table, NAMES, mock.Mock())
 
 
-def a_request():
+def make_request():
     return ReplicaRequest(
         request_id="q",
         method="POST",
@@ -46,29 +46,29 @@
     )
 
 
-async def test_a_request_that_leaves_later_than_its_permit_allows_is_not_sent():
+async def test_request_is_not_sent_after_its_permit_has_expired():
     async with cold_replica() as (raw, table, caller):
-        exchange = caller.open(table.get("r"), a_request())
-        time.sleep(PERMIT_LIFE_S + SEND_MARGIN_S + 0.05)  # noqa: ASYNC251 - a freeze of the whole process
+        attempt = caller.open(table.get("r"), make_request())
+        time.sleep(PERMIT_LIFETIME_S + MAX_SEND_DELAY_S + 0.05)  # noqa: ASYNC251 - blocks the event loop
         with pytest.raises(SendTooLate) as caught:
-            await exchange.head()
-        exchange.close()
+            await attempt.head()
+        attempt.close()
         assert caught.value.execution is ExecutionStatus.NOT_RUN
         assert not raw.heads
         assert table.health.usable(["r"], monotonic_s()) == ["r"]
-        assert not table.cold._doubts
+        assert not table.cold._possibly_cold_by_id
 
 
 @pytest.mark.parametrize(("stamp", "status"), [("other", 200), ("q", 421)])
-async def test_the_answer_of_another_replica_does_not_shorten_a_doubt(stamp, status):
+async def test_answer_of_another_replica_does_not_shorten_possibly_cold_period(stamp, status):
     async def answer(connection, nth, head, writer):
         head = f"HTTP/1.1 {status} X\r\n{NAMES.request_id}: {stamp}\r\nContent-Length: 0\r\n\r\n"
         writer.write(head.encode())
 
     async with cold_replica(answer) as (raw, table, caller):
         table.cold.unreachable(table.get("r").info, monotonic_s())
-        exchange = caller.open(table.get("r"), a_request())
+        attempt = caller.open(table.get("r"), make_request())
         with pytest.raises((AnswerMismatch, BackendRefused)):
-            await exchange.head()
-        exchange.close()
+            await attempt.head()
+        attempt.close()
         assert table.cold.left_s(table.get("r").info, monotonic_s()) == math.inf
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -1,4 +1,4 @@
-"""Evacuated zones: what a daemon believes, from the log or from others, and what follows from it."""
+"""Evacuated zones: which view a daemon holds, from the log or from peers, and that nothing is sent there."""
 
 import asyncio
 import types
@@ -29,14 +29,14 @@
 from tests import test_gateway_configuration_peers as peers
 
 EVACUATION_S = 5.0
-"""Time from an operator's record after which nothing may reach the zone, with the settings' default."""
+"""Time after an operator's record by which nothing may reach the zone any more, with default settings."""
 
 
-def decisions(events=None):
+def decision_log(events=None):
     return DecisionLog("d", write=len, observe=events.append if events is not None else None)
 
 
-def table(evacuated, zones="ab", count=2, models=("m",)):
+def replica_table(evacuated, zones="ab", count=2, models=("m",)):
     replicas = ReplicaTable(Places(zone="a"), seed=1)
     replicas.rules.add(EvacuationRule(evacuated))
     for zone in zones:
@@ -54,12 +54,12 @@
     return replicas
 
 
-# --- what is believed ---------------------------------------------------------------
+# --- views of the evacuated zones ---------------------------------------------------
 
 
-def test_each_change_is_told_once_with_its_source_and_its_age():
+def test_each_change_writes_one_decision_line_with_its_source_and_age():
     events, ended = [], []
-    zones = EvacuatedZones(decisions(events))
+    zones = EvacuatedZones(decision_log(events))
     zones.on_ended.append(ended.append)
     zones.replace({"a"}, next_offset=3)
     zones.replace({"a"}, next_offset=4)
@@ -72,11 +72,11 @@
     assert ended == ["a"]
 
 
-def test_records_that_a_learned_view_contains_change_nothing():
-    zones = EvacuatedZones(decisions())
+def test_records_already_contained_in_a_peers_view_are_skipped():
+    zones = EvacuatedZones(decision_log())
     zones.learn(EvacuationView(offset=2), peer="h:1", age_s=0.0)
-    begun = EvacuationChange(offset=0, zone="a", evacuated=True)
-    zones.update([begun], next_offset=1)
+    contained = EvacuationChange(offset=0, zone="a", evacuated=True)
+    zones.update([contained], next_offset=1)
     assert "a" not in zones
     zones.update([EvacuationChange(offset=2, zone="a", evacuated=True)], next_offset=3)
     assert "a" in zones
@@ -88,53 +88,56 @@
 RECORDS = st.lists(st.builds(KeyedRecord, key=KEYS, value=VALUES))
 
 
-def beliefs():
+def make_beliefs():
     def put_config(config):
-        raise msgspec.ValidationError("not looked at here")
+        raise msgspec.ValidationError("configurations are not read in these tests")
 
-    zones = EvacuatedZones(decisions())
-    daemon = types.SimpleNamespace(evacuated=zones, put_config=put_config, wanted=WantedVersions(decisions()))
+    zones = EvacuatedZones(decision_log())
+    daemon = types.SimpleNamespace(
+        evacuated=zones, put_config=put_config, wanted=WantedVersions(decision_log())
+    )
     return Beliefs(daemon), zones
 
 
-def standing(records):
+def evacuated_by(records):
+    """Return the zones whose newest record evacuates them."""
     newest = {record.key: record.value for record in records}
     keys = {key for key, value in newest.items() if key.startswith("evacuate/") and value}
     return {key.removeprefix("evacuate/") for key in keys} - {""}
 
 
 @given(RECORDS, RECORDS)
-def test_any_records_leave_the_zones_that_their_keys_say(snapshot, further):
+def test_view_follows_from_keys_of_any_records(snapshot, further):
     snapshot = list({record.key: record for record in snapshot}.values())
-    translation, zones = beliefs()
-    translation.replace_operator(tuple(snapshot), 7)
-    assert zones.view == EvacuationView(offset=7, zones=frozenset(standing(snapshot)))
-    translation.update_operator(tuple(further), 7)
-    together = frozenset(standing(snapshot + further))
-    assert zones.view == EvacuationView(offset=7 + len(further), zones=together)
+    beliefs, zones = make_beliefs()
+    beliefs.replace_operator(tuple(snapshot), 7)
+    assert zones.view == EvacuationView(offset=7, zones=frozenset(evacuated_by(snapshot)))
+    beliefs.update_operator(tuple(further), 7)
+    all_zones = frozenset(evacuated_by(snapshot + further))
+    assert zones.view == EvacuationView(offset=7 + len(further), zones=all_zones)
 
 
-def test_a_key_without_a_zone_is_a_typed_error_that_is_logged(caplog):
+def test_key_without_zone_is_rejected_and_logged(caplog):
     with pytest.raises(InvalidConfiguration):
         evacuated_zone("evacuate/")
-    translation, zones = beliefs()
-    translation.replace_operator((KeyedRecord(key="evacuate/", value=b"{}"),), 1)
+    beliefs, zones = make_beliefs()
+    beliefs.replace_operator((KeyedRecord(key="evacuate/", value=b"{}"),), 1)
     assert len(zones) == 0
     assert [record.message for record in caplog.records] == ["unreadable_record"]
 
 
-# --- other daemons ------------------------------------------------------------------
+# --- views of peers -----------------------------------------------------------------
 
 
-def test_a_daemon_that_the_log_turns_away_learns_both_the_beginning_and_the_end():
+def test_daemon_cut_off_from_log_gets_start_and_end_of_evacuations_from_peers():
     async def main():
         _, daemons = peers.world(6)
-        cut_off, reading = daemons[0], daemons[1:]
+        cut_off, connected = daemons[0], daemons[1:]
         peers.put(daemons, peers.config(1))
         tasks = [daemon.start() for daemon in daemons]
         cut_off.turned_away_s = monotonic_s()
         for offset, zones in ((4, {"a"}), (5, {"b"}), (9, set())):
-            for daemon in reading:
+            for daemon in connected:
                 daemon.evacuated.replace(zones, offset)
             await asyncio.sleep(EVACUATION_S)
             assert cut_off.evacuated.view == EvacuationView(offset=offset, zones=frozenset(zones))
@@ -145,7 +148,7 @@
     run_virtual(main())
 
 
-def test_an_older_view_of_others_ends_nothing():
+def test_older_view_of_peers_is_ignored():
     async def main():
         _, daemons = peers.world(3)
         for daemon in daemons[1:]:
@@ -163,7 +166,7 @@
     run_virtual(main())
 
 
-def test_messages_of_daemons_that_know_nothing_of_evacuations_are_read():
+def test_messages_without_evacuations_are_compatible():
     async def main():
         _, (daemon, *_) = peers.world(2)
         daemon.holder.offer(peers.config(3))
@@ -175,7 +178,7 @@
     run_virtual(main())
 
 
-def test_a_daemon_that_has_read_nothing_yet_tells_nothing():
+def test_daemon_sends_no_view_before_it_has_read_the_log():
     async def main():
         _, (daemon, *_) = peers.world(2)
         daemon.turned_away_s = float("-inf")
@@ -184,11 +187,11 @@
     run_virtual(main())
 
 
-# --- loads and orders ---------------------------------------------------------------
+# --- load orders --------------------------------------------------------------------
 
 
 class Control:
-    """Replicas that load at once; ``on_report`` is called while a report is read."""
+    """Replicas' control endpoint, where loads take 0.1 s; ``on_report`` gets the zone of each report."""
 
     def __init__(self, replicas):
         self.replicas = replicas
@@ -211,58 +214,62 @@
         self.replicas.get(order.replica_id).observed_versions[order.model] = order.version
         return 202
 
-    def to(self, zone, what="order"):
-        return [name for kind, name in self.calls if kind == what and name[0] == zone]
+    def calls_to(self, zone, kind="order"):
+        return [replica_id for called, replica_id in self.calls if called == kind and replica_id[0] == zone]
 
     def models_ordered(self, zone):
         return [order.model for order in self.ordered if order.replica_id[0] == zone]
 
 
-def loader(replicas, jobs=None):
+def make_loader(replicas, jobs=None):
     leadership = types.SimpleNamespace(may_order=lambda: True, fence=1)
-    control, wanted = Control(replicas), WantedVersions(decisions())
+    control, wanted = Control(replicas), WantedVersions(decision_log())
     crashes = Crashes(
-        MemorySharedLog().client("d"), "crashes", replicas.set_aside, decisions(), partial(read_life, control)
+        MemorySharedLog().client("d"),
+        "crashes",
+        replicas.set_aside,
+        decision_log(),
+        partial(read_life, control),
     )
     return (
         control,
         wanted,
-        Loader(wanted, replicas, leadership, control, "d", jobs or {}, crashes.guard, decisions()),
+        Loader(wanted, replicas, leadership, control, "d", jobs or {}, crashes.guard, decision_log()),
     )
 
 
-def test_a_load_that_is_about_to_be_ordered_is_not_ordered_into_an_evacuated_zone():
+def test_load_is_not_ordered_if_its_zone_is_evacuated_just_before_the_order():
     async def main():
-        zones = EvacuatedZones(decisions())
-        replicas = table(zones)
-        control, wanted, loads = loader(replicas)
+        zones = EvacuatedZones(decision_log())
+        replicas = replica_table(zones)
+        control, wanted, loads = make_loader(replicas)
         control.on_report = lambda zone: zones.replace({"b"}, 1) if zone == "b" else None
         wanted.offer("m", 2)
         task = asyncio.get_running_loop().create_task(loads.run())
         await asyncio.sleep(10.0)
-        assert len(control.to("b", "report")) == 1
-        assert (len(control.to("a")), control.to("b")) == (2, [])
+        assert len(control.calls_to("b", "report")) == 1
+        assert (len(control.calls_to("a")), control.calls_to("b")) == (2, [])
         task.cancel()
 
     run_virtual(main())
 
 
-def test_after_an_evacuation_loads_follow_first_for_the_step_that_lacks_most_replicas():
+def test_after_evacuation_model_with_largest_shortage_is_loaded_first():
     async def main():
-        zones = EvacuatedZones(decisions())
-        replicas = table(zones, count=3, models=("m", "n"))
+        zones = EvacuatedZones(decision_log())
+        replicas = replica_table(zones, count=3, models=("m", "n"))
         jobs = {model: JobNoted(model=model, lag=0, items=items) for model, items in (("m", 8), ("n", 48))}
-        control, wanted, loads = loader(replicas, jobs)
+        control, wanted, loads = make_loader(replicas, jobs)
         wanted.offer("m", 2)
         wanted.offer("n", 2)
         zones.replace({"b"}, 1)
         task = asyncio.get_running_loop().create_task(loads.run())
         await asyncio.sleep(10.0)
-        assert control.to("b", "report") == control.to("b") == []
+        assert control.calls_to("b", "report") == control.calls_to("b") == []
         assert all(replicas.get(f"a{n}").version_of("n") == 2 for n in range(3))
         zones.replace(set(), 2)
         await asyncio.sleep(10.0)
-        # The step of n lacks half of its six replicas, that of m one of three.
+        # Model n lacks half of the six replicas that its job needs, model m one of three.
         assert control.models_ordered("b")[0] == "n"
         assert sorted(control.models_ordered("b")) == ["m", "n", "n", "n"]
         task.cancel()
@@ -270,7 +277,7 @@
     run_virtual(main())
 
 
-def test_the_scaler_neither_orders_into_an_evacuated_zone_nor_counts_it():
+def test_scaler_excludes_evacuated_zones():
     async def main():
         _, platform, daemons = scaling.world()
         for daemon in daemons:
@@ -288,7 +295,7 @@
     run_virtual(main())
 
 
-def test_a_decision_that_was_not_sent_waits_for_the_end_of_the_evacuation():
+def test_unsent_scaling_decision_waits_for_end_of_evacuation():
     async def main():
         _, platform, daemons = scaling.world(lost=1.0)
         await asyncio.sleep(2.0)
@@ -297,7 +304,7 @@
         for daemon in daemons:
             daemon.evacuated.replace({"a", "b"}, 1)
         platform.lost = 0.0
-        await asyncio.sleep(4.0)  # also for the late carrying out of calls made before
+        await asyncio.sleep(4.0)  # lets the platform execute earlier calls that it answers late
         platform.calls.clear()
         await asyncio.sleep(6.0)
         assert platform.calls == []
@@ -309,19 +316,19 @@
     run_virtual(main())
 
 
-# --- groups of items ----------------------------------------------------------------
+# --- replicas preferred for groups of items -----------------------------------------
 
 
-def test_groups_of_an_evacuated_zone_are_planned_apart_and_stay_where_they_are_planned():
-    zones = EvacuatedZones(decisions())
-    replicas = table(zones, count=6)
+def test_groups_of_evacuated_zone_are_moved_to_different_replicas_and_stay_there():
+    zones = EvacuatedZones(decision_log())
+    replicas = replica_table(zones, count=6)
     groups = GroupReplicas(replicas, zones)
-    wish = ChoiceRequest(services=frozenset({"llm"}), model="m", min_version=1)
+    query = ChoiceRequest(services=frozenset({"llm"}), model="m", min_version=1)
     for number in range(5):
         groups.sent(f"g{number}", ReplicaLife(f"b{number}"))
     groups.sent("g5", ReplicaLife("a0"))
     zones.replace({"b"}, 1)
-    planned = {f"g{number}": groups.preferred(f"g{number}", wish, 0.0) for number in range(6)}
+    planned = {f"g{number}": groups.preferred(f"g{number}", query, 0.0) for number in range(6)}
     assert planned["g5"] == ReplicaLife("a0")
     assert set(planned.values()) == {ReplicaLife(f"a{number}") for number in range(6)}
-    assert planned == {group: groups.preferred(group, wish, 1.0) for group in planned}
+    assert planned == {group: groups.preferred(group, query, 1.0) for group in planned}
