--- a/passgate/quarantine/__init__.py
+++ b/passgate/quarantine/__init__.py
@@ -1,1 +1,1 @@
-"""Requests that crash the replicas that run them: recognized by their content, and sent no more."""
+"""Recognizes requests that crash the replicas that run them, and quarantines them."""
--- a/passgate/quarantine/channel.py
+++ b/passgate/quarantine/channel.py
@@ -1,8 +1,8 @@
-"""Carries crash reports between daemons, over a keyed topic of the shared log.
+"""Publishes and reads crash reports and announcements of isolated runs on a keyed topic of the shared log.
 
-A report has a key of its own, so daemons that report at the same time never overwrite each
-other, and one that is sent twice counts once.  The topic keeps the newest record of each key
-for good: a daemon that starts, also after all have lost power, knows what is held.
+Each record's key names the request and the incarnation, so daemons that report at the same time never
+overwrite each other, and a record that is sent twice counts once.  The topic keeps the newest record of
+each key permanently, so quarantines survive a restart of all daemons.
 """
 
 from __future__ import annotations
@@ -17,199 +17,206 @@
 from passgate.decisions import CrashReported, DecisionLog, RecordUnreadable
 from passgate.eligibility.replica_info import ReplicaLife
 from passgate.errors import LogError
-from passgate.quarantine.last_chances import UNKNOWN_OFFSET, LastChance
-from passgate.quarantine.ledger import CrashLedger, CrashReport
+from passgate.quarantine.last_chances import UNKNOWN_OFFSET, IsolatedRun
+from passgate.quarantine.ledger import CrashReport, CrashReportStore
 from passgate.sharedlog.log import KeyedRecord, SharedLog
 from passgate.sharedlog.tail import KeyedTail, TailSettings
 
 logger = logging.getLogger("passgate.quarantine")
 
-POLL_S = 2.0
-"""Longest wait of a read, which costs half a call a second and daemon.  A record ends the wait at once;
-a connection that died in silence delays it by this and the time-out of a call (1.2 s)."""
-FIRST_PAUSE_S = 0.05
-"""Pause after a failed append."""
-MAX_PAUSE_S = 1.0
-"""Longest such pause; a log that is back takes the reports within this."""
-DROPPED = b""
-"""Value of a record that drops its key."""
-CURRENT_S = 2.5
-"""Age of the view of the topic up to which the log counts as answering; a calm one confirms it each 2 s."""
-MOST_TOLD = 256
-"""Reports told to another daemon at once, the newest; some 40 KB."""
+POLL_WAIT_S = 2.0
+"""Longest wait of a long poll for new records; a record ends it at once."""
+MIN_RETRY_DELAY_S = 0.05
+"""Delay of the first retry of a failed append; it doubles with each failure."""
+MAX_RETRY_DELAY_S = 1.0
+"""Longest delay of a retry; a log that has recovered gets the pending records within this time."""
+TOMBSTONE = b""
+"""Value of a record that deletes its key."""
+MAX_CURRENT_AGE_S = 2.5
+"""Age of the view of the topic up to which it is current; longer than POLL_WAIT_S, after which it is
+confirmed without news."""
+MAX_EXCHANGED_REPORTS = 256
+"""Most reports, the newest ones, in an exchange with another daemon; about 40 KB."""
 KEY_SEPARATOR = "/"
-LAST_CHANCE_KEY = "last-chance"
-"""First part of the keys of last chances; the keys of reports begin with a fingerprint."""
+ISOLATED_RUN_PREFIX = "last-chance"
+"""First part of the keys of isolated runs; the keys of reports start with a fingerprint."""
 
-Record = CrashReport | LastChance
+Record = CrashReport | IsolatedRun
 
 
-class CrashChannel:
-    """This daemon's reader and writer of the topic."""
+class CrashReportLog:
+    """This daemon's reader and writer of the crash-report topic."""
 
     def __init__(
         self,
         log: SharedLog,
         topic: str,
-        ledger: CrashLedger,
-        set_aside: Callable[[ReplicaLife, float], None],
+        reports: CrashReportStore,
+        eject: Callable[[ReplicaLife, float], None],
         decisions: DecisionLog,
     ) -> None:
-        """Connect the parts.
+        """Create the reader and writer; :meth:`run` starts them.
 
         Args:
-            log: keeps the reports.
-            topic: keyed topic of the reports.
-            ledger: where reports are kept.
-            set_aside: sends nothing to a replica from a loop time on, as it has ended.
-            decisions: where decisions are noted.
+            log: shared log with the records.
+            topic: keyed topic of the records.
+            reports: store that is kept up to date with the topic.
+            eject: ejects a crashed incarnation from the choice of replicas, as of a loop time.
+            decisions: log of decision lines.
         """
-        self._set_aside = set_aside
+        self._eject = eject
         self._log = log
         self._topic = topic
-        self._ledger = ledger
+        self._reports = reports
         self._decisions = decisions
-        settings = TailSettings(topic=topic, wait_s=POLL_S, urgent=True)
-        self._tail = KeyedTail(log, settings, replace=self._replace, update=self._update)
-        self._unwritten: dict[str, bytes] = {}
-        """Records that are not on the log yet, by key; an empty value drops the key."""
-        self._changed = asyncio.Event()
+        settings = TailSettings(topic=topic, wait_s=POLL_WAIT_S, urgent=True)
+        self._tail = KeyedTail(log, settings, replace=self._apply_snapshot, update=self._apply_records)
+        self._pending_by_key: dict[str, bytes] = {}
+        """Key to the value that is to be appended to the log; `TOMBSTONE` deletes the key."""
+        self._has_pending = asyncio.Event()
 
     @property
     def loaded(self) -> bool:
-        """Whether all reports that stood on the log were read once."""
+        """Whether the topic has been read completely once."""
         return self._tail.loaded
 
-    def report(self, record: Record) -> None:
-        """Tell all daemons of a crash, or of a last chance."""
-        self._write(_key(record), msgspec.json.encode(record))
+    def publish(self, record: Record) -> None:
+        """Publish a crash report, or the announcement of an isolated run, to all daemons."""
+        self._enqueue(_key_of(record), msgspec.json.encode(record))
 
-    def clear(self, record: Record) -> None:
-        """Tell all daemons that a record does not stand any more."""
-        self._write(_key(record), DROPPED)
+    def withdraw(self, record: Record) -> None:
+        """Withdraw a record at all daemons."""
+        self._enqueue(_key_of(record), TOMBSTONE)
 
     def is_current(self) -> bool:
-        """Whether the log answers this daemon, so that it knows what others report."""
-        return self._tail.freshness.age_s(monotonic_s()) < CURRENT_S
+        """Whether the view of the topic is current, so that it contains what other daemons reported."""
+        return self._tail.freshness.age_s(monotonic_s()) < MAX_CURRENT_AGE_S
 
-    def newest(self) -> tuple[CrashReport, ...]:
-        """Return the newest reports that stand."""
-        return self._ledger.newest(MOST_TOLD)
+    def newest_reports(self) -> tuple[CrashReport, ...]:
+        """Return the newest reports in effect, at most MAX_EXCHANGED_REPORTS."""
+        return self._reports.newest(MAX_EXCHANGED_REPORTS)
 
-    def learn(self, reports: Iterable[CrashReport]) -> None:
-        """Take reports from another daemon, and write new ones to the log if it answers this daemon."""
+    def merge_reports(self, reports: Iterable[CrashReport]) -> None:
+        """Add another daemon's reports that are new here; publish them if the log is available."""
         for report in reports:
-            if self._is_cleared(report) or self._ledger.knows(report.fingerprint, report.life):
+            if self._is_withdrawn(report) or self._reports.contains(report.fingerprint, report.incarnation):
                 continue
-            self._take(report, "peer")
+            self._add_report(report, "peer")
             if self.is_current():
-                self.report(report)
+                self.publish(report)
 
-    def _is_cleared(self, report: CrashReport) -> bool:
-        """Whether this daemon has dropped a report, and the log does not know yet."""
-        return self._unwritten.get(_key(report)) == DROPPED
+    def _is_withdrawn(self, report: CrashReport) -> bool:
+        """Whether this daemon has withdrawn a report and the log does not have the withdrawal yet."""
+        return self._pending_by_key.get(_key_of(report)) == TOMBSTONE
 
     async def run(self) -> None:
         """Read and write until cancelled."""
         async with asyncio.TaskGroup() as tasks:
             tasks.create_task(self._tail.run())
-            tasks.create_task(self._append_changes())
+            tasks.create_task(self._append_pending())
 
-    def _write(self, key: str, value: bytes) -> None:
-        self._unwritten[key] = value
-        self._changed.set()
+    def _enqueue(self, key: str, value: bytes) -> None:
+        self._pending_by_key[key] = value
+        self._has_pending.set()
 
-    async def _append_changes(self) -> None:
-        pause_s = FIRST_PAUSE_S
+    async def _append_pending(self) -> None:
+        """Append pending records, and withdraw expired ones, whenever there are pending records."""
+        retry_delay_s = MIN_RETRY_DELAY_S
         while True:
-            await self._changed.wait()
-            self._changed.clear()
-            for record in self._clear_expired():
-                self._unwritten[_key(record)] = DROPPED
+            await self._has_pending.wait()
+            self._has_pending.clear()
+            for record in self._remove_expired():
+                self._pending_by_key[_key_of(record)] = TOMBSTONE
             try:
-                await self._append(dict(self._unwritten))
-                pause_s = FIRST_PAUSE_S
+                await self._append(dict(self._pending_by_key))
+                retry_delay_s = MIN_RETRY_DELAY_S
             except LogError as error:
                 logger.info("crash_reports_not_written", extra={"error": str(error)})
-                self._changed.set()
-                await asyncio.sleep(pause_s)
-                pause_s = min(pause_s * 2.0, MAX_PAUSE_S)
+                self._has_pending.set()
+                await asyncio.sleep(retry_delay_s)
+                retry_delay_s = min(retry_delay_s * 2.0, MAX_RETRY_DELAY_S)
 
-    def _clear_expired(self) -> list[Record]:
+    def _remove_expired(self) -> list[Record]:
         expired: list[Record] = []
-        expired += self._ledger.clear_expired(unix_s())
-        expired += self._ledger.last_chances.clear_expired(monotonic_s())
+        expired += self._reports.clear_expired(unix_s())
+        expired += self._reports.isolated_runs.clear_expired(monotonic_s())
         return expired
 
     async def _append(self, records: dict[str, bytes]) -> None:
+        """Append records; those that did not change meanwhile are no longer pending; raises LogError."""
         encoded = [
             self._log.encode_keyed(KeyedRecord(key=key, value=value)) for key, value in records.items()
         ]
         if encoded:
             await self._log.append(self._topic, 0, encoded)
         for key, value in records.items():
-            if self._unwritten.get(key) == value:
-                del self._unwritten[key]
-
-    def _replace(self, records: tuple[KeyedRecord, ...], next_offset: int) -> None:
-        """Take the newest record of each key; what is not there was cleared."""
-        listed = {record.key for record in records if record.value}
-        for fingerprint, replica in self._ledger.pairs():
-            key = KEY_SEPARATOR.join((fingerprint, replica.text()))
-            if key not in listed and key not in self._unwritten:
-                self._ledger.remove(fingerprint, replica)
-        self._ledger.last_chances.keep_only(
-            _pair_of(key) for key in listed if key.startswith(LAST_CHANCE_KEY)
+            if self._pending_by_key.get(key) == value:
+                del self._pending_by_key[key]
+
+    def _apply_snapshot(self, records: tuple[KeyedRecord, ...], next_offset: int) -> None:
+        """Apply the newest record of each key, and remove reports and runs that the snapshot lacks.
+
+        Records that this daemon is about to append are kept.
+        """
+        keys_in_effect = {record.key for record in records if record.value}
+        for fingerprint, incarnation in self._reports.report_keys():
+            key = KEY_SEPARATOR.join((fingerprint, incarnation.text()))
+            if key not in keys_in_effect and key not in self._pending_by_key:
+                self._reports.remove(fingerprint, incarnation)
+        self._reports.isolated_runs.retain(
+            _parse_key(key) for key in keys_in_effect if key.startswith(ISOLATED_RUN_PREFIX)
         )
         for record in records:
-            self._apply(record, UNKNOWN_OFFSET)
+            self._apply_record(record, UNKNOWN_OFFSET)
 
-    def _update(self, records: tuple[KeyedRecord, ...], start: int) -> None:
+    def _apply_records(self, records: tuple[KeyedRecord, ...], start: int) -> None:
         for index, record in enumerate(records):
-            self._apply(record, start + index)
+            self._apply_record(record, start + index)
 
-    def _apply(self, record: KeyedRecord, offset: int) -> None:
-        if self._unwritten.get(record.key, record.value) != record.value:
-            return  # what this daemon is about to write is newer
+    def _apply_record(self, record: KeyedRecord, offset: int) -> None:
+        if self._pending_by_key.get(record.key, record.value) != record.value:
+            return  # this daemon is about to append a newer value
         if not record.value:
-            self._drop(record.key)
+            self._remove(record.key)
             return
         try:
-            if record.key.startswith(LAST_CHANCE_KEY):
-                chance = msgspec.json.decode(record.value, type=LastChance)
-                self._ledger.last_chances.heard(chance, offset, monotonic_s())
+            if record.key.startswith(ISOLATED_RUN_PREFIX):
+                run = msgspec.json.decode(record.value, type=IsolatedRun)
+                self._reports.isolated_runs.record_announcement(run, offset, monotonic_s())
             else:
-                self._take(msgspec.json.decode(record.value, type=CrashReport), "log")
+                self._add_report(msgspec.json.decode(record.value, type=CrashReport), "log")
         except msgspec.DecodeError as error:
             self._decisions.write(RecordUnreadable(offset=offset, reason=str(error)))
 
-    def _drop(self, key: str) -> None:
-        if key.startswith(LAST_CHANCE_KEY):
-            self._ledger.last_chances.drop(*_pair_of(key))
+    def _remove(self, key: str) -> None:
+        if key.startswith(ISOLATED_RUN_PREFIX):
+            self._reports.isolated_runs.remove_announcement(*_parse_key(key))
         else:
-            self._ledger.remove(*_pair_of(key))
+            self._reports.remove(*_parse_key(key))
 
-    def _take(self, report: CrashReport, source: str) -> None:
-        if self._ledger.add(report, monotonic_s()):
-            self._set_aside(report.life, monotonic_s())
+    def _add_report(self, report: CrashReport, source: str) -> None:
+        if self._reports.add(report, monotonic_s()):
+            self._eject(report.incarnation, monotonic_s())
             self._decisions.write(
                 CrashReported(
                     replica_id=report.replica_id,
                     fingerprint=report.fingerprint,
                     source=source,
-                    crashes=self._ledger.crashes(report.fingerprint, unix_s()),
-                    age_ms=round((unix_s() - report.at_unix_s) * 1000, 1),
+                    crashes=self._reports.count_crashes(report.fingerprint, unix_s()),
+                    age_ms=round((unix_s() - report.reported_unix_s) * 1000, 1),
                 )
             )
 
 
-def _key(record: Record) -> str:
-    pair = (record.fingerprint, record.life.text())
-    prefix = (LAST_CHANCE_KEY,) if isinstance(record, LastChance) else ()
+def _key_of(record: Record) -> str:
+    pair = (record.fingerprint, record.incarnation.text())
+    prefix = (ISOLATED_RUN_PREFIX,) if isinstance(record, IsolatedRun) else ()
     return KEY_SEPARATOR.join(prefix + pair)
 
 
-def _pair_of(key: str) -> tuple[str, ReplicaLife]:
-    """Return the fingerprint and the replica that a key names."""
-    fingerprint, _, replica = key.removeprefix(LAST_CHANCE_KEY + KEY_SEPARATOR).partition(KEY_SEPARATOR)
-    return fingerprint, ReplicaLife.from_text(replica)
+def _parse_key(key: str) -> tuple[str, ReplicaLife]:
+    """Return the fingerprint and the incarnation that a key names."""
+    fingerprint, _, incarnation = key.removeprefix(ISOLATED_RUN_PREFIX + KEY_SEPARATOR).partition(
+        KEY_SEPARATOR
+    )
+    return fingerprint, ReplicaLife.from_text(incarnation)
--- a/passgate/quarantine/guard.py
+++ b/passgate/quarantine/guard.py
@@ -1,8 +1,8 @@
-"""Keeps requests that crash replicas away from them; asked by each attempt before it is sent.
+"""Quarantines requests that crash replicas; every attempt is checked here before it is sent.
 
-An attempt that broke off makes its request a suspect.  If its replica has ended, that is
-reported to all daemons; a request that has ended as many replicas as its limit is refused.
-What a replica answers clears the request, and an answer clears the replica.
+A failed attempt makes its request a suspect, and its replica is probed.  If the replica has crashed, a
+crash report is published to all daemons.  A request with as many reports as its crash limit is
+quarantined.  A complete answer clears the request's reports, and a response clears its replica's reports.
 """
 
 from __future__ import annotations
@@ -24,270 +24,299 @@
     RequestQuarantined,
 )
 from passgate.quarantine.identity import RequestIdentity
-from passgate.quarantine.last_chances import LastChance
-from passgate.quarantine.ledger import CrashLedger, CrashReport
-
-ASK_AGAIN_S = 1.0
-"""Time between two questions to a replica which life it is in; answers may come by the hundred a second."""
-SETTLED_S = 5.0
-"""Time after a crash report within which discovery tells of the replica's next life, or of its end: an entry
-is written with each start, and goes after a silence of some 4 s."""
-RELEASE_STEP_S = 0.5
-"""Time between looks whether a request is held still; holds last for minutes."""
-LAST_CHANCE_PAUSE_S = (0.5, 1.5)
-"""Random pause, about the length of an item's run, before a request is sent that one more crash would hold.
-When several requests end replicas, all others crowd at the few that live, the causes among them; sent apart,
-fewer of the others are held for crashes that they did not cause."""
-ANNOUNCED_S = 0.3
-"""Time for an announcement to be read back from the log, which takes some 20 ms.  A log that is slower leaves
-last chances apart from those of the same daemon only."""
-ANNOUNCED_STEP_S = 0.005
-"""Time between looks whether an announcement was read back."""
+from passgate.quarantine.last_chances import IsolatedRun
+from passgate.quarantine.ledger import CrashReport, CrashReportStore
+
+QUERY_INTERVAL_S = 1.0
+"""Shortest time between two queries of a replica's incarnation, however many responses it sends."""
+MAX_DISCOVERY_DELAY_S = 5.0
+"""Longest time after a crash until discovery lists the replica's next incarnation or drops the replica."""
+RELEASE_CHECK_INTERVAL_S = 0.5
+"""Interval of the checks whether a request is still quarantined."""
+ISOLATED_RUN_DELAY_RANGE_S = (0.5, 1.5)
+"""Bounds of the random delay before an isolated run.  It keeps isolated runs that start after the same
+crash from starting together."""
+ANNOUNCEMENT_TIMEOUT_S = 0.3
+"""Longest wait until an announcement is read back from the log; after that the run starts without it."""
+ANNOUNCEMENT_CHECK_INTERVAL_S = 0.005
+"""Interval of the checks whether an announcement was read back."""
 
 
 class ReplicaPlace(msgspec.Struct, frozen=True, kw_only=True):
-    """A replica, its service, and where it listened when an attempt was sent to it."""
+    """A replica's incarnation, service and address at the time of an attempt."""
 
     life: ReplicaLife
     service: str
     address: str
+    """``IP:PORT`` at which it listened."""
     replaced: bool = False
-    """Whether a newer life of the replica is known, so that this one has ended."""
+    """Whether a newer incarnation of the replica is known, so that this one has exited."""
 
 
-class CrashReporter(msgspec.Struct, frozen=True, kw_only=True):
-    """What a guard does about a replica's end."""
+class CrashGuardHooks(msgspec.Struct, frozen=True, kw_only=True):
+    """What a guard needs from the rest of the daemon."""
 
-    has_ended: Callable[[str], Awaitable[bool]]
-    """Returns whether nothing listens at an address any more."""
-    report: Callable[[CrashReport | LastChance], None]
-    """Tells all daemons of a crash, or of a last chance."""
-    clear: Callable[[CrashReport | LastChance], None]
-    """Tells all daemons that such a record no longer stands."""
-    set_aside: Callable[[ReplicaLife, float], None]
-    """Sends no further requests to a replica that has ended, from a loop time on."""
-    read_life: Callable[[ReplicaLife, str], Awaitable[ReplicaLife | None]]
-    """Asks the replica at an address, known so far as the given life, which life it is in; None if it does
-    not tell."""
-    is_current: Callable[[], bool]
-    """Returns whether the log answers this daemon, so that it knows what discovery tells."""
+    has_exited: Callable[[str], Awaitable[bool]]
+    """Returns whether nothing listens on an address any more."""
+    publish: Callable[[CrashReport | IsolatedRun], None]
+    """Publishes a crash report, or the announcement of an isolated run, to all daemons."""
+    withdraw: Callable[[CrashReport | IsolatedRun], None]
+    """Withdraws such a record at all daemons."""
+    eject: Callable[[ReplicaLife, float], None]
+    """Ejects a crashed incarnation from the choice of replicas, as of a loop time."""
+    read_incarnation: Callable[[ReplicaLife, str], Awaitable[ReplicaLife | None]]
+    """Queries the replica at an address, known as the given incarnation, for its current one; returns None
+    if it does not state it."""
+    is_log_current: Callable[[], bool]
+    """Returns whether the log is available, so that this daemon's view of discovery is current."""
 
 
 class CrashGuard:
-    """What one daemon knows of requests that crash replicas."""
+    """Decides for one daemon which requests may be sent, and reports the crashes of replicas."""
 
-    def __init__(self, ledger: CrashLedger, reporter: CrashReporter, decisions: DecisionLog) -> None:
-        self._ledger = ledger
-        self._reporter = reporter
+    def __init__(self, reports: CrashReportStore, hooks: CrashGuardHooks, decisions: DecisionLog) -> None:
+        self._reports = reports
+        self._hooks = hooks
         self._decisions = decisions
-        self._looks: dict[str, set[asyncio.Task[None]]] = {}
-        """Looks at replicas that are under way, by the request that broke off there."""
-        self._last_chances = ledger.last_chances
-        self._asked_s: dict[ReplicaLife, float] = {}
-        """When replicas that were reported, and answer, were asked last which life they are in."""
-        self._questions: set[asyncio.Task[None]] = set()
+        self._probes_by_fingerprint: dict[str, set[asyncio.Task[None]]] = {}
+        """Fingerprint of a request to the probes in progress of replicas at which its attempts failed."""
+        self._isolated_runs = reports.isolated_runs
+        self._queried_s_by_incarnation: dict[ReplicaLife, float] = {}
+        """Incarnation to the loop time of the last query for it; only recent ones are kept."""
+        self._queries: set[asyncio.Task[None]] = set()
 
     def check(self, identity: RequestIdentity) -> None:
-        """Let a request pass; raises RequestQuarantined, not run, if it has ended too many replicas."""
-        held_s = self._held_for_s(identity)
-        if held_s > 0.0:
+        """Return if a request may be sent.
+
+        Raises:
+            RequestQuarantined: it is quarantined, as it has crashed too many replicas; it was not run.
+        """
+        quarantined_for_s = self._quarantined_for_s(identity)
+        if quarantined_for_s > 0.0:
             raise RequestQuarantined(
                 "the request has crashed replicas",
                 execution=ExecutionStatus.NOT_RUN,
-                retry_after_s=held_s,
+                retry_after_s=quarantined_for_s,
             )
 
     def is_held(self, identity: RequestIdentity) -> bool:
-        """Whether a request must not be sent now."""
-        return self._held_for_s(identity) > 0.0
+        """Whether a request is quarantined, so that it must not be sent now."""
+        return self._quarantined_for_s(identity) > 0.0
 
     async def released(self, identity: RequestIdentity) -> None:
-        """Wait until a request may be sent; returns at once if it is not held."""
+        """Wait until a request is not quarantined; returns at once if it is not."""
         while self.is_held(identity):
-            await asyncio.sleep(RELEASE_STEP_S)
+            await asyncio.sleep(RELEASE_CHECK_INTERVAL_S)
 
     def is_suspect(self, identity: RequestIdentity) -> bool:
-        """Whether a replica ended, or may have ended, under a request; it runs at one replica at a time."""
-        if not len(self._ledger) and not self._looks:
+        """Whether a request has a crash report or a probe in progress.
+
+        Such a request must be sent to only one replica at a time.
+        """
+        if not len(self._reports) and not self._probes_by_fingerprint:
             return False
         fingerprint = identity.fingerprint()
-        return fingerprint in self._looks or self._ledger.crashes(fingerprint, unix_s()) > 0
+        return (
+            fingerprint in self._probes_by_fingerprint
+            or self._reports.count_crashes(fingerprint, unix_s()) > 0
+        )
 
     async def settled(self, identity: RequestIdentity) -> None:
-        """Wait for the looks under way if they may decide whether a request is held.
+        """Wait for the probes in progress if their outcome may quarantine a request.
 
-        Most attempts break off at live replicas, so a request's first retry does not wait.
+        With fewer probes it returns at once: most failed attempts are not crashes.
         """
-        if not self._looks:
+        if not self._probes_by_fingerprint:
             return
         fingerprint = identity.fingerprint()
-        looks = self._looks.get(fingerprint, set())
-        if looks and len(looks) + self._ledger.crashes(fingerprint, unix_s()) >= identity.crash_limit:
-            await asyncio.wait(list(looks))
+        probes = self._probes_by_fingerprint.get(fingerprint, set())
+        if (
+            probes
+            and len(probes) + self._reports.count_crashes(fingerprint, unix_s()) >= identity.crash_limit
+        ):
+            await asyncio.wait(list(probes))
 
     def is_last_chance(self, identity: RequestIdentity) -> bool:
-        """Whether one more crash would hold a request."""
-        if not len(self._ledger):
+        """Whether one more crash would quarantine a request, so that it needs an isolated run."""
+        if not len(self._reports):
             return False
-        return self._ledger.crashes(identity.fingerprint(), unix_s()) >= identity.crash_limit - 1
+        return self._reports.count_crashes(identity.fingerprint(), unix_s()) >= identity.crash_limit - 1
 
     async def paused(self, identity: RequestIdentity) -> None:
-        """Wait for the looks that may decide on a request, and pause before its last chance."""
+        """Wait for probes that may quarantine a request, then for a random delay before an isolated run."""
         await self.settled(identity)
         if self.is_last_chance(identity):
-            await asyncio.sleep(random.uniform(*LAST_CHANCE_PAUSE_S))
+            await asyncio.sleep(random.uniform(*ISOLATED_RUN_DELAY_RANGE_S))
 
     def apart_from(self, identity: RequestIdentity) -> frozenset[ReplicaLife]:
-        """Return the replicas that a request must not share, as one more crash would hold it.
+        """Return the replicas that a request must not use, as isolated runs of other requests are there.
 
-        Requests that a crash took from one replica are sent on together, and the cause would take
-        its bystanders from the next replica too.  Apart from each other only the cause ends its
-        replica; without this one of five bystanders was held with it.
+        Empty unless the request itself needs an isolated run.  Requests interrupted by the same crash are
+        retried at the same time; if they shared replicas again, the cause's next crash would count against
+        its concurrent requests too.
         """
         if not self.is_last_chance(identity):
             return frozenset()
-        return self._last_chances.replicas(monotonic_s(), besides=identity.fingerprint())
+        return self._isolated_runs.replicas(monotonic_s(), excluding=identity.fingerprint())
 
     def spared(self) -> frozenset[ReplicaLife]:
-        """Return the replicas that any request better leaves to a last chance while others have room.
+        """Return the replicas that any request should avoid while others have free slots.
 
-        A cause ends its replica with all that runs there, and a further cause there hides it.
+        They have isolated runs, where a crash interrupts all concurrent requests, and where a second
+        cause would make it unclear which request caused the crash.
         """
-        return self._last_chances.replicas(monotonic_s()) if len(self._ledger) else frozenset()
+        return self._isolated_runs.replicas(monotonic_s()) if len(self._reports) else frozenset()
 
-    def placed(self, identity: RequestIdentity, life: ReplicaLife) -> None:
-        """Announce where a request is about to run, if one more crash would hold it."""
+    def placed(self, identity: RequestIdentity, incarnation: ReplicaLife) -> None:
+        """Announce to all daemons where a request is about to run, if it needs an isolated run."""
         if not self.is_last_chance(identity):
             return
-        chance = LastChance(
-            fingerprint=identity.fingerprint(), replica_id=life.replica_id, born_unix_ms=life.born_unix_ms
+        run = IsolatedRun(
+            fingerprint=identity.fingerprint(),
+            replica_id=incarnation.replica_id,
+            started_unix_ms=incarnation.born_unix_ms,
         )
-        self._last_chances.begin(chance)
-        self._reporter.report(chance)
+        self._isolated_runs.add_local(run)
+        self._hooks.publish(run)
 
     async def has_place(self, identity: RequestIdentity) -> bool:
-        """Return whether a request that was placed may run there: no other last chance was there before."""
-        if not len(self._ledger) or (chance := self._last_chances.here(identity.fingerprint())) is None:
+        """Wait until the announcement of a request's run is read back; return whether the run may start.
+
+        It may start if no other isolated run was announced at its replica before.  A request without an
+        announcement may start at once.
+        """
+        if not len(self._reports) or (run := self._isolated_runs.local_run(identity.fingerprint())) is None:
             return True
-        until_s = monotonic_s() + ANNOUNCED_S
-        while not self._last_chances.is_heard(chance.fingerprint, chance.life):
-            if monotonic_s() >= until_s:
+        deadline_s = monotonic_s() + ANNOUNCEMENT_TIMEOUT_S
+        while not self._isolated_runs.is_announced(run.fingerprint, run.incarnation):
+            if monotonic_s() >= deadline_s:
                 break
-            await asyncio.sleep(ANNOUNCED_STEP_S)
-        is_first = self._last_chances.is_first(chance.fingerprint, chance.life, monotonic_s())
+            await asyncio.sleep(ANNOUNCEMENT_CHECK_INTERVAL_S)
+        is_first = self._isolated_runs.is_first(run.fingerprint, run.incarnation, monotonic_s())
         self._decisions.write(
             LastChanceBegun(
-                replica_id=chance.replica_id,
-                fingerprint=chance.fingerprint,
-                announced=self._last_chances.is_heard(chance.fingerprint, chance.life),
+                replica_id=run.replica_id,
+                fingerprint=run.fingerprint,
+                announced=self._isolated_runs.is_announced(run.fingerprint, run.incarnation),
                 is_first=is_first,
             )
         )
         return is_first
 
     def left(self, identity: RequestIdentity) -> None:
-        """Note that a request does not run any more where it was placed."""
-        if not self._last_chances.any_here:
+        """Withdraw the announcement of a request's run, which is over or was not started."""
+        if not self._isolated_runs.has_local:
             return
-        chance = self._last_chances.end(identity.fingerprint())
-        if chance is not None:
-            self._reporter.clear(chance)
+        run = self._isolated_runs.remove_local(identity.fingerprint())
+        if run is not None:
+            self._hooks.withdraw(run)
 
-    def broke_off(self, identity: RequestIdentity, replica: ReplicaPlace, error: PassgateError) -> None:
-        """Look at a replica whose answer broke off, and report it if it has ended."""
+    def broke_off(self, identity: RequestIdentity, endpoint: ReplicaPlace, error: PassgateError) -> None:
+        """Probe the replica of a failed attempt, if the error may be due to a crash."""
         if _may_be_crash(error):
-            self.look_at(identity, replica)
+            self.look_at(identity, endpoint)
 
-    def look_at(self, identity: RequestIdentity, replica: ReplicaPlace) -> None:
-        """Look whether a replica has ended that runs a request, and report it if so."""
+    def look_at(self, identity: RequestIdentity, endpoint: ReplicaPlace) -> None:
+        """Start a probe of a replica that was sent a request; report a crash if it has exited."""
         fingerprint = identity.fingerprint()
-        look = asyncio.get_running_loop().create_task(self._look(identity, replica))
-        looks = self._looks.setdefault(fingerprint, set())
-        looks.add(look)
-        look.add_done_callback(lambda done: self._forget_look(fingerprint, done))
-
-    def answered(self, replica: ReplicaPlace, began_s: float) -> None:
-        """Take an answer's head, of an attempt begun at a loop time, as a proof that its replica lives.
-
-        A replica that has started again answers under the same identifier before discovery tells of
-        it, so one that tells its start is asked for it first.  Where it does not tell, it is the same
-        life if discovery still lists that one when another would long be listed.
+        probe = asyncio.get_running_loop().create_task(self._probe(identity, endpoint))
+        probes = self._probes_by_fingerprint.setdefault(fingerprint, set())
+        probes.add(probe)
+        probe.add_done_callback(lambda done: self._remove_probe(fingerprint, done))
+
+    def answered(self, endpoint: ReplicaPlace, attempt_started_s: float) -> None:
+        """Record a response head, which proves that the replica lives and clears its earlier reports.
+
+        A restarted replica may respond under the same replica ID before discovery lists its new
+        incarnation.  One with a start time is therefore queried for its incarnation first.  If it does
+        not state it, only reports older than MAX_DISCOVERY_DELAY_S are cleared, and only while the log
+        is available: discovery would list a newer incarnation by now.
+
+        Args:
+            endpoint: the replica that responded.
+            attempt_started_s: loop time of the attempt's start; only earlier reports are cleared.
         """
-        life = replica.life
-        if not len(self._ledger) or not self._ledger.names(life, began_s):
+        incarnation = endpoint.life
+        if not len(self._reports) or not self._reports.has_report_before(incarnation, attempt_started_s):
             return
-        if not life.born_unix_ms:
-            self._clear_replica(life, began_s)
-        elif not replica.replaced and self._may_ask(life, monotonic_s()):
-            question = asyncio.get_running_loop().create_task(self._confirm(replica, began_s))
-            self._questions.add(question)
-            question.add_done_callback(self._questions.discard)
+        if not incarnation.born_unix_ms:
+            self._clear_incarnation(incarnation, attempt_started_s)
+        elif not endpoint.replaced and self._start_query_interval(incarnation, monotonic_s()):
+            query = asyncio.get_running_loop().create_task(
+                self._query_incarnation(endpoint, attempt_started_s)
+            )
+            self._queries.add(query)
+            query.add_done_callback(self._queries.discard)
 
     def succeeded(self, identity: RequestIdentity, service: str) -> None:
-        """Take a whole answer as a proof that the request does not crash replicas of a service."""
-        if len(self._ledger):
-            cleared = self._ledger.clear_request(identity.fingerprint(), service)
-            self._clear(cleared, "the request was answered")
-
-    def _may_ask(self, life: ReplicaLife, now_s: float) -> bool:
-        """Return whether a replica may be asked now which life it is in, and note that it is."""
-        self._asked_s = {asked: at_s for asked, at_s in self._asked_s.items() if now_s - at_s < ASK_AGAIN_S}
-        if life in self._asked_s:
+        """Record a complete answer: it proves that the request does not crash replicas of a service."""
+        if len(self._reports):
+            cleared = self._reports.clear_request(identity.fingerprint(), service)
+            self._withdraw(cleared, "the request was answered")
+
+    def _start_query_interval(self, incarnation: ReplicaLife, now_s: float) -> bool:
+        """Return whether an incarnation may be queried now, and record the query if so."""
+        self._queried_s_by_incarnation = {
+            queried: queried_s
+            for queried, queried_s in self._queried_s_by_incarnation.items()
+            if now_s - queried_s < QUERY_INTERVAL_S
+        }
+        if incarnation in self._queried_s_by_incarnation:
             return False
-        self._asked_s[life] = now_s
+        self._queried_s_by_incarnation[incarnation] = now_s
         return True
 
-    async def _confirm(self, replica: ReplicaPlace, began_s: float) -> None:
-        told = await self._reporter.read_life(replica.life, replica.address)
-        if told == replica.life:
-            self._clear_replica(replica.life, began_s)
-        elif told is None and self._reporter.is_current():
-            self._clear_replica(replica.life, began_s - SETTLED_S)
+    async def _query_incarnation(self, endpoint: ReplicaPlace, attempt_started_s: float) -> None:
+        current = await self._hooks.read_incarnation(endpoint.life, endpoint.address)
+        if current == endpoint.life:
+            self._clear_incarnation(endpoint.life, attempt_started_s)
+        elif current is None and self._hooks.is_log_current():
+            self._clear_incarnation(endpoint.life, attempt_started_s - MAX_DISCOVERY_DELAY_S)
 
-    def _clear_replica(self, replica: ReplicaLife, began_s: float) -> None:
-        self._clear(self._ledger.clear_replica(replica, began_s), "the replica lives")
+    def _clear_incarnation(self, incarnation: ReplicaLife, attempt_started_s: float) -> None:
+        self._withdraw(self._reports.clear_incarnation(incarnation, attempt_started_s), "the replica lives")
 
-    def _held_for_s(self, identity: RequestIdentity) -> float:
-        if not len(self._ledger):
+    def _quarantined_for_s(self, identity: RequestIdentity) -> float:
+        if not len(self._reports):
             return 0.0
-        return self._ledger.held_for_s(identity.fingerprint(), unix_s())
+        return self._reports.quarantined_for_s(identity.fingerprint(), unix_s())
 
-    async def _look(self, identity: RequestIdentity, replica: ReplicaPlace) -> None:
-        if replica.replaced or await self._reporter.has_ended(replica.address):
-            self.ended(identity, replica)
+    async def _probe(self, identity: RequestIdentity, endpoint: ReplicaPlace) -> None:
+        if endpoint.replaced or await self._hooks.has_exited(endpoint.address):
+            self.ended(identity, endpoint)
 
-    def ended(self, identity: RequestIdentity, replica: ReplicaPlace) -> None:
-        """Report a replica that has certainly ended while it ran a request."""
+    def ended(self, identity: RequestIdentity, endpoint: ReplicaPlace) -> None:
+        """Eject and report a replica that has certainly crashed while it ran a request."""
         fingerprint = identity.fingerprint()
-        self._reporter.set_aside(replica.life, monotonic_s())
+        self._hooks.eject(endpoint.life, monotonic_s())
         report = CrashReport(
             fingerprint=fingerprint,
-            replica_id=replica.life.replica_id,
-            born_unix_ms=replica.life.born_unix_ms,
-            service=replica.service,
-            limit=identity.crash_limit,
-            at_unix_s=unix_s(),
+            replica_id=endpoint.life.replica_id,
+            started_unix_ms=endpoint.life.born_unix_ms,
+            service=endpoint.service,
+            crash_limit=identity.crash_limit,
+            reported_unix_s=unix_s(),
         )
-        if not self._ledger.add(report, monotonic_s()):
+        if not self._reports.add(report, monotonic_s()):
             return
-        self._reporter.report(report)
+        self._hooks.publish(report)
         self._decisions.write(
             ReplicaCrashed(
-                replica_id=replica.life.replica_id,
+                replica_id=endpoint.life.replica_id,
                 fingerprint=fingerprint,
-                crashes=self._ledger.crashes(fingerprint, unix_s()),
+                crashes=self._reports.count_crashes(fingerprint, unix_s()),
             )
         )
 
-    def _forget_look(self, fingerprint: str, look: asyncio.Task[None]) -> None:
-        looks = self._looks[fingerprint]
-        looks.discard(look)
-        if not looks:
-            del self._looks[fingerprint]
+    def _remove_probe(self, fingerprint: str, probe: asyncio.Task[None]) -> None:
+        probes = self._probes_by_fingerprint[fingerprint]
+        probes.discard(probe)
+        if not probes:
+            del self._probes_by_fingerprint[fingerprint]
 
-    def _clear(self, reports: list[CrashReport], reason: str) -> None:
+    def _withdraw(self, reports: list[CrashReport], reason: str) -> None:
         for report in reports:
-            self._reporter.clear(report)
+            self._hooks.withdraw(report)
             self._decisions.write(
                 CrashReportsCleared(
                     replica_id=report.replica_id, fingerprint=report.fingerprint, reason=reason
@@ -296,6 +325,6 @@
 
 
 def _may_be_crash(error: PassgateError) -> bool:
-    """Whether a replica that ended fails an attempt like this: cut off after it was sent."""
-    broken = isinstance(error, (BackendUnreachable, IncompleteAnswer))
-    return broken and error.execution is ExecutionStatus.UNKNOWN
+    """Whether an attempt may have failed by a crash: its connection broke after the request was sent."""
+    connection_broken = isinstance(error, (BackendUnreachable, IncompleteAnswer))
+    return connection_broken and error.execution is ExecutionStatus.UNKNOWN
--- a/passgate/quarantine/identity.py
+++ b/passgate/quarantine/identity.py
@@ -1,7 +1,7 @@
-"""What makes two tries the same request: everything that a replica works on.
+"""Identity of a request by its content, so that a repeated request is recognized.
 
-A try has an identifier of its own, so a request that comes again is recognized by its
-content.  Headers are left out: some, such as the time left, differ with each try.
+Each attempt of a caller has its own request ID, so the ID can not identify a request.  Headers are left out,
+as some of them, such as the remaining time, differ between attempts.
 
 >>> first = RequestIdentity(host="h", method="POST", path="/a?b=1", tenant="t", body=b"x")
 >>> again = RequestIdentity(host="h", method="POST", path="/a?b=1", tenant="t", body=b"x")
@@ -18,15 +18,15 @@
 import msgspec
 
 FINGERPRINT_BYTES = 16
-"""128 bits: two different requests never meet by chance, nor by a caller's design."""
+"""128 bits, so that collisions are infeasible, also for a caller who tries to cause one."""
 CRASH_LIMIT = 2
-"""Replicas that a request may end before it is held.  One says nothing, as a replica that ends for a
-reason of its own has requests running; the least that does keeps a service of three alive."""
+"""Replica crashes after which a request is quarantined: the fewest that a crash for another reason cannot
+explain."""
 ITEM_CRASH_LIMIT = 3
-"""The same for an item of a batch job.  A replica runs many at once, so one more replica is risked
-before an item is held, which may cost its job a whole step."""
-LENGTH_BYTES = 8
-"""Each part is hashed behind its length, so that parts can't run into each other."""
+"""Crash limit of job items and reward calls; higher, as many run concurrently at a replica and a wrong
+quarantine may delay a training step."""
+LENGTH_PREFIX_BYTES = 8
+"""Size of the length that is hashed before each part, so that the parts are unambiguous."""
 
 
 class RequestIdentity(msgspec.Struct, frozen=True, kw_only=True):
@@ -37,13 +37,13 @@
     path: str
     """Path and query as the caller sent them."""
     tenant: str | None
-    """Tenant of the caller; None where the deployment has none."""
+    """Tenant of the caller; None if the deployment has no tenants."""
     body: bytes
     crash_limit: int = CRASH_LIMIT
-    """Replicas that may end under the request before it is held; not part of its content."""
+    """Replica crashes after which the request is quarantined; not part of the fingerprint."""
 
     def fingerprint(self) -> str:
-        """Return a digest of the content in hexadecimal; it tells nothing of the content itself."""
+        """Return a hexadecimal digest of the content; it does not reveal the content."""
         digest = hashlib.blake2b(digest_size=FINGERPRINT_BYTES)
         tenant = "" if self.tenant is None else f"tenant {self.tenant}"
         for text in (self.host, self.method, self.path, tenant):
@@ -53,5 +53,6 @@
 
 
 def _add(digest: hashlib.blake2b, part: bytes) -> None:
-    digest.update(len(part).to_bytes(LENGTH_BYTES, "big"))
+    """Add a part, prefixed by its length, to a digest."""
+    digest.update(len(part).to_bytes(LENGTH_PREFIX_BYTES, "big"))
     digest.update(part)
--- a/passgate/quarantine/last_chances.py
+++ b/passgate/quarantine/last_chances.py
@@ -1,16 +1,16 @@
-"""Where requests run that one more crash would hold, at all daemons; one of them at a replica.
+"""Isolated runs at all daemons: at most one request that one more crash would quarantine runs per replica.
 
-Such a request announces its replica on the log and runs there if its announcement is the first
-one that stands.  All daemons read the announcements in the same order, so they agree on it.
+A daemon announces such a run on the log, and starts it if its announcement is the first in effect for the
+replica.  All daemons read the announcements in the same order, so they agree on the first one.
 
->>> chances = LastChances()
->>> first = LastChance(fingerprint="f1", replica_id="r")
->>> chances.heard(first, offset=7, now_s=0.0)
->>> chances.heard(LastChance(fingerprint="f2", replica_id="r"), offset=8, now_s=0.1)
->>> chances.is_first("f1", first.life, now_s=0.2), chances.is_first("f2", first.life, now_s=0.2)
+>>> runs = IsolatedRuns()
+>>> first = IsolatedRun(fingerprint="f1", replica_id="r")
+>>> runs.record_announcement(first, offset=7, now_s=0.0)
+>>> runs.record_announcement(IsolatedRun(fingerprint="f2", replica_id="r"), offset=8, now_s=0.1)
+>>> runs.is_first("f1", first.incarnation, now_s=0.2), runs.is_first("f2", first.incarnation, now_s=0.2)
 (True, False)
->>> chances.drop("f1", first.life)
->>> chances.is_first("f2", first.life, now_s=0.3)
+>>> runs.remove_announcement("f1", first.incarnation)
+>>> runs.is_first("f2", first.incarnation, now_s=0.3)
 True
 """
 
@@ -22,110 +22,126 @@
 
 from passgate.eligibility.replica_info import ReplicaLife
 
-LIFE_S = 10.0
-"""Time after which an announcement counts no more, as its daemon may be lost; some of the longest runs."""
+ANNOUNCEMENT_LIFETIME_S = 10.0
+"""Time after which an announcement expires, as its daemon may have crashed; longer than most runs."""
 UNKNOWN_OFFSET = -1
-"""Stands for the place on the log of what was read as a key's newest value; before all read later."""
+"""Offset of records read from a snapshot; it sorts before the offsets of all records read later."""
 
 
-class LastChance(msgspec.Struct, frozen=True, kw_only=True):
-    """A request that one more crash would hold is about to run at a replica, or runs there."""
+class IsolatedRun(msgspec.Struct, frozen=True, kw_only=True):
+    """Announces that a request which one more crash would quarantine runs, or soon runs, at a replica."""
 
     fingerprint: str
     replica_id: str
-    born_unix_ms: int = 0
-    """Moment of the replica's start; 0 where it tells none."""
+    started_unix_ms: int = msgspec.field(name="born_unix_ms", default=0)
+    """Start time of the replica in Unix milliseconds; 0 if not reported."""
 
     @property
-    def life(self) -> ReplicaLife:
-        """The life of the replica."""
-        return ReplicaLife(self.replica_id, self.born_unix_ms)
+    def incarnation(self) -> ReplicaLife:
+        """The incarnation of the replica."""
+        return ReplicaLife(self.replica_id, self.started_unix_ms)
 
 
-class _Heard(msgspec.Struct, frozen=True):
+class _Announcement(msgspec.Struct, frozen=True):
     offset: int
-    since_s: float
+    read_s: float
     """Loop time at which this daemon read the announcement."""
 
 
-class LastChances:
-    """All announcements that stand: those of this daemon, and those read from the log."""
+class IsolatedRuns:
+    """This daemon's isolated runs, and the announcements of all daemons that were read from the log."""
 
     def __init__(self) -> None:
-        self._here: dict[str, LastChance] = {}
-        """Last chances of this daemon, by fingerprint."""
-        self._heard: dict[ReplicaLife, dict[str, _Heard]] = {}
-        """Replica to fingerprint to what was read."""
+        self._local_runs_by_fingerprint: dict[str, IsolatedRun] = {}
+        """Fingerprint to isolated run of this daemon."""
+        self._announcements_by_incarnation: dict[ReplicaLife, dict[str, _Announcement]] = {}
+        """Incarnation to fingerprint to the announcement that was read from the log."""
 
-    def begin(self, chance: LastChance) -> None:
-        """Note a last chance of this daemon."""
-        self._here[chance.fingerprint] = chance
+    def add_local(self, run: IsolatedRun) -> None:
+        """Add an isolated run of this daemon."""
+        self._local_runs_by_fingerprint[run.fingerprint] = run
 
-    def end(self, fingerprint: str) -> LastChance | None:
-        """Forget a last chance of this daemon; return it."""
-        return self._here.pop(fingerprint, None)
+    def remove_local(self, fingerprint: str) -> IsolatedRun | None:
+        """Remove and return the isolated run of a request of this daemon; None if there is none."""
+        return self._local_runs_by_fingerprint.pop(fingerprint, None)
 
     @property
-    def any_here(self) -> bool:
-        """Whether a last chance of this daemon runs."""
-        return bool(self._here)
-
-    def here(self, fingerprint: str) -> LastChance | None:
-        """Return the last chance of a request of this daemon."""
-        return self._here.get(fingerprint)
-
-    def heard(self, chance: LastChance, offset: int, now_s: float) -> None:
-        """Take an announcement that stands on the log at an offset."""
-        self._heard.setdefault(chance.life, {})[chance.fingerprint] = _Heard(offset, now_s)
-
-    def drop(self, fingerprint: str, life: ReplicaLife) -> None:
-        """Take an announcement back."""
-        heard = self._heard.get(life, {})
-        heard.pop(fingerprint, None)
-        if not heard:
-            self._heard.pop(life, None)
-
-    def keep_only(self, pairs: Iterable[tuple[str, ReplicaLife]]) -> None:
-        """Drop all but these pairs of fingerprint and replica."""
-        kept = set(pairs)
-        for life, heard in list(self._heard.items()):
-            for fingerprint in list(heard):
-                if (fingerprint, life) not in kept:
-                    self.drop(fingerprint, life)
-
-    def clear_expired(self, now_s: float) -> list[LastChance]:
-        """Drop what is too old to count; return it."""
+    def has_local(self) -> bool:
+        """Whether this daemon has any isolated run."""
+        return bool(self._local_runs_by_fingerprint)
+
+    def local_run(self, fingerprint: str) -> IsolatedRun | None:
+        """Return the isolated run of a request of this daemon, or None."""
+        return self._local_runs_by_fingerprint.get(fingerprint)
+
+    def record_announcement(self, run: IsolatedRun, offset: int, now_s: float) -> None:
+        """Record an announcement that was read from the log at an offset."""
+        self._announcements_by_incarnation.setdefault(run.incarnation, {})[run.fingerprint] = _Announcement(
+            offset, now_s
+        )
+
+    def remove_announcement(self, fingerprint: str, incarnation: ReplicaLife) -> None:
+        """Remove an announcement that was withdrawn."""
+        announcements = self._announcements_by_incarnation.get(incarnation, {})
+        announcements.pop(fingerprint, None)
+        if not announcements:
+            self._announcements_by_incarnation.pop(incarnation, None)
+
+    def retain(self, keys: Iterable[tuple[str, ReplicaLife]]) -> None:
+        """Remove all announcements but those of the given pairs of fingerprint and incarnation."""
+        retained = set(keys)
+        for incarnation, announcements in list(self._announcements_by_incarnation.items()):
+            for fingerprint in list(announcements):
+                if (fingerprint, incarnation) not in retained:
+                    self.remove_announcement(fingerprint, incarnation)
+
+    def clear_expired(self, now_s: float) -> list[IsolatedRun]:
+        """Remove and return the runs whose announcements have expired."""
         expired = [
-            LastChance(fingerprint=fingerprint, replica_id=life.replica_id, born_unix_ms=life.born_unix_ms)
-            for life, heard in self._heard.items()
-            for fingerprint, each in heard.items()
-            if now_s >= each.since_s + LIFE_S
+            IsolatedRun(
+                fingerprint=fingerprint,
+                replica_id=incarnation.replica_id,
+                started_unix_ms=incarnation.born_unix_ms,
+            )
+            for incarnation, announcements in self._announcements_by_incarnation.items()
+            for fingerprint, announcement in announcements.items()
+            if now_s >= announcement.read_s + ANNOUNCEMENT_LIFETIME_S
         ]
-        for chance in expired:
-            self.drop(chance.fingerprint, chance.life)
+        for run in expired:
+            self.remove_announcement(run.fingerprint, run.incarnation)
         return expired
 
-    def is_heard(self, fingerprint: str, life: ReplicaLife) -> bool:
-        """Whether an announcement was read from the log."""
-        return fingerprint in self._heard.get(life, {})
+    def is_announced(self, fingerprint: str, incarnation: ReplicaLife) -> bool:
+        """Whether the announcement of a run was read from the log."""
+        return fingerprint in self._announcements_by_incarnation.get(incarnation, {})
 
-    def is_first(self, fingerprint: str, life: ReplicaLife, now_s: float) -> bool:
-        """Whether no other request was announced at a replica before this one; true if it was not heard."""
-        heard = self._heard.get(life, {})
-        if fingerprint not in heard:
+    def is_first(self, fingerprint: str, incarnation: ReplicaLife, now_s: float) -> bool:
+        """Whether no other request's unexpired announcement at a replica precedes that of this one.
+
+        True also if this request's announcement was not read.
+        """
+        announcements = self._announcements_by_incarnation.get(incarnation, {})
+        if fingerprint not in announcements:
             return True
         return all(
-            heard[fingerprint].offset < each.offset
-            for other, each in heard.items()
-            if other != fingerprint and now_s < each.since_s + LIFE_S
+            announcements[fingerprint].offset < announcement.offset
+            for other, announcement in announcements.items()
+            if other != fingerprint and now_s < announcement.read_s + ANNOUNCEMENT_LIFETIME_S
         )
 
-    def replicas(self, now_s: float, besides: str = "") -> frozenset[ReplicaLife]:
-        """Return where last chances run, but for those of one request."""
-        here = {each.life for each in self._here.values() if each.fingerprint != besides}
-        heard = {
-            life
-            for life, requests in self._heard.items()
-            if any(other != besides and now_s < each.since_s + LIFE_S for other, each in requests.items())
+    def replicas(self, now_s: float, excluding: str = "") -> frozenset[ReplicaLife]:
+        """Return the incarnations with isolated runs, except those of the request with a fingerprint."""
+        local = {
+            run.incarnation
+            for run in self._local_runs_by_fingerprint.values()
+            if run.fingerprint != excluding
+        }
+        announced = {
+            incarnation
+            for incarnation, announcements in self._announcements_by_incarnation.items()
+            if any(
+                other != excluding and now_s < announcement.read_s + ANNOUNCEMENT_LIFETIME_S
+                for other, announcement in announcements.items()
+            )
         }
-        return frozenset(here | heard)
+        return frozenset(local | announced)
--- a/passgate/quarantine/ledger.py
+++ b/passgate/quarantine/ledger.py
@@ -1,19 +1,20 @@
-"""Which requests crash replicas: folded from crash reports, the same at all daemons.
+"""Stores crash reports and decides from them which requests are quarantined.
 
-A report says that a replica ended under a request.  A bystander that ran beside the
-cause gets a report as well; it is cleared as soon as a replica answers it.  A request
-whose reports name as many replicas as its limit is held: it reaches no replica until
-its newest report expires or a report proves wrong.
+A crash report states that a replica crashed while it ran a request.  Each concurrent request gets one as
+well; its reports are cleared when a replica answers it.  A request is quarantined while as many unexpired
+reports as its crash limit name it, unless other requests explain its crashes.
 
->>> ledger = CrashLedger()
+>>> store = CrashReportStore()
 >>> for replica_id in ("r1", "r2"):
-...     report = CrashReport(fingerprint="f", replica_id=replica_id, service="s", limit=2, at_unix_s=100.0)
-...     _ = ledger.add(report, now_s=5.0)
->>> ledger.held_for_s("f", unix_s=160.0)
+...     report = CrashReport(
+...         fingerprint="f", replica_id=replica_id, service="s", crash_limit=2, reported_unix_s=100.0
+...     )
+...     _ = store.add(report, now_s=5.0)
+>>> store.quarantined_for_s("f", unix_s=160.0)
 540.0
->>> [report.replica_id for report in ledger.clear_request("f", "s")]
+>>> [report.replica_id for report in store.clear_request("f", "s")]
 ['r1', 'r2']
->>> ledger.held_for_s("f", unix_s=160.0)
+>>> store.quarantined_for_s("f", unix_s=160.0)
 0.0
 """
 
@@ -26,189 +27,205 @@
 
 from passgate.eligibility.replica_info import ReplicaLife
 from passgate.quarantine.identity import ITEM_CRASH_LIMIT
-from passgate.quarantine.last_chances import LastChances
+from passgate.quarantine.last_chances import IsolatedRuns
 
-REPORT_LIFE_S = 600.0
-"""Age at which a report expires: minutes, as a release that mends the replicas takes; after it one more
-crash holds the request again."""
-MOST_REPORTS = 4096
-"""Reports kept, about 1 MB; the oldest go first.  A crash makes one for each request that ran there."""
+REPORT_LIFETIME_S = 600.0
+"""Age at which a report expires, so that a request is retried after a fix of the replicas."""
+MAX_REPORTS = 4096
+"""Most reports kept; the oldest are dropped first.  They take about 1 MB."""
 
 
 Outer, Inner = TypeVar("Outer"), TypeVar("Inner")
 
 
 class CrashReport(msgspec.Struct, frozen=True, kw_only=True):
-    """A replica ended while it ran a request."""
+    """States that a replica crashed while it ran a request."""
 
     fingerprint: str
+    """Fingerprint of the request."""
     replica_id: str
     service: str
     """Service of the replica."""
-    limit: int
-    """Replicas that may end under the request before it is held."""
-    at_unix_s: float
-    """Time of day at which the reporting daemon knew."""
-    born_unix_ms: int = 0
-    """Moment of the replica's start; 0 where it tells none."""
+    crash_limit: int = msgspec.field(name="limit")
+    """Replica crashes after which the request is quarantined."""
+    reported_unix_s: float = msgspec.field(name="at_unix_s")
+    """Time of day at which the reporting daemon detected the crash."""
+    started_unix_ms: int = msgspec.field(name="born_unix_ms", default=0)
+    """Start time of the replica in Unix milliseconds; 0 if not reported."""
 
     @property
-    def life(self) -> ReplicaLife:
-        """The life of the replica that ended."""
-        return ReplicaLife(self.replica_id, self.born_unix_ms)
+    def incarnation(self) -> ReplicaLife:
+        """The incarnation that crashed."""
+        return ReplicaLife(self.replica_id, self.started_unix_ms)
 
 
-class _Known(msgspec.Struct, frozen=True):
+class _KnownReport(msgspec.Struct, frozen=True):
     report: CrashReport
     since_s: float
-    """Loop time since when this daemon knows the report."""
+    """Loop time at which this daemon learned of the report."""
 
 
-class CrashLedger:
-    """All reports that stand."""
+class CrashReportStore:
+    """All crash reports in effect, at most one for each pair of request and incarnation."""
 
     def __init__(self) -> None:
-        self._by_request: dict[str, dict[ReplicaLife, _Known]] = {}
-        """Fingerprint to replica to report."""
-        self._by_replica: dict[ReplicaLife, dict[str, _Known]] = {}
+        self._reports_by_fingerprint: dict[str, dict[ReplicaLife, _KnownReport]] = {}
+        """Fingerprint to incarnation to report."""
+        self._reports_by_incarnation: dict[ReplicaLife, dict[str, _KnownReport]] = {}
+        """Incarnation to fingerprint to report; holds the same reports."""
         self._count = 0
-        self.last_chances = LastChances()
-        """Where requests run that one more crash would hold."""
+        self.isolated_runs = IsolatedRuns()
+        """Runs of requests that one more crash would quarantine."""
 
     def __len__(self) -> int:
         return self._count
 
     def add(self, report: CrashReport, now_s: float) -> bool:
-        """Take a report at a loop time; return whether it is new."""
-        if self.knows(report.fingerprint, report.life):
+        """Add a report at a loop time and return whether it is new; at MAX_REPORTS the oldest is dropped."""
+        if self.contains(report.fingerprint, report.incarnation):
             return False
-        if self._count >= MOST_REPORTS:
-            self._drop_oldest()
-        known = _Known(report, now_s)
-        self._by_request.setdefault(report.fingerprint, {})[report.life] = known
-        self._by_replica.setdefault(report.life, {})[report.fingerprint] = known
+        if self._count >= MAX_REPORTS:
+            self._remove_oldest()
+        known = _KnownReport(report, now_s)
+        self._reports_by_fingerprint.setdefault(report.fingerprint, {})[report.incarnation] = known
+        self._reports_by_incarnation.setdefault(report.incarnation, {})[report.fingerprint] = known
         self._count += 1
         return True
 
-    def knows(self, fingerprint: str, replica: ReplicaLife) -> bool:
-        """Whether a report stands."""
-        return replica in self._by_request.get(fingerprint, {})
+    def contains(self, fingerprint: str, incarnation: ReplicaLife) -> bool:
+        """Whether a report is in effect."""
+        return incarnation in self._reports_by_fingerprint.get(fingerprint, {})
 
-    def remove(self, fingerprint: str, replica: ReplicaLife) -> bool:
-        """Drop a report; return whether it stood."""
-        if not self.knows(fingerprint, replica):
+    def remove(self, fingerprint: str, incarnation: ReplicaLife) -> bool:
+        """Remove a report; return whether it was in effect."""
+        if not self.contains(fingerprint, incarnation):
             return False
-        _drop(self._by_request, fingerprint, replica)
-        _drop(self._by_replica, replica, fingerprint)
+        _remove_from_index(self._reports_by_fingerprint, fingerprint, incarnation)
+        _remove_from_index(self._reports_by_incarnation, incarnation, fingerprint)
         self._count -= 1
         return True
 
     def clear_request(self, fingerprint: str, service: str) -> list[CrashReport]:
-        """Drop the reports of a request that a replica of a service has answered; return them.
+        """Remove and return the reports of a request that a replica of a service has answered.
 
-        Those of other services stand: one release of a split route may crash where another does not.
+        Those of other services stay: one release of a split route may crash where another does not.
         """
-        known = self._by_request.get(fingerprint, {}).values()
+        known = self._reports_by_fingerprint.get(fingerprint, {}).values()
         return self._remove_all([each for each in known if each.report.service == service])
 
-    def names(self, replica: ReplicaLife, before_s: float) -> bool:
-        """Whether a report that was known before a loop time tells of the end of a replica."""
-        return any(before_s > each.since_s for each in self._by_replica.get(replica, {}).values())
+    def has_report_before(self, incarnation: ReplicaLife, before_s: float) -> bool:
+        """Whether an incarnation has a crash report that was known before a loop time."""
+        return any(
+            before_s > each.since_s for each in self._reports_by_incarnation.get(incarnation, {}).values()
+        )
 
-    def clear_replica(self, replica: ReplicaLife, began_s: float) -> list[CrashReport]:
-        """Drop the reports of a life that answered an attempt begun after them; return them.
+    def clear_incarnation(self, incarnation: ReplicaLife, attempt_started_s: float) -> list[CrashReport]:
+        """Remove and return the reports of an incarnation that answered an attempt started after them.
 
-        Such a replica has not ended: a restarted one has another life.
+        Such an incarnation has not crashed, as a restarted replica is another incarnation.
         """
-        known = self._by_replica.get(replica, {}).values()
-        return self._remove_all([each for each in known if began_s > each.since_s])
+        known = self._reports_by_incarnation.get(incarnation, {}).values()
+        return self._remove_all([each for each in known if attempt_started_s > each.since_s])
 
     def clear_expired(self, unix_s: float) -> list[CrashReport]:
-        """Drop the reports that are too old to count; return them."""
-        known = [each for reports in self._by_request.values() for each in reports.values()]
+        """Remove and return the expired reports."""
+        known = [each for reports in self._reports_by_fingerprint.values() for each in reports.values()]
         return self._remove_all([each for each in known if _is_expired(each.report, unix_s)])
 
-    def crashes(self, fingerprint: str, unix_s: float) -> int:
-        """Return how many replicas have ended under a request."""
-        known = self._by_request.get(fingerprint, {}).values()
+    def count_crashes(self, fingerprint: str, unix_s: float) -> int:
+        """Return the number of unexpired reports of a request."""
+        known = self._reports_by_fingerprint.get(fingerprint, {}).values()
         return sum(not _is_expired(each.report, unix_s) for each in known)
 
-    def held_for_s(self, fingerprint: str, unix_s: float) -> float:
-        """Return for how much longer a request is held; 0 if it is not."""
-        known = list(self._by_request.get(fingerprint, {}).values())
-        if not known or len(known) < (limit := known[0].report.limit):
+    def quarantined_for_s(self, fingerprint: str, unix_s: float) -> float:
+        """Return for how much longer a request is quarantined; 0 if it is not.
+
+        It is quarantined until fewer unexpired reports than its crash limit remain.
+        """
+        known = list(self._reports_by_fingerprint.get(fingerprint, {}).values())
+        if not known or len(known) < (limit := known[0].report.crash_limit):
             return 0.0
-        left_s = sorted((_left_s(each.report, unix_s) for each in known), reverse=True)
-        if left_s[limit - 1] <= 0.0 or self._is_bystander(fingerprint):
+        remaining_s = sorted((_remaining_s(each.report, unix_s) for each in known), reverse=True)
+        if remaining_s[limit - 1] <= 0.0 or self._is_explained_by_others(fingerprint):
             return 0.0
-        return left_s[limit - 1]
+        return remaining_s[limit - 1]
 
-    def _is_bystander(self, fingerprint: str) -> bool:
-        """Whether other requests explain all crashes of one.
+    def _is_explained_by_others(self, fingerprint: str) -> bool:
+        """Whether other requests explain all crashes of a request, so that it is not quarantined.
 
-        They do if each of its replicas also ended under a request at its limit that has ended a
-        further replica without any other such request.  With the pause before the last chance this
-        let 0 of 180 jobs lose an item instead of 9 (8 causes, 3 replicas, 4 daemons, 15 runs).
+        They do if each of its replicas also crashed under another request at its crash limit that has
+        crashed some replica alone, that is, with no other request at its limit running there.
 
-        While no such request is known, company alone gives an item one more chance, as it runs apart from
-        all others near their limit: a cause ends one more replica, alone, and is held then.  On a busy
-        machine 2 of 24 runs with 12 such jobs lost an item without it, 0 of 48 with it.
+        A request with a limit of at least ITEM_CRASH_LIMIT is also let through once more, at exactly its
+        limit, if each of its replicas also crashed under other requests at their limit.  It then runs
+        isolated, so that a cause crashes one more replica alone and is quarantined after that.
         """
-        replicas = self._by_request[fingerprint]
-        if all(self._is_explained(fingerprint, replica) for replica in replicas):
+        incarnations = self._reports_by_fingerprint[fingerprint]
+        if all(self._is_crash_explained(fingerprint, incarnation) for incarnation in incarnations):
             return True
-        limit = next(iter(replicas.values())).report.limit
-        may_run_apart = limit >= ITEM_CRASH_LIMIT and len(replicas) == limit
-        return may_run_apart and all(len(self._at_limit_at(replica)) > 1 for replica in replicas)
-
-    def _is_explained(self, fingerprint: str, replica: ReplicaLife) -> bool:
-        """Whether a replica ended under another request that ends replicas alone."""
-        others = (other for other in self._at_limit_at(replica) if other != fingerprint)
-        return any(self._ended_alone(other) for other in others)
-
-    def _ended_alone(self, fingerprint: str) -> bool:
-        """Whether a replica ended under a request and under no other one at its limit."""
-        return any(self._at_limit_at(replica) == [fingerprint] for replica in self._by_request[fingerprint])
-
-    def _at_limit_at(self, replica: ReplicaLife) -> list[str]:
-        """Return the requests at their limit under which a replica ended."""
-        known = self._by_replica[replica].values()
+        limit = next(iter(incarnations.values())).report.crash_limit
+        may_run_isolated = limit >= ITEM_CRASH_LIMIT and len(incarnations) == limit
+        return may_run_isolated and all(
+            len(self._fingerprints_at_limit(incarnation)) > 1 for incarnation in incarnations
+        )
+
+    def _is_crash_explained(self, fingerprint: str, incarnation: ReplicaLife) -> bool:
+        """Whether an incarnation also crashed under another request that has crashed a replica alone."""
+        others = (other for other in self._fingerprints_at_limit(incarnation) if other != fingerprint)
+        return any(self._has_crashed_alone(other) for other in others)
+
+    def _has_crashed_alone(self, fingerprint: str) -> bool:
+        """Whether some incarnation crashed under a request at its limit and under no other such request."""
+        return any(
+            self._fingerprints_at_limit(incarnation) == [fingerprint]
+            for incarnation in self._reports_by_fingerprint[fingerprint]
+        )
+
+    def _fingerprints_at_limit(self, incarnation: ReplicaLife) -> list[str]:
+        """Return the requests with as many reports as their limit under which an incarnation crashed."""
+        known = self._reports_by_incarnation[incarnation].values()
         return [
             each.report.fingerprint
             for each in known
-            if len(self._by_request[each.report.fingerprint]) >= each.report.limit
+            if len(self._reports_by_fingerprint[each.report.fingerprint]) >= each.report.crash_limit
         ]
 
-    def pairs(self) -> set[tuple[str, ReplicaLife]]:
-        """Return fingerprint and replica of each report."""
-        return {(request, replica) for request, known in self._by_request.items() for replica in known}
+    def report_keys(self) -> set[tuple[str, ReplicaLife]]:
+        """Return the fingerprint and incarnation of each report."""
+        return {
+            (fingerprint, incarnation)
+            for fingerprint, known in self._reports_by_fingerprint.items()
+            for incarnation in known
+        }
 
-    def newest(self, most: int) -> tuple[CrashReport, ...]:
-        """Return the newest reports."""
-        reports = (each.report for known in self._by_request.values() for each in known.values())
-        return tuple(heapq.nlargest(most, reports, key=lambda report: report.at_unix_s))
+    def newest(self, max_count: int) -> tuple[CrashReport, ...]:
+        """Return the newest reports, newest first, at most ``max_count``."""
+        reports = (each.report for known in self._reports_by_fingerprint.values() for each in known.values())
+        return tuple(heapq.nlargest(max_count, reports, key=lambda report: report.reported_unix_s))
 
-    def _remove_all(self, known: list[_Known]) -> list[CrashReport]:
+    def _remove_all(self, known: list[_KnownReport]) -> list[CrashReport]:
         reports = [each.report for each in known]
         for report in reports:
-            self.remove(report.fingerprint, report.life)
+            self.remove(report.fingerprint, report.incarnation)
         return reports
 
-    def _drop_oldest(self) -> None:
-        known = (each.report for reports in self._by_request.values() for each in reports.values())
-        oldest = min(known, key=lambda report: report.at_unix_s)
-        self.remove(oldest.fingerprint, oldest.life)
+    def _remove_oldest(self) -> None:
+        known = (
+            each.report for reports in self._reports_by_fingerprint.values() for each in reports.values()
+        )
+        oldest = min(known, key=lambda report: report.reported_unix_s)
+        self.remove(oldest.fingerprint, oldest.incarnation)
 
 
-def _left_s(report: CrashReport, unix_s: float) -> float:
-    return report.at_unix_s + REPORT_LIFE_S - unix_s
+def _remaining_s(report: CrashReport, unix_s: float) -> float:
+    return report.reported_unix_s + REPORT_LIFETIME_S - unix_s
 
 
 def _is_expired(report: CrashReport, unix_s: float) -> bool:
-    return _left_s(report, unix_s) <= 0.0
+    return _remaining_s(report, unix_s) <= 0.0
 
 
-def _drop(index: dict[Outer, dict[Inner, _Known]], outer: Outer, inner: Inner) -> None:
+def _remove_from_index(index: dict[Outer, dict[Inner, _KnownReport]], outer: Outer, inner: Inner) -> None:
     del index[outer][inner]
     if not index[outer]:
         del index[outer]
--- a/passgate/quarantine/peers.py
+++ b/passgate/quarantine/peers.py
@@ -1,7 +1,7 @@
-"""Carries crash reports between daemons of a zone while the log does not answer them.
+"""Exchanges crash reports between the daemons of a zone while the log is not available to them.
 
-A daemon whose view of the reports is old exchanges them with a few others, twice a second:
-each learns what the other knows.  One that can still write hands on what it learns to the log.
+A daemon whose view of the log is stale exchanges its newest reports with a few other daemons in turn, so
+that both know the reports of each other.  A daemon to which the log is available appends what it receives.
 """
 
 from __future__ import annotations
@@ -14,71 +14,77 @@
 
 from passgate.errors import PeerError
 from passgate.peers.transport import PeerTransport
-from passgate.quarantine.channel import CrashChannel
+from passgate.quarantine.channel import CrashReportLog
 from passgate.quarantine.ledger import CrashReport
 from passgate.sharedlog.member_names import address_of
 
 CRASH_REPORTS_METHOD = "crashes.exchange"
-EXCHANGE_GAP_S = 0.5
-"""Time between exchanges; with three others each, a zone of 27 daemons knows a report after 2 s."""
-MOST_ASKED = 3
-"""Daemons asked at once: if a third of all are cut off, all three are in 4 of 100 exchanges."""
-ANSWER_S = 0.4
-"""Time for an answer; a round trip between zones takes 2 ms, a starved daemon some hundred."""
-TICK_S = 0.1
-"""Time between looks at the age of the view; a fifth of the time between exchanges."""
+EXCHANGE_INTERVAL_S = 0.5
+"""Interval of exchanges; in a zone of 27 daemons all know a report after four of them."""
+MAX_PEERS = 3
+"""Daemons with which one exchanges at a time, so that it rarely finds all of them cut off."""
+RESPONSE_TIMEOUT_S = 0.4
+"""Timeout of an exchange; allows for daemons that are short of processor time."""
+CHECK_INTERVAL_S = 0.1
+"""Interval of the checks whether the view of the log is stale."""
 
 logger = logging.getLogger("passgate.quarantine")
 
 
-class CrashReports(msgspec.Struct, frozen=True, kw_only=True):
-    """What a daemon knows; both the question and the answer."""
+class CrashReportBatch(msgspec.Struct, frozen=True, kw_only=True):
+    """The newest reports that a daemon knows; both the request and the response of an exchange."""
 
     reports: tuple[CrashReport, ...] = ()
 
 
 class CrashPeers:
-    """Exchanges reports with other daemons, and answers them."""
+    """Exchanges reports with other daemons, and responds to their exchanges."""
 
     def __init__(
-        self, transport: PeerTransport, others: Callable[[], list[str]], channel: CrashChannel
+        self, transport: PeerTransport, list_others: Callable[[], list[str]], report_log: CrashReportLog
     ) -> None:
-        """Connect the parts.
+        """Create the exchange.
 
         Args:
-            transport: carries questions to other daemons.
-            others: returns the names of other daemons, in any order.
-            channel: this daemon's reader and writer of the reports on the log.
+            transport: sends requests to other daemons.
+            list_others: returns the names of other daemons, in any order.
+            report_log: this daemon's reader and writer of the crash-report topic.
         """
         self._transport = transport
-        self._others = others
-        self._channel = channel
+        self._list_others = list_others
+        self._report_log = report_log
 
     async def run(self) -> None:
-        """Exchange reports while the log does not answer, until cancelled."""
+        """Exchange reports whenever the view of the log is stale, until cancelled."""
         while True:
-            if self._channel.is_current():
-                await asyncio.sleep(TICK_S)
+            if self._report_log.is_current():
+                await asyncio.sleep(CHECK_INTERVAL_S)
                 continue
-            asked = self._others()[:MOST_ASKED]
-            await asyncio.gather(*(self._exchange(member) for member in asked))
-            await asyncio.sleep(EXCHANGE_GAP_S)
+            members = self._list_others()[:MAX_PEERS]
+            await asyncio.gather(*(self._exchange(member) for member in members))
+            await asyncio.sleep(EXCHANGE_INTERVAL_S)
 
     async def _exchange(self, member: str) -> None:
-        question = msgspec.json.encode(self._known())
+        request = msgspec.json.encode(self._newest_reports())
         try:
-            payload = await self._transport.call(address_of(member), CRASH_REPORTS_METHOD, question, ANSWER_S)
-            told = msgspec.json.decode(payload, type=CrashReports)
+            payload = await self._transport.call(
+                address_of(member), CRASH_REPORTS_METHOD, request, RESPONSE_TIMEOUT_S
+            )
+            received = msgspec.json.decode(payload, type=CrashReportBatch)
         except (PeerError, msgspec.DecodeError) as error:
             logger.info("crash_reports_not_exchanged", extra={"peer": member, "error": str(error)})
             return
-        self._channel.learn(told.reports)
+        self._report_log.merge_reports(received.reports)
 
     def answer(self, payload: bytes) -> bytes:
-        """Learn another daemon's reports, and tell it those known here."""
-        known = msgspec.json.encode(self._known())
-        self._channel.learn(msgspec.json.decode(payload, type=CrashReports).reports)
+        """Merge another daemon's reports and return those that this daemon knew before.
+
+        Raises:
+            msgspec.DecodeError: the payload is no batch of reports.
+        """
+        known = msgspec.json.encode(self._newest_reports())
+        self._report_log.merge_reports(msgspec.json.decode(payload, type=CrashReportBatch).reports)
         return known
 
-    def _known(self) -> CrashReports:
-        return CrashReports(reports=self._channel.newest())
+    def _newest_reports(self) -> CrashReportBatch:
+        return CrashReportBatch(reports=self._report_log.newest_reports())
--- a/passgate/quarantine/service.py
+++ b/passgate/quarantine/service.py
@@ -1,4 +1,4 @@
-"""What one daemon needs against requests that crash replicas: the guard, and the reports of all daemons."""
+"""Assembles the crash guard of one daemon and its reader and writer of all daemons' crash reports."""
 
 from __future__ import annotations
 
@@ -6,51 +6,51 @@
 
 from passgate.decisions import DecisionLog
 from passgate.eligibility.replica_info import ReplicaLife
-from passgate.quarantine.channel import CrashChannel
-from passgate.quarantine.guard import CrashGuard, CrashReporter
-from passgate.quarantine.ledger import CrashLedger
-from passgate.quarantine.liveness import has_ended
+from passgate.quarantine.channel import CrashReportLog
+from passgate.quarantine.guard import CrashGuard, CrashGuardHooks
+from passgate.quarantine.ledger import CrashReportStore
+from passgate.quarantine.liveness import has_exited
 from passgate.sharedlog.log import SharedLog
 
 
 class Crashes:
-    """The guard of a daemon, connected with those of all others by the log."""
+    """The crash guard of one daemon, which shares reports with the other daemons through the log."""
 
     def __init__(
         self,
         log: SharedLog,
         topic: str,
-        set_aside: Callable[[ReplicaLife, float], None],
+        eject: Callable[[ReplicaLife, float], None],
         decisions: DecisionLog,
-        read_life: Callable[[ReplicaLife, str], Awaitable[ReplicaLife | None]],
+        read_incarnation: Callable[[ReplicaLife, str], Awaitable[ReplicaLife | None]],
     ) -> None:
-        """Connect the parts.
+        """Create the guard and the report log.
 
         Args:
-            log: keeps the reports.
+            log: shared log with the reports.
             topic: keyed topic of the reports.
-            set_aside: sends nothing to a replica from a loop time on, as it has ended.
-            decisions: where decisions are noted.
-            read_life: asks the replica at an address, known so far as the given life, which life it is
-                in; returns None when it does not tell.
+            eject: ejects a crashed incarnation from the choice of replicas, as of a loop time.
+            decisions: log of decision lines.
+            read_incarnation: queries the replica at an address, known as the given incarnation, for its
+                current one; returns None if it does not state it.
         """
-        ledger = CrashLedger()
-        self.channel = CrashChannel(log, topic, ledger, set_aside, decisions)
-        reporter = CrashReporter(
-            has_ended=has_ended,
-            report=self.channel.report,
-            clear=self.channel.clear,
-            set_aside=set_aside,
-            read_life=read_life,
-            is_current=self.channel.is_current,
+        reports = CrashReportStore()
+        self.channel = CrashReportLog(log, topic, reports, eject, decisions)
+        hooks = CrashGuardHooks(
+            has_exited=has_exited,
+            publish=self.channel.publish,
+            withdraw=self.channel.withdraw,
+            eject=eject,
+            read_incarnation=read_incarnation,
+            is_log_current=self.channel.is_current,
         )
-        self.guard = CrashGuard(ledger, reporter, decisions)
+        self.guard = CrashGuard(reports, hooks, decisions)
 
     @property
     def loaded(self) -> bool:
-        """Whether all reports that stood on the log were read once."""
+        """Whether the reports on the log have been read completely once."""
         return self.channel.loaded
 
     async def run(self) -> None:
-        """Carry reports until cancelled."""
+        """Read and write the reports on the log until cancelled."""
         await self.channel.run()
--- a/tests/test_crash_guard.py
+++ b/tests/test_crash_guard.py
@@ -1,4 +1,4 @@
-"""The guard in virtual time: what counts as a crash, what clears a request, what is known at all daemons."""
+"""Crash guard in virtual time: what counts as a crash, what clears reports, what all daemons know."""
 
 import asyncio
 import random
@@ -18,17 +18,23 @@
     RequestQuarantined,
 )
 from passgate.peers.memory_transport import MemoryNetwork
-from passgate.quarantine import ledger as ledgers
-from passgate.quarantine.channel import CURRENT_S, POLL_S, CrashChannel
-from passgate.quarantine.guard import ASK_AGAIN_S, SETTLED_S, CrashGuard, CrashReporter, ReplicaPlace
+from passgate.quarantine import ledger
+from passgate.quarantine.channel import MAX_CURRENT_AGE_S, POLL_WAIT_S, CrashReportLog
+from passgate.quarantine.guard import (
+    MAX_DISCOVERY_DELAY_S,
+    QUERY_INTERVAL_S,
+    CrashGuard,
+    CrashGuardHooks,
+    ReplicaPlace,
+)
 from passgate.quarantine.identity import CRASH_LIMIT, ITEM_CRASH_LIMIT, RequestIdentity
-from passgate.quarantine.ledger import REPORT_LIFE_S, CrashLedger, CrashReport
-from passgate.quarantine.peers import EXCHANGE_GAP_S, CrashPeers
+from passgate.quarantine.ledger import REPORT_LIFETIME_S, CrashReport, CrashReportStore
+from passgate.quarantine.peers import EXCHANGE_INTERVAL_S, CrashPeers
 from passgate.sharedlog.member_names import member_name
 
 TOPIC, SERVICE = "keyed.crashes", "app"
-LOOK_S = 0.02
-BROKEN = BackendUnreachable("reset", execution=ExecutionStatus.UNKNOWN)
+PROBE_S = 0.02
+CONNECTION_LOST = BackendUnreachable("reset", execution=ExecutionStatus.UNKNOWN)
 
 
 def request(body=b"x", tenant=None, crash_limit=CRASH_LIMIT):
@@ -37,67 +43,72 @@
     )
 
 
-def replica(name):
+def endpoint(name):
     return ReplicaPlace(life=ReplicaLife(name), service=SERVICE, address=f"{name}:1")
 
 
 class Daemon:
-    """A guard and its channel; ``dead`` holds the addresses at which nobody listens."""
+    """A guard and its report log; ``exited_addresses`` are those where nothing listens any more."""
 
     def __init__(self, fleet, name):
-        log, self.dead = fleet.log, fleet.dead
-        self.set_aside = []
-        self.asked = 0
-        self.lives = {}
-        """Address to the life that answers there."""
-        self.ledger = CrashLedger()
+        log, self.exited_addresses = fleet.log, fleet.exited_addresses
+        self.ejected = []
+        self.incarnation_queries = 0
+        self.incarnation_by_address = {}
+        """Address to the incarnation that a query there returns."""
+        self.reports = CrashReportStore()
         decisions = DecisionLog(name, write=len)
-        self.channel = CrashChannel(log.client(name), TOPIC, self.ledger, self.note_set_aside, decisions)
-        reporter = CrashReporter(
-            has_ended=self.has_ended,
-            report=self.channel.report,
-            clear=self.channel.clear,
-            set_aside=self.note_set_aside,
-            read_life=self.read_life,
-            is_current=self.channel.is_current,
+        self.report_log = CrashReportLog(
+            log.client(name), TOPIC, self.reports, self.record_ejection, decisions
+        )
+        hooks = CrashGuardHooks(
+            has_exited=self.has_exited,
+            publish=self.report_log.publish,
+            withdraw=self.report_log.withdraw,
+            eject=self.record_ejection,
+            read_incarnation=self.read_incarnation,
+            is_log_current=self.report_log.is_current,
         )
-        self.guard = CrashGuard(self.ledger, reporter, decisions)
+        self.guard = CrashGuard(self.reports, hooks, decisions)
         self.transport = fleet.network.transport(f"{name}:7", "z")
         self.name = member_name(name, self.transport.address, 1.0)
-        self.peers = CrashPeers(self.transport, lambda: fleet.others(self.name), self.channel)
+        self.peers = CrashPeers(self.transport, lambda: fleet.others(self.name), self.report_log)
         self.transport.start(lambda sender, payload: None, self.answer)
         loop = asyncio.get_running_loop()
-        self.tasks = [loop.create_task(part.run()) for part in (self.channel, self.peers)]
+        self.tasks = [loop.create_task(part.run()) for part in (self.report_log, self.peers)]
 
     async def answer(self, sender, method, payload):
         return self.peers.answer(payload)
 
-    def note_set_aside(self, replica, now_s):
-        self.set_aside.append(replica.replica_id)
+    def record_ejection(self, incarnation, now_s):
+        self.ejected.append(incarnation.replica_id)
 
-    async def read_life(self, life, address):
-        self.asked += 1
-        return self.lives.get(address)
+    async def read_incarnation(self, incarnation, address):
+        self.incarnation_queries += 1
+        return self.incarnation_by_address.get(address)
 
-    async def has_ended(self, address):
-        await asyncio.sleep(LOOK_S)
-        return address in self.dead
+    async def has_exited(self, address):
+        await asyncio.sleep(PROBE_S)
+        return address in self.exited_addresses
 
-    def broke_off(self, name, identity=None, error=BROKEN):
-        self.guard.broke_off(identity or request(), replica(name), error)
+    def record_failed_attempt(self, name, identity=None, error=CONNECTION_LOST):
+        self.guard.broke_off(identity or request(), endpoint(name), error)
 
     async def crash(self, *names, identity=None):
+        """Make replicas exit under a request, and wait for the probes."""
         for name in names:
-            self.dead.add(f"{name}:1")
-            self.broke_off(name, identity)
-        await asyncio.sleep(2 * LOOK_S)
+            self.exited_addresses.add(f"{name}:1")
+            self.record_failed_attempt(name, identity)
+        await asyncio.sleep(2 * PROBE_S)
 
 
 class Fleet:
+    """Daemons with one log and one network."""
+
     def __init__(self):
         self.log = MemorySharedLog(seed=1)
         self.network = MemoryNetwork(random.Random(1))
-        self.dead = set()
+        self.exited_addresses = set()
         self.daemons = []
 
     def daemon(self):
@@ -109,8 +120,8 @@
         return self.log.random.sample(others, len(others))
 
 
-def virtually(test):
-    """Run a coroutine test in virtual time."""
+def in_virtual_time(test):
+    """Run a coroutine test with a fleet in virtual time."""
 
     def run():
         run_virtual(test(Fleet()))
@@ -119,8 +130,8 @@
     return run
 
 
-@virtually
-async def test_a_request_is_held_after_its_limit_of_replicas(fleet):
+@in_virtual_time
+async def test_request_is_quarantined_at_its_crash_limit(fleet):
     daemon = fleet.daemon()
     await daemon.crash("r1")
     daemon.guard.check(request())
@@ -128,19 +139,19 @@
     with pytest.raises(RequestQuarantined) as raised:
         daemon.guard.check(request())
     assert raised.value.execution is ExecutionStatus.NOT_RUN
-    assert REPORT_LIFE_S - 1.0 < raised.value.retry_after_s <= REPORT_LIFE_S
-    assert daemon.set_aside == ["r1", "r2"]
+    assert REPORT_LIFETIME_S - 1.0 < raised.value.retry_after_s <= REPORT_LIFETIME_S
+    assert daemon.ejected == ["r1", "r2"]
 
 
-@virtually
-async def test_one_replica_that_several_attempts_broke_off_at_counts_once(fleet):
+@in_virtual_time
+async def test_several_failed_attempts_at_one_crashed_replica_count_once(fleet):
     daemon = fleet.daemon()
     await daemon.crash("r1", "r1", "r1")
     daemon.guard.check(request())
 
 
-@virtually
-async def test_other_content_or_another_tenant_is_another_request(fleet):
+@in_virtual_time
+async def test_request_with_other_content_or_tenant_is_not_quarantined(fleet):
     daemon = fleet.daemon()
     await daemon.crash("r1", "r2", identity=request(tenant="a"))
     assert daemon.guard.is_held(request(tenant="a"))
@@ -149,55 +160,55 @@
     assert not daemon.guard.is_held(request(b"y", tenant="a"))
 
 
-@virtually
-async def test_a_live_replica_and_other_failures_count_for_nothing(fleet):
+@in_virtual_time
+async def test_live_replicas_and_other_errors_are_not_crashes(fleet):
     daemon = fleet.daemon()
     for name in ("r1", "r2", "r3"):
-        daemon.broke_off(name)
-    await asyncio.sleep(2 * LOOK_S)
+        daemon.record_failed_attempt(name)
+    await asyncio.sleep(2 * PROBE_S)
     refused = BackendUnreachable("refused", execution=ExecutionStatus.NOT_RUN)
     late = DeadlineExceeded("late", execution=ExecutionStatus.UNKNOWN)
     for name in ("r4", "r5"):
-        fleet.dead.add(f"{name}:1")
-        daemon.broke_off(name, error=refused)
-        daemon.broke_off(name, error=late)
-    await asyncio.sleep(2 * LOOK_S)
+        fleet.exited_addresses.add(f"{name}:1")
+        daemon.record_failed_attempt(name, error=refused)
+        daemon.record_failed_attempt(name, error=late)
+    await asyncio.sleep(2 * PROBE_S)
     assert not daemon.guard.is_suspect(request())
 
 
-@virtually
-async def test_a_stream_that_ended_early_counts(fleet):
+@in_virtual_time
+async def test_incomplete_stream_of_exited_replica_is_a_crash(fleet):
     daemon = fleet.daemon()
-    fleet.dead.add("r1:1")
-    daemon.broke_off("r1", error=IncompleteAnswer("cut"))
-    await asyncio.sleep(2 * LOOK_S)
+    fleet.exited_addresses.add("r1:1")
+    daemon.record_failed_attempt("r1", error=IncompleteAnswer("cut"))
+    await asyncio.sleep(2 * PROBE_S)
     assert daemon.guard.is_suspect(request())
 
 
-@virtually
-async def test_a_request_is_a_suspect_while_its_replica_is_looked_at(fleet):
+@in_virtual_time
+async def test_request_is_suspect_while_its_replica_is_probed(fleet):
     daemon = fleet.daemon()
-    daemon.broke_off("r1")
+    daemon.record_failed_attempt("r1")
     assert daemon.guard.is_suspect(request())
-    await asyncio.sleep(2 * LOOK_S)
+    await asyncio.sleep(2 * PROBE_S)
     assert not daemon.guard.is_suspect(request())
 
 
-@virtually
-async def test_the_send_that_may_be_one_too_many_waits_for_the_looks(fleet):
+@in_virtual_time
+async def test_send_waits_for_probes_that_may_quarantine_the_request(fleet):
     daemon = fleet.daemon()
-    fleet.dead |= {"r1:1", "r2:1"}
-    daemon.broke_off("r1")
-    began_s = monotonic_s()
+    fleet.exited_addresses |= {"r1:1", "r2:1"}
+    daemon.record_failed_attempt("r1")
+    started_s = monotonic_s()
     await daemon.guard.settled(request())
-    assert monotonic_s() == began_s
-    daemon.broke_off("r2")
+    assert monotonic_s() == started_s
+    daemon.record_failed_attempt("r2")
     await daemon.guard.settled(request())
     assert daemon.guard.is_held(request())
 
 
-@virtually
-async def test_all_daemons_hold_what_one_has_reported(fleet):
+@in_virtual_time
+async def test_reports_of_one_daemon_quarantine_request_at_all_daemons(fleet):
     first, second = fleet.daemon(), fleet.daemon()
     await asyncio.sleep(1.0)
     await first.crash("r1")
@@ -206,15 +217,15 @@
     await asyncio.sleep(0.1)
     assert first.guard.is_held(request())
     assert second.guard.is_held(request())
-    assert first.set_aside == second.set_aside == ["r1", "r2"]
+    assert first.ejected == second.ejected == ["r1", "r2"]
     late = fleet.daemon()
     await asyncio.sleep(0.1)
-    assert late.channel.loaded
+    assert late.report_log.loaded
     assert late.guard.is_held(request())
 
 
-@virtually
-async def test_a_bystander_is_cleared_everywhere_by_its_answer(fleet):
+@in_virtual_time
+async def test_answer_clears_concurrent_request_at_all_daemons(fleet):
     first, second = fleet.daemon(), fleet.daemon()
     await asyncio.sleep(1.0)
     await first.crash("r1", identity=request(b"beside"))
@@ -223,134 +234,142 @@
     second.guard.succeeded(request(b"beside"), SERVICE)
     await asyncio.sleep(0.1)
     assert not first.guard.is_suspect(request(b"beside"))
-    assert fleet.daemon().ledger.crashes(request(b"beside").fingerprint(), 0.0) == 0
+    assert fleet.daemon().reports.count_crashes(request(b"beside").fingerprint(), 0.0) == 0
 
 
-@virtually
-async def test_an_answer_of_another_service_clears_nothing(fleet):
+@in_virtual_time
+async def test_answer_of_another_service_clears_nothing(fleet):
     daemon = fleet.daemon()
     await daemon.crash("r1", "r2")
     daemon.guard.succeeded(request(), "another")
     assert daemon.guard.is_held(request())
 
 
-@virtually
-async def test_a_replica_that_answers_later_has_not_ended(fleet):
-    """As at a daemon that was cut off with refused connections, and then was not any more."""
+@in_virtual_time
+async def test_later_response_clears_reports_of_its_replica(fleet):
+    """A network fault that refuses connections looks like a crash until the replica responds again."""
     first, second = fleet.daemon(), fleet.daemon()
     await asyncio.sleep(1.0)
     before_s = monotonic_s()
     await first.crash("r1", "r2")
     await asyncio.sleep(0.1)
-    second.guard.answered(replica("r1"), began_s=before_s)
+    second.guard.answered(endpoint("r1"), attempt_started_s=before_s)
     assert second.guard.is_held(request())
-    second.guard.answered(replica("r1"), began_s=monotonic_s())
+    second.guard.answered(endpoint("r1"), attempt_started_s=monotonic_s())
     await asyncio.sleep(0.1)
     assert not first.guard.is_held(request())
     assert first.guard.is_suspect(request())
 
 
-def lives(name, *born):
-    return [ReplicaPlace(life=ReplicaLife(name, each), service=SERVICE, address=f"{name}:1") for each in born]
+def endpoints_of(name, *start_times_ms):
+    """Return one endpoint of a replica for each start time."""
+    return [
+        ReplicaPlace(life=ReplicaLife(name, started_ms), service=SERVICE, address=f"{name}:1")
+        for started_ms in start_times_ms
+    ]
 
 
-@virtually
-async def test_the_answer_of_a_later_life_clears_nothing_of_the_life_that_ended(fleet):
+@in_virtual_time
+async def test_response_of_later_incarnation_clears_nothing_of_the_crashed_one(fleet):
     daemon = fleet.daemon()
-    old, new = lives("r1", 10, 20)
-    daemon.dead.add(old.address)
-    daemon.guard.broke_off(request(), old, BROKEN)
+    old, new = endpoints_of("r1", 10, 20)
+    daemon.exited_addresses.add(old.address)
+    daemon.guard.broke_off(request(), old, CONNECTION_LOST)
     await asyncio.sleep(1.0)
-    daemon.dead.clear()
-    daemon.lives[old.address] = new.life
-    daemon.guard.answered(old, began_s=monotonic_s())  # discovery has not told of the new life yet
-    daemon.guard.answered(new, began_s=monotonic_s())
+    daemon.exited_addresses.clear()
+    daemon.incarnation_by_address[old.address] = new.life
+    daemon.guard.answered(
+        old, attempt_started_s=monotonic_s()
+    )  # discovery does not list the new incarnation yet
+    daemon.guard.answered(new, attempt_started_s=monotonic_s())
     await asyncio.sleep(0.1)
-    assert daemon.ledger.crashes(request().fingerprint(), 0.0) == 1
-    daemon.lives[old.address] = old.life
-    await asyncio.sleep(ASK_AGAIN_S)
-    daemon.guard.answered(old, began_s=monotonic_s())
+    assert daemon.reports.count_crashes(request().fingerprint(), 0.0) == 1
+    daemon.incarnation_by_address[old.address] = old.life
+    await asyncio.sleep(QUERY_INTERVAL_S)
+    daemon.guard.answered(old, attempt_started_s=monotonic_s())
     await asyncio.sleep(0.1)
-    assert daemon.ledger.crashes(request().fingerprint(), 0.0) == 0
+    assert daemon.reports.count_crashes(request().fingerprint(), 0.0) == 0
 
 
-@virtually
-async def test_a_replica_that_tells_no_life_is_the_same_once_another_would_be_listed(fleet):
-    """As a plain service, which makes no reports; its replica was cut off and is back."""
+@in_virtual_time
+async def test_replica_without_incarnation_query_counts_as_the_same_after_discovery_delay(fleet):
+    """Replicas of services without reports can not be queried; this one was unreachable and is back."""
     daemon = fleet.daemon()
-    (place,) = lives("r1", 10)
+    (replica_endpoint,) = endpoints_of("r1", 10)
     await asyncio.sleep(0.5)
-    daemon.dead.add(place.address)
-    daemon.guard.broke_off(request(), place, BROKEN)
-    await asyncio.sleep(SETTLED_S - 1.0)
-    daemon.guard.answered(place, began_s=monotonic_s())
+    daemon.exited_addresses.add(replica_endpoint.address)
+    daemon.guard.broke_off(request(), replica_endpoint, CONNECTION_LOST)
+    await asyncio.sleep(MAX_DISCOVERY_DELAY_S - 1.0)
+    daemon.guard.answered(replica_endpoint, attempt_started_s=monotonic_s())
     await asyncio.sleep(0.5)
-    assert daemon.ledger.crashes(request().fingerprint(), 0.0) == 1
+    assert daemon.reports.count_crashes(request().fingerprint(), 0.0) == 1
     await asyncio.sleep(2.0)
-    daemon.guard.answered(msgspec.structs.replace(place, replaced=True), began_s=monotonic_s())
+    daemon.guard.answered(
+        msgspec.structs.replace(replica_endpoint, replaced=True), attempt_started_s=monotonic_s()
+    )
     fleet.log.faults = SharedLogFaults(refusing=True)
-    await asyncio.sleep(CURRENT_S + POLL_S)
-    daemon.guard.answered(place, began_s=monotonic_s())
+    await asyncio.sleep(MAX_CURRENT_AGE_S + POLL_WAIT_S)
+    daemon.guard.answered(replica_endpoint, attempt_started_s=monotonic_s())
     await asyncio.sleep(1.5)
-    assert daemon.ledger.crashes(request().fingerprint(), 0.0) == 1
+    assert daemon.reports.count_crashes(request().fingerprint(), 0.0) == 1
     fleet.log.faults = SharedLogFaults()
-    await asyncio.sleep(POLL_S)
-    daemon.guard.answered(place, began_s=monotonic_s())
+    await asyncio.sleep(POLL_WAIT_S)
+    daemon.guard.answered(replica_endpoint, attempt_started_s=monotonic_s())
     await asyncio.sleep(0.5)
-    assert daemon.ledger.crashes(request().fingerprint(), 0.0) == 0
+    assert daemon.reports.count_crashes(request().fingerprint(), 0.0) == 0
 
 
-@virtually
-async def test_a_replica_that_answers_by_the_hundred_is_asked_once_a_second(fleet):
+@in_virtual_time
+async def test_incarnation_is_queried_about_once_per_second_however_many_responses(fleet):
     daemon = fleet.daemon()
-    (place,) = lives("r1", 10)
-    daemon.dead.add(place.address)
-    daemon.guard.broke_off(request(), place, BROKEN)
+    (replica_endpoint,) = endpoints_of("r1", 10)
+    daemon.exited_addresses.add(replica_endpoint.address)
+    daemon.guard.broke_off(request(), replica_endpoint, CONNECTION_LOST)
     await asyncio.sleep(0.1)
     for _ in range(300):
-        daemon.guard.answered(place, began_s=monotonic_s())
+        daemon.guard.answered(replica_endpoint, attempt_started_s=monotonic_s())
         await asyncio.sleep(0.01)
-    assert 2 <= daemon.asked <= 4
+    assert 2 <= daemon.incarnation_queries <= 4
 
 
-@virtually
-async def test_two_lives_of_one_replica_count_as_two_crashes_at_all_daemons(fleet):
+@in_virtual_time
+async def test_crashes_of_two_incarnations_of_one_replica_count_as_two_at_all_daemons(fleet):
     first, second = fleet.daemon(), fleet.daemon()
     await asyncio.sleep(0.5)
-    for place in lives("r1", 10, 20):
-        first.dead.add(place.address)
-        first.guard.broke_off(request(), place, BROKEN)
+    for replica_endpoint in endpoints_of("r1", 10, 20):
+        first.exited_addresses.add(replica_endpoint.address)
+        first.guard.broke_off(request(), replica_endpoint, CONNECTION_LOST)
         await asyncio.sleep(1.0)
     assert first.guard.is_held(request())
     assert second.guard.is_held(request())
-    assert second.ledger.pairs() == first.ledger.pairs()
+    assert second.reports.report_keys() == first.reports.report_keys()
 
 
-@virtually
-async def test_a_replica_that_is_back_before_the_look_has_ended_nonetheless(fleet):
+@in_virtual_time
+async def test_crash_is_reported_if_replica_restarts_before_the_probe(fleet):
     daemon = fleet.daemon()
-    (old,) = lives("r1", 10)
-    daemon.guard.broke_off(request(), msgspec.structs.replace(old, replaced=True), BROKEN)
+    (old,) = endpoints_of("r1", 10)
+    daemon.guard.broke_off(request(), msgspec.structs.replace(old, replaced=True), CONNECTION_LOST)
     await asyncio.sleep(0.1)
-    assert daemon.ledger.crashes(request().fingerprint(), 0.0) == 1
+    assert daemon.reports.count_crashes(request().fingerprint(), 0.0) == 1
 
 
-@virtually
-async def test_reports_of_before_replicas_told_their_start_still_count(fleet):
-    old = CrashReport(fingerprint="f", replica_id="r1", service=SERVICE, limit=1, at_unix_s=0.0)
+@in_virtual_time
+async def test_reports_without_start_time_are_compatible(fleet):
+    old = CrashReport(fingerprint="f", replica_id="r1", service=SERVICE, crash_limit=1, reported_unix_s=0.0)
     document = msgspec.to_builtins(old)
     del document["born_unix_ms"]
     fleet.log.put_keyed(TOPIC, "f/r1", msgspec.json.encode(document))
     daemon = fleet.daemon()
     await asyncio.sleep(0.5)
-    assert daemon.ledger.pairs() == {("f", ReplicaLife("r1"))}
+    assert daemon.reports.report_keys() == {("f", ReplicaLife("r1"))}
     fleet.log.put_keyed(TOPIC, "f/r1", b"")
     await asyncio.sleep(0.5)
-    assert not len(daemon.ledger)
+    assert not len(daemon.reports)
 
 
-@virtually
-async def test_a_daemon_that_can_not_reach_the_log_holds_by_itself_and_reports_later(fleet):
+@in_virtual_time
+async def test_daemon_without_log_quarantines_locally_and_publishes_later(fleet):
     first, second = fleet.daemon(), fleet.daemon()
     await asyncio.sleep(1.0)
     fleet.log.faults = SharedLogFaults(refusing=True)
@@ -359,57 +378,57 @@
     assert first.guard.is_held(request())
     assert not second.guard.is_held(request())
     fleet.log.faults = SharedLogFaults()
-    await asyncio.sleep(POLL_S + 2.0)
+    await asyncio.sleep(POLL_WAIT_S + 2.0)
     assert second.guard.is_held(request())
 
 
-@virtually
-async def test_daemons_that_the_log_does_not_answer_tell_each_other(fleet):
-    """Without this each of them lets a request end as many replicas as its limit."""
+@in_virtual_time
+async def test_daemons_without_log_exchange_reports_directly(fleet):
+    """Otherwise a request could crash as many replicas as its limit at each of them."""
     daemons = [fleet.daemon() for _ in range(6)]
     await asyncio.sleep(1.0)
     fleet.log.faults = SharedLogFaults(refusing=True)
     await daemons[0].crash("r1", "r2")
-    await asyncio.sleep(CURRENT_S + 4 * EXCHANGE_GAP_S)
+    await asyncio.sleep(MAX_CURRENT_AGE_S + 4 * EXCHANGE_INTERVAL_S)
     assert all(daemon.guard.is_held(request()) for daemon in daemons)
     daemons[1].guard.succeeded(request(), SERVICE)
-    await asyncio.sleep(4 * EXCHANGE_GAP_S)
+    await asyncio.sleep(4 * EXCHANGE_INTERVAL_S)
     assert not daemons[1].guard.is_suspect(request())
     fleet.log.faults = SharedLogFaults()
-    await asyncio.sleep(POLL_S + 2.0)
+    await asyncio.sleep(POLL_WAIT_S + 2.0)
     assert not any(daemon.guard.is_suspect(request()) for daemon in daemons)
 
 
-@virtually
-async def test_a_daemon_that_is_cut_off_from_the_log_writes_its_reports_through_others(fleet):
+@in_virtual_time
+async def test_daemon_cut_off_from_log_publishes_reports_through_peers(fleet):
     daemons = [fleet.daemon() for _ in range(6)]
     await asyncio.sleep(1.0)
     fleet.log.cut_off.add("d0")
     await daemons[0].crash("r1", "r2")
-    await asyncio.sleep(CURRENT_S + 2 * EXCHANGE_GAP_S + 0.2)
+    await asyncio.sleep(MAX_CURRENT_AGE_S + 2 * EXCHANGE_INTERVAL_S + 0.2)
     assert all(daemon.guard.is_held(request()) for daemon in daemons)
     assert len(fleet.log.newest(TOPIC)) == 2
 
 
-@virtually
-async def test_a_held_request_is_tried_again_when_its_reports_expire_and_one_more_crash_holds_it(fleet):
+@in_virtual_time
+async def test_quarantine_ends_when_a_report_expires_and_returns_with_one_more_crash(fleet):
     first, second = fleet.daemon(), fleet.daemon()
     await asyncio.sleep(1.0)
     await first.crash("r1")
-    await asyncio.sleep(REPORT_LIFE_S / 2)
+    await asyncio.sleep(REPORT_LIFETIME_S / 2)
     await first.crash("r2")
     assert first.guard.is_held(request())
-    await asyncio.sleep(REPORT_LIFE_S / 2)
+    await asyncio.sleep(REPORT_LIFETIME_S / 2)
     assert not second.guard.is_held(request())
     await second.crash("r3")
     await asyncio.sleep(0.1)
     assert first.guard.is_held(request())
-    assert first.ledger.pairs() == second.ledger.pairs()
-    assert len(first.ledger) == 2
+    assert first.reports.report_keys() == second.reports.report_keys()
+    assert len(first.reports) == 2
 
 
-@virtually
-async def test_reports_that_were_cleared_while_the_history_was_lost_are_dropped(fleet):
+@in_virtual_time
+async def test_snapshot_removes_reports_withdrawn_in_lost_history(fleet):
     first, second = fleet.daemon(), fleet.daemon()
     await asyncio.sleep(1.0)
     await first.crash("r1", "r2")
@@ -419,114 +438,115 @@
     await asyncio.sleep(1.0)
     fleet.log.drop_history(TOPIC)
     fleet.log.cut_off.clear()
-    await asyncio.sleep(2 * POLL_S)
+    await asyncio.sleep(2 * POLL_WAIT_S)
     assert not second.guard.is_suspect(request())
 
 
-def ledger_of(limit=2, **crashes):
-    """Return a ledger with the replicas that ended under each request."""
-    ledger = CrashLedger()
+def store_of(limit=2, **crashes):
+    """Return a store; each argument is a request, its value the replicas that crashed under it."""
+    store = CrashReportStore()
     for fingerprint, replica_ids in crashes.items():
         for replica_id in replica_ids.split():
-            ledger.add(
+            store.add(
                 CrashReport(
                     fingerprint=fingerprint,
                     replica_id=replica_id,
                     service=SERVICE,
-                    limit=limit,
-                    at_unix_s=0.0,
+                    crash_limit=limit,
+                    reported_unix_s=0.0,
                 ),
                 now_s=0.0,
             )
-    return ledger
+    return store
 
 
-def held(ledger):
-    return {fingerprint for fingerprint, _ in ledger.pairs() if ledger.held_for_s(fingerprint, 1.0)}
+def quarantined(store):
+    return {
+        fingerprint for fingerprint, _ in store.report_keys() if store.quarantined_for_s(fingerprint, 1.0)
+    }
 
 
 @pytest.mark.parametrize(
     ("crashes", "expected"),
     [
         ({"cause": "r1 r2"}, {"cause"}),
-        ({"cause": "r1 r2", "beside": "r1"}, {"cause"}),
-        ({"cause": "r1 r2", "beside": "r1 r2"}, {"cause", "beside"}),
-        ({"cause": "r1 r2 r3", "beside": "r1 r2"}, {"cause"}),
-        ({"cause": "r1 r2 r3", "beside": "r1 r2 r4"}, {"cause", "beside"}),
-        ({"first": "r1 r3", "second": "r2 r4", "beside": "r1 r2"}, {"first", "second"}),
+        ({"cause": "r1 r2", "concurrent": "r1"}, {"cause"}),
+        ({"cause": "r1 r2", "concurrent": "r1 r2"}, {"cause", "concurrent"}),
+        ({"cause": "r1 r2 r3", "concurrent": "r1 r2"}, {"cause"}),
+        ({"cause": "r1 r2 r3", "concurrent": "r1 r2 r4"}, {"cause", "concurrent"}),
+        ({"first": "r1 r3", "second": "r2 r4", "concurrent": "r1 r2"}, {"first", "second"}),
         ({"cause": "r1 r2", "abandoned": "r1", "another": "r2"}, {"cause"}),
     ],
     ids=[
         "alone",
-        "a bystander of one crash",
+        "concurrent request in one crash",
         "no way to tell them apart",
-        "the cause has ended one more alone",
+        "the cause has crashed one more replica alone",
         "so has the other",
-        "a bystander of two causes",
-        "bystanders that were never sent again",
+        "concurrent with two causes",
+        "concurrent requests that were never retried",
     ],
 )
-def test_crashes_that_other_causes_explain_hold_nothing(crashes, expected):
-    assert held(ledger_of(**crashes)) == expected
+def test_crashes_explained_by_other_requests_do_not_quarantine(crashes, expected):
+    assert quarantined(store_of(**crashes)) == expected
 
 
 @pytest.mark.parametrize(
     ("crashes", "expected"),
     [
         ({"cause": "r1 r2 r3"}, {"cause"}),
-        ({"cause": "r1 r2 r3", "beside": "r1 r2"}, {"cause"}),
-        ({"cause": "r1 r2 r3", "beside": "r1 r2 r3"}, set()),
-        ({"cause": "r1 r2 r3 r4", "beside": "r1 r2 r3"}, {"cause"}),
-        ({"cause": "r1 r2 r3 r4", "beside": "r1 r2 r3 r4"}, {"cause", "beside"}),
+        ({"cause": "r1 r2 r3", "concurrent": "r1 r2"}, {"cause"}),
+        ({"cause": "r1 r2 r3", "concurrent": "r1 r2 r3"}, set()),
+        ({"cause": "r1 r2 r3 r4", "concurrent": "r1 r2 r3"}, {"cause"}),
+        ({"cause": "r1 r2 r3 r4", "concurrent": "r1 r2 r3 r4"}, {"cause", "concurrent"}),
         (
-            {"beside": "r1 r2 r4", "first": "r1 r2 r7", "second": "r4 r8 r9", "third": "r7 r8 r11"},
+            {"concurrent": "r1 r2 r4", "first": "r1 r2 r7", "second": "r4 r8 r9", "third": "r7 r8 r11"},
             {"second", "third"},
         ),
     ],
     ids=[
         "alone",
-        "a bystander of two crashes",
-        "no way to tell them apart, so both run once more, apart",
-        "the cause has ended one more",
+        "concurrent request in two crashes",
+        "no way to tell them apart, so both run once more in isolation",
+        "the cause has crashed one more replica",
         "so has the other",
-        "bystanders of causes that were never alone",
+        "concurrent with causes that were never alone",
     ],
 )
-def test_items_that_crashed_in_company_only_run_once_more(crashes, expected):
-    """Seen on a busy machine: an item that had run beside a cause each time was held for 10 minutes.
+def test_items_that_never_crashed_a_replica_alone_run_once_more(crashes, expected):
+    """Guards against quarantining an item that ran concurrently with two causes at each crash.
 
-    Its causes had ended no replica alone, as two of them were at work at each, so nothing explained its
-    crashes: 2 of 24 runs of the test of many causes lost an item.  The last row is one of them.
+    No cause has crashed a replica alone then, so none of them explains the item's crashes (last row).
     """
-    assert held(ledger_of(limit=ITEM_CRASH_LIMIT, **crashes)) == expected
+    assert quarantined(store_of(limit=ITEM_CRASH_LIMIT, **crashes)) == expected
 
 
-def test_the_ledger_is_bounded_and_forgets_the_oldest_first(monkeypatch):
-    monkeypatch.setattr(ledgers, "MOST_REPORTS", 3)
-    ledger = CrashLedger()
+def test_store_is_bounded_and_drops_oldest_reports_first(monkeypatch):
+    monkeypatch.setattr(ledger, "MAX_REPORTS", 3)
+    reports = CrashReportStore()
     for number in range(5):
         report = CrashReport(
-            fingerprint=f"f{number}", replica_id="r", service=SERVICE, limit=2, at_unix_s=float(number)
+            fingerprint=f"f{number}",
+            replica_id="r",
+            service=SERVICE,
+            crash_limit=2,
+            reported_unix_s=float(number),
         )
-        assert ledger.add(report, now_s=0.0)
-    assert ledger.pairs() == {(name, ReplicaLife("r")) for name in ("f2", "f3", "f4")}
-    assert len(ledger) == 3
-
+        assert reports.add(report, now_s=0.0)
+    assert reports.report_keys() == {(name, ReplicaLife("r")) for name in ("f2", "f3", "f4")}
+    assert len(reports) == 3
 
-@virtually
-async def test_the_place_of_a_last_chance_is_known_at_all_daemons(fleet):
-    """Seen with jobs at several daemons: items were held that had only run beside causes.
 
-    Before its last chance an item was kept apart from the others of its daemon, and shared the replica with
-    those of other daemons, the cause of the next crash among them; so the crash counted against both.
-    """
+@in_virtual_time
+async def test_isolated_runs_are_known_at_all_daemons(fleet):
+    """Otherwise isolated runs of different daemons share a replica, and a crash counts against both."""
     first, second = fleet.daemon(), fleet.daemon()
-    cause, beside = (request(body=body, crash_limit=ITEM_CRASH_LIMIT) for body in (b"cause", b"beside"))
-    for identity in (cause, beside):
+    cause, concurrent = (request(body=body, crash_limit=ITEM_CRASH_LIMIT) for body in (b"cause", b"beside"))
+    for identity in (cause, concurrent):
         await first.crash("r1", "r2", identity=identity)
     first.guard.placed(cause, ReplicaLife("r3"))
     await asyncio.sleep(0.5)
-    assert second.guard.apart_from(beside) == {ReplicaLife("r3")}
+    assert second.guard.apart_from(concurrent) == {ReplicaLife("r3")}
     first.guard.left(cause)
     await asyncio.sleep(0.5)
-    assert second.guard.apart_from(beside) == frozenset()
+    assert second.guard.apart_from(concurrent) == frozenset()
