--- a/tests/crashing_world.py
+++ b/tests/crashing_world.py
@@ -1,4 +1,4 @@
-"""Several daemons over one log, and replicas that a request can end; they come back, mostly under new ids."""
+"""Daemons over one log, and replicas that a request can crash; crashed replicas restart."""
 
 import asyncio
 import contextlib
@@ -12,48 +12,51 @@
 from tests.test_platform_daemon import HOST, World, start_daemon_anywhere
 
 CRASHING_BODY = b"crash"
-BACK_AFTER_S = 0.4
-"""Time for which a replica is away that a request has ended."""
+RESTART_DELAY_S = 0.4
+"""Time after which a crashed replica restarts."""
 
 
 class CrashingWorld(World):
-    """Stand-ins and daemons, in one loop; the body ``crash`` ends the replica that runs it."""
+    """Stand-ins and daemons in one loop; a body in ``crashing_bodies`` crashes the replica that runs it."""
 
     def __init__(self):
         super().__init__()
         self.daemons = []
         self.tasks = []
-        self.restarts = []
+        self.restart_tasks = []
         self.ended = []
-        """Replicas that a request has ended, in order."""
-        self.started = 0
+        """Crashed replicas, in the order of their crashes."""
+        self.started_count = 0
+        """Number of replica processes started."""
         self.crashing_bodies = {CRASHING_BODY}
         self.crashing_loads = set()
-        """Models and versions whose load ends a replica."""
-        self.same_ids = False
-        """Whether replicas start again under the identifier that they had, and tell when they started."""
+        """Pairs of model and version whose load crashes a replica."""
+        self.keep_replica_ids = False
+        """Whether replicas restart with the same replica ID and report their start time."""
 
     def add_replica(self, service="app", port=0, replica_id="", **fields):
-        """Start a replica; every life has an id of its own, or at least a start of its own."""
-        self.started += 1
+        """Start a replica with its own replica ID or, with ``keep_replica_ids``, its own start time."""
+        self.started_count += 1
         fields.setdefault("work_s", 0.03)
-        born = 1_000 + self.started if self.same_ids else 0
-        replica = stand_ins.Replica(self.log, replica_id or f"i-{self.started}", service, born=born, **fields)
+        start_time_ms = 1_000 + self.started_count if self.keep_replica_ids else 0
+        replica = stand_ins.Replica(
+            self.log, replica_id or f"i-{self.started_count}", service, born=start_time_ms, **fields
+        )
         replica.crash_on = lambda request: request.body in self.crashing_bodies
         replica.crash_on_load = lambda model, version: (model, version) in self.crashing_loads
-        replica.on_end = lambda ended: self._note_end(ended, fields)
+        replica.on_end = lambda crashed: self._record_crash(crashed, fields)
         self.replicas[replica.replica_id] = replica.start(port)
         return replica
 
-    def _note_end(self, replica, fields):
+    def _record_crash(self, replica, fields):
         self.ended.append(replica)
         task = asyncio.get_running_loop().create_task(self._restart(replica, fields))
-        self.restarts.append(task)
+        self.restart_tasks.append(task)
 
     async def _restart(self, replica, fields):
-        await asyncio.sleep(BACK_AFTER_S)
+        await asyncio.sleep(RESTART_DELAY_S)
         port = int(replica.address.rpartition(":")[2])
-        if self.same_ids:
+        if self.keep_replica_ids:
             self.add_replica(replica.service, port, replica.replica_id, **fields)
             return
         self.log.put("keyed.servers", replica.replica_id, None)
@@ -61,23 +64,23 @@
 
     async def start_daemons(self, count):
         for _ in range(count):
-            await self.start_one(f"d{len(self.daemons) + 1}")
+            await self.start_named_daemon(f"d{len(self.daemons) + 1}")
         await self.until(lambda: all(daemon.ready() for daemon in self.daemons))
 
-    async def start_one(self, name):
+    async def start_named_daemon(self, name):
         daemon, task = await start_daemon_anywhere(name, self.log.address)
         self.daemons.append(daemon)
         self.tasks.append(task)
 
     async def kill_daemons(self):
-        """End all daemons without a word; what they knew is gone."""
+        """Kill all daemons; their state in memory is lost."""
         for task in self.tasks:
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
         self.daemons, self.tasks = [], []
 
-    async def ask(self, daemon, body, request_id, path="/call/x", method="POST", **headers):
-        """Return the status of a request; None when the connection ended without an answer."""
+    async def send_request(self, daemon, body, request_id, path="/call/x", method="POST", **headers):
+        """Send a request; return its answer, or None if the connection ended without one."""
         call = HttpCall(
             method=method,
             url=f"http://{daemon.settings.front_address}{path}",
@@ -90,36 +93,38 @@
             return await self.http.fetch(call)
         return None
 
-    async def crash_again_and_again(self, times, gap_s, prefix="crash", path="/call/x"):
-        """Send the crashing request as several tries, to one daemon after the other."""
+    async def send_crashing_request(self, times, gap_s, prefix="crash", path="/call/x"):
+        """Send the crashing request several times, to the daemons in turn; return the answers."""
         answers = []
         for number in range(times):
             daemon = self.daemons[number % len(self.daemons)]
-            answers.append(await self.ask(daemon, CRASHING_BODY, f"{prefix}-{number}", path))
+            answers.append(await self.send_request(daemon, CRASHING_BODY, f"{prefix}-{number}", path))
             await asyncio.sleep(gap_s)
         return answers
 
     async def hosts_of(self, daemon, hosts):
-        """Return the hosts whose jobs a daemon owns."""
-        parts = daemon.settings.log_parts
-        await self.until(lambda: any(daemon.shards.watches(part) for part in range(parts)))
-        return [host for host in hosts if daemon.shards.watches(partition_of(host, parts))]
+        """Return those of the hosts whose jobs a daemon owns."""
+        partitions = daemon.settings.log_parts
+        await self.until(lambda: any(daemon.shards.watches(partition) for partition in range(partitions)))
+        return [host for host in hosts if daemon.shards.watches(partition_of(host, partitions))]
 
     async def submit_to(self, host, job_id, items):
-        """Submit a job under a host, which then is asked for results."""
+        """Submit a job under a host; later calls of the world for results go to that host."""
         self.daemon, self.host = self.daemons[0], host
-        answer = await self.ask(self.daemon, stand_ins.job_body(items), job_id, "/stream/j", Host=host)
+        answer = await self.send_request(
+            self.daemon, stand_ins.job_body(items), job_id, "/stream/j", Host=host
+        )
         assert answer.status == 202
 
     async def close(self):
         await self.kill_daemons()
-        for task in self.restarts:
+        for task in self.restart_tasks:
             task.cancel()
         await super().close()
 
 
 def in_crashing_world(test):
-    """Run a coroutine test with such a world."""
+    """Run a coroutine test with a `CrashingWorld` as its first argument."""
 
     @functools.wraps(test)
     def run(**parameters):
@@ -132,6 +137,6 @@
 
         asyncio.run(main())
 
-    taken = list(inspect.signature(test).parameters.values())[1:]
-    run.__signature__ = inspect.Signature(taken)
+    parameters = list(inspect.signature(test).parameters.values())[1:]
+    run.__signature__ = inspect.Signature(parameters)
     return run
