--- a/passgate/discovery/records.py
+++ b/passgate/discovery/records.py
@@ -18,13 +18,13 @@
 
 import msgspec
 
-from passgate.discovery.view import DiscoveryNews
+from passgate.discovery.view import ReplicaUpdate
 from passgate.errors import MalformedRecord
 from passgate.sharedlog.log import KeyedRecord
 
-PARTS = 16
+LIST_PARTS = 16
 """Parts of the list.  One of 3,000 replicas takes about 4 KB, so 150,000 replicas fit into records."""
-COMPRESSION = 6
+COMPRESSION_LEVEL = 6
 """The library's default; a list of 3,000 replicas shrinks from 0.6 MB to a ninth."""
 
 Content = TypeVar("Content", bound=msgspec.Struct)
@@ -35,7 +35,7 @@
 
     relay: str
     """The daemon that appended it."""
-    changes: tuple[DiscoveryNews, ...] = ()
+    changes: tuple[ReplicaUpdate, ...] = ()
     unreadable: int = 0
     """Changes of the record that could not be read."""
 
@@ -48,7 +48,7 @@
     """Offset in discovery up to which the part is whole: a replica that it lacks was gone then."""
     changes_from: int
     """Offset in the topic of changes from which on they are not in the part."""
-    replicas: tuple[DiscoveryNews, ...] = ()
+    replicas: tuple[ReplicaUpdate, ...] = ()
     unreadable: int = 0
     """Replicas of the part that could not be read."""
 
@@ -67,18 +67,18 @@
 
 def part_of(replica_id: str) -> int:
     """Return the part of the list that holds a replica."""
-    return zlib.crc32(replica_id.encode()) % PARTS
+    return zlib.crc32(replica_id.encode()) % LIST_PARTS
 
 
 def encode_part(part: ListPart) -> KeyedRecord:
     """Return the record of a part."""
-    return KeyedRecord(key=str(part.part), value=_pack(part))
+    return KeyedRecord(key=str(part.part), value=_compress(part))
 
 
 def decode_part(record: KeyedRecord) -> ListPart:
     """Return the part of a record, without replicas that can't be read; raises MalformedRecord."""
-    part = _unpack(record.value, _PartRecord)
-    replicas = _readable(part.replicas)
+    part = _decompress(record.value, _PartRecord)
+    replicas = _decode_readable(part.replicas)
     return ListPart(
         part=part.part,
         at=part.at,
@@ -90,30 +90,30 @@
 
 def encode_changes(changes: RelayedChanges) -> bytes:
     """Return the record of changes."""
-    return _pack(changes)
+    return _compress(changes)
 
 
 def decode_changes(record: bytes) -> RelayedChanges:
     """Return the changes of a record, without those that can't be read; raises MalformedRecord."""
-    told = _unpack(record, _ChangesRecord)
-    changes = _readable(told.changes)
+    told = _decompress(record, _ChangesRecord)
+    changes = _decode_readable(told.changes)
     return RelayedChanges(relay=told.relay, changes=changes, unreadable=len(told.changes) - len(changes))
 
 
-def _readable(rows: list[msgspec.Raw]) -> tuple[DiscoveryNews, ...]:
+def _decode_readable(rows: list[msgspec.Raw]) -> tuple[ReplicaUpdate, ...]:
     """Return the news that can be read; one that can't must not cost the others."""
     news = []
     for row in rows:
         with contextlib.suppress(msgspec.DecodeError, RecursionError):  # the caller counts what is left out
-            news.append(msgspec.json.decode(row, type=DiscoveryNews))
+            news.append(msgspec.json.decode(row, type=ReplicaUpdate))
     return tuple(news)
 
 
-def _pack(content: msgspec.Struct) -> bytes:
-    return zlib.compress(msgspec.json.encode(content), COMPRESSION)
+def _compress(content: msgspec.Struct) -> bytes:
+    return zlib.compress(msgspec.json.encode(content), COMPRESSION_LEVEL)
 
 
-def _unpack(data: bytes, kind: type[Content]) -> Content:
+def _decompress(data: bytes, kind: type[Content]) -> Content:
     try:
         return msgspec.json.decode(zlib.decompress(data), type=kind)
     except (zlib.error, msgspec.DecodeError, RecursionError) as error:
--- a/passgate/discovery/relay.py
+++ b/passgate/discovery/relay.py
@@ -16,34 +16,34 @@
 
 from passgate.clock import monotonic_s
 from passgate.discovery.records import (
-    PARTS,
+    LIST_PARTS,
     ListPart,
     RelayedChanges,
     encode_changes,
     encode_part,
     part_of,
 )
-from passgate.discovery.view import DiscoveryNews, DiscoveryView
+from passgate.discovery.view import DiscoveryView, ReplicaUpdate
 from passgate.errors import LogError
 from passgate.sharedlog.log import KeyedRecord, SharedLog
 
 logger = logging.getLogger("passgate.discovery")
 
-HEARTBEAT_S = 0.5
+HEARTBEAT_INTERVAL_S = 0.5
 """Time between records of the first relay; a third of the silence after which it counts as gone."""
-SILENT_S = 1.5
+RELAY_TIMEOUT_S = 1.5
 """A relay that has appended nothing for this long counts as gone."""
 BACKUP_DELAY_S = 0.7
 """Time that the other relays leave to the first for a change: a pause of its reads, an append, and most
 of a pause of theirs.  A change that the first one's end has left out is known everywhere after 1.8 s."""
-MOST_CHANGES = 1000
+MAX_CHANGES_PER_RECORD = 1000
 """Changes in one record; compressed they take some 21 of the 256 KB that a record may hold."""
-PART_GAP_S = 2.0
+PART_REWRITE_INTERVAL_S = 2.0
 """Time between two rewritten parts of the list.  All are rewritten within 32 s, so a daemon that starts
 reads the changes of half a minute, and parts outlive the 300 s for which the log keeps changes."""
 
 
-class Progress(msgspec.Struct, frozen=True, kw_only=True):
+class ReadProgress(msgspec.Struct, frozen=True, kw_only=True):
     """How far a relay has read."""
 
     entries_read: int
@@ -74,38 +74,38 @@
         self._list_topic = list_topic
         self._view = view
         self._daemon_id = daemon_id
-        self._heard_s: dict[str, float] = {}
+        self._last_contact_s_by_relay: dict[str, float] = {}
         """Other relays, and when each appended last."""
-        self._appended_at: dict[str, int] = {}
+        self._appended_offset_by_replica_id: dict[str, int] = {}
         """Replica to the newest offset in discovery that stands in the topic of changes."""
-        self._waiting: dict[str, tuple[DiscoveryNews, float]] = {}
+        self._pending_by_replica_id: dict[str, tuple[ReplicaUpdate, float]] = {}
         """Changes that are to be appended, with the loop time since when."""
-        self._beat_s = float("-inf")
-        self._part_s = float("-inf")
+        self._last_record_s = float("-inf")
+        self._last_part_rewrite_s = float("-inf")
         self._next_part = 0
-        self._written_from: dict[int, int] = {}
+        self._changes_offset_by_part: dict[int, int] = {}
         """Part of the list to the offset of the changes that it lacks, as this relay wrote it last."""
 
-    def begin(self) -> None:
+    def start(self) -> None:
         """Relay from now on; all parts are written anew, as nobody may have done so for long."""
-        self._waiting.clear()
-        self._written_from.clear()
+        self._pending_by_replica_id.clear()
+        self._changes_offset_by_part.clear()
 
     async def drop_list(self) -> None:
         """Drop the list from the log, as it is short now and each daemon reads it itself."""
-        drops = [KeyedRecord(key=str(number), value=b"") for number in range(PARTS)]
+        drops = [KeyedRecord(key=str(number), value=b"") for number in range(LIST_PARTS)]
         try:
             await self._log.append(self._list_topic, 0, [self._log.encode_keyed(drop) for drop in drops])
         except LogError as error:
             logger.info("replica_list_not_dropped", extra={"error": str(error)})
 
-    def changed(self, changes: list[DiscoveryNews]) -> None:
+    def add_changes(self, changes: list[ReplicaUpdate]) -> None:
         """Note what has changed in discovery."""
         now_s = monotonic_s()
         for news in changes:
-            self._waiting[news.replica_id] = (news, now_s)
+            self._pending_by_replica_id[news.replica_id] = (news, now_s)
 
-    def heard(self, changes: RelayedChanges, fresh: bool) -> None:
+    def record_appended(self, changes: RelayedChanges, fresh: bool) -> None:
         """Note what stands in the topic of changes, from this or another relay.
 
         Args:
@@ -113,71 +113,77 @@
             fresh: whether it was appended just now, so that its relay lives.
         """
         for news in changes.changes:
-            self._appended_at[news.replica_id] = max(news.at, self._appended_at.get(news.replica_id, -1))
+            self._appended_offset_by_replica_id[news.replica_id] = max(
+                news.at, self._appended_offset_by_replica_id.get(news.replica_id, -1)
+            )
         if not fresh:
             return
-        self._beat_s = monotonic_s()
+        self._last_record_s = monotonic_s()
         if changes.relay != self._daemon_id:
-            self._heard_s[changes.relay] = self._beat_s
+            self._last_contact_s_by_relay[changes.relay] = self._last_record_s
 
     @property
-    def has_unappended(self) -> bool:
+    def has_pending_changes(self) -> bool:
         """Whether the others don't know yet all that this daemon does."""
-        return bool(self._waiting)
+        return bool(self._pending_by_replica_id)
 
-    def hears_others(self) -> bool:
+    def are_others_alive(self) -> bool:
         """Whether another relay lives."""
-        return bool(self._others(monotonic_s()))
+        return bool(self._live_relays(monotonic_s()))
 
-    async def step(self, progress: Progress) -> None:
+    async def append_due(self, read_progress: ReadProgress) -> None:
         """Append what is due."""
         now_s = monotonic_s()
         is_first = self._is_first(now_s)
-        due = self._due(now_s if is_first else now_s - BACKUP_DELAY_S)
+        due = self._due_changes(now_s if is_first else now_s - BACKUP_DELAY_S)
         try:
-            if due or now_s - self._beat_s >= (HEARTBEAT_S if is_first else SILENT_S):
+            if due or now_s - self._last_record_s >= (HEARTBEAT_INTERVAL_S if is_first else RELAY_TIMEOUT_S):
                 await self._append_changes(due)
             if is_first:
-                await self._write_parts(now_s, progress)
+                await self._write_due_parts(now_s, read_progress)
         except LogError as error:
             logger.info("relay_failed", extra={"error": str(error)})
-        self._forget(now_s)
+        self._drop_stale_state(now_s)
 
-    def _others(self, now_s: float) -> list[str]:
-        return [name for name, heard_s in self._heard_s.items() if now_s - heard_s < SILENT_S]
+    def _live_relays(self, now_s: float) -> list[str]:
+        return [
+            name
+            for name, heard_s in self._last_contact_s_by_relay.items()
+            if now_s - heard_s < RELAY_TIMEOUT_S
+        ]
 
     def _is_first(self, now_s: float) -> bool:
-        names = [*self._others(now_s), self._daemon_id]
+        names = [*self._live_relays(now_s), self._daemon_id]
         return min(names, key=lambda name: zlib.crc32(name.encode())) == self._daemon_id
 
-    async def _append_changes(self, due: list[DiscoveryNews]) -> None:
+    async def _append_changes(self, due: list[ReplicaUpdate]) -> None:
         """Append changes, or that there are none."""
-        self._beat_s = monotonic_s()
-        for first in range(0, max(len(due), 1), MOST_CHANGES):
-            batch = tuple(due[first : first + MOST_CHANGES])
+        self._last_record_s = monotonic_s()
+        for first in range(0, max(len(due), 1), MAX_CHANGES_PER_RECORD):
+            batch = tuple(due[first : first + MAX_CHANGES_PER_RECORD])
             record = encode_changes(RelayedChanges(relay=self._daemon_id, changes=batch))
             await self._log.append(self._changes_topic, 0, [record])
             for news in batch:
-                self._drop_appended(news)
+                self._remove_pending(news)
 
-    def _due(self, until_s: float) -> list[DiscoveryNews]:
+    def _due_changes(self, until_s: float) -> list[ReplicaUpdate]:
         """Return the changes known until a loop time that no relay has appended."""
-        for news, _ in list(self._waiting.values()):
-            if self._appended_at.get(news.replica_id, -1) >= news.at:
-                self._drop_appended(news)
-        return [news for news, since_s in self._waiting.values() if since_s <= until_s]
+        for news, _ in list(self._pending_by_replica_id.values()):
+            if self._appended_offset_by_replica_id.get(news.replica_id, -1) >= news.at:
+                self._remove_pending(news)
+        return [news for news, since_s in self._pending_by_replica_id.values() if since_s <= until_s]
 
-    def _drop_appended(self, news: DiscoveryNews) -> None:
-        waiting = self._waiting.get(news.replica_id)
+    def _remove_pending(self, news: ReplicaUpdate) -> None:
+        waiting = self._pending_by_replica_id.get(news.replica_id)
         if waiting is not None and waiting[0].at <= news.at:
-            del self._waiting[news.replica_id]
+            del self._pending_by_replica_id[news.replica_id]
 
-    async def _write_parts(self, now_s: float, progress: Progress) -> None:
-        numbers = self._parts_to_write(now_s, progress.changes_kept)
+    async def _write_due_parts(self, now_s: float, progress: ReadProgress) -> None:
+        numbers = self._due_parts(now_s, progress.changes_kept)
         if not numbers:
             return
-        replicas: dict[int, list[DiscoveryNews]] = {number: [] for number in numbers}
-        for news in self._view.news():
+        replicas: dict[int, list[ReplicaUpdate]] = {number: [] for number in numbers}
+        for news in self._view.updates():
             if (number := part_of(news.replica_id)) in replicas:
                 replicas[number].append(news)
         parts = [
@@ -192,22 +198,30 @@
         records = [self._log.encode_keyed(encode_part(part)) for part in parts]
         await self._log.append(self._list_topic, 0, records)
         for part in parts:
-            self._written_from[part.part] = part.changes_from
+            self._changes_offset_by_part[part.part] = part.changes_from
 
-    def _parts_to_write(self, now_s: float, changes_kept: int) -> list[int]:
+    def _due_parts(self, now_s: float, changes_kept: int) -> list[int]:
         """Return the parts that nobody can follow any more, and now and then one more."""
-        numbers = {number for number in range(PARTS) if self._written_from.get(number, -1) < changes_kept}
-        if now_s - self._part_s >= PART_GAP_S:
-            self._part_s = now_s
+        numbers = {
+            number
+            for number in range(LIST_PARTS)
+            if self._changes_offset_by_part.get(number, -1) < changes_kept
+        }
+        if now_s - self._last_part_rewrite_s >= PART_REWRITE_INTERVAL_S:
+            self._last_part_rewrite_s = now_s
             numbers.add(self._next_part)
-            self._next_part = (self._next_part + 1) % PARTS
+            self._next_part = (self._next_part + 1) % LIST_PARTS
         return sorted(numbers)
 
-    def _forget(self, now_s: float) -> None:
+    def _drop_stale_state(self, now_s: float) -> None:
         """Drop relays that are gone, and offsets of replicas that are."""
-        self._heard_s = {
-            name: heard_s for name, heard_s in self._heard_s.items() if now_s - heard_s < SILENT_S
+        self._last_contact_s_by_relay = {
+            name: heard_s
+            for name, heard_s in self._last_contact_s_by_relay.items()
+            if now_s - heard_s < RELAY_TIMEOUT_S
         }
-        if len(self._appended_at) > 2 * len(self._view) + MOST_CHANGES:
+        if len(self._appended_offset_by_replica_id) > 2 * len(self._view) + MAX_CHANGES_PER_RECORD:
             known = set(self._view.replica_ids())
-            self._appended_at = {name: at for name, at in self._appended_at.items() if name in known}
+            self._appended_offset_by_replica_id = {
+                name: at for name, at in self._appended_offset_by_replica_id.items() if name in known
+            }
--- a/passgate/discovery/service.py
+++ b/passgate/discovery/service.py
@@ -12,9 +12,9 @@
 
 from passgate.clock import monotonic_s
 from passgate.decisions import DecisionLog, DiscoveryLoaded, RelayChanged
-from passgate.discovery.relay import Progress, Relay
+from passgate.discovery.relay import ReadProgress, Relay
 from passgate.discovery.relayed_list import RelayedList
-from passgate.discovery.view import DiscoveryNews, DiscoveryView
+from passgate.discovery.view import DiscoveryView, ReplicaUpdate
 from passgate.eligibility.replica_info import ReplicaInfo
 from passgate.errors import LogError, MalformedRecord
 from passgate.sharedlog.log import KeyedRecord, SharedLog
@@ -24,15 +24,15 @@
 
 DIRECT_LIMIT = 200
 """Replicas up to which each daemon reads discovery itself."""
-DIRECT_AGAIN = 0.75
+DIRECT_RETURN_SHARE = 0.75
 """Share of the limit below which a list that was long counts as short."""
-TICK_S = 0.25
+UPDATE_INTERVAL_S = 0.25
 """Time between looks at what has to change; a quarter of the shortest silence that is judged."""
-RELAY_TICK_S = 0.1
+RELAY_UPDATE_INTERVAL_S = 0.1
 """The same for a relay, whose changes all others wait for."""
-DIRECT_GAP_S = 0.25
+DIRECT_READ_PAUSE_S = 0.25
 """Pause between reads of the list by a daemon that reads it itself; entries change each second."""
-FALLBACK_S = (4.0, 10.0)
+FALLBACK_SILENCE_RANGE_S = (4.0, 10.0)
 """Silence of all relays, while the log can be read, after which a daemon reads discovery itself: longer
 than it takes the log's groups to name another one, and drawn, as 300 daemons that read 1.6 MB each
 at once would take the log 6 s."""
@@ -102,42 +102,42 @@
         self._decisions = decisions
         self._direct_limit = direct_limit
         rng = random.Random(seed)
-        self._fallback_s = rng.uniform(*FALLBACK_S)
+        self._fallback_silence_s = rng.uniform(*FALLBACK_SILENCE_RANGE_S)
         self._source = Source.UNKNOWN
-        self._direct: tuple[KeyedTail, asyncio.Task[None]] | None = None
+        self._direct_tail: tuple[KeyedTail, asyncio.Task[None]] | None = None
         self._relay = Relay(log, topics.changes, topics.parts, view, daemon_id)
-        self._relayed = RelayedList(
+        self._relayed_list = RelayedList(
             log,
             topics.changes,
             topics.parts,
             view,
-            self._relay.heard,
+            self._relay.record_appended,
             decisions,
             rng,
         )
-        self._began_s: float | None = None
+        self._started_at_s: float | None = None
         self.loaded = False
         """Whether the whole list was read once."""
-        self.relaying = False
+        self.is_relaying = False
         """Whether this daemon reads the list for others."""
 
     async def run(self) -> None:
         """Follow until cancelled."""
-        self._began_s = monotonic_s()
+        self._started_at_s = monotonic_s()
         try:
             while True:
-                await self._tick()
-                await asyncio.sleep(RELAY_TICK_S if self.relaying else TICK_S)
+                await self._update()
+                await asyncio.sleep(RELAY_UPDATE_INTERVAL_S if self.is_relaying else UPDATE_INTERVAL_S)
         finally:
             self._stop_direct()
-            self._relayed.stop()
+            self._relayed_list.stop()
 
     @property
     def reads_directly(self) -> bool:
         """Whether this daemon reads the entries that replicas write."""
-        return self._direct is not None
+        return self._direct_tail is not None
 
-    async def _tick(self) -> None:
+    async def _update(self) -> None:
         try:
             await self._choose_source()
         except LogError as error:
@@ -145,9 +145,9 @@
             return
         if self._source is Source.RELAYED:
             await self._follow_relays()
-        self._note_loaded()
-        self._drop_lapsed()
-        self._view.forget_gone()
+        self._record_loaded()
+        self._remove_lapsed()
+        self._view.drop_gone()
 
     # --- where to read -------------------------------------------------------------
 
@@ -161,20 +161,20 @@
             await self._return_to_direct()
 
     async def _return_to_direct(self) -> None:
-        if self.relaying:
+        if self.is_relaying:
             await self._relay.drop_list()
         self._source = Source.DIRECT
         self._set_relaying(False)
-        self._relayed.stop()
+        self._relayed_list.stop()
         self._follow_directly()
 
     def _is_short_again(self) -> bool:
-        all_know = not (self.relaying and self._relay.has_unappended)
-        return self.loaded and all_know and len(self._view) <= self._direct_limit * DIRECT_AGAIN
+        all_know = not (self.is_relaying and self._relay.has_pending_changes)
+        return self.loaded and all_know and len(self._view) <= self._direct_limit * DIRECT_RETURN_SHARE
 
     async def _find_source(self) -> None:
         """Look whether relays keep a list; else read no more than the first page of entries."""
-        if await self._relayed.is_kept():
+        if await self._relayed_list.exists_on_log():
             self._source = Source.RELAYED
             return
         began_s = monotonic_s()
@@ -183,108 +183,108 @@
             self._source = Source.RELAYED
             return
         self._source = Source.DIRECT
-        self._follow_directly().begin(snapshot, began_s)
+        self._follow_directly().start_from(snapshot, began_s)
 
     # --- through relays ------------------------------------------------------------
 
     async def _follow_relays(self) -> None:
-        await self._relayed.follow()
+        await self._relayed_list.follow()
         self._set_relaying(self._should_relay())
-        if self.relaying or self._must_fall_back():
+        if self.is_relaying or self._must_fall_back():
             self._follow_directly()
-        elif self._relayed.loaded:
+        elif self._relayed_list.loaded:
             self._stop_direct()
-        if self.relaying and self._direct is not None and self._direct[0].loaded:
-            await self._relay.step(
-                Progress(
-                    entries_read=self._direct[0].next_offset - 1,
-                    changes_read=self._relayed.changes_read,
-                    changes_kept=self._relayed.changes_kept,
+        if self.is_relaying and self._direct_tail is not None and self._direct_tail[0].loaded:
+            await self._relay.append_due(
+                ReadProgress(
+                    entries_read=self._direct_tail[0].next_offset - 1,
+                    changes_read=self._relayed_list.changes_read,
+                    changes_kept=self._relayed_list.changes_kept,
                 )
             )
 
     def _should_relay(self) -> bool:
         """Whether to relay; one whose turn is over goes on until it hears another."""
-        return self._may_relay() or (self.relaying and not self._relay.hears_others())
+        return self._may_relay() or (self.is_relaying and not self._relay.are_others_alive())
 
     def _must_fall_back(self) -> bool:
         """Whether to read discovery directly, as nobody relays."""
-        return self._relayed.silence_s() > self._fallback_s
+        return self._relayed_list.silence_s() > self._fallback_silence_s
 
     def _set_relaying(self, relaying: bool) -> None:
-        if relaying == self.relaying:
+        if relaying == self.is_relaying:
             return
-        self.relaying = relaying
+        self.is_relaying = relaying
         if relaying:
-            self._relay.begin()
+            self._relay.start()
         self._decisions.write(RelayChanged(relaying=relaying, replicas=len(self._view)))
 
     # --- directly ------------------------------------------------------------------
 
     def _follow_directly(self) -> KeyedTail:
-        if self._direct is None:
-            settings = TailSettings(topic=self._topics.entries, gap_s=DIRECT_GAP_S)
-            tail = KeyedTail(self._log, settings, replace=self._take_list, update=self._take_entries)
-            self._direct = (tail, asyncio.get_running_loop().create_task(tail.run()))
-        return self._direct[0]
+        if self._direct_tail is None:
+            settings = TailSettings(topic=self._topics.entries, gap_s=DIRECT_READ_PAUSE_S)
+            tail = KeyedTail(self._log, settings, replace=self._apply_list, update=self._apply_entries)
+            self._direct_tail = (tail, asyncio.get_running_loop().create_task(tail.run()))
+        return self._direct_tail[0]
 
     def _stop_direct(self) -> None:
-        if self._direct is not None:
-            self._direct[1].cancel()
-            self._direct = None
+        if self._direct_tail is not None:
+            self._direct_tail[1].cancel()
+            self._direct_tail = None
 
-    def _take_list(self, records: tuple[KeyedRecord, ...], next_offset: int) -> None:
-        self._note_log()
+    def _apply_list(self, records: tuple[KeyedRecord, ...], next_offset: int) -> None:
+        self._update_freshness()
         listed = [record for record in records if record.value]
         infos = {record.key: self._decode(record) for record in listed}
         overwritten = frozenset(key for key, info in infos.items() if info is None)
         usable = [info for info in infos.values() if info is not None]
-        changes = self._view.take_all(usable, next_offset - 1, overwritten)
-        if self.relaying and self._relayed.whole:
+        changes = self._view.apply_list(usable, next_offset - 1, overwritten)
+        if self.is_relaying and self._relayed_list.is_complete:
             # Without a list on the log nobody follows the changes yet, and its parts will hold all.
-            self._relay.changed(changes)
+            self._relay.add_changes(changes)
 
-    def _take_entries(self, records: tuple[KeyedRecord, ...], start: int) -> None:
-        self._note_log()
+    def _apply_entries(self, records: tuple[KeyedRecord, ...], start: int) -> None:
+        self._update_freshness()
         for index, record in enumerate(records):
             info = self._decode(record) if record.value else None
-            news = DiscoveryNews(
+            news = ReplicaUpdate(
                 replica_id=record.key,
                 at=start + index,
                 info=info,
                 overwritten=bool(record.value) and info is None,
             )
-            if self._view.take(news) and self.relaying:
-                self._relay.changed([news])
+            if self._view.apply(news) and self.is_relaying:
+                self._relay.add_changes([news])
 
     def _decode(self, record: KeyedRecord) -> ReplicaInfo | None:
         """Return the replica of an entry, or None when it names none to use."""
         try:
             return self._decoder.decode(record)
         except MalformedRecord as error:
-            self._view.unusable.note(record.key, str(error), monotonic_s())
+            self._view.unusable_entries.record(record.key, str(error), monotonic_s())
             return None
 
-    def _note_log(self) -> None:
-        if self._direct is not None:
-            self._view.note_log(self._direct[0].freshness)
+    def _update_freshness(self) -> None:
+        if self._direct_tail is not None:
+            self._view.update_freshness(self._direct_tail[0].freshness)
 
-    def _drop_lapsed(self) -> None:
-        gone = self._view.drop_lapsed()
-        if gone and self.relaying:
-            self._relay.changed(gone)
+    def _remove_lapsed(self) -> None:
+        gone = self._view.remove_lapsed()
+        if gone and self.is_relaying:
+            self._relay.add_changes(gone)
 
     # --- progress ------------------------------------------------------------------
 
-    def _note_loaded(self) -> None:
-        directly = self._direct is not None and self._direct[0].loaded
-        if self.loaded or not (directly or self._relayed.loaded):
+    def _record_loaded(self) -> None:
+        directly = self._direct_tail is not None and self._direct_tail[0].loaded
+        if self.loaded or not (directly or self._relayed_list.loaded):
             return
         self.loaded = True
         self._decisions.write(
             DiscoveryLoaded(
                 source=self._source.value,
                 replicas=len(self._view),
-                elapsed_ms=round((monotonic_s() - (self._began_s or 0.0)) * 1000, 1),
+                elapsed_ms=round((monotonic_s() - (self._started_at_s or 0.0)) * 1000, 1),
             )
         )
--- a/passgate/discovery/view.py
+++ b/passgate/discovery/view.py
@@ -3,7 +3,7 @@
 Discovery has one entry for each identifier, so news is ordered by identifier and offset.  A replica may
 start again under its identifier; what an older life of it wrote and what arrives late is passed over.
 
->>> DiscoveryNews(replica_id="r", at=4).gone
+>>> ReplicaUpdate(replica_id="r", at=4).gone
 True
 """
 
@@ -13,18 +13,18 @@
 
 from passgate.clock import monotonic_s
 from passgate.decisions import DecisionLog, ReplicaChanged
-from passgate.discovery.unusable import UnusableEntries
+from passgate.discovery.unusable_entries import UnusableEntries
 from passgate.eligibility.replica_info import ReplicaInfo
 from passgate.gateway.replicas import ReplicaState, ReplicaTable
-from passgate.sharedlog.tail import BEHIND_S, Freshness
+from passgate.sharedlog.tail import BEHIND_AFTER_S, Freshness
 
-FORGET_GONE_S = 120.0
+GONE_RETENTION_S = 120.0
 """Time for which a replica that is gone is remembered; twice the longest outage of the log seen."""
 COME_BACK_S = 2.0
 """Time after the log's return within which entries that lapsed meanwhile are written again."""
 
 
-class DiscoveryNews(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
+class ReplicaUpdate(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
     """What discovery said of one replica at an offset."""
 
     replica_id: str
@@ -41,7 +41,7 @@
         return self.info is None
 
 
-class _Lapse(msgspec.Struct, frozen=True, kw_only=True):
+class _LapsedEntry(msgspec.Struct, frozen=True, kw_only=True):
     """An entry that went, and may come back."""
 
     gone_at: int
@@ -56,104 +56,106 @@
     def __init__(self, replicas: ReplicaTable, decisions: DecisionLog) -> None:
         self._replicas = replicas
         self._decisions = decisions
-        self._known_at: dict[str, int] = {}
+        self._known_offset_by_replica_id: dict[str, int] = {}
         """Identifier to the offset of the newest news."""
-        self._newest_born: dict[str, int] = {}
+        self._newest_start_ms_by_replica_id: dict[str, int] = {}
         """Identifier to the start of the newest life known."""
-        self._gone_s: dict[str, float] = {}
-        self._returned_s = float("-inf")
-        self._overwritten: set[str] = set()
+        self._gone_since_s_by_replica_id: dict[str, float] = {}
+        self._log_returned_s = float("-inf")
+        self._overwritten_replica_ids: set[str] = set()
         """Identifiers whose entries name no replica to use now, after one that did."""
-        self.unusable = UnusableEntries(decisions)
+        self.unusable_entries = UnusableEntries(decisions)
         """Entries that name no replica to use."""
-        self._lapsed: dict[str, _Lapse] = {}
+        self._lapsed_by_replica_id: dict[str, _LapsedEntry] = {}
         """Replicas whose entries went while the log was away."""
 
-    def note_log(self, freshness: Freshness) -> None:
+    def update_freshness(self, freshness: Freshness) -> None:
         """Note how fresh the list is that the next news come from."""
         now_s = monotonic_s()
-        if freshness.age_s(now_s) > BEHIND_S:
-            self._returned_s = now_s
+        if freshness.age_s(now_s) > BEHIND_AFTER_S:
+            self._log_returned_s = now_s
         else:
-            self._returned_s = max(self._returned_s, freshness.recovered_s)
+            self._log_returned_s = max(self._log_returned_s, freshness.recovered_at_s)
 
     def __len__(self) -> int:
         return len(self._replicas.all())
 
-    def take(self, news: DiscoveryNews) -> bool:
+    def apply(self, news: ReplicaUpdate) -> bool:
         """Take news of one replica; return whether others may know it otherwise."""
-        if news.at <= self._known_at.get(news.replica_id, -1):
+        if news.at <= self._known_offset_by_replica_id.get(news.replica_id, -1):
             return False
         listed_at = self._listed_at(news.replica_id)
-        self._known_at[news.replica_id] = news.at
+        self._known_offset_by_replica_id[news.replica_id] = news.at
         if news.info is not None and self._is_outdated(news.info):
-            self.unusable.note(news.replica_id, "written by an older life", monotonic_s())
+            self.unusable_entries.record(news.replica_id, "written by an older life", monotonic_s())
             return False
         known = self._replicas.get(news.replica_id)
-        came_back = self._lapsed.pop(news.replica_id, None) is not None
+        came_back = self._lapsed_by_replica_id.pop(news.replica_id, None) is not None
         if news.overwritten:
-            return self._overwrite(news.replica_id)
+            return self._mark_overwritten(news.replica_id)
         if news.info is None and known is not None and self._may_have_lapsed(known.info):
-            self._lapsed[news.replica_id] = _Lapse(gone_at=news.at, listed_at=listed_at)
-            self._note(news.replica_id, known.info.service, "lapsed", True)
+            self._lapsed_by_replica_id[news.replica_id] = _LapsedEntry(gone_at=news.at, listed_at=listed_at)
+            self._log_change(news.replica_id, known.info.service, "lapsed", True)
             return False
         if news.info is None:
             return self._remove(news.replica_id)
         changed = came_back or known is None or known.info != news.info
-        self._newest_born[news.replica_id] = news.info.born_unix_ms
-        self._note_listed(news.info, known)
+        self._newest_start_ms_by_replica_id[news.replica_id] = news.info.born_unix_ms
+        self._log_listed(news.info, known)
         self._replicas.entry_read(news.info, monotonic_s(), listed=news.listed)
         return changed
 
-    def _note_listed(self, info: ReplicaInfo, known: ReplicaState | None) -> None:
+    def _log_listed(self, info: ReplicaInfo, known: ReplicaState | None) -> None:
         """Tell of a replica that is new, has started again, or changed its state."""
-        was_overwritten = info.replica_id in self._overwritten
-        self._overwritten.discard(info.replica_id)
+        was_overwritten = info.replica_id in self._overwritten_replica_ids
+        self._overwritten_replica_ids.discard(info.replica_id)
         restarted = known is not None and known.life != info.life
-        self._note(info.replica_id, info.service, "restarted", restarted)
+        self._log_change(info.replica_id, info.service, "restarted", restarted)
         if known is None and was_overwritten:
             return  # told of as an entry that could not be used; it may be overwritten each second
         if known is None or restarted or known.info.draining != info.draining:
-            self._note(info.replica_id, info.service, "draining" if info.draining else "ready", True)
+            self._log_change(info.replica_id, info.service, "draining" if info.draining else "ready", True)
 
     def _is_outdated(self, info: ReplicaInfo) -> bool:
         """Whether an older life wrote an entry, which arrived late."""
-        return info.born_unix_ms < self._newest_born.get(info.replica_id, 0)
+        return info.born_unix_ms < self._newest_start_ms_by_replica_id.get(info.replica_id, 0)
 
-    def _overwrite(self, replica_id: str) -> bool:
+    def _mark_overwritten(self, replica_id: str) -> bool:
         """Use a replica no more whose entry was overwritten; return whether it was in use."""
-        was_in_use = self._forget(replica_id) is not None
+        was_in_use = self._remove_from_table(replica_id) is not None
         if was_in_use:
-            self._overwritten.add(replica_id)
+            self._overwritten_replica_ids.add(replica_id)
         return was_in_use
 
     def _remove(self, replica_id: str) -> bool:
         """Forget a replica that is not listed any more; return whether it was known."""
-        known = self._forget(replica_id)
-        self._note(replica_id, known.info.service if known else "", "gone", known is not None)
+        known = self._remove_from_table(replica_id)
+        self._log_change(replica_id, known.info.service if known else "", "gone", known is not None)
         return known is not None
 
-    def _forget(self, replica_id: str) -> ReplicaState | None:
+    def _remove_from_table(self, replica_id: str) -> ReplicaState | None:
         known = self._replicas.get(replica_id)
-        self._gone_s[replica_id] = monotonic_s()
+        self._gone_since_s_by_replica_id[replica_id] = monotonic_s()
         self._replicas.remove(replica_id)
         return known
 
-    def take_relayed(self, news: DiscoveryNews) -> None:
+    def apply_relayed(self, news: ReplicaUpdate) -> None:
         """Take news from a relay, which has waited itself for an entry that may come back."""
         if not news.gone:
-            self.take(news)
+            self.apply(news)
         elif news.at > self._listed_at(news.replica_id):
-            self._lapsed.pop(news.replica_id, None)
-            self._known_at[news.replica_id] = max(news.at, self._known_at.get(news.replica_id, -1))
+            self._lapsed_by_replica_id.pop(news.replica_id, None)
+            self._known_offset_by_replica_id[news.replica_id] = max(
+                news.at, self._known_offset_by_replica_id.get(news.replica_id, -1)
+            )
             if news.overwritten:
-                self._overwrite(news.replica_id)
+                self._mark_overwritten(news.replica_id)
             else:
                 self._remove(news.replica_id)
 
-    def take_all(
+    def apply_list(
         self, infos: list[ReplicaInfo], at: int, overwritten: frozenset[str] = frozenset()
-    ) -> list[DiscoveryNews]:
+    ) -> list[ReplicaUpdate]:
         """Take the whole list; return what changed.
 
         Args:
@@ -164,21 +166,21 @@
         listed = {info.replica_id for info in infos}
         gone = [replica_id for replica_id in self.replica_ids() if replica_id not in listed]
         news = [
-            DiscoveryNews(replica_id=replica_id, at=at, overwritten=replica_id in overwritten)
+            ReplicaUpdate(replica_id=replica_id, at=at, overwritten=replica_id in overwritten)
             for replica_id in gone
         ]
-        news += [DiscoveryNews(replica_id=info.replica_id, at=at, info=info, listed=True) for info in infos]
-        return [each for each in news if self.take(each)]
+        news += [ReplicaUpdate(replica_id=info.replica_id, at=at, info=info, listed=True) for info in infos]
+        return [each for each in news if self.apply(each)]
 
     def replica_ids(self) -> list[str]:
         """Return the identifiers of all known replicas."""
         return [state.info.replica_id for state in self._replicas.all()]
 
-    def news(self) -> list[DiscoveryNews]:
+    def updates(self) -> list[ReplicaUpdate]:
         """Return each known replica, with the offset at which it was last known to be listed."""
         infos = [state.info for state in self._replicas.all()]
         return [
-            DiscoveryNews(
+            ReplicaUpdate(
                 replica_id=info.replica_id, at=self._listed_at(info.replica_id), info=info, listed=True
             )
             for info in infos
@@ -186,33 +188,36 @@
 
     def _listed_at(self, replica_id: str) -> int:
         """Return the offset at which a replica was last known to be listed; -1 if it never was."""
-        lapse = self._lapsed.get(replica_id)
-        return self._known_at.get(replica_id, -1) if lapse is None else lapse.listed_at
+        lapse = self._lapsed_by_replica_id.get(replica_id)
+        return self._known_offset_by_replica_id.get(replica_id, -1) if lapse is None else lapse.listed_at
 
     def _may_have_lapsed(self, info: ReplicaInfo) -> bool:
         """Whether an entry may have gone only because its replica could not reach the log."""
-        return not info.draining and monotonic_s() - self._returned_s < COME_BACK_S
+        return not info.draining and monotonic_s() - self._log_returned_s < COME_BACK_S
 
-    def drop_lapsed(self) -> list[DiscoveryNews]:
+    def remove_lapsed(self) -> list[ReplicaUpdate]:
         """Drop replicas whose entries did not come back; return what is known now."""
-        if not self._lapsed or monotonic_s() - self._returned_s < COME_BACK_S:
+        if not self._lapsed_by_replica_id or monotonic_s() - self._log_returned_s < COME_BACK_S:
             return []
-        gone = [DiscoveryNews(replica_id=key, at=lapse.gone_at) for key, lapse in self._lapsed.items()]
-        self._lapsed.clear()
+        gone = [
+            ReplicaUpdate(replica_id=key, at=lapse.gone_at)
+            for key, lapse in self._lapsed_by_replica_id.items()
+        ]
+        self._lapsed_by_replica_id.clear()
         for news in gone:
             self._remove(news.replica_id)
         return gone
 
-    def forget_gone(self) -> None:
+    def drop_gone(self) -> None:
         """Drop what is kept of replicas that are gone for long."""
-        old_s = monotonic_s() - FORGET_GONE_S
-        for replica_id in [key for key, gone_s in self._gone_s.items() if gone_s < old_s]:
-            del self._gone_s[replica_id]
+        old_s = monotonic_s() - GONE_RETENTION_S
+        for replica_id in [key for key, gone_s in self._gone_since_s_by_replica_id.items() if gone_s < old_s]:
+            del self._gone_since_s_by_replica_id[replica_id]
             if self._replicas.get(replica_id) is None:
-                self._known_at.pop(replica_id, None)
-                self._newest_born.pop(replica_id, None)
-                self._overwritten.discard(replica_id)
+                self._known_offset_by_replica_id.pop(replica_id, None)
+                self._newest_start_ms_by_replica_id.pop(replica_id, None)
+                self._overwritten_replica_ids.discard(replica_id)
 
-    def _note(self, replica_id: str, service: str, state: str, wanted: bool) -> None:
-        if wanted:
+    def _log_change(self, replica_id: str, service: str, state: str, condition: bool) -> None:
+        if condition:
             self._decisions.write(ReplicaChanged(replica_id=replica_id, service=service, state=state))
--- a/passgate/duties/__init__.py
+++ b/passgate/duties/__init__.py
@@ -1,4 +1,4 @@
-"""Singleton duties: calls to the platform that one daemon at a time makes for all.
+"""Singleton duties: calls to the platform that one daemon at a time makes on behalf of all.
 
-The leader of the control topic holds every duty; its fence is sent with each call.
+The leader of the control topic performs them and sends its fencing token with each call.
 """
--- a/passgate/duties/calls.py
+++ b/passgate/duties/calls.py
@@ -1,7 +1,7 @@
-"""Calls of duties to the platform: what comes back, and how many may be made.
+"""Calls to the platform made by singleton duties: requests, outcomes and their rate limit.
 
->>> budget = CallBudget(calls_per_s=2.0)
->>> [budget.take(now_s) for now_s in (0.0, 0.9, 0.95, 1.0, 1.5)]
+>>> limiter = CallRateLimiter(calls_per_s=2.0)
+>>> [limiter.try_acquire(now_s) for now_s in (0.0, 0.9, 0.95, 1.0, 1.5)]
 [True, True, False, True, False]
 """
 
@@ -16,27 +16,27 @@
 
 
 class DutyOutcome(enum.Enum):
-    """What a call of a duty brought."""
+    """Outcome of a call to the platform."""
 
     ACCEPTED = "accepted"
     REFUSED = "refused"
-    """The platform has seen a higher fence, or can not do what is asked."""
+    """The platform has seen a higher fencing token, or can't do what was requested."""
     UNKNOWN = "unknown"
-    """Throttled, failed or unanswered; it may be carried out later."""
+    """Throttled, failed or unanswered; the call may still be executed later."""
 
 
 class UsageReport(msgspec.Struct, frozen=True, kw_only=True):
-    """The report of one window."""
+    """Usage report of one window."""
 
     window: int
     counts: Mapping[str, int]
-    """Tenant to requests that replicas began in the window."""
+    """Tenant to the number of its requests that replicas started in the window."""
     holder: str
     fence: int
 
 
 class ReplicaOrder(msgspec.Struct, frozen=True, kw_only=True):
-    """How many replicas of one kind a service shall have in a zone."""
+    """Requests that a service have a number of replicas of one kind in a zone."""
 
     service: str
     zone: str
@@ -47,30 +47,30 @@
 
 
 class DutyCalls(Protocol):
-    """Calls that an adapter makes; none raises PassgateError."""
+    """Client for the platform's endpoints; its methods return an outcome and never raise PassgateError."""
 
     async def report_usage(self, report: UsageReport) -> DutyOutcome:
         """Send the report of a window."""
         ...
 
     async def order_replicas(self, order: ReplicaOrder) -> DutyOutcome:
-        """Order replicas; REFUSED also when none can be had there now."""
+        """Order replicas; REFUSED also if none is available in the zone now."""
         ...
 
 
-class CallBudget:
-    """Bounds the calls of all duties of the holder in any span of a second, wherever it begins."""
+class CallRateLimiter:
+    """Sliding-window rate limit shared by all duties: no second, wherever it starts, has more calls."""
 
     def __init__(self, calls_per_s: float) -> None:
-        self._most = max(int(calls_per_s), 1)
-        self._span_s = max(self._most / calls_per_s, 1.0)
-        """A second; more where less than one call a second is granted."""
-        self._made_s: deque[float] = deque(maxlen=self._most)
+        self._max_calls = max(int(calls_per_s), 1)
+        self._window_s = max(self._max_calls / calls_per_s, 1.0)
+        """One second, or longer if the limit is below one call per second."""
+        self._call_times_s: deque[float] = deque(maxlen=self._max_calls)
         """Loop times of the last calls."""
 
-    def take(self, now_s: float) -> bool:
-        """Return whether a call may be made now, and count it."""
-        if len(self._made_s) == self._most and now_s - self._made_s[0] < self._span_s:
+    def try_acquire(self, now_s: float) -> bool:
+        """Return whether a call may be made now, and count it if so."""
+        if len(self._call_times_s) == self._max_calls and now_s - self._call_times_s[0] < self._window_s:
             return False
-        self._made_s.append(now_s)
+        self._call_times_s.append(now_s)
         return True
--- a/passgate/duties/clock_sync.py
+++ b/passgate/duties/clock_sync.py
@@ -1,4 +1,4 @@
-"""Keeps a daemon's view of the time of day in agreement with other daemons'."""
+"""Synchronizes the daemon's wall clock with those of other daemons."""
 
 from __future__ import annotations
 
@@ -14,54 +14,56 @@
 from passgate.sharedlog.member_names import address_of
 
 CLOCK_METHOD = "duties.clock"
-MOST_ASKED = 4
-"""Daemons asked at once; with the own clock, a median that two wrong clocks do not shift."""
-ANSWER_S = 0.3
-"""Time for an answer; a later one says little of the moment it was asked for."""
-FIRST_S = 0.5
-"""Time after the start of the first question; the list of daemons is known by then."""
-GAP_S = 10.0
-"""Time between questions; clocks that run apart by 100 ppm differ by 1 ms then."""
+MAX_PEERS_ASKED = 4
+"""Daemons asked at once; together with the own clock, two wrong clocks can't shift the median."""
+RESPONSE_TIMEOUT_S = 0.3
+"""Timeout of a request; the clock reading in a later response would be too inaccurate."""
+FIRST_SYNC_DELAY_S = 0.5
+"""Delay before the first request, until the list of daemons is known."""
+SYNC_INTERVAL_S = 10.0
+"""Interval of requests; clocks that drift apart by 100 ppm differ by 1 ms after it."""
 
 
-class ClockAnswer(msgspec.Struct, frozen=True, kw_only=True):
-    """A daemon's view of the time of day."""
+class ClockResponse(msgspec.Struct, frozen=True, kw_only=True):
+    """The responding daemon's time of day, in seconds since 1970."""
 
     wall_s: float
 
 
 class ClockSync:
-    """Asks other daemons, and answers them."""
+    """Requests the time of day from other daemons and answers their requests."""
 
     def __init__(
-        self, clock: AgreedWallClock, transport: PeerTransport, others: Callable[[], list[str]]
+        self, clock: AgreedWallClock, transport: PeerTransport, list_other_members: Callable[[], list[str]]
     ) -> None:
-        """Connect the clock; ``others`` returns the names of other daemons, in any order."""
+        """Connect the clock; ``list_other_members`` returns the other daemons' names in any order."""
         self._clock = clock
         self._transport = transport
-        self._others = others
+        self._list_other_members = list_other_members
 
     async def run(self) -> None:
-        """Ask again and again until cancelled."""
-        await asyncio.sleep(FIRST_S)
+        """Synchronize at regular intervals until cancelled."""
+        await asyncio.sleep(FIRST_SYNC_DELAY_S)
         while True:
-            asked = self._others()[:MOST_ASKED]
-            answers = await asyncio.gather(*(self._ask(member) for member in asked))
-            # Each answer is brought to the same moment of the steady clock.
+            members = self._list_other_members()[:MAX_PEERS_ASKED]
+            offsets_s = await asyncio.gather(*(self._read_offset_s(member) for member in members))
+            # All readings are projected to the same moment of the monotonic clock.
             now_s = monotonic_s()
-            self._clock.agree([ahead_s + now_s for ahead_s in answers if ahead_s is not None], now_s)
-            await asyncio.sleep(GAP_S)
+            self._clock.adjust_to_median(
+                [offset_s + now_s for offset_s in offsets_s if offset_s is not None], now_s
+            )
+            await asyncio.sleep(SYNC_INTERVAL_S)
 
-    async def _ask(self, member: str) -> float | None:
-        """Return how far a daemon's time of day is ahead of this one's steady clock, or None."""
-        began_s = monotonic_s()
+    async def _read_offset_s(self, member: str) -> float | None:
+        """Return a daemon's time of day minus this one's monotonic time, or None if it does not answer."""
+        sent_s = monotonic_s()
         try:
-            payload = await self._transport.call(address_of(member), CLOCK_METHOD, b"{}", ANSWER_S)
-            answer = msgspec.json.decode(payload, type=ClockAnswer)
+            payload = await self._transport.call(address_of(member), CLOCK_METHOD, b"{}", RESPONSE_TIMEOUT_S)
+            response = msgspec.json.decode(payload, type=ClockResponse)
         except (PeerError, msgspec.DecodeError):
-            return None  # the median is taken of those that answer
-        return answer.wall_s - (began_s + monotonic_s()) / 2
+            return None  # the median is taken over those that answer
+        return response.wall_s - (sent_s + monotonic_s()) / 2
 
-    def answer(self) -> bytes:
-        """Answer another daemon."""
-        return msgspec.json.encode(ClockAnswer(wall_s=self._clock.now_s()))
+    def encode_response(self) -> bytes:
+        """Return the encoded response to another daemon's request."""
+        return msgspec.json.encode(ClockResponse(wall_s=self._clock.now_s()))
--- a/passgate/duties/folds.py
+++ b/passgate/duties/folds.py
@@ -1,24 +1,24 @@
-"""What is folded from the control topic for all duties."""
+"""Projections of the control topic that singleton duties use."""
 
 from __future__ import annotations
 
-from passgate.duties.scaling_fold import ScalingFold
+from passgate.duties.scaling_projection import ScalingProjection
 from passgate.duties.usage_fold import UsageFold
 
 
 class DutyFolds:
-    """The folds of one daemon; its control topic applies records to each of them."""
+    """All duty projections of one daemon; its control topic applies the records to them."""
 
     def __init__(self) -> None:
         self.usage = UsageFold()
-        self.scaling = ScalingFold()
+        self.scaling = ScalingProjection()
 
-    def begin(self, first_offset: int) -> None:
-        """Note the offset of the first record that is read."""
-        self.usage.begin(first_offset)
-        self.scaling.begin(first_offset)
+    def set_first_offset(self, first_offset: int) -> None:
+        """Record the offset of the first record that is read."""
+        self.usage.set_first_offset(first_offset)
+        self.scaling.set_first_offset(first_offset)
 
     def apply(self, offset: int, writer: str, entry: object, *, leads: bool) -> None:
-        """Take an entry of the record at an offset; ``leads`` tells whether its writer led there."""
+        """Apply one entry of the record at an offset; ``leads``: its writer was the leader there."""
         self.usage.apply(offset, writer, entry, leads=leads)
         self.scaling.apply(offset, writer, entry, leads=leads)
--- a/passgate/duties/meter.py
+++ b/passgate/duties/meter.py
@@ -1,10 +1,8 @@
-"""Counts the requests that replicas began, by window and tenant, and hands the counts on.
+"""Counts the requests that replicas started, by window and tenant, for the control topic.
 
-A request counts in the window in which it was sent to a replica, once the replica has shown
-that it began: by an answer, or by the first event of a stream.  An attempt that the replica
-refused as not run does not count.  Items of batch jobs are not counted.
-
-A daemon that is killed loses the counts of the last FLUSH_S at most.
+A request counts in the window in which it was sent, once the replica has answered or sent the first event
+of a stream.  Refused attempts and items of batch jobs are not counted.  A killed daemon loses at most the
+counts of the last flush interval.
 """
 
 from __future__ import annotations
@@ -16,59 +14,63 @@
 from passgate.duties.windows import UsageWindows
 from passgate.jobs.records import UsageCounted
 
-FLUSH_S = 0.3
-"""Longest time for which counts stay on this daemon alone; 6% of a window of 5 s."""
-MOST_UNSENT = 2_000
-"""Counts kept while nobody takes them: with one in 0.3 s, ten minutes."""
+FLUSH_INTERVAL_S = 0.3
+"""Interval of flushes, and so the longest time for which counts exist on this daemon only."""
+MAX_UNSENT_ENTRIES = 2_000
+"""Unsent counts kept while none can be appended; at one per flush they span ten minutes."""
 
-Send = Callable[[Sequence[UsageCounted]], Awaitable[bool]]
-"""Hands counts on; returns whether they stand on the log."""
+SendCounts = Callable[[Sequence[UsageCounted]], Awaitable[bool]]
+"""Sends counts; returns whether they are on the log."""
 
 
 class UsageMeter:
-    """One daemon's meter."""
+    """Usage meter of one daemon."""
 
-    def __init__(self, meter: str, windows: UsageWindows, now_s: Callable[[], float], send: Send) -> None:
-        """Begin with nothing counted.
+    def __init__(
+        self, meter_name: str, windows: UsageWindows, wall_clock_s: Callable[[], float], send: SendCounts
+    ) -> None:
+        """Start with no counts.
 
         Args:
-            meter: name of this life of the daemon.
-            windows: the windows of the wall clock.
-            now_s: the time of day.
-            send: hands counts on.
+            meter_name: name of this incarnation of the daemon.
+            windows: the usage windows of the wall clock.
+            wall_clock_s: returns the time of day.
+            send: sends counts to the control topic.
         """
-        self._meter = meter
+        self._meter_name = meter_name
         self._windows = windows
-        self._now_s = now_s
+        self._wall_clock_s = wall_clock_s
         self._send = send
-        self._counts: dict[int, Counter[str]] = {}
-        self._unsent: list[UsageCounted] = []
-        self._number = 0
+        self._counts_by_window: dict[int, Counter[str]] = {}
+        self._unsent_entries: list[UsageCounted] = []
+        self._next_number = 0
 
     def now_s(self) -> float:
-        """Return the time of day, to be given to :meth:`began` later."""
-        return self._now_s()
+        """Return the time of day, to be passed to :meth:`began` later."""
+        return self._wall_clock_s()
 
     def began(self, tenant: str | None, at_s: float) -> None:
-        """Count a request that a replica began at a time of day."""
+        """Count a started request in the window in which it was sent; without a tenant it is ignored."""
         if tenant:
-            self._counts.setdefault(self._windows.at(at_s), Counter())[tenant] += 1
+            self._counts_by_window.setdefault(self._windows.window_at(at_s), Counter())[tenant] += 1
 
     async def run(self) -> None:
-        """Hand counts on until cancelled."""
+        """Flush at regular intervals until cancelled."""
         while True:
-            await asyncio.sleep(FLUSH_S)
+            await asyncio.sleep(FLUSH_INTERVAL_S)
             await self.flush()
 
     async def flush(self) -> None:
-        """Hand on what was counted; what is not taken is handed on again with the next flush."""
-        for window, counts in self._counts.items():
-            self._unsent.append(
-                UsageCounted(meter=self._meter, number=self._number, window=window, counts=dict(counts))
+        """Send all counts; those that can't be appended keep their numbers and are sent again."""
+        for window, counts in self._counts_by_window.items():
+            self._unsent_entries.append(
+                UsageCounted(
+                    meter=self._meter_name, number=self._next_number, window=window, counts=dict(counts)
+                )
             )
-            self._number += 1
-        self._counts.clear()
-        del self._unsent[:-MOST_UNSENT]
-        sending = list(self._unsent)
+            self._next_number += 1
+        self._counts_by_window.clear()
+        del self._unsent_entries[:-MAX_UNSENT_ENTRIES]
+        sending = list(self._unsent_entries)
         if sending and await self._send(sending):
-            del self._unsent[: len(sending)]
+            del self._unsent_entries[: len(sending)]
--- a/passgate/duties/scaler.py
+++ b/passgate/duties/scaler.py
@@ -1,8 +1,8 @@
-"""Decides and orders replicas, while this daemon leads.
+"""Decides the number of replicas per pool and orders them, while this daemon is the leader.
 
-A decision is committed to the control topic before its order is sent.  An order that is not
-answered is sent again with the same fence; one that is refused, because none can be had there
-now, is decided anew after a pause that grows for that zone and kind.
+A decision is committed to the control topic before its order is sent.  An unanswered order is sent again
+with the same fencing token.  After a refusal, because no replica is available, the pool is decided again
+after a growing pause.
 """
 
 from __future__ import annotations
@@ -15,90 +15,90 @@
 
 from passgate.clock import monotonic_s
 from passgate.decisions import DecisionLog, ReplicaOrderSent
-from passgate.duties.calls import CallBudget, DutyCalls, DutyOutcome, ReplicaOrder
-from passgate.duties.scaling_fold import Decision, ReplicaPool, ScalingFold
-from passgate.duties.scaling_policy import ZoneReplicas, replicas_for, spread_replicas
+from passgate.duties.calls import CallRateLimiter, DutyCalls, DutyOutcome, ReplicaOrder
+from passgate.duties.scaling_policy import ZoneReplicas, replicas_needed, spread_replicas
+from passgate.duties.scaling_projection import ReplicaPool, ScalingDecision, ScalingProjection
 from passgate.gateway.replicas import ReplicaState, ReplicaTable
 from passgate.gateway.routes import ConfigHolder, ScalingRule, Service
 from passgate.jobs.journal import Journal
 from passgate.jobs.records import JobNoted, ReplicasDecided, ReplicasOrdered
 from passgate.versions.leadership import Leadership
 
-TICK_S = 0.5
-"""Time between decisions; an eighth of the shortest boot time seen."""
-FIRST_PAUSE_S = 2.0
-"""Pause after the platform had no replica of a kind in a zone; a reclaim lasts 8 to 11 s."""
-MAX_PAUSE_S = 10.0
-"""Longest such pause."""
+DECISION_INTERVAL_S = 0.5
+"""Interval of decisions; short compared with the boot time of a replica."""
+FIRST_REFUSAL_PAUSE_S = 2.0
+"""Pause of a pool after the first refusal of its order."""
+MAX_REFUSAL_PAUSE_S = 10.0
+"""Longest pause of a pool after repeated refusals."""
 BOOT_MARGIN_S = 3.0
-"""Time beyond the boot time after which replicas that did not come are ordered anew."""
-UNKNOWN_PAUSE_S = 0.5
-"""Pause before an unanswered order is sent again with the same fence."""
+"""Time beyond the boot time after which missing replicas are ordered again."""
+RESEND_PAUSE_S = 0.5
+"""Pause before an unanswered order is sent again."""
 
 
-class _Pace(msgspec.Struct):
-    """When the next decision or order of a pool may be made."""
+class _PoolPacing(msgspec.Struct):
+    """Earliest time of a pool's next decision or order, and its current pause."""
 
     next_s: float = 0.0
-    pause_s: float = FIRST_PAUSE_S
+    pause_s: float = FIRST_REFUSAL_PAUSE_S
     decided_s: float = float("-inf")
 
 
 class Scaler:
-    """This daemon's part in the duty."""
+    """Scales services while this daemon is the leader."""
 
     def __init__(
         self,
-        fold: ScalingFold,
+        projection: ScalingProjection,
         journal: Journal,
         leadership: Leadership,
         calls: DutyCalls,
-        budget: CallBudget,
+        rate_limiter: CallRateLimiter,
         config: ConfigHolder,
         replicas: ReplicaTable,
-        newest_jobs: Mapping[str, JobNoted],
+        newest_demand_by_model: Mapping[str, JobNoted],
         decisions: DecisionLog,
         *,
-        evacuated: Container[str],
+        evacuated_zones: Container[str],
         holder: str,
     ) -> None:
-        """Make the scaler.
+        """Create the scaler.
 
         Args:
-            fold: decided numbers of replicas.
+            projection: the decided numbers of replicas.
             journal: this daemon's writer of the control topic.
-            leadership: whether this daemon may order.
-            calls: calls to the platform.
-            budget: bounds the calls of all duties.
-            config: the configuration in force, which names the bounds.
-            replicas: the replicas that are there.
-            newest_jobs: model to what its newest job asks for.
-            decisions: where decisions are noted.
-            evacuated: zones in which no replica counts and none is ordered.
-            holder: name of this daemon as the platform sees it.
+            leadership: says whether this daemon may send orders.
+            calls: client for the platform.
+            rate_limiter: rate limit of the calls of all duties.
+            config: the active configuration, which sets the limits.
+            replicas: the replicas that are present.
+            newest_demand_by_model: model to what its newest job requires.
+            decisions: log of decisions.
+            evacuated_zones: zones in which no replica counts and none is ordered.
+            holder: this daemon's name in calls to the platform.
         """
-        self._fold = fold
+        self._projection = projection
         self._journal = journal
         self._leadership = leadership
         self._calls = calls
-        self._budget = budget
+        self._rate_limiter = rate_limiter
         self._config = config
         self._replicas = replicas
-        self._newest_jobs = newest_jobs
+        self._newest_demand_by_model = newest_demand_by_model
         self._decisions = decisions
-        self._evacuated = evacuated
+        self._evacuated_zones = evacuated_zones
         self._holder = holder
-        self._paces: dict[ReplicaPool, _Pace] = {}
+        self._pacing_by_pool: dict[ReplicaPool, _PoolPacing] = {}
 
     async def run(self) -> None:
-        """Decide and order until cancelled."""
+        """Decide and send orders until cancelled."""
         while True:
-            await asyncio.sleep(TICK_S)
+            await asyncio.sleep(DECISION_INTERVAL_S)
             if self._leadership.may_order():
-                self._decide()
-                await self._send()
+                self._decide_services()
+                await self._send_unanswered_orders()
 
-    def _decide(self) -> None:
+    def _decide_services(self) -> None:
         table = self._config.table
         services = table.config.services if table is not None else ()
         for service in services:
@@ -110,40 +110,46 @@
         if not states:
             return
         models = {model for state in states for model in state.info.model_versions}
-        items = [job.items for model, job in self._newest_jobs.items() if model in models]
-        wanted = replicas_for(items, max(state.info.slots for state in states))
-        present = self._present_by_zone(states, rule.zone_prices)
-        for zone, replicas in spread_replicas(rule, present, wanted).items():
+        item_counts = [job.items for model, job in self._newest_demand_by_model.items() if model in models]
+        total = replicas_needed(item_counts, max(state.info.slots for state in states))
+        present = self._count_present_by_zone(states, rule.zone_prices)
+        for zone, replicas in spread_replicas(rule, present, total).items():
             pool = ReplicaPool(service=service.name, zone=zone, spot=True)
             self._decide_pool(pool, replicas.spot, present[zone].spot, rule)
 
     def _decide_pool(self, pool: ReplicaPool, count: int, present: int, rule: ScalingRule) -> None:
-        """Decide a pool's number anew when it changes, or when its replicas did not come."""
+        """Decide a pool's number again if it grows, or if the ordered replicas are overdue."""
         now_s = monotonic_s()
-        pace = self._paces.setdefault(pool, _Pace())
-        decided = self._fold.decided.get(pool)
-        known = decided.count if decided is not None else 0
-        overdue = present < known and now_s - pace.decided_s > rule.boot_s + BOOT_MARGIN_S
-        grows = count > known
-        if now_s < pace.next_s or not (grows or (overdue and count > 0)):
+        pacing = self._pacing_by_pool.setdefault(pool, _PoolPacing())
+        decision = self._projection.decision_by_pool.get(pool)
+        decided_count = decision.count if decision is not None else 0
+        overdue = present < decided_count and now_s - pacing.decided_s > rule.boot_s + BOOT_MARGIN_S
+        grows = count > decided_count
+        if now_s < pacing.next_s or not (grows or (overdue and count > 0)):
             return
-        pace.decided_s = now_s
-        pace.next_s = now_s + TICK_S  # until the decision is read back
+        pacing.decided_s = now_s
+        pacing.next_s = now_s + DECISION_INTERVAL_S  # until the decision has been read back
         self._journal.put(
-            ReplicasDecided(service=pool.service, zone=pool.zone, spot=pool.spot, count=max(count, known))
+            ReplicasDecided(
+                service=pool.service, zone=pool.zone, spot=pool.spot, count=max(count, decided_count)
+            )
         )
 
-    async def _send(self) -> None:
-        for decision in self._fold.unsent():
-            pace = self._paces.setdefault(decision.pool, _Pace())
+    async def _send_unanswered_orders(self) -> None:
+        for decision in self._projection.unanswered_decisions():
+            pacing = self._pacing_by_pool.setdefault(decision.pool, _PoolPacing())
             now_s = monotonic_s()
-            if decision.pool.zone in self._evacuated:
-                continue  # sent when the evacuation has ended, unless it is decided anew
-            if now_s < pace.next_s or not self._budget.take(now_s) or not self._leadership.may_order():
+            if decision.pool.zone in self._evacuated_zones:
+                continue  # sent after the evacuation, unless a newer decision replaces it
+            if (
+                now_s < pacing.next_s
+                or not self._rate_limiter.try_acquire(now_s)
+                or not self._leadership.may_order()
+            ):
                 continue
-            self._take(decision, pace, await self._order(decision))
+            self._handle_outcome(decision, pacing, await self._send_order(decision))
 
-    async def _order(self, decision: Decision) -> DutyOutcome:
+    async def _send_order(self, decision: ScalingDecision) -> DutyOutcome:
         pool = decision.pool
         outcome = await self._calls.order_replicas(
             ReplicaOrder(
@@ -161,31 +167,31 @@
                 zone=pool.zone,
                 spot=pool.spot,
                 count=decision.count,
-                present=self._present(pool),
+                present=self._count_present(pool),
                 fence=decision.fence,
                 outcome=outcome.value,
             )
         )
         return outcome
 
-    def _take(self, decision: Decision, pace: _Pace, outcome: DutyOutcome) -> None:
+    def _handle_outcome(self, decision: ScalingDecision, pacing: _PoolPacing, outcome: DutyOutcome) -> None:
         now_s = monotonic_s()
         if outcome is DutyOutcome.UNKNOWN:
-            pace.next_s = now_s + UNKNOWN_PAUSE_S
+            pacing.next_s = now_s + RESEND_PAUSE_S
             return
         pool = decision.pool
         self._journal.put(
             ReplicasOrdered(service=pool.service, zone=pool.zone, spot=pool.spot, decided=decision.fence)
         )
         if outcome is DutyOutcome.REFUSED:
-            pace.next_s = now_s + pace.pause_s
-            pace.decided_s = float("-inf")
-            pace.pause_s = min(pace.pause_s * 2.0, MAX_PAUSE_S)
+            pacing.next_s = now_s + pacing.pause_s
+            pacing.decided_s = float("-inf")
+            pacing.pause_s = min(pacing.pause_s * 2.0, MAX_REFUSAL_PAUSE_S)
         else:
-            pace.next_s = now_s + TICK_S
-            pace.pause_s = FIRST_PAUSE_S
+            pacing.next_s = now_s + DECISION_INTERVAL_S
+            pacing.pause_s = FIRST_REFUSAL_PAUSE_S
 
-    def _present(self, pool: ReplicaPool) -> int:
+    def _count_present(self, pool: ReplicaPool) -> int:
         return sum(
             1
             for state in self._replicas.all()
@@ -193,14 +199,14 @@
             and not state.info.draining
         )
 
-    def _present_by_zone(
+    def _count_present_by_zone(
         self, states: Iterable[ReplicaState], zones: Iterable[str]
     ) -> dict[str, ZoneReplicas]:
-        """Return the replicas that stay, by kind, of each zone that is not evacuated."""
+        """Return the replicas that are not draining, by kind, of each zone that is not evacuated."""
         counts = Counter((state.info.zone, state.info.spot) for state in states if not state.info.draining)
-        names = {*zones, *(zone for zone, _ in counts)}
+        zone_names = {*zones, *(zone for zone, _ in counts)}
         return {
             zone: ZoneReplicas(ordinary=counts[zone, False], spot=counts[zone, True])
-            for zone in sorted(names)
-            if zone not in self._evacuated
+            for zone in sorted(zone_names)
+            if zone not in self._evacuated_zones
         }
--- a/passgate/duties/scaling_policy.py
+++ b/passgate/duties/scaling_policy.py
@@ -1,13 +1,12 @@
-"""How many replicas of which kind a service shall have, by the work of the open steps.
+"""Computes how many replicas of which kind a service needs for the current steps of its trainers.
 
-Trainers ask for whole steps at once and wait for the last of their items, so the service is
-given as many slots as the newest step of each model has items, within the operator's bounds.
-What is there already stays; what is added is ordered as spot replicas where these are
-cheaper, first in the zones with the lowest price.
+Trainers submit whole steps and wait for their last item, so a service gets as many slots as the newest step
+of each model has items, within the operator's limits.  Present ordinary replicas stay.  Further ones are
+added evenly over the zones, cheapest zone first, as spot replicas if these are cheaper.
 
 >>> rule = ScalingRule(least=1, most=4, boot_s=4.0, spot_price=0.2, zone_prices={"a": 1.0, "b": 0.8})
 >>> present = {"a": ZoneReplicas(ordinary=2), "b": ZoneReplicas(ordinary=2)}
->>> spread_replicas(rule, present, wanted=7)
+>>> spread_replicas(rule, present, total=7)
 {'a': ZoneReplicas(ordinary=2, spot=1), 'b': ZoneReplicas(ordinary=2, spot=2)}
 """
 
@@ -22,53 +21,60 @@
 
 
 class ZoneReplicas(msgspec.Struct, frozen=True, kw_only=True):
-    """Replicas of a service in one zone, by kind."""
+    """Numbers of a service's replicas in one zone, by kind."""
 
     ordinary: int = 0
     spot: int = 0
 
     @property
     def total(self) -> int:
-        """Number of both kinds."""
+        """Number of replicas of both kinds."""
         return self.ordinary + self.spot
 
 
-def replicas_for(items: Iterable[int], slots: int) -> int:
-    """Return the replicas that run all items at once.
+def replicas_needed(items: Iterable[int], slots_per_replica: int) -> int:
+    """Return the number of replicas that can run all items at the same time.
 
     Args:
         items: items of the newest step of each model.
-        slots: requests that one replica runs at once.
+        slots_per_replica: requests that one replica runs at the same time.
 
-    >>> replicas_for([112, 120, 112], slots=8)
+    >>> replicas_needed([112, 120, 112], slots_per_replica=8)
     43
     """
-    return math.ceil(sum(items) / max(slots, 1))
+    return math.ceil(sum(items) / max(slots_per_replica, 1))
 
 
 def spread_replicas(
-    rule: ScalingRule, present: Mapping[str, ZoneReplicas], wanted: int
+    rule: ScalingRule, present: Mapping[str, ZoneReplicas], total: int
 ) -> dict[str, ZoneReplicas]:
-    """Return the replicas that each zone shall have.
+    """Return the number of replicas of each kind that each zone should have.
 
     Args:
-        rule: bounds and prices.
-        present: ordinary replicas that are there, by zone; spot replicas are decided anew.
-        wanted: replicas of all zones together.
+        rule: limits and prices.
+        present: replicas that are present, by zone; the number of spot replicas is computed afresh.
+        total: replicas needed in all zones together.
     """
     zones = sorted(present, key=lambda zone: (rule.zone_prices.get(zone, 1.0), zone))
-    spot = dict.fromkeys(zones, 0)
-    missing = wanted - sum(replicas.ordinary for replicas in present.values())
+    spot_by_zone = dict.fromkeys(zones, 0)
+    missing = total - sum(replicas.ordinary for replicas in present.values())
     while missing > 0:
-        open_zones = [zone for zone in zones if present[zone].ordinary + spot[zone] < rule.most]
-        if not open_zones:
+        zones_below_maximum = [
+            zone for zone in zones if present[zone].ordinary + spot_by_zone[zone] < rule.most
+        ]
+        if not zones_below_maximum:
             break
-        # Even shares, as the platform takes the spot replicas of a whole zone away at once.
-        zone = min(open_zones, key=lambda name: (spot[name], zones.index(name)))
-        spot[zone] += 1
+        # Spread evenly, as the platform may reclaim all spot replicas of a zone at once.
+        zone = min(
+            zones_below_maximum, key=lambda candidate: (spot_by_zone[candidate], zones.index(candidate))
+        )
+        spot_by_zone[zone] += 1
         missing -= 1
     if rule.spot_price < 1.0:
         return {
-            zone: ZoneReplicas(ordinary=present[zone].ordinary, spot=spot[zone]) for zone in sorted(zones)
+            zone: ZoneReplicas(ordinary=present[zone].ordinary, spot=spot_by_zone[zone])
+            for zone in sorted(zones)
         }
-    return {zone: ZoneReplicas(ordinary=present[zone].ordinary + spot[zone]) for zone in sorted(zones)}
+    return {
+        zone: ZoneReplicas(ordinary=present[zone].ordinary + spot_by_zone[zone]) for zone in sorted(zones)
+    }
--- /dev/null
+++ b/passgate/duties/scaling_projection.py
@@ -0,0 +1,75 @@
+"""Projection of the control topic that holds the decided numbers of replicas.
+
+The offset of a decision is the fencing token of its order.  Every later decision, by any leader, has a
+higher one, so the platform refuses an older order that arrives late.
+
+>>> from passgate.jobs.records import ReplicasDecided, ReplicasOrdered
+>>> projection = ScalingProjection()
+>>> decided = ReplicasDecided(service="s", zone="z", spot=True, count=3)
+>>> projection.apply(7, "d1.a", decided, leads=True)
+>>> projection.unanswered_decisions()
+[ScalingDecision(pool=ReplicaPool(service='s', zone='z', spot=True), count=3, fence=7)]
+>>> ordered = ReplicasOrdered(service="s", zone="z", spot=True, decided=7)
+>>> projection.apply(8, "d1.a", ordered, leads=True)
+>>> projection.unanswered_decisions()
+[]
+"""
+
+from __future__ import annotations
+
+import msgspec
+
+from passgate.jobs.records import ReplicasDecided, ReplicasOrdered
+
+
+class ReplicaPool(msgspec.Struct, frozen=True, kw_only=True, order=True):
+    """Replicas of one service and kind in one zone; each order is about one pool."""
+
+    service: str
+    zone: str
+    spot: bool
+
+
+class ScalingDecision(msgspec.Struct, frozen=True, kw_only=True):
+    """The number of replicas that a pool should have."""
+
+    pool: ReplicaPool
+    count: int
+    fence: int
+
+
+class ScalingProjection:
+    """The newest decision of each pool, and which of their orders the platform has answered."""
+
+    def __init__(self) -> None:
+        self.decision_by_pool: dict[ReplicaPool, ScalingDecision] = {}
+        self._answered_fence_by_pool: dict[ReplicaPool, int] = {}
+        """Pool to the fencing token of the newest order that the platform has answered."""
+
+    def set_first_offset(self, first_offset: int) -> None:
+        """Do nothing: a decision that was removed from the log is simply made again."""
+
+    def apply(self, offset: int, writer: str, entry: object, *, leads: bool) -> None:
+        """Apply one entry of the record at an offset; ``leads``: its writer was the leader there."""
+        match entry:
+            case ReplicasDecided() if leads:
+                pool = _pool_of(entry)
+                self.decision_by_pool[pool] = ScalingDecision(pool=pool, count=entry.count, fence=offset)
+            case ReplicasOrdered():
+                pool = _pool_of(entry)
+                self._answered_fence_by_pool[pool] = max(
+                    self._answered_fence_by_pool.get(pool, -1), entry.decided
+                )
+
+    def unanswered_decisions(self) -> list[ScalingDecision]:
+        """Return the newest decisions whose orders were not answered, the oldest first."""
+        unanswered = [
+            decision
+            for pool, decision in self.decision_by_pool.items()
+            if decision.fence > self._answered_fence_by_pool.get(pool, -1)
+        ]
+        return sorted(unanswered, key=lambda decision: decision.fence)
+
+
+def _pool_of(entry: ReplicasDecided | ReplicasOrdered) -> ReplicaPool:
+    return ReplicaPool(service=entry.service, zone=entry.zone, spot=entry.spot)
--- a/passgate/duties/service.py
+++ b/passgate/duties/service.py
@@ -1,4 +1,4 @@
-"""What one daemon does for the singleton duties: it counts, hands counts on, and reports if it leads."""
+"""Runs the singleton duties of one daemon: usage metering and, as leader, usage reports and scaling."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 from passgate.clock import monotonic_s
 from passgate.decisions import DecisionLog
-from passgate.duties.calls import CallBudget, DutyCalls
+from passgate.duties.calls import CallRateLimiter, DutyCalls
 from passgate.duties.clock_sync import CLOCK_METHOD, ClockSync
 from passgate.duties.folds import DutyFolds
 from passgate.duties.meter import UsageMeter
 from passgate.duties.scaler import Scaler
-from passgate.duties.usage_channel import COUNT_METHOD, UsageChannel
+from passgate.duties.usage_channel import RECORD_COUNTS_METHOD, UsageForwarder
 from passgate.duties.usage_reporter import UsageReporter
 from passgate.duties.wall_clock import AgreedWallClock
 from passgate.duties.windows import UsageWindows
@@ -25,20 +25,20 @@
 from passgate.sharedlog.group import GroupDirectory
 from passgate.versions.control import ControlTopic
 
-RATE_SHARE = 0.5
-"""Share of the calls that the platform takes; a holder that has just ended may have made as many in the
-same second."""
+RATE_LIMIT_SHARE = 0.5
+"""Share of the platform's call rate that one leader uses; its predecessor may have used the other half in
+the same second."""
 
 
 class Duties:
-    """The duties of one daemon."""
+    """The singleton duties of one daemon."""
 
     def __init__(
         self,
         settings: DutySettings,
         calls: DutyCalls,
         control: ControlTopic,
-        folds: DutyFolds,
+        projections: DutyFolds,
         transport: PeerTransport,
         directory: GroupDirectory,
         decisions: DecisionLog,
@@ -52,33 +52,35 @@
         """Connect the parts.
 
         Args:
-            settings: what the platform asks for.
-            calls: calls to the platform.
-            control: the control topic, whose leader holds the duties.
-            folds: duties as folded from that topic.
-            transport: carries questions to other daemons.
-            directory: the daemons of this zone that watch partitions.
-            decisions: where decisions are noted.
-            config: the configuration in force.
-            replicas: the replicas that are there.
+            settings: which duties are enabled, and the platform's limits.
+            calls: client for the platform.
+            control: the control topic, whose leader performs the duties.
+            projections: projections of that topic that the duties use.
+            transport: carries requests to other daemons.
+            directory: the daemons that watch partitions in this zone.
+            decisions: log of decisions.
+            config: the active configuration.
+            replicas: the replicas that are present.
             evacuated: zones in which no replica counts and none is ordered.
             member: this daemon's name in the directory.
-            holder: this daemon's name towards the platform.
+            holder: this daemon's name in calls to the platform.
         """
         self._reports_usage = settings.usage
         windows = UsageWindows(length_s=settings.usage_window_s)
         clock = AgreedWallClock(time.time, monotonic_s)
         journal = control.journal
-        self._sync = ClockSync(clock, transport, lambda: directory.others(member))
-        self._channel = UsageChannel(transport, journal, lambda: control.fold.leader, directory.member_of)
-        self.meter = UsageMeter(journal.writer, windows, clock.now_s, self._channel.send)
-        budget = CallBudget(settings.calls_per_s * RATE_SHARE)
+        self._clock_sync = ClockSync(clock, transport, lambda: directory.others(member))
+        self._usage_forwarder = UsageForwarder(
+            transport, journal, lambda: control.fold.leader, directory.member_of
+        )
+        self.meter = UsageMeter(journal.writer, windows, clock.now_s, self._usage_forwarder.send)
+        rate_limiter = CallRateLimiter(settings.calls_per_s * RATE_LIMIT_SHARE)
         self._reporter = UsageReporter(
-            folds.usage,
+            projections.usage,
             journal,
             control.leadership,
             calls,
-            budget,
+            rate_limiter,
             windows,
             clock.now_s,
             decisions,
@@ -88,23 +90,23 @@
         self._scaler: Scaler | None = None
         if settings.scaling is ScalingPolicy.WHOLE_STEPS:
             self._scaler = Scaler(
-                folds.scaling,
+                projections.scaling,
                 journal,
                 control.leadership,
                 calls,
-                budget,
+                rate_limiter,
                 config,
                 replicas,
                 control.fold.newest_jobs,
                 decisions,
-                evacuated=evacuated,
+                evacuated_zones=evacuated,
                 holder=holder,
             )
 
     async def run(self) -> None:
-        """Count and report, and order replicas, as far as the platform asks for it, until cancelled."""
+        """Run the enabled duties until cancelled."""
         async with asyncio.TaskGroup() as group:
-            group.create_task(self._sync.run())
+            group.create_task(self._clock_sync.run())
             if self._reports_usage:
                 group.create_task(self.meter.run())
                 group.create_task(self._reporter.run())
@@ -112,9 +114,9 @@
                 group.create_task(self._scaler.run())
 
     async def answer_peer(self, sender: str, method: str, payload: bytes) -> bytes:
-        """Answer another daemon's question; raises PeerCallFailed."""
-        if method == COUNT_METHOD:
-            return await self._channel.answer(payload)
+        """Handle a request of another daemon; raises PeerCallFailed."""
+        if method == RECORD_COUNTS_METHOD:
+            return await self._usage_forwarder.handle_request(payload)
         if method == CLOCK_METHOD:
-            return self._sync.answer()
-        raise PeerCallFailed("unknown question", peer_code="unknown_method")
+            return self._clock_sync.encode_response()
+        raise PeerCallFailed("unknown method of a duty request", peer_code="unknown_method")
--- a/passgate/duties/usage_channel.py
+++ b/passgate/duties/usage_channel.py
@@ -1,8 +1,8 @@
-"""Brings a daemon's counts onto the control topic, if possible with the leader's own appends.
+"""Puts a daemon's usage counts on the control topic, preferably through the leader's regular appends.
 
-The leader appends some times a second in any case, so counts that reach it cost the log no
-call.  A daemon asks the leader it knows, else the watcher of the control partition in its
-zone, which knows the leader.  When neither answers, the daemon appends the counts itself.
+The leader appends several times a second anyway, so counts sent to it cost no further call to the log.  A
+daemon that does not know the leader sends its counts to the watcher of the control partition in its zone.
+If neither confirms, it appends them itself.
 """
 
 from __future__ import annotations
@@ -18,97 +18,103 @@
 from passgate.peers.transport import PeerTransport
 from passgate.sharedlog.member_names import address_of
 
-COUNT_METHOD = "duties.count"
-ASK_S = 1.0
-"""Time for another daemon to put counts on the log; a calm log takes 0.03 s, a slow one 0.3 s."""
-FORWARD_S = 0.8
-"""The same for the leader that the asked daemon asks; less, so that the first still gets an answer."""
-APPEND_S = 2.0
-"""Time for an append of one's own before the counts are handed on another way as well."""
+RECORD_COUNTS_METHOD = "duties.count"
+REQUEST_TIMEOUT_S = 1.0
+"""Timeout of a request to append counts, including the append to a slow log."""
+FORWARD_TIMEOUT_S = 0.8
+"""Timeout of a forwarded request; shorter, so that the original sender still gets its response."""
+APPEND_TIMEOUT_S = 2.0
+"""Time for an own append before it counts as failed and the counts are sent again."""
 CONTROL_PART = 0
-"""Partition whose watchers follow the control topic, and so know who leads."""
+"""Partition whose watchers follow the control topic and so know the leader."""
 
 
-class CountUsage(msgspec.Struct, frozen=True, kw_only=True):
-    """Asks another daemon to put counts on the log."""
+class RecordCountsRequest(msgspec.Struct, frozen=True, kw_only=True):
+    """Request to another daemon to append counts."""
 
     entries: tuple[UsageCounted, ...]
     forwarded: bool = False
-    """Whether the sender asks for a third daemon, and so is not to be sent elsewhere."""
+    """Whether the request was already forwarded once; it is then not forwarded again."""
 
 
-class UsageTaken(msgspec.Struct, frozen=True, kw_only=True):
-    """The counts stand on the log."""
+class CountsRecorded(msgspec.Struct, frozen=True, kw_only=True):
+    """Response: the counts are on the log."""
 
     leader: str
-    """Writer that leads, as far as the answering daemon knows."""
+    """Writer that the responding daemon knows as leader; empty if it knows none."""
 
 
-class UsageChannel:
-    """Hands counts on, and takes those of others."""
+class UsageForwarder:
+    """Sends this daemon's counts and handles requests with those of others."""
 
     def __init__(
         self,
         transport: PeerTransport,
         journal: Journal,
-        leader: Callable[[], str],
-        member_of: Callable[[int], Awaitable[str | None]],
+        current_leader: Callable[[], str],
+        find_watcher: Callable[[int], Awaitable[str | None]],
     ) -> None:
-        """Connect the channel.
+        """Connect the forwarder.
 
         Args:
-            transport: carries questions to other daemons.
+            transport: carries requests to other daemons.
             journal: this daemon's writer of the control topic.
-            leader: returns the writer that leads; empty when this daemon does not know.
-            member_of: returns the watcher of a partition in this zone, if one is known.
+            current_leader: returns the writer that is leader; empty if this daemon does not know it.
+            find_watcher: returns the watcher of a partition in this zone, if one is known.
         """
         self._transport = transport
         self._journal = journal
-        self._leader = leader
-        self._member_of = member_of
-        self._told_leader = ""
-        """Leader that another daemon told of."""
+        self._current_leader = current_leader
+        self._find_watcher = find_watcher
+        self._reported_leader = ""
+        """Leader named in the last response; empty if it did not confirm since."""
 
     async def send(self, entries: Sequence[UsageCounted]) -> bool:
-        """Put counts on the log by the cheapest way that works; return whether they stand there."""
-        question = CountUsage(entries=tuple(entries))
-        leader = self._leader() or self._told_leader
+        """Put counts on the log in the cheapest way that works; return whether they are on it."""
+        request = RecordCountsRequest(entries=tuple(entries))
+        leader = self._current_leader() or self._reported_leader
         if leader == self._journal.writer:
             return await self._append(entries)
-        if leader and await self._ask(address_of(leader), question, ASK_S):
+        if leader and await self._request_append(address_of(leader), request, REQUEST_TIMEOUT_S):
             return True
-        self._told_leader = ""
-        watcher = await self._member_of(CONTROL_PART)
-        if watcher is not None and await self._ask(address_of(watcher), question, ASK_S):
+        self._reported_leader = ""
+        watcher = await self._find_watcher(CONTROL_PART)
+        if watcher is not None and await self._request_append(
+            address_of(watcher), request, REQUEST_TIMEOUT_S
+        ):
             return True
         return await self._append(entries)
 
-    async def _ask(self, address: str, question: CountUsage, timeout_s: float) -> bool:
+    async def _request_append(self, address: str, request: RecordCountsRequest, timeout_s: float) -> bool:
         if not address or address == self._transport.address:
             return False
-        payload = msgspec.json.encode(question)
+        payload = msgspec.json.encode(request)
         try:
-            answer = await self._transport.call(address, COUNT_METHOD, payload, timeout_s)
-            self._told_leader = msgspec.json.decode(answer, type=UsageTaken).leader
+            response = await self._transport.call(address, RECORD_COUNTS_METHOD, payload, timeout_s)
+            self._reported_leader = msgspec.json.decode(response, type=CountsRecorded).leader
         except (PeerError, msgspec.DecodeError):
-            return False  # the next way is tried; the last one, the own append, tells of its failures
+            return False  # the next way is tried; failures of the last one, the own append, are reported
         return True
 
     async def _append(self, entries: Sequence[UsageCounted]) -> bool:
-        """Append counts here; an append in doubt stays in the journal and counts once in any case."""
-        stands = [self._journal.put(entry) for entry in entries]
-        done, waiting = await asyncio.wait(stands, timeout=APPEND_S)
-        return not waiting and all(future.exception() is None for future in done)
-
-    async def answer(self, payload: bytes) -> bytes:
-        """Answer another daemon; raises PeerCallFailed when the counts may not stand on the log."""
-        question = msgspec.json.decode(payload, type=CountUsage)
-        leader = self._leader()
-        elsewhere = leader and leader != self._journal.writer and not question.forwarded
-        if elsewhere:
-            forwarded = msgspec.structs.replace(question, forwarded=True)
-            if await self._ask(address_of(leader), forwarded, FORWARD_S):
-                return msgspec.json.encode(UsageTaken(leader=leader))
-        if not await self._append(question.entries):
-            raise PeerCallFailed("the log does not take the counts", peer_code="not_ready")
-        return msgspec.json.encode(UsageTaken(leader=leader))
+        """Append counts here; one whose append is unconfirmed may be repeated and is added once."""
+        appends = [self._journal.put(entry) for entry in entries]
+        done, pending = await asyncio.wait(appends, timeout=APPEND_TIMEOUT_S)
+        return not pending and all(future.exception() is None for future in done)
+
+    async def handle_request(self, payload: bytes) -> bytes:
+        """Append another daemon's counts, if possible through the leader.
+
+        Raises PeerCallFailed if the counts may not be on the log, and msgspec.DecodeError for a malformed
+        request.
+        """
+        request = msgspec.json.decode(payload, type=RecordCountsRequest)
+        leader = self._current_leader()
+        should_forward = leader and leader != self._journal.writer and not request.forwarded
+        if should_forward:
+            forwarded = msgspec.structs.replace(request, forwarded=True)
+            if await self._request_append(address_of(leader), forwarded, FORWARD_TIMEOUT_S):
+                return msgspec.json.encode(CountsRecorded(leader=leader))
+        if not await self._append(request.entries):
+            raise PeerCallFailed("the usage counts could not be appended to the log", peer_code="not_ready")
+        return msgspec.json.encode(CountsRecorded(leader=leader))
--- a/passgate/duties/usage_fold.py
+++ b/passgate/duties/usage_fold.py
@@ -1,16 +1,17 @@
-"""State of usage reports, folded from the control topic in offset order.
+"""Projection of the control topic that holds usage counts and committed usage reports.
 
-Counts add up until the leader commits their window.  Windows are committed in order,
-and the first commit counts, so every later holder of the duty sends the same report.
+Counts add up until the leader commits their window.  Windows are committed in order and the first commit
+holds, so every later leader sends the same report.
 
 >>> from passgate.jobs.records import UsageCommitted, UsageCounted
->>> fold = UsageFold()
+>>> projection = UsageFold()
 >>> count = UsageCounted(meter="d1.a", number=0, window=7, counts={"orchard": 2})
->>> fold.apply(0, "d1.a", count, leads=False); fold.apply(1, "d2.a", count, leads=False)
->>> fold.counts_of(7)
+>>> for offset, writer in enumerate(("d1.a", "d2.a")):
+...     projection.apply(offset, writer, count, leads=False)
+>>> projection.counts_of(7)
 {'orchard': 2}
->>> fold.apply(2, "d2.a", UsageCommitted(window=7, counts={"orchard": 2}), leads=True)
->>> fold.unreported, fold.through
+>>> projection.apply(2, "d2.a", UsageCommitted(window=7, counts={"orchard": 2}), leads=True)
+>>> projection.unreported, projection.through
 ({7: {'orchard': 2}}, 7)
 """
 
@@ -22,8 +23,8 @@
 
 from passgate.jobs.records import Counts, UsageCommitted, UsageCounted, UsageReported
 
-MOST_OPEN = 720
-"""Windows with counts that are kept while nobody commits them: an hour of 5 s."""
+MAX_OPEN_WINDOWS = 720
+"""Uncommitted windows that are kept; the oldest are dropped first."""
 
 
 class _OpenWindow(msgspec.Struct):
@@ -33,61 +34,61 @@
 
 
 class UsageFold:
-    """Counts of open windows and reports that are committed."""
+    """Counts of open windows, and committed reports."""
 
     def __init__(self) -> None:
         self.through: int | None = None
-        """Newest window whose report is committed; all before it are too, or are given up."""
+        """Newest committed window; no older window is committed any more."""
         self.unreported: dict[int, Counts] = {}
-        """Committed reports of which the platform's acceptance is not known."""
+        """Window to its committed counts, until the platform is known to have accepted the report."""
         self.late = 0
         """Requests that were counted after their window had been committed."""
         self.history_lost = False
         """Whether older records of the topic were removed before this daemon read them."""
-        self._open: dict[int, _OpenWindow] = {}
+        self._open_windows: dict[int, _OpenWindow] = {}
 
-    def begin(self, first_offset: int) -> None:
-        """Note the offset of the first record that is read."""
+    def set_first_offset(self, first_offset: int) -> None:
+        """Record the offset of the first record that is read."""
         self.history_lost = first_offset > 0
 
     def apply(self, offset: int, writer: str, entry: object, *, leads: bool) -> None:
-        """Take an entry of the record at an offset; ``leads`` tells whether its writer led there."""
+        """Apply one entry of the record at an offset; ``leads``: its writer was the leader there."""
         match entry:
             case UsageCounted():
-                self._count(entry)
+                self._add_counts(entry)
             case UsageCommitted() if leads:
                 self._commit(entry)
             case UsageReported():
                 self.unreported.pop(entry.window, None)
 
-    def _count(self, entry: UsageCounted) -> None:
+    def _add_counts(self, entry: UsageCounted) -> None:
         if self.through is not None and entry.window <= self.through:
             self.late += sum(entry.counts.values())
             return
-        window = self._open.setdefault(entry.window, _OpenWindow(Counter(), set()))
-        name = (entry.meter, entry.number)
-        if name not in window.seen:
-            window.seen.add(name)
+        window = self._open_windows.setdefault(entry.window, _OpenWindow(Counter(), set()))
+        count_id = (entry.meter, entry.number)
+        if count_id not in window.seen:
+            window.seen.add(count_id)
             window.counts.update(entry.counts)
-        while len(self._open) > MOST_OPEN:
-            del self._open[min(self._open)]
+        while len(self._open_windows) > MAX_OPEN_WINDOWS:
+            del self._open_windows[min(self._open_windows)]
 
     def _commit(self, entry: UsageCommitted) -> None:
         if self.through is not None and entry.window <= self.through:
             return
         self.through = entry.window
         self.unreported[entry.window] = entry.counts
-        for window in [window for window in self._open if window <= entry.window]:
-            del self._open[window]
+        for window in [window for window in self._open_windows if window <= entry.window]:
+            del self._open_windows[window]
 
     def counts_of(self, window: int) -> Counts:
-        """Return what was counted in a window that is not committed."""
-        found = self._open.get(window)
-        return dict(found.counts) if found is not None else {}
+        """Return the counts of a window that is not committed, by tenant."""
+        open_window = self._open_windows.get(window)
+        return dict(open_window.counts) if open_window is not None else {}
 
-    def first_open(self) -> int | None:
-        """Return the oldest window with counts that is surely not committed; None when there is none.
+    def first_uncommitted_window(self) -> int | None:
+        """Return the oldest window with counts that is certainly not committed, or None.
 
-        Without the oldest records a commit may have been missed, and a late count of its window not.
+        If the oldest records were removed, the commit of a counted window may be among them.
         """
-        return None if self.history_lost else min(self._open, default=None)
+        return None if self.history_lost else min(self._open_windows, default=None)
--- a/passgate/duties/usage_reporter.py
+++ b/passgate/duties/usage_reporter.py
@@ -1,8 +1,7 @@
-"""Commits and sends the usage report of each window, while this daemon leads.
+"""Commits and sends the usage report of each window, while this daemon is the leader.
 
-A report is committed to the control topic before it is first sent, and only what the fold
-holds as committed is sent, whoever leads by then.  Windows that nobody reported are caught
-up oldest first.
+A report is committed to the control topic before it is first sent, and every leader sends only committed
+reports.  Windows that were not reported are caught up, the oldest first.
 """
 
 from __future__ import annotations
@@ -12,127 +11,127 @@
 
 from passgate.clock import monotonic_s
 from passgate.decisions import DecisionLog, UsageReportSent, UsageWindowCommitted
-from passgate.duties.calls import CallBudget, DutyCalls, DutyOutcome, UsageReport
+from passgate.duties.calls import CallRateLimiter, DutyCalls, DutyOutcome, UsageReport
 from passgate.duties.usage_fold import UsageFold
 from passgate.duties.windows import UsageWindows
 from passgate.jobs.journal import Journal
 from passgate.jobs.records import UsageCommitted, UsageReported
 from passgate.versions.leadership import Leadership
 
-TICK_S = 0.1
-"""Time between looks for what is due; small against the time in which a report is due."""
+CHECK_INTERVAL_S = 0.1
+"""Interval of checks for due reports; short compared with the time in which a report is due."""
 SEND_RESERVE_S = 6.5
-"""Part of the time in which a report is due that is left for a change of holder (a lease of 3 s and
-0.5 s, then its first batch) and for commit and sends, which take 1 s each when the log is slow."""
-LEAST_SETTLE_S = 1.0
-"""Counts of a window are waited for at least this long after its end."""
-FIRST_PAUSE_S = 0.2
-"""Pause after the first call without a usable answer."""
-MAX_PAUSE_S = 2.0
-"""Longest such pause; three fit into the time that is left for sends."""
+"""Part of a report's due time reserved for a change of leader and for the commit and sends with a slow log.
+"""
+MIN_SETTLE_S = 1.0
+"""Shortest wait for late counts after the end of a window."""
+FIRST_RETRY_PAUSE_S = 0.2
+"""Pause after the first call without a definite outcome."""
+MAX_RETRY_PAUSE_S = 2.0
+"""Longest such pause; three of them fit into the reserve for sends."""
 
 
 class UsageReporter:
-    """This daemon's part in the duty."""
+    """Reports usage while this daemon is the leader."""
 
     def __init__(
         self,
-        fold: UsageFold,
+        projection: UsageFold,
         journal: Journal,
         leadership: Leadership,
         calls: DutyCalls,
-        budget: CallBudget,
+        rate_limiter: CallRateLimiter,
         windows: UsageWindows,
-        wall_s: Callable[[], float],
+        wall_clock_s: Callable[[], float],
         decisions: DecisionLog,
         *,
         holder: str,
         due_s: float,
     ) -> None:
-        """Make the reporter.
+        """Create the reporter.
 
         Args:
-            fold: state of the reports.
+            projection: counts and committed reports.
             journal: this daemon's writer of the control topic.
-            leadership: whether this daemon may order, and its fence.
-            calls: calls to the platform.
-            budget: bounds the calls of all duties.
-            windows: the windows of the wall clock.
-            wall_s: the time of day.
-            decisions: where decisions are noted.
-            holder: name of this daemon as the platform sees it.
+            leadership: says whether this daemon may make calls, and its fencing token.
+            calls: client for the platform.
+            rate_limiter: rate limit of the calls of all duties.
+            windows: the usage windows of the wall clock.
+            wall_clock_s: returns the time of day.
+            decisions: log of decisions.
+            holder: this daemon's name in calls to the platform.
             due_s: time after a window's end within which its report is due.
         """
-        self._fold = fold
+        self._projection = projection
         self._journal = journal
         self._leadership = leadership
         self._calls = calls
-        self._budget = budget
+        self._rate_limiter = rate_limiter
         self._windows = windows
-        self._wall_s = wall_s
+        self._wall_clock_s = wall_clock_s
         self._decisions = decisions
         self._holder = holder
-        self._settle_s = max(due_s - SEND_RESERVE_S, LEAST_SETTLE_S)
-        self._committing: asyncio.Future[int] | None = None
-        self._first_led: int | None = None
-        """Window in which this daemon first led; nothing before it is reported unless it was counted."""
+        self._settle_s = max(due_s - SEND_RESERVE_S, MIN_SETTLE_S)
+        self._pending_commit: asyncio.Future[int] | None = None
+        self._first_led_window: int | None = None
+        """Window in which this daemon first led; older windows are reported only if they have counts."""
         self._refused_fence: int | None = None
         self._next_send_s = 0.0
-        self._pause_s = FIRST_PAUSE_S
+        self._retry_pause_s = FIRST_RETRY_PAUSE_S
 
     async def run(self) -> None:
-        """Commit and send until cancelled."""
+        """Commit and send due reports until cancelled."""
         while True:
-            await asyncio.sleep(TICK_S)
+            await asyncio.sleep(CHECK_INTERVAL_S)
             if self._leadership.may_order():
-                self._commit_due()
-                await self._send_next()
+                self._commit_due_window()
+                await self._send_oldest_report()
 
-    def _commit_due(self) -> None:
-        if self._committing is not None and not self._committing.done():
+    def _commit_due_window(self) -> None:
+        if self._pending_commit is not None and not self._pending_commit.done():
             return
-        window = self._next_window()
-        if self._wall_s() < self._windows.end_s(window) + self._settle_s:
+        window = self._oldest_uncommitted_window()
+        if self._wall_clock_s() < self._windows.end_s(window) + self._settle_s:
             return
-        counts = self._fold.counts_of(window)
-        self._committing = self._journal.put(UsageCommitted(window=window, counts=counts))
+        counts = self._projection.counts_of(window)
+        self._pending_commit = self._journal.put(UsageCommitted(window=window, counts=counts))
         self._decisions.write(
             UsageWindowCommitted(window=window, requests=sum(counts.values()), tenants=len(counts))
         )
 
-    def _next_window(self) -> int:
+    def _oldest_uncommitted_window(self) -> int:
         """Return the oldest window whose report is not committed."""
-        if self._fold.through is not None:
-            return self._fold.through + 1
-        if self._first_led is None:
-            self._first_led = self._windows.at(self._wall_s())
-        counted = self._fold.first_open()
-        return self._first_led if counted is None else min(counted, self._first_led)
+        if self._projection.through is not None:
+            return self._projection.through + 1
+        if self._first_led_window is None:
+            self._first_led_window = self._windows.window_at(self._wall_clock_s())
+        first_counted = self._projection.first_uncommitted_window()
+        return self._first_led_window if first_counted is None else min(first_counted, self._first_led_window)
 
-    async def _send_next(self) -> None:
+    async def _send_oldest_report(self) -> None:
         """Send the oldest report that is not known to be accepted."""
         now_s = monotonic_s()
         fence = self._leadership.fence
-        if not self._fold.unreported or now_s < self._next_send_s or fence == self._refused_fence:
+        if not self._projection.unreported or now_s < self._next_send_s or fence == self._refused_fence:
             return
-        if not self._budget.take(now_s):
+        if not self._rate_limiter.try_acquire(now_s):
             return
-        window = min(self._fold.unreported)
+        window = min(self._projection.unreported)
         report = UsageReport(
-            window=window, counts=self._fold.unreported[window], holder=self._holder, fence=fence
+            window=window, counts=self._projection.unreported[window], holder=self._holder, fence=fence
         )
         outcome = await self._calls.report_usage(report)
         self._decisions.write(UsageReportSent(window=window, fence=fence, outcome=outcome.value))
-        self._take(window, fence, outcome)
+        self._handle_outcome(window, fence, outcome)
 
-    def _take(self, window: int, fence: int, outcome: DutyOutcome) -> None:
+    def _handle_outcome(self, window: int, fence: int, outcome: DutyOutcome) -> None:
         match outcome:
             case DutyOutcome.ACCEPTED:
-                self._fold.unreported.pop(window, None)
+                self._projection.unreported.pop(window, None)
                 self._journal.put(UsageReported(window=window))
-                self._pause_s = FIRST_PAUSE_S
+                self._retry_pause_s = FIRST_RETRY_PAUSE_S
             case DutyOutcome.REFUSED:
-                self._refused_fence = fence  # a later leader has the duty; only a new lead may send again
+                self._refused_fence = fence  # another leader reports now; sends resume after a new election
             case DutyOutcome.UNKNOWN:
-                self._next_send_s = monotonic_s() + self._pause_s
-                self._pause_s = min(self._pause_s * 2.0, MAX_PAUSE_S)
+                self._next_send_s = monotonic_s() + self._retry_pause_s
+                self._retry_pause_s = min(self._retry_pause_s * 2.0, MAX_RETRY_PAUSE_S)
--- a/passgate/duties/wall_clock.py
+++ b/passgate/duties/wall_clock.py
@@ -1,13 +1,12 @@
-"""Time of day that a step of one machine's clock does not shift.
+"""A wall clock that does not follow steps of the machine's clock.
 
-The daemon reads its clock once and then counts on by the steady clock.  From time to time
-it asks some other daemons for theirs and moves to the median, so a daemon that started
-while its clock was wrong is right again after the first answers.
+The daemon reads the machine's clock once and then advances by the monotonic clock.  At intervals it moves
+to the median of its own and other daemons' clocks, which corrects a wrong reading at the start.
 
->>> clock = AgreedWallClock(wall_s=lambda: 100.0, steady_s=lambda: 7.0)
+>>> clock = AgreedWallClock(wall_s=lambda: 100.0, monotonic_s=lambda: 7.0)
 >>> clock.now_s()
 100.0
->>> clock.agree([103.0, 102.9], asked_s=7.0)
+>>> clock.adjust_to_median([103.0, 102.9], at_monotonic_s=7.0)
 >>> clock.now_s()
 102.9
 """
@@ -17,35 +16,35 @@
 import statistics
 from collections.abc import Callable, Sequence
 
-FEWEST_ANSWERS = 2
-"""With this machine's own clock, a median that one wrong clock can not shift."""
+MIN_RESPONSES = 2
+"""Fewest clocks of other daemons; with the own one, a single wrong clock can't shift the median."""
 
 
 class AgreedWallClock:
-    """This daemon's view of the time of day."""
+    """The time of day as agreed among daemons."""
 
-    def __init__(self, wall_s: Callable[[], float], steady_s: Callable[[], float]) -> None:
+    def __init__(self, wall_s: Callable[[], float], monotonic_s: Callable[[], float]) -> None:
         """Read the machine's clock once.
 
         Args:
             wall_s: the machine's time of day, which may step.
-            steady_s: a clock that never steps.
+            monotonic_s: a clock that never steps.
         """
-        self._steady_s = steady_s
-        self._offset_s = wall_s() - steady_s()
+        self._monotonic_s = monotonic_s
+        self._offset_s = wall_s() - monotonic_s()
 
     def now_s(self) -> float:
-        """Return the time of day in seconds since the start of 1970."""
-        return self._offset_s + self._steady_s()
+        """Return the time of day in seconds since 1970."""
+        return self._offset_s + self._monotonic_s()
 
-    def agree(self, others_s: Sequence[float], asked_s: float) -> None:
-        """Move to the median of this clock and others'.
+    def adjust_to_median(self, other_wall_s: Sequence[float], at_monotonic_s: float) -> None:
+        """Move to the median of this clock and others; fewer than MIN_RESPONSES others change nothing.
 
         Args:
-            others_s: times of day that other daemons told.
-            asked_s: steady time to which they belong, the middle of question and answer.
+            other_wall_s: times of day of other daemons.
+            at_monotonic_s: monotonic time at which they were valid.
         """
-        if len(others_s) < FEWEST_ANSWERS:
+        if len(other_wall_s) < MIN_RESPONSES:
             return
-        own_s = self._offset_s + asked_s
-        self._offset_s = statistics.median_low([own_s, *others_s]) - asked_s
+        own_s = self._offset_s + at_monotonic_s
+        self._offset_s = statistics.median_low([own_s, *other_wall_s]) - at_monotonic_s
--- a/passgate/duties/windows.py
+++ b/passgate/duties/windows.py
@@ -1,7 +1,7 @@
-"""Windows of the wall clock by which usage is reported.
+"""Fixed windows of the wall clock by which usage is reported.
 
 >>> windows = UsageWindows(length_s=5.0)
->>> windows.at(1_000_003.0), windows.end_s(200_000)
+>>> windows.window_at(1_000_003.0), windows.end_s(200_000)
 (200000, 1000005.0)
 """
 
@@ -11,12 +11,12 @@
 
 
 class UsageWindows(msgspec.Struct, frozen=True, kw_only=True):
-    """Numbers of windows: window ``k`` begins ``k`` lengths after the start of 1970."""
+    """Numbers usage windows: window ``k`` starts ``k * length_s`` after the start of 1970."""
 
     length_s: float
 
-    def at(self, wall_s: float) -> int:
-        """Return the window of a time of day."""
+    def window_at(self, wall_s: float) -> int:
+        """Return the number of the window that contains a time of day."""
         return int(wall_s // self.length_s)
 
     def end_s(self, window: int) -> float:
--- a/passgate/sharedlog/counted.py
+++ b/passgate/sharedlog/counted.py
@@ -26,9 +26,9 @@
     SharedLog,
 )
 
-OK = "ok"
+OUTCOME_OK = "ok"
 
-Count = Callable[[str, str, str], None]
+CountCall = Callable[[str, str, str], None]
 """Takes the name of a call, its topic or group, and its outcome: ``ok`` or the code of the failure."""
 
 T = TypeVar("T")
@@ -37,40 +37,40 @@
 class CountedLog:
     """A log whose calls are counted; see :class:`SharedLog`."""
 
-    def __init__(self, log: SharedLog, count: Count) -> None:
+    def __init__(self, log: SharedLog, count: CountCall) -> None:
         self._log = log
         self._count = count
 
     async def append(self, topic: str, part: int, records: Sequence[bytes], *, at: int | None = None) -> int:
         """Append all records or none."""
-        return await self._counted("append", topic, self._log.append(topic, part, records, at=at))
+        return await self._await_and_count("append", topic, self._log.append(topic, part, records, at=at))
 
     async def read(
         self, topic: str, part: int, start: int, *, wait_s: float, max_bytes: int = MAX_PAGE_BYTES
     ) -> LogPage:
         """Return records from an offset."""
         page = self._log.read(topic, part, start, wait_s=wait_s, max_bytes=max_bytes)
-        return await self._counted("read", topic, page)
+        return await self._await_and_count("read", topic, page)
 
     async def newest(self, topic: str, part: int, *, most_pages: int | None = None) -> KeyedSnapshot:
         """Return the newest record of every key; a call of several pages counts once."""
         snapshot = self._log.newest(topic, part, most_pages=most_pages)
-        return await self._counted("newest", topic, snapshot)
+        return await self._await_and_count("newest", topic, snapshot)
 
     async def join(
         self, group: str, member: str, topics: Sequence[str], *, lifetime_s: float, generation: int
     ) -> GroupShare:
         """Join a group or stay in it."""
         share = self._log.join(group, member, topics, lifetime_s=lifetime_s, generation=generation)
-        return await self._counted("join", group, share)
+        return await self._await_and_count("join", group, share)
 
     async def leave(self, group: str, member: str) -> None:
         """Leave a group at once."""
-        await self._counted("leave", group, self._log.leave(group, member))
+        await self._await_and_count("leave", group, self._log.leave(group, member))
 
     async def members(self, group: str) -> dict[GroupPartition, str]:
         """Return the member of each partition."""
-        return await self._counted("members", group, self._log.members(group))
+        return await self._await_and_count("members", group, self._log.members(group))
 
     def decode_keyed(self, record: bytes) -> KeyedRecord:
         """Split a raw record of a keyed topic."""
@@ -80,11 +80,11 @@
         """Return the raw record of a keyed topic."""
         return self._log.encode_keyed(record)
 
-    async def _counted(self, call: str, subject: str, answer: Awaitable[T]) -> T:
+    async def _await_and_count(self, call: str, subject: str, answer: Awaitable[T]) -> T:
         try:
             result = await answer
         except LogError as error:
             self._count(call, subject, error.code)
             raise
-        self._count(call, subject, OK)
+        self._count(call, subject, OUTCOME_OK)
         return result
--- a/passgate/sharedlog/group.py
+++ b/passgate/sharedlog/group.py
@@ -15,33 +15,33 @@
 from passgate.clock import monotonic_s
 from passgate.decisions import DecisionLog, PartitionsHeld
 from passgate.errors import LogError
-from passgate.sharedlog.candidacy import AMPLE_CORES, Candidacy
+from passgate.sharedlog.candidacy import ALWAYS_MEMBER_CORES, Candidacy
 from passgate.sharedlog.hedge import hedged
 from passgate.sharedlog.log import GroupPartition, GroupShare, SharedLog
 
 logger = logging.getLogger("passgate.sharedlog")
 
-JOIN_S = 0.35
+JOIN_INTERVAL_S = 0.35
 """Time between two joins; the shortest lifetime covers two that are lost."""
-JOIN_SOON_S = 0.1
+SETTLING_JOIN_INTERVAL_S = 0.1
 """The same while the group settles: partitions pass on only once their members have heard of a change."""
-SETTLE_S = 0.6
+SETTLING_S = 0.6
 """Time after a change within which all members have joined again."""
-ANSWERED_S = 0.5
+RECENT_ANSWER_S = 0.5
 """Age of an answer of the log that shows that it serves; longer than the time between two joins."""
-LEAST_LIFETIME_S = 1.2
+MIN_LIFETIME_S = 1.2
 """Silence after which the log takes a member out."""
 LEAVE_TIMEOUT_S = 1.0
 """Time for the log to take note that a member leaves; it lapses by itself otherwise."""
-DIRECTORY_LIFE_S = 2.0
+DIRECTORY_MAX_AGE_S = 2.0
 """Age after which the list of members is read anew when it is needed."""
 REFRESH_S = 5.0
 """Time between reads of the list, so that it is known when the log falls silent."""
-RETRY_S = 1.0
+DIRECTORY_RETRY_S = 1.0
 """Time after a failed read of the list before the next."""
-KEEP_KNOWN_S = 10.0
+OTHER_ZONE_REFRESH_S = 10.0
 """Time between reads of the lists of other zones, which are needed only when the own zone is cut off."""
-PATIENCE_S = 0.3
+DIRECTORY_WAIT_S = 0.3
 """Longest time that a caller waits for the list; then the one known before must do."""
 
 
@@ -62,38 +62,38 @@
         self._log = log
         self._group = group
         self._member = member
-        self._candidacy = candidacy
+        self._membership_policy = candidacy
         self._topic = topic
         self._decisions = decisions
-        self._lifetime_s = max(LEAST_LIFETIME_S, least_lifetime_s)
+        self._lifetime_s = max(MIN_LIFETIME_S, least_lifetime_s)
         self._generation = 0
-        self._joined_s = float("-inf")
-        self._changed_s = float("-inf")
+        self._last_joined_s = float("-inf")
+        self._last_changed_s = float("-inf")
         """When a change of the group was heard of last."""
-        self._held: frozenset[int] = frozenset()
-        self._left = False
+        self._assigned_partitions: frozenset[int] = frozenset()
+        self._has_left = False
 
     def held(self) -> frozenset[int]:
         """Return the partitions that this member holds; none once its lifetime is over."""
-        if self._left or monotonic_s() - self._joined_s > self._lifetime_s:
+        if self._has_left or monotonic_s() - self._last_joined_s > self._lifetime_s:
             return frozenset()
-        return self._held
+        return self._assigned_partitions
 
     def answered(self) -> bool:
         """Whether the log has just answered this member, so that it is known to serve."""
-        return monotonic_s() - self._joined_s < ANSWERED_S
+        return monotonic_s() - self._last_joined_s < RECENT_ANSWER_S
 
     async def run(self) -> None:
         """Join again and again, while the daemon shall be a member, until cancelled or left."""
-        while not self._left:
-            if self._candidacy.wanted:
-                await self._stay()
-            elif self._held or self._generation:
+        while not self._has_left:
+            if self._membership_policy.wanted:
+                await self._try_join()
+            elif self._assigned_partitions or self._generation:
                 await self._withdraw()
-            settling = monotonic_s() - self._changed_s < SETTLE_S
-            await asyncio.sleep(JOIN_SOON_S if settling else JOIN_S)
+            settling = monotonic_s() - self._last_changed_s < SETTLING_S
+            await asyncio.sleep(SETTLING_JOIN_INTERVAL_S if settling else JOIN_INTERVAL_S)
 
-    async def _stay(self) -> None:
+    async def _try_join(self) -> None:
         try:
             await self._join()
         except LogError as error:
@@ -101,22 +101,22 @@
 
     async def _withdraw(self) -> None:
         """Hold nothing, as larger machines do; jobs that run here stay."""
-        self._held = frozenset()
+        self._assigned_partitions = frozenset()
         self._generation = 0
         self._decisions.write(PartitionsHeld(generation=0, parts=()))
-        await self._tell_left()
+        await self._send_leave()
 
     async def _join(self) -> None:
         sent_s = monotonic_s()
         share = await hedged(self._call_join)
-        self._joined_s = sent_s
+        self._last_joined_s = sent_s
         held = frozenset(partition.part for partition in share.partitions)
-        if held != self._held:
+        if held != self._assigned_partitions:
             self._decisions.write(PartitionsHeld(generation=share.generation, parts=tuple(sorted(held))))
         if share.generation != self._generation:
-            self._changed_s = monotonic_s()
+            self._last_changed_s = monotonic_s()
         self._generation = share.generation
-        self._held = held
+        self._assigned_partitions = held
 
     async def _call_join(self) -> GroupShare:
         return await self._log.join(
@@ -129,10 +129,10 @@
 
     async def leave(self) -> None:
         """Hold nothing from now on and tell the log, best effort."""
-        self._left = True
-        await self._tell_left()
+        self._has_left = True
+        await self._send_leave()
 
-    async def _tell_left(self) -> None:
+    async def _send_leave(self) -> None:
         with contextlib.suppress(LogError, TimeoutError):
             async with asyncio.timeout(LEAVE_TIMEOUT_S):
                 await self._log.leave(self._group, self._member)
@@ -145,57 +145,59 @@
         self._log = log
         self._group = group
         self._topic = topic
-        self._candidacy = candidacy
-        self._members: dict[GroupPartition, str] = {}
-        self._earlier: dict[GroupPartition, str] = {}
+        self._membership_policy = candidacy
+        self._member_by_partition: dict[GroupPartition, str] = {}
+        self._previous_member_by_partition: dict[GroupPartition, str] = {}
         """Partition to the member that held it before."""
-        self._read_s = float("-inf")
-        self._reading: asyncio.Task[None] | None = None
+        self._last_read_s = float("-inf")
+        self._read_task: asyncio.Task[None] | None = None
 
     async def member_of(self, part: int) -> str | None:
         """Return the member that holds a partition; while the log fails, the last one known."""
-        reading = self._reading is not None and not self._reading.done()
-        if not reading and monotonic_s() - self._read_s > DIRECTORY_LIFE_S:
-            self._reading = asyncio.get_running_loop().create_task(self._read())
+        reading = self._read_task is not None and not self._read_task.done()
+        if not reading and monotonic_s() - self._last_read_s > DIRECTORY_MAX_AGE_S:
+            self._read_task = asyncio.get_running_loop().create_task(self._read())
             reading = True
-        if self._reading is not None and reading:
-            await asyncio.wait([self._reading], timeout=PATIENCE_S)
-        return self._members.get(GroupPartition(self._topic, part))
+        if self._read_task is not None and reading:
+            await asyncio.wait([self._read_task], timeout=DIRECTORY_WAIT_S)
+        return self._member_by_partition.get(GroupPartition(self._topic, part))
 
     def earlier_member_of(self, part: int) -> str | None:
         """Return the member that held a partition before, as far as it is known."""
-        return self._earlier.get(GroupPartition(self._topic, part))
+        return self._previous_member_by_partition.get(GroupPartition(self._topic, part))
 
     def others(self, member: str) -> list[str]:
         """Return the other members, as known last, in any order."""
-        others = sorted({other for other in self._members.values() if other != member})
+        others = sorted({other for other in self._member_by_partition.values() if other != member})
         return random.sample(others, len(others))
 
     async def keep_known(self) -> None:
         """Keep the list known, until cancelled."""
         while True:
-            if monotonic_s() - self._read_s > DIRECTORY_LIFE_S:
+            if monotonic_s() - self._last_read_s > DIRECTORY_MAX_AGE_S:
                 await self._read()
-            await asyncio.sleep(DIRECTORY_LIFE_S / 2 if self._candidacy.waiting else REFRESH_S)
+            await asyncio.sleep(
+                DIRECTORY_MAX_AGE_S / 2 if self._membership_policy.is_undecided else REFRESH_S
+            )
 
     def forget(self) -> None:
         """Read the list anew when it is needed next; a member did not answer."""
-        self._read_s = float("-inf")
+        self._last_read_s = float("-inf")
 
     async def _read(self) -> None:
-        self._read_s = monotonic_s() + RETRY_S - DIRECTORY_LIFE_S
+        self._last_read_s = monotonic_s() + DIRECTORY_RETRY_S - DIRECTORY_MAX_AGE_S
         try:
-            self._take(await self._log.members(self._group))
-            self._read_s = monotonic_s()
-            self._candidacy.take_list(set(self._members.values()), self._read_s)
+            self._replace_members(await self._log.members(self._group))
+            self._last_read_s = monotonic_s()
+            self._membership_policy.update_members(set(self._member_by_partition.values()), self._last_read_s)
         except LogError as error:
             logger.info("members_unknown", extra={"group": self._group, "error": str(error)})
 
-    def _take(self, members: dict[GroupPartition, str]) -> None:
-        for partition, member in self._members.items():
+    def _replace_members(self, members: dict[GroupPartition, str]) -> None:
+        for partition, member in self._member_by_partition.items():
             if members.get(partition) != member:
-                self._earlier[partition] = member
-        self._members = members
+                self._previous_member_by_partition[partition] = member
+        self._member_by_partition = members
 
 
 class OtherZones:
@@ -206,8 +208,8 @@
         log: SharedLog,
         watch_group: str,
         topic: str,
-        nearest_first: Callable[[], list[str]],
-        kept_known: Callable[[], list[str]] = list,
+        zones_by_distance: Callable[[], list[str]],
+        prefetched_zones: Callable[[], list[str]] = list,
     ) -> None:
         """Begin without any.
 
@@ -218,16 +220,16 @@
             nearest_first: returns the other zones, the nearest first.
             kept_known: returns the zones whose members are known also once the log falls silent.
         """
-        self._kept_known = kept_known
+        self._prefetched_zones = prefetched_zones
         self._log = log
         self._watch_group = watch_group
         self._topic = topic
-        self._nearest_first = nearest_first
-        self._directories: dict[str, GroupDirectory] = {}
+        self._zones_by_distance = zones_by_distance
+        self._directory_by_zone: dict[str, GroupDirectory] = {}
 
     def nearest_first(self) -> list[tuple[str, GroupDirectory]]:
         """Return the other zones and who their members are, the nearest first."""
-        return [(zone, self._directory(zone)) for zone in self._nearest_first()]
+        return [(zone, self._directory(zone)) for zone in self._zones_by_distance()]
 
     def known_members(self) -> list[tuple[str, str]]:
         """Return zones and members that are known without asking the log, nearest zones first.
@@ -235,24 +237,26 @@
         Which zones are the nearest may have changed since their members were read.
         """
         zones = [
-            (zone, self._directories[zone]) for zone in self._nearest_first() if zone in self._directories
+            (zone, self._directory_by_zone[zone])
+            for zone in self._zones_by_distance()
+            if zone in self._directory_by_zone
         ]
         return [(zone, member) for zone, directory in zones for member in directory.others("")]
 
     async def keep_known(self) -> None:
         """Keep the members of some zones known, until cancelled; there may be no such zone."""
-        while zones := self._kept_known():
+        while zones := self._prefetched_zones():
             for zone in zones:
                 await self._directory(zone).member_of(0)
             all_known = all(self._directory(zone).others("") for zone in zones)
-            await asyncio.sleep(KEEP_KNOWN_S if all_known else RETRY_S)
+            await asyncio.sleep(OTHER_ZONE_REFRESH_S if all_known else DIRECTORY_RETRY_S)
 
     def _directory(self, zone: str) -> GroupDirectory:
-        known = self._directories.get(zone)
+        known = self._directory_by_zone.get(zone)
         if known is None:
             group = group_of_zone(self._watch_group, zone)
-            known = GroupDirectory(self._log, group, self._topic, Candidacy(AMPLE_CORES))
-            self._directories[zone] = known
+            known = GroupDirectory(self._log, group, self._topic, Candidacy(ALWAYS_MEMBER_CORES))
+            self._directory_by_zone[zone] = known
         return known
 
 
--- a/passgate/sharedlog/hedge.py
+++ b/passgate/sharedlog/hedge.py
@@ -20,9 +20,9 @@
 from collections.abc import Callable, Coroutine
 from typing import Any, TypeVar
 
-HEDGE_S = 0.35
+HEDGE_DELAY_S = 0.35
 """Silence after which a call is sent again; far beyond the usual time of an answer."""
-MOST_CALLS = 4
+MAX_CONCURRENT_CALLS = 4
 """Calls that wait at the same time."""
 
 T = TypeVar("T")
@@ -33,9 +33,9 @@
     waiting: list[asyncio.Task[T]] = []
     try:
         while True:
-            if len(waiting) < MOST_CALLS:
+            if len(waiting) < MAX_CONCURRENT_CALLS:
                 waiting.append(asyncio.get_running_loop().create_task(call()))
-            done, _ = await asyncio.wait(waiting, timeout=HEDGE_S, return_when=asyncio.FIRST_COMPLETED)
+            done, _ = await asyncio.wait(waiting, timeout=HEDGE_DELAY_S, return_when=asyncio.FIRST_COMPLETED)
             answered = [task for task in done if task.exception() is None]
             if done:
                 return (answered or list(done))[0].result()
--- a/passgate/sharedlog/member_names.py
+++ b/passgate/sharedlog/member_names.py
@@ -15,13 +15,13 @@
 
 ADDRESS_MARK = "@"
 """Stands before the address."""
-CORES_MARK = "~"
+CORES_SEPARATOR = "~"
 """Stands before the cores."""
 
 
 def member_name(daemon_id: str, peer_address: str, cores: float) -> str:
     """Return the name of a daemon in the log's groups."""
-    return f"{daemon_id}{CORES_MARK}{cores:.2f}{ADDRESS_MARK}{peer_address}"
+    return f"{daemon_id}{CORES_SEPARATOR}{cores:.2f}{ADDRESS_MARK}{peer_address}"
 
 
 def address_of(name: str) -> str:
@@ -31,7 +31,7 @@
 
 def cores_of(member: str) -> float:
     """Return the cores in a member's name; 0 when it tells none."""
-    told = member.partition(ADDRESS_MARK)[0].rpartition(CORES_MARK)[2]
+    told = member.partition(ADDRESS_MARK)[0].rpartition(CORES_SEPARATOR)[2]
     try:
         return float(told)
     except ValueError:
--- a/passgate/sharedlog/tail.py
+++ b/passgate/sharedlog/tail.py
@@ -4,7 +4,7 @@
 that can not read keeps what it has.
 
 >>> tail_is_fresh = Freshness()
->>> tail_is_fresh.confirmed(10.0)
+>>> tail_is_fresh.confirm_current(10.0)
 >>> tail_is_fresh.age_s(12.5)
 2.5
 """
@@ -34,22 +34,22 @@
 
 POLL_WAIT_S = 1.0
 """Longest wait of one long poll; a lost dependency is noticed soon after."""
-FIRST_PAUSE_S = 0.05
+FIRST_RETRY_PAUSE_S = 0.05
 """Pause after the first failed read."""
-MAX_PAUSE_S = 0.4
+MAX_RETRY_PAUSE_S = 0.4
 """Pauses after failed reads; short, as configuration must be in force soon after a recovery."""
 MIN_PAGE_BYTES = 32 * 1024
 """Pages become smaller down to this when reads fail, as a large one may not arrive in time."""
-SLOW_DOWN = 2.0
-SPEED_UP = 0.995
+GAP_GROWTH_FACTOR = 2.0
+GAP_DECAY_FACTOR = 0.995
 MAX_GAP_S = 0.8
 """Longest pause between reads while the log throttles; far below the time for configuration."""
-URGENT_PAUSE_S = 0.3
+URGENT_RETRY_PAUSE_S = 0.3
 """Pause after a throttled read of what must be known at once."""
-CATCH_UP_STEP_S = 0.01
+CATCH_UP_POLL_S = 0.01
 """Time between looks whether the end was reached; a page takes about 50 ms."""
 NEVER_S = float("-inf")
-EMPTY_PAGE_AGE_S = 0.1
+EMPTY_PAGE_MAX_AGE_S = 0.1
 """How old an empty page may be when it arrives."""
 SLOWEST_ANSWER_S = 1.2
 """Time for an answer beyond its wait, the time-out of the log's client.  A page that is read later
@@ -57,7 +57,7 @@
 FRESH_S = 1.6
 """Age up to which a view of the log is taken for the present one: a long poll of 1 s, and its answer.
 Others are judged, and questions of the log answered, only from a view that is not older."""
-BEHIND_S = 2.5
+BEHIND_AFTER_S = 2.5
 """Without a confirmed read for this long, a follower counts as behind."""
 
 
@@ -80,56 +80,56 @@
     each slows down at a refusal and speeds up slowly, as senders in a network do.
 
     >>> pace = ReadPace(0.05)
-    >>> pace.throttled(); pace.throttled()
+    >>> pace.slow_down(); pace.slow_down()
     >>> pace.gap_s
     0.2
-    >>> for _ in range(300): pace.succeeded()
+    >>> for _ in range(300): pace.speed_up()
     >>> pace.gap_s
     0.05
     """
 
-    def __init__(self, least_s: float) -> None:
-        self._least_s = least_s
-        self.gap_s = least_s
+    def __init__(self, min_gap_s: float) -> None:
+        self._min_gap_s = min_gap_s
+        self.gap_s = min_gap_s
 
     @property
-    def slowed(self) -> bool:
+    def is_slowed(self) -> bool:
         """Whether the log refused calls lately."""
-        return self.gap_s > self._least_s
+        return self.gap_s > self._min_gap_s
 
-    def throttled(self) -> None:
+    def slow_down(self) -> None:
         """The log refused a call for its rate."""
-        self.gap_s = min(max(self.gap_s, FIRST_PAUSE_S) * SLOW_DOWN, MAX_GAP_S)
+        self.gap_s = min(max(self.gap_s, FIRST_RETRY_PAUSE_S) * GAP_GROWTH_FACTOR, MAX_GAP_S)
 
-    def succeeded(self) -> None:
+    def speed_up(self) -> None:
         """A call was served."""
-        self.gap_s = max(self._least_s, self.gap_s * SPEED_UP)
+        self.gap_s = max(self._min_gap_s, self.gap_s * GAP_DECAY_FACTOR)
 
 
 class Freshness:
     """When a follower last knew that it had read everything."""
 
     def __init__(self) -> None:
-        self._confirmed_s = NEVER_S
-        self.recovered_s = NEVER_S
+        self._confirmed_at_s = NEVER_S
+        self.recovered_at_s = NEVER_S
         """When reading began to work again after the last time of being behind."""
 
-    def confirmed(self, began_s: float, applied_s: float | None = None) -> None:
+    def confirm_current(self, as_of_s: float, applied_at_s: float | None = None) -> None:
         """Note a read that began at ``began_s``, reached the end and was applied at ``applied_s``."""
-        if began_s - self._confirmed_s > BEHIND_S:
-            self.recovered_s = began_s if applied_s is None else applied_s
-        self._confirmed_s = max(self._confirmed_s, began_s)
+        if as_of_s - self._confirmed_at_s > BEHIND_AFTER_S:
+            self.recovered_at_s = as_of_s if applied_at_s is None else applied_at_s
+        self._confirmed_at_s = max(self._confirmed_at_s, as_of_s)
 
     def age_s(self, now_s: float) -> float:
         """Return the time since the last confirmed state; infinite before the first."""
-        return now_s - self._confirmed_s
+        return now_s - self._confirmed_at_s
 
-    def silence_s(self, heard_s: float | None, now_s: float) -> float:
+    def silence_s(self, last_contact_s: float | None, now_s: float) -> float:
         """Return for how long a writer has surely been silent while the log could be read.
 
         ``heard_s`` is when its last record was read, None when there was none.
         """
-        return now_s - max(self.recovered_s, heard_s if heard_s is not None else NEVER_S)
+        return now_s - max(self.recovered_at_s, last_contact_s if last_contact_s is not None else NEVER_S)
 
 
 class _Follower:
@@ -138,10 +138,10 @@
     def __init__(self, log: SharedLog, settings: TailSettings) -> None:
         self._log = log
         self._settings = settings
-        self._pause_s = FIRST_PAUSE_S
-        self._failing = False
-        self._pace = ReadPace(settings.gap_s)
-        self._page_bytes = MAX_PAGE_BYTES
+        self._retry_pause_s = FIRST_RETRY_PAUSE_S
+        self._last_read_failed = False
+        self._read_pace = ReadPace(settings.gap_s)
+        self._max_page_bytes = MAX_PAGE_BYTES
         self.wait_s = settings.wait_s
         """Longest wait of one long poll."""
         self.freshness = Freshness()
@@ -151,47 +151,51 @@
         while True:
             try:
                 at_end = await self._read_once()
-                self._failing = False
-                self._pause_s = FIRST_PAUSE_S
-                self._pace.succeeded()
-                await asyncio.sleep(self._pace.gap_s if at_end or self._pace.slowed else 0.0)
+                self._last_read_failed = False
+                self._retry_pause_s = FIRST_RETRY_PAUSE_S
+                self._read_pace.speed_up()
+                await asyncio.sleep(self._read_pace.gap_s if at_end or self._read_pace.is_slowed else 0.0)
             except HistoryGone as error:
-                self._skip_lost_history(error.first)
+                self._skip_removed_records(error.first)
             except LogThrottled:
-                await asyncio.sleep(self._throttled_s())
+                await asyncio.sleep(self._next_throttle_pause_s())
             except LogError as error:
                 logger.info("log_read_failed", extra={"topic": self._settings.topic, "error": str(error)})
-                self._failing = True
-                self._page_bytes = max(self._page_bytes // 2, MIN_PAGE_BYTES)
-                await asyncio.sleep(self._pause_s)
-                self._pause_s = min(self._pause_s * 2.0, MAX_PAUSE_S)
+                self._last_read_failed = True
+                self._max_page_bytes = max(self._max_page_bytes // 2, MIN_PAGE_BYTES)
+                await asyncio.sleep(self._retry_pause_s)
+                self._retry_pause_s = min(self._retry_pause_s * 2.0, MAX_RETRY_PAUSE_S)
 
     async def _read_once(self) -> bool:
         """Read a page; return whether it reached the end."""
         raise NotImplementedError
 
-    def _skip_lost_history(self, first: int) -> None:
+    def _skip_removed_records(self, first: int) -> None:
         raise NotImplementedError
 
-    def _throttled_s(self) -> float:
+    def _next_throttle_pause_s(self) -> float:
         if self._settings.urgent:
-            return URGENT_PAUSE_S
-        self._pace.throttled()
-        return self._pace.gap_s
-
-    async def _read(self, start: int, wait_s: float) -> LogPage:
-        page = await (hedged(lambda: self._call(start, 0.0)) if self._failing else self._call(start, wait_s))
+            return URGENT_RETRY_PAUSE_S
+        self._read_pace.slow_down()
+        return self._read_pace.gap_s
+
+    async def _read_page(self, start: int, wait_s: float) -> LogPage:
+        page = await (
+            hedged(lambda: self._request_page(start, 0.0))
+            if self._last_read_failed
+            else self._request_page(start, wait_s)
+        )
         if page.next_offset < page.end:
-            self._page_bytes = min(self._page_bytes * 2, MAX_PAGE_BYTES)
+            self._max_page_bytes = min(self._max_page_bytes * 2, MAX_PAGE_BYTES)
         return page
 
-    async def _call(self, start: int, wait_s: float) -> LogPage:
+    async def _request_page(self, start: int, wait_s: float) -> LogPage:
         settings = self._settings
         return await self._log.read(
-            settings.topic, settings.part, start, wait_s=wait_s, max_bytes=self._page_bytes
+            settings.topic, settings.part, start, wait_s=wait_s, max_bytes=self._max_page_bytes
         )
 
-    def _confirm_end(self, page: LogPage, began_s: float, wait_s: float) -> bool:
+    def _confirm_if_at_end(self, page: LogPage, began_s: float, wait_s: float) -> bool:
         """Note whether a page reached the end of the partition; return whether it did.
 
         A machine that stood still may read a page long after it was made, so an empty one counts
@@ -202,8 +206,8 @@
         # An empty page was the truth when its wait ended, a page with records when it was made.
         now_s = monotonic_s()
         due_s = began_s + wait_s + SLOWEST_ANSWER_S
-        at_s = began_s if page.records else max(began_s, min(due_s, now_s - EMPTY_PAGE_AGE_S))
-        self.freshness.confirmed(at_s, now_s)
+        at_s = began_s if page.records else max(began_s, min(due_s, now_s - EMPTY_PAGE_MAX_AGE_S))
+        self.freshness.confirm_current(at_s, now_s)
         return True
 
 
@@ -215,7 +219,7 @@
         self._apply = apply
         self._advanced = asyncio.Event()
         self.next_offset = 0
-        self.first_kept = 0
+        self.first_kept_offset = 0
         """Offset of the first record that the log still kept at the last read."""
         self.caught_up = False
         """Whether the end was reached once."""
@@ -223,17 +227,17 @@
     async def _read_once(self) -> bool:
         began_s = monotonic_s()
         wait_s = self.wait_s if self.caught_up else 0.0
-        page = await self._read(self.next_offset, wait_s)
-        self._take(page)
-        at_end = self._confirm_end(page, began_s, wait_s)
+        page = await self._read_page(self.next_offset, wait_s)
+        self._apply_page(page)
+        at_end = self._confirm_if_at_end(page, began_s, wait_s)
         self.caught_up = self.caught_up or at_end
         return at_end
 
-    def _skip_lost_history(self, first: int) -> None:
+    def _skip_removed_records(self, first: int) -> None:
         self.next_offset = first
 
-    def _take(self, page: LogPage) -> None:
-        self.first_kept = max(self.first_kept, page.first)
+    def _apply_page(self, page: LogPage) -> None:
+        self.first_kept_offset = max(self.first_kept_offset, page.first)
         if page.records and page.start == self.next_offset:
             self._apply(page)
             self.next_offset = page.next_offset
@@ -259,7 +263,7 @@
         while not self.caught_up:
             if monotonic_s() >= until_s:
                 return False
-            await asyncio.sleep(CATCH_UP_STEP_S)
+            await asyncio.sleep(CATCH_UP_POLL_S)
         return True
 
     async def confirm(self, timeout_s: float) -> bool:
@@ -268,10 +272,10 @@
         Asks the log anew, since a waiting long poll proves nothing.
         """
         try:
-            page = await self._read(self.next_offset, 0.0)
+            page = await self._read_page(self.next_offset, 0.0)
         except LogError:
             return False
-        self._take(page)
+        self._apply_page(page)
         if page.end <= self.next_offset:
             return True
         return await self.wait_past(page.end - 1, timeout_s)
@@ -326,8 +330,8 @@
         self._replace = replace
         self._update = update
         self._next_offset: int | None = None
-        self._reload = True
-        self._told_malformed = False
+        self._must_load_snapshot = True
+        self._malformed_logged = False
 
     @property
     def loaded(self) -> bool:
@@ -339,40 +343,40 @@
         """Offset up to which all was read; 0 before the first snapshot."""
         return self._next_offset or 0
 
-    def begin(self, snapshot: KeyedSnapshot, began_s: float) -> None:
+    def start_from(self, snapshot: KeyedSnapshot, began_s: float) -> None:
         """Begin with a snapshot whose reading began at a loop time."""
-        self._take_snapshot(snapshot, began_s)
-        self._reload = False
+        self._apply_snapshot(snapshot, began_s)
+        self._must_load_snapshot = False
 
     async def _read_once(self) -> bool:
-        if self._reload:
-            await self._load()
-            self._reload = False
+        if self._must_load_snapshot:
+            await self._load_snapshot()
+            self._must_load_snapshot = False
         began_s = monotonic_s()
-        page = await self._read(self._next_offset or 0, self.wait_s)
+        page = await self._read_page(self._next_offset or 0, self.wait_s)
         if page.records and page.start == self._next_offset:
             self._update(tuple(self._decode(record) for record in page.records), page.start)
             self._next_offset = page.next_offset
-        return self._confirm_end(page, began_s, self.wait_s)
+        return self._confirm_if_at_end(page, began_s, self.wait_s)
 
     def _decode(self, record: bytes) -> KeyedRecord:
         """Return a record; one that can't be read counts as an empty one, so that the others hold."""
         try:
             return self._log.decode_keyed(record)
         except MalformedRecord as error:
-            if not self._told_malformed:  # once, as another writer may append any number of them
-                self._told_malformed = True
+            if not self._malformed_logged:  # once, as another writer may append any number of them
+                self._malformed_logged = True
                 logger.warning("malformed_record", extra={"topic": self._settings.topic, "error": str(error)})
             return KeyedRecord(key="", value=b"")
 
-    def _skip_lost_history(self, first: int) -> None:
-        self._reload = True
+    def _skip_removed_records(self, first: int) -> None:
+        self._must_load_snapshot = True
 
-    async def _load(self) -> None:
+    async def _load_snapshot(self) -> None:
         began_s = monotonic_s()
-        self._take_snapshot(await self._log.newest(self._settings.topic, self._settings.part), began_s)
+        self._apply_snapshot(await self._log.newest(self._settings.topic, self._settings.part), began_s)
 
-    def _take_snapshot(self, snapshot: KeyedSnapshot, began_s: float) -> None:
+    def _apply_snapshot(self, snapshot: KeyedSnapshot, began_s: float) -> None:
         self._replace(snapshot.records, snapshot.next_offset)
         self._next_offset = snapshot.next_offset
-        self.freshness.confirmed(began_s)
+        self.freshness.confirm_current(began_s)
--- a/passgate/versions/__init__.py
+++ b/passgate/versions/__init__.py
@@ -1,4 +1,5 @@
-"""Brings replicas to the versions of the weights that trainers name.
+"""Keeps replicas on the versions of the model weights that trainers publish.
 
-``leadership`` decides which daemon gives orders, ``loader`` gives them.
+``leadership`` decides which daemon sends load orders, ``load_plan`` chooses the next loads and ``loader``
+sends the orders.
 """
--- a/passgate/versions/control.py
+++ b/passgate/versions/control.py
@@ -1,6 +1,6 @@
-"""The control topic: who leads, what new jobs need, and the records of duties.
+"""Follows and writes the control topic: leadership, demands of new jobs, and records of singleton duties.
 
-Only a few daemons follow it, as only they may lead.
+Only daemons that may become leader follow the topic.
 """
 
 from __future__ import annotations
@@ -22,26 +22,26 @@
 from passgate.versions.lead_fold import LeadFold
 from passgate.versions.leadership import Leadership
 
-TICK_S = 0.1
-"""Time between looks at the lease; a quarter of the time between renewals."""
-GAP_S = 0.1
-"""Pause between reads."""
+LEASE_CHECK_INTERVAL_S = 0.1
+"""Interval of lease checks; a quarter of the renewal interval."""
+READ_PAUSE_S = 0.1
+"""Pause between reads of the topic."""
 
 
-class ControlFold(Protocol):
-    """Further state that is folded from the control topic."""
+class ControlProjection(Protocol):
+    """A further projection of the control topic."""
 
-    def begin(self, first_offset: int) -> None:
-        """Note the offset of the first record that is read."""
+    def set_first_offset(self, first_offset: int) -> None:
+        """Record the offset of the first record that is read; greater than 0 if older ones were removed."""
         ...
 
     def apply(self, offset: int, writer: str, entry: object, *, leads: bool) -> None:
-        """Take an entry of the record at an offset; ``leads`` tells whether its writer led there."""
+        """Apply one entry of the record at an offset; ``leads``: its writer was the leader there."""
         ...
 
 
 class ControlTopic:
-    """This daemon's part in the control topic."""
+    """Follows the control topic, writes to it and takes part in the election of the leader."""
 
     def __init__(
         self,
@@ -52,48 +52,50 @@
         decisions: DecisionLog,
         *,
         lease_s: float,
-        folds: Sequence[ControlFold] = (),
+        folds: Sequence[ControlProjection] = (),
         sign_of: Callable[[str, float], Sign | None] = lambda writer, heard_s: None,
     ) -> None:
-        self._folds = folds
-        self._began = False
+        self._projections = folds
+        self._has_started = False
         self.fold = LeadFold()
         self.journal = journal
         self._may_lead = may_lead
         self._decisions = decisions
-        self._followed = FollowedTail(RecordTail(log, TailSettings(topic=topic, gap_s=GAP_S), self._apply))
-        freshness = self._followed.tail.freshness
+        self._tail = FollowedTail(
+            RecordTail(log, TailSettings(topic=topic, gap_s=READ_PAUSE_S), self._apply_page)
+        )
+        freshness = self._tail.tail.freshness
         self.leadership = Leadership(
             self.fold, journal, freshness, decisions, lease_s=lease_s, sign_of=sign_of
         )
 
     async def run(self) -> None:
-        """Write, follow and lead as needed, until cancelled."""
+        """Write, follow and campaign for leadership as needed, until cancelled."""
         async with asyncio.TaskGroup() as tasks:
             tasks.create_task(self.journal.run())
             try:
                 while True:
-                    self._tick()
-                    await asyncio.sleep(TICK_S)
+                    self._update_leadership()
+                    await asyncio.sleep(LEASE_CHECK_INTERVAL_S)
             finally:
-                self._followed.set(False)
+                self._tail.set(False)
 
-    def _tick(self) -> None:
-        self._followed.set(self._may_lead() or self.leadership.leads)
-        if self._followed.current:
-            self.leadership.tick()
+    def _update_leadership(self) -> None:
+        self._tail.set(self._may_lead() or self.leadership.leads)
+        if self._tail.current:
+            self.leadership.renew_or_claim()
 
     def stop(self) -> asyncio.Future[int]:
-        """Give up the lead; the result is there once that stands on the log."""
+        """Release leadership and claim it no more; the future completes when the release is on the log."""
         self.leadership.stopping = True
         return self.journal.put(WriterStopped())
 
-    def _apply(self, page: LogPage) -> None:
+    def _apply_page(self, page: LogPage) -> None:
         now_s = monotonic_s()
-        if not self._began:
-            self._began = True
-            for fold in self._folds:
-                fold.begin(page.start)
+        if not self._has_started:
+            self._has_started = True
+            for projection in self._projections:
+                projection.set_first_offset(page.start)
         for index, record in enumerate(page.records):
             offset = page.start + index
             try:
@@ -102,12 +104,12 @@
                 self._decisions.write(RecordUnreadable(offset=offset, reason=str(error)))
                 continue
             self.fold.apply(offset, batch, now_s)
-            self._apply_to_folds(offset, batch)
+            self._apply_to_projections(offset, batch)
             if batch.writer == self.journal.writer:
                 self.leadership.read_back(batch)
 
-    def _apply_to_folds(self, offset: int, batch: Batch) -> None:
-        leads = batch.writer == self.fold.leader
+    def _apply_to_projections(self, offset: int, batch: Batch) -> None:
+        by_leader = batch.writer == self.fold.leader
         for entry in batch.entries:
-            for fold in self._folds:
-                fold.apply(offset, batch.writer, entry, leads=leads)
+            for projection in self._projections:
+                projection.apply(offset, batch.writer, entry, leads=by_leader)
--- a/passgate/versions/doubtful_orders.py
+++ b/passgate/versions/doubtful_orders.py
@@ -1,9 +1,8 @@
-"""Orders without an answer, which may be carried out later, also by the replica's next life.
+"""Load orders whose outcome is unknown: they may still be executed, even by the replica's next incarnation.
 
-An order names the number of orders that the replica has taken, and is carried out only at that number.
-A replica that starts again counts from 0, so an order that its last life left without an answer fits
-once more when the count gets there, and would then bring an older version back after a newer one.
-The one order that would lead to such a count is put off until the old one can't arrive any more.
+A replica executes an order only if the order names the number of orders that it has accepted.  A restart
+resets that number to 0, so an unconfirmed order fits again later and would load an older version.  The
+order that would lead to that number is delayed until the old one can't arrive any more.
 
 >>> doubtful = DoubtfulOrders()
 >>> doubtful.note(ReplicaLife("r", 1), expected=2, now_s=0.0)
@@ -18,41 +17,43 @@
 
 from passgate.eligibility.replica_info import ReplicaLife
 
-DOUBT_S = 15.0
-"""Time after which an order that got no answer can't arrive any more; calls are cut off far sooner, but a
-replica that is held up carries out what waits at it seconds later."""
+UNCONFIRMED_LIFETIME_S = 15.0
+"""Time after which an unconfirmed order is no longer executed: a stalled replica executes queued calls
+seconds late."""
 
 
-class _Doubt(msgspec.Struct, frozen=True, kw_only=True):
+class _UnconfirmedOrder(msgspec.Struct, frozen=True, kw_only=True):
     life: ReplicaLife
     expected: int
     until_s: float
 
 
 class DoubtfulOrders:
-    """The orders that this daemon has no answer to."""
+    """The load orders of this daemon whose outcome is unknown."""
 
     def __init__(self) -> None:
-        self._by_replica: dict[str, list[_Doubt]] = {}
-        """By identifier, as they concern the lives that follow."""
+        self._orders_by_replica_id: dict[str, list[_UnconfirmedOrder]] = {}
+        """Keyed by identifier, not by incarnation, because later incarnations are affected."""
 
     def note(self, life: ReplicaLife, expected: int, now_s: float) -> None:
-        """Note an order that got no answer."""
-        self._drop_old(now_s)
-        doubt = _Doubt(life=life, expected=expected, until_s=now_s + DOUBT_S)
-        self._by_replica.setdefault(life.replica_id, []).append(doubt)
+        """Record an order to an incarnation whose outcome is unknown."""
+        self._drop_expired(now_s)
+        order = _UnconfirmedOrder(life=life, expected=expected, until_s=now_s + UNCONFIRMED_LIFETIME_S)
+        self._orders_by_replica_id.setdefault(life.replica_id, []).append(order)
 
     def may_follow(self, life: ReplicaLife, orders_taken: int, now_s: float) -> bool:
-        """Whether a life that has taken so many orders may get the next one."""
-        doubts = self._by_replica.get(life.replica_id, ())
+        """Return whether an incarnation that has accepted ``orders_taken`` orders may get the next one."""
+        orders = self._orders_by_replica_id.get(life.replica_id, ())
         return not any(
-            doubt.life != life and doubt.expected == orders_taken + 1 and now_s < doubt.until_s
-            for doubt in doubts
+            order.life != life and order.expected == orders_taken + 1 and now_s < order.until_s
+            for order in orders
         )
 
-    def _drop_old(self, now_s: float) -> None:
-        kept = {
-            replica: [doubt for doubt in doubts if now_s < doubt.until_s]
-            for replica, doubts in self._by_replica.items()
+    def _drop_expired(self, now_s: float) -> None:
+        unexpired = {
+            replica_id: [order for order in orders if now_s < order.until_s]
+            for replica_id, orders in self._orders_by_replica_id.items()
+        }
+        self._orders_by_replica_id = {
+            replica_id: orders for replica_id, orders in unexpired.items() if orders
         }
-        self._by_replica = {replica: doubts for replica, doubts in kept.items() if doubts}
--- a/passgate/versions/lead_fold.py
+++ b/passgate/versions/lead_fold.py
@@ -1,7 +1,7 @@
-"""State of the lead, folded from the control topic in offset order.
+"""Projection of the control topic that decides which daemon is the leader.
 
-Every daemon that follows the topic decides by this code who leads.  The topic also
-tells what the newest job of each model asks of its weights.
+All followers of the topic apply its records in offset order and therefore agree on the leader.  The
+projection also holds what the newest job of each model requires of its weights.
 
 >>> fold = LeadFold()
 >>> fold.apply(0, Batch(writer="d1.a", entries=(LeaderClaimed(holder="d1.a", after=NO_CLAIM),)), now_s=0.0)
@@ -18,23 +18,23 @@
 
 
 class LeadFold:
-    """Who leads, and who was heard."""
+    """The current leader, the last contact with each writer, and the newest job of each model."""
 
     def __init__(self) -> None:
-        self.heard_s: dict[str, float] = {}
-        """Writer to the loop time at which its last batch was folded."""
+        self.last_contact_s_by_writer: dict[str, float] = {}
+        """Writer to the loop time at which its last batch was applied here."""
         self.leader = ""
         self.leader_fence = NO_CLAIM
-        """Offset of the last claim that counted; rises with each leader."""
+        """Offset of the last accepted claim; rises with each change of leader."""
         self.leader_heard = NO_CLAIM
         """Offset of the leader's last record."""
         self.newest_jobs: dict[str, JobNoted] = {}
-        """Model to what its newest job asks for."""
+        """Model to what its newest job requires."""
 
     def apply(self, offset: int, batch: Batch, now_s: float) -> None:
-        """Take the next record of the log."""
+        """Apply the next record of the log, read at a loop time."""
         writer = batch.writer
-        self.heard_s[writer] = now_s
+        self.last_contact_s_by_writer[writer] = now_s
         if writer == self.leader:
             self.leader_heard = offset
         for entry in batch.entries:
@@ -45,9 +45,9 @@
             case LeaderClaimed():
                 self._claim(offset, entry)
             case WriterStopped():
-                self._release(writer)
+                self._remove_writer(writer)
             case WriterAlive(fence=fence) if fence > self.leader_fence:
-                # The claim itself was removed with old history.
+                # The accepted claim was removed from the log before this daemon read it.
                 self.leader = writer
                 self.leader_fence = fence
                 self.leader_heard = offset
@@ -55,13 +55,13 @@
                 self.newest_jobs[entry.model] = entry
 
     def _claim(self, offset: int, entry: LeaderClaimed) -> None:
-        silent = not self.leader or entry.seen == self.leader_heard
-        if entry.after == self.leader_fence and silent:
+        leader_not_renewed = not self.leader or entry.seen == self.leader_heard
+        if entry.after == self.leader_fence and leader_not_renewed:
             self.leader = entry.holder
             self.leader_fence = offset
             self.leader_heard = offset
 
-    def _release(self, writer: str) -> None:
-        self.heard_s.pop(writer, None)
+    def _remove_writer(self, writer: str) -> None:
+        self.last_contact_s_by_writer.pop(writer, None)
         if self.leader == writer:
             self.leader = ""
--- a/passgate/versions/leadership.py
+++ b/passgate/versions/leadership.py
@@ -1,11 +1,8 @@
-"""The lease of the one daemon that gives orders to replicas.
-
-A claim on the log counts when it names the last claim that counted and the last
-record of that leader; its offset is the fence of all orders.  The leader renews by
-any batch it appends and gives orders only for a short time after it sent a batch
-that it has read back from the log while it still led.  Others claim only after a
-longer silence, and a renewal that reaches the log before a claim voids the claim.
-So two leaders' orders lie apart, whatever calls are lost, late or slow.
+"""Lease-based leadership: at most one daemon at a time sends orders to replicas.
+
+A claim on the log is accepted if it names the last accepted claim and that leader's last record; its offset
+is the leader's fencing token.  Each batch that the leader appends renews the lease.  It sends orders only
+for a short time after a batch that it has read back, and others claim only after a longer silence.
 """
 
 from __future__ import annotations
@@ -21,18 +18,18 @@
 from passgate.versions.lead_fold import LeadFold
 
 TAKEOVER_MARGIN_S = 0.5
-"""Silence beyond the lease after which others claim."""
-USABLE_SHARE = 0.6
-"""Share of the lease for which a renewal on the log allows orders, from its sending."""
-CLAIM_PAUSE_S = 0.7
-"""Time after a claim within which it must have been read back."""
-ASK_S = 0.55
-"""Silence after which the leader is asked whether it lives; it appends each 0.4 s."""
+"""Silence beyond the lease after which other daemons claim leadership."""
+ORDER_LEASE_SHARE = 0.6
+"""Share of the lease, counted from the sending of a confirmed renewal, in which orders may be sent."""
+CLAIM_RETRY_S = 0.7
+"""Pause after a claim before the next one; the claim has normally been read back by then."""
+PROBE_AFTER_S = 0.55
+"""Silence after which the leader's address is probed; a live leader appends every 0.4 s."""
 NEVER_S = float("-inf")
 
 
 class Leadership:
-    """This daemon's part in the lease."""
+    """One daemon's view of the lease: renews it as leader and claims it when it is free."""
 
     def __init__(
         self,
@@ -44,90 +41,93 @@
         lease_s: float,
         sign_of: Callable[[str, float], Sign | None] = lambda writer, heard_s: None,
     ) -> None:
-        """Begin without the lead.
+        """Start without leadership.
 
         Args:
-            fold: who leads, by the log.
+            fold: the projection that decides who leads.
             journal: this daemon's writer of the control topic.
-            freshness: how fresh this daemon's view of that topic is.
-            decisions: where decisions are noted.
-            lease_s: orders of two holders lie further apart than this.
-            sign_of: returns what a writer's address has told since it was heard last, if anything.
+            freshness: how current this daemon's view of that topic is.
+            decisions: log of decisions.
+            lease_s: lease duration; a leader stops sending orders before it ends, others claim after it.
+            sign_of: returns the status of a writer as probed at its address since its last contact, or None
+                if no answer is known yet.
         """
-        self._sign_of = sign_of
-        self._fold = fold
+        self._status_of = sign_of
+        self._projection = fold
         self._journal = journal
         self._freshness = freshness
         self._decisions = decisions
         self.lease_s = lease_s
         self.stopping = False
         self._next_claim_s = 0.0
-        self._led_fence: int | None = None
-        self._confirmed_s = float("-inf")
-        """When the last batch was sent that stands on the log within this daemon's lead."""
+        self._logged_fence: int | None = None
+        self._confirmed_sent_s = float("-inf")
+        """When the newest batch was sent that was read back while this daemon was the leader."""
 
     @property
     def leads(self) -> bool:
-        """Whether the log names this daemon's present life as leader."""
-        return self._fold.leader == self._journal.writer
+        """Whether the log names this incarnation of the daemon as leader."""
+        return self._projection.leader == self._journal.writer
 
     @property
     def fence(self) -> int:
-        """Fence of this leader's orders."""
-        return self._fold.leader_fence
+        """Fencing token of the current leader's orders."""
+        return self._projection.leader_fence
 
     def may_order(self) -> bool:
-        """Whether an order may be sent now."""
-        age_s = monotonic_s() - self._confirmed_s
-        return self.leads and age_s < self.lease_s * USABLE_SHARE and not self.stopping
+        """Return whether this daemon may send an order now."""
+        age_s = monotonic_s() - self._confirmed_sent_s
+        return self.leads and age_s < self.lease_s * ORDER_LEASE_SHARE and not self.stopping
 
     def read_back(self, batch: Batch) -> None:
-        """Take a batch of this daemon that the fold has just applied."""
+        """Extend the order period by a batch of this daemon that was read back while it is the leader."""
         sent_s = self._journal.read_back(batch)
         if sent_s is not None and self.leads:
-            self._confirmed_s = max(self._confirmed_s, sent_s)
+            self._confirmed_sent_s = max(self._confirmed_sent_s, sent_s)
 
-    def tick(self) -> None:
-        """Renew the lease, or claim it when it is free."""
+    def renew_or_claim(self) -> None:
+        """Renew the lease as leader, or claim it when it is free."""
         now_s = monotonic_s()
-        self._note_change()
+        self._log_change()
         if self.leads:
             self._journal.renew(self.fence)
-        elif not self.stopping and now_s >= self._next_claim_s and self._is_free(now_s):
-            self._next_claim_s = now_s + CLAIM_PAUSE_S
+        elif not self.stopping and now_s >= self._next_claim_s and self._may_claim(now_s):
+            self._next_claim_s = now_s + CLAIM_RETRY_S
             claim = LeaderClaimed(
-                holder=self._journal.writer, after=self._fold.leader_fence, seen=self._fold.leader_heard
+                holder=self._journal.writer,
+                after=self._projection.leader_fence,
+                seen=self._projection.leader_heard,
             )
             self._journal.put(claim)
 
-    def _is_free(self, now_s: float) -> bool:
+    def _may_claim(self, now_s: float) -> bool:
         if self._freshness.age_s(now_s) >= FRESH_S:
             return False
-        leader = self._fold.leader
+        leader = self._projection.leader
         if not leader or daemon_of(leader) == daemon_of(self._journal.writer):
             return True
-        silent_s = self._freshness.silence_s(self._fold.heard_s.get(leader), now_s)
+        silent_s = self._freshness.silence_s(self._projection.last_contact_s_by_writer.get(leader), now_s)
         if silent_s > self.lease_s + TAKEOVER_MARGIN_S:
             return True
-        return silent_s > ASK_S and self._has_ended(leader)
+        return silent_s > PROBE_AFTER_S and self._was_replaced(leader)
 
-    def _has_ended(self, leader: str) -> bool:
-        """Whether the leader's process has surely ended, as a later life of its daemon answers.
+    def _was_replaced(self, leader: str) -> bool:
+        """Whether the leader's process has exited, as a later incarnation of its daemon answers.
 
-        Without this, daemons that all start at once wait for the whole lease of a leader that
-        is gone, since each has only just read its last record.
+        Without this check, daemons that all restart at once wait for a whole lease, since each has only
+        just read the last record of the leader that has gone.
         """
-        heard_s = self._fold.heard_s.get(leader, NEVER_S)
-        return self._sign_of(leader, heard_s) is Sign.REPLACED
+        last_contact_s = self._projection.last_contact_s_by_writer.get(leader, NEVER_S)
+        return self._status_of(leader, last_contact_s) is Sign.REPLACED
 
-    def _note_change(self) -> None:
+    def _log_change(self) -> None:
         fence = self.fence if self.leads else None
-        if fence == self._led_fence:
+        if fence == self._logged_fence:
             return
         if fence is None:
             self._decisions.write(
-                LeadershipLost(fence=self._led_fence or 0, reason=f"held by {self._fold.leader}")
+                LeadershipLost(fence=self._logged_fence or 0, reason=f"held by {self._projection.leader}")
             )
         else:
             self._decisions.write(LeadershipTaken(fence=fence, previous=""))
-        self._led_fence = fence
+        self._logged_fence = fence
--- a/passgate/versions/load_crashes.py
+++ b/passgate/versions/load_crashes.py
@@ -1,7 +1,7 @@
-"""Versions of weights whose load ends replicas: recognized as crashing requests are, and held back.
+"""Suspends weight versions that crash the replicas loading them.
 
-The order to load a version counts as one request, whichever replica gets it.  A version that some
-replica holds can be loaded, so replicas that end while they load it end for a reason of their own.
+The order to load a version is handed to the crash guard as one request, whichever replica gets it.  If any
+replica holds the version, it can be loaded, and crashes during its loads are attributed to other causes.
 """
 
 from __future__ import annotations
@@ -12,65 +12,69 @@
 from passgate.quarantine.identity import RequestIdentity
 
 LOAD_CRASH_LIMIT = 3
-"""Replicas that may end under an order before no further one gets it.  As with items, holding it back may
-cost a whole step, and two replicas may end by chance while a release or a power cut is under way."""
-LOAD_METHOD = "load-weights"
-"""Stands where a request has its method, so that an order is never taken for a caller's request."""
+"""Crashed replicas after which loads are suspended; two may crash by coincidence, and a suspension may
+delay a whole training step."""
+LOAD_REQUEST_METHOD = "load-weights"
+"""Method in the identity of a load order; it keeps the order distinct from callers' requests."""
 
 
-class LoadCrashes:
-    """What is known at all daemons of replicas that ended while they loaded weights."""
+class LoadCrashGuard:
+    """Crash guard for load orders; its reports are shared by all daemons."""
 
     def __init__(self, guard: CrashGuard, replicas: ReplicaTable, decisions: DecisionLog) -> None:
         self._guard = guard
         self._replicas = replicas
         self._decisions = decisions
-        self._held: set[tuple[str, int]] = set()
-        """Models and versions that are held back, as far as a line says so."""
-
-    def is_held(self, model: str, version: int) -> bool:
-        """Whether no replica gets an order for a version now."""
-        held = self._guard.is_held(_identity(model, version)) and not self._is_loaded(model, version)
-        if held != ((model, version) in self._held):
-            self._held ^= {(model, version)}
-            self._decisions.write(LoadHeld(model=model, version=version, held=held))
-        return held
-
-    def is_suspect(self, model: str, version: int) -> bool:
-        """Whether a version is loaded by one replica at a time, as replicas may have ended under it."""
-        return self._guard.is_suspect(_identity(model, version)) and not self._is_loaded(model, version)
-
-    def look_at(self, state: ReplicaState, model: str, version: int) -> None:
-        """Have it looked at whether a replica ended under an order; one that was leaving may end."""
+        self._logged_suspensions: set[tuple[str, int]] = set()
+        """Models and versions whose suspension is in the decision log."""
+
+    def update_suspension(self, model: str, version: int) -> bool:
+        """Return whether loads of a version are suspended, and log a change of that."""
+        is_suspended = self._guard.is_held(_load_identity(model, version)) and not self._is_loaded_anywhere(
+            model, version
+        )
+        if is_suspended != ((model, version) in self._logged_suspensions):
+            self._logged_suspensions ^= {(model, version)}
+            self._decisions.write(LoadHeld(model=model, version=version, held=is_suspended))
+        return is_suspended
+
+    def must_load_alone(self, model: str, version: int) -> bool:
+        """Return whether only one replica at a time may load a version, as it may have crashed replicas."""
+        return self._guard.is_suspect(_load_identity(model, version)) and not self._is_loaded_anywhere(
+            model, version
+        )
+
+    def check_for_crash(self, state: ReplicaState, model: str, version: int) -> None:
+        """Start a check whether a replica crashed under a load order, unless it was draining and may exit."""
         if not state.info.draining:
-            self._guard.look_at(_identity(model, version), _place(state))
+            self._guard.look_at(_load_identity(model, version), _replica_endpoint(state))
 
-    def was_replaced(self, state: ReplicaState, model: str, version: int) -> bool:
-        """Return whether another replica is at a lost one's address, which then has ended under an order."""
+    def report_if_replaced(self, state: ReplicaState, model: str, version: int) -> bool:
+        """Return whether another replica uses a replica's address; report a crash unless it was draining."""
         address = state.info.address
         if not any(other.info.address == address for other in self._replicas.all() if other is not state):
             return False
         if not state.info.draining:
-            self._guard.ended(_identity(model, version), _place(state))
+            self._guard.ended(_load_identity(model, version), _replica_endpoint(state))
         return True
 
-    def loaded(self, state: ReplicaState, model: str, version: int) -> None:
-        """Note that a replica has loaded a version."""
-        self._guard.succeeded(_identity(model, version), state.info.service)
+    def record_loaded(self, state: ReplicaState, model: str, version: int) -> None:
+        """Record that a replica has loaded a version, which clears the version's crash reports."""
+        self._guard.succeeded(_load_identity(model, version), state.info.service)
 
-    def _is_loaded(self, model: str, version: int) -> bool:
+    def _is_loaded_anywhere(self, model: str, version: int) -> bool:
         return any(state.version_of(model) >= version for state in self._replicas.all())
 
 
-def _place(state: ReplicaState) -> ReplicaPlace:
+def _replica_endpoint(state: ReplicaState) -> ReplicaPlace:
     info = state.info
     return ReplicaPlace(life=info.life, service=info.service, address=info.address)
 
 
-def _identity(model: str, version: int) -> RequestIdentity:
+def _load_identity(model: str, version: int) -> RequestIdentity:
     return RequestIdentity(
         host="",
-        method=LOAD_METHOD,
+        method=LOAD_REQUEST_METHOD,
         path=model,
         tenant=None,
         body=str(version).encode(),
--- a/passgate/versions/load_plan.py
+++ b/passgate/versions/load_plan.py
@@ -1,12 +1,11 @@
-"""Which replica loads which version next; pure decisions of the leader.
+"""Chooses which replica loads which version next; pure functions, used by the leader.
 
-Each version that a trainer names is loaded by its model's share of the replicas:
-all of them when it has them alone, a third of them when three models share them.
-With trainers that allow the version before, two shares are current at a time and
-take turns, so replicas that hold neither stay as they are.
+Each published version is loaded by its model's share of the replicas: a third of them if they serve three
+models.  If the trainer also accepts the previous version, two shares serve the model and load in turn, and
+the other replicas keep what they have.
 
 >>> limit = LoadLimit()
->>> limit.allowed(5), limit.allowed(23)
+>>> limit.max_loads(5), limit.max_loads(23)
 (2, 9)
 """
 
@@ -21,156 +20,161 @@
 from passgate.eligibility.replica_info import ReplicaLife
 from passgate.gateway.replicas import ReplicaState
 
-MOST_SHARE = 0.4
-"""Share of a service's replicas that load at once, while that makes each load no longer."""
-SLOWED_DOWN = 1.6
-"""A load that takes this many times the shortest one shows that too many load at once."""
-LOWER, RAISE = 0.7, 0.02
-"""What a load that took too long, and one that did not, do to the share."""
-SLOW_REPLICA = 2.0
-"""A replica that takes this many times the middle one's time loads last."""
+MAX_LOADING_SHARE = 0.4
+"""Largest share of a service's replicas that load at the same time."""
+SLOW_LOAD_FACTOR = 1.6
+"""A load this many times as long as the shortest one shows that too many run at the same time."""
+SHARE_DECREASE_FACTOR, SHARE_INCREASE = 0.7, 0.02
+"""Factor applied to the share after a slow load, and amount added after any other."""
+SLOW_REPLICA_FACTOR = 2.0
+"""A replica with this many times the median latency loads last."""
 
 
-class ModelNeed(msgspec.Struct, frozen=True, kw_only=True):
-    """What is wanted of one model's weights."""
+class ModelDemand(msgspec.Struct, frozen=True, kw_only=True):
+    """What the jobs of one model require of its weights."""
 
     model: str
     version: int
-    """Newest version named."""
+    """Newest published version."""
     lag: int = 0
-    """How many versions behind it the trainer's jobs allow."""
+    """Number of versions behind the newest that the trainer's jobs accept."""
     items: int = 0
-    """Items of the newest job; all shall run at once."""
+    """Items of the newest job, all of which should run at the same time."""
 
 
-class LoadChoice(msgspec.Struct, frozen=True, kw_only=True):
-    """A load that is wanted."""
+class PlannedLoad(msgspec.Struct, frozen=True, kw_only=True):
+    """A load that should be started."""
 
     state: ReplicaState
     model: str
 
 
 class LoadLimit:
-    """How many replicas of one service load at once; learnt from the time that loads take."""
+    """Adaptive limit of the concurrent loads in one service, based on the duration of past loads."""
 
     def __init__(self) -> None:
-        self._share = MOST_SHARE
+        self._share = MAX_LOADING_SHARE
         self._shortest_s = math.inf
 
-    def allowed(self, replicas: int) -> int:
-        """Return the number for a service of this many replicas."""
-        return max(int(self._share * replicas), 1)
+    def max_loads(self, replica_count: int) -> int:
+        """Return the number of concurrent loads allowed in a service of this many replicas; at least 1."""
+        return max(int(self._share * replica_count), 1)
 
-    def observe(self, load_s: float) -> None:
-        """Count the time that a load took."""
+    def record_load_time(self, load_s: float) -> None:
+        """Adapt the limit to the duration of a finished load."""
         self._shortest_s = min(self._shortest_s, load_s)
-        if load_s > SLOWED_DOWN * self._shortest_s:
-            self._share *= LOWER
+        if load_s > SLOW_LOAD_FACTOR * self._shortest_s:
+            self._share *= SHARE_DECREASE_FACTOR
         else:
-            self._share = min(self._share + RAISE, MOST_SHARE)
+            self._share = min(self._share + SHARE_INCREASE, MAX_LOADING_SHARE)
 
 
 def plan_loads(
-    needs: Sequence[ModelNeed],
+    demands: Sequence[ModelDemand],
     replicas: Sequence[ReplicaState],
     *,
-    loading: Mapping[ReplicaLife, str],
-    waiting: Collection[ReplicaLife] = frozenset(),
+    model_by_loading_replica: Mapping[ReplicaLife, str],
+    excluded: Collection[ReplicaLife] = frozenset(),
     now_s: float,
-) -> list[LoadChoice]:
-    """Return the loads that are wanted, the most urgent first.
+) -> list[PlannedLoad]:
+    """Return the loads that should be started, the most urgent first.
 
-    Models take turns: the one with the smallest share of its current replicas is next.
+    Models take turns: next is the one with the smallest share of its required serving replicas.
 
     Args:
-        needs: the wanted versions.
-        replicas: the replicas that stay.
-        loading: replicas that are loading, with the model.
-        waiting: replicas that get no order now.
+        demands: the required versions.
+        replicas: the replicas that are not about to leave.
+        model_by_loading_replica: replicas that are loading, with the model.
+        excluded: replicas that get no order now.
         now_s: loop time.
     """
-    plans = [_ModelPlan(need, replicas, loading, now_s) for need in needs]
+    plans = [_ModelPlan(demand, replicas, model_by_loading_replica, now_s) for demand in demands]
     for plan in plans:
         plan.sort_candidates(plans)
-    taken = {*loading, *waiting}
-    choices: list[LoadChoice] = []
-    while wanting := [plan for plan in plans if plan.wants_more]:
-        plan = min(wanting, key=lambda plan: (plan.served, plan.newest))
+    taken = {*model_by_loading_replica, *excluded}
+    planned: list[PlannedLoad] = []
+    while unsatisfied := [plan for plan in plans if plan.needs_load]:
+        plan = min(unsatisfied, key=lambda plan: (plan.served_share, plan.newest_count))
         state = plan.candidates.pop()
         if state.life in taken:
             continue
         taken.add(state.life)
-        plan.count_load(state)
-        choices.append(LoadChoice(state=state, model=plan.need.model))
-    return choices
+        plan.add_load(state)
+        planned.append(PlannedLoad(state=state, model=plan.demand.model))
+    return planned
 
 
 class _ModelPlan:
-    """One model's replicas while a plan is made."""
+    """One model's replicas and targets during planning; ``add_load`` updates its counts."""
 
     def __init__(
         self,
-        need: ModelNeed,
+        demand: ModelDemand,
         replicas: Sequence[ReplicaState],
-        loading: Mapping[ReplicaLife, str],
+        model_by_loading_replica: Mapping[ReplicaLife, str],
         now_s: float,
     ) -> None:
-        self.need = need
-        self.oldest = need.version - need.lag
-        """Oldest version that may run new jobs."""
+        self.demand = demand
+        self.oldest_servable_version = demand.version - demand.lag
+        """Oldest version that may serve new jobs."""
         self._now_s = now_s
-        holders = [state for state in replicas if need.model in state.info.model_versions]
-        loaded = [state for state in holders if loading.get(state.life) == need.model]
-        settled = [state for state in holders if loading.get(state.life) != need.model]
-        self.candidates = [state for state in settled if state.version_of(need.model) < need.version]
-        """Replicas behind the newest version, the first to load at the end."""
-        self.newest = len(holders) - len(self.candidates)
-        self.current = len(loaded) + sum(1 for state in settled if self.serves(state))
+        holders = [state for state in replicas if demand.model in state.info.model_versions]
+        loading = [state for state in holders if model_by_loading_replica.get(state.life) == demand.model]
+        settled = [state for state in holders if model_by_loading_replica.get(state.life) != demand.model]
+        self.candidates = [state for state in settled if state.version_of(demand.model) < demand.version]
+        """Replicas that lack the newest version; the last one loads first."""
+        self.newest_count = len(holders) - len(self.candidates)
+        self.serving_count = len(loading) + sum(1 for state in settled if self.serves(state))
         self._set_targets(holders)
 
     def _set_targets(self, holders: Sequence[ReplicaState]) -> None:
         share = sum(1.0 / len(state.info.model_versions) for state in holders)
-        turns = 2 if self.need.lag else 1
+        serving_shares = 2 if self.demand.lag else 1
         slots = max((state.info.slots for state in holders), default=1)
-        at_once = math.ceil(self.need.items / max(slots, 1))
-        self._target_newest = max(int(share), 1)
-        self._target_current = min(max(math.ceil(share * turns), at_once), len(holders))
+        replicas_for_items = math.ceil(self.demand.items / max(slots, 1))
+        self._target_newest_count = max(int(share), 1)
+        self._target_serving_count = min(
+            max(math.ceil(share * serving_shares), replicas_for_items), len(holders)
+        )
 
     def serves(self, state: ReplicaState) -> bool:
-        """Whether a replica may run new jobs of the model."""
-        return state.version_of(self.need.model) >= self.oldest
+        """Return whether a replica may serve new jobs of the model."""
+        return state.version_of(self.demand.model) >= self.oldest_servable_version
 
     @property
-    def served(self) -> float:
-        """Current replicas as a share of those wanted."""
-        return self.current / max(self._target_current, 1)
+    def served_share(self) -> float:
+        """Serving replicas divided by the required number."""
+        return self.serving_count / max(self._target_serving_count, 1)
 
     @property
-    def wants_more(self) -> bool:
-        """Whether a further load is wanted."""
-        few = self.newest < self._target_newest or self.current < self._target_current
-        return few and bool(self.candidates)
-
-    def count_load(self, state: ReplicaState) -> None:
-        """Count a replica as loading."""
-        self.current += not self.serves(state)
-        self.newest += 1
+    def needs_load(self) -> bool:
+        """Whether the model is below a target and has a replica to load."""
+        below_target = (
+            self.newest_count < self._target_newest_count or self.serving_count < self._target_serving_count
+        )
+        return below_target and bool(self.candidates)
+
+    def add_load(self, state: ReplicaState) -> None:
+        """Count a replica as loading the newest version."""
+        self.serving_count += not self.serves(state)
+        self.newest_count += 1
 
     def sort_candidates(self, plans: Sequence[_ModelPlan]) -> None:
-        """Put the replicas that load first at the end.
+        """Sort the candidates so that the last one should load first.
 
-        Replicas that serve no new job come first, of these the ones that were current
-        last, so that the same ones take turns; among equals those that serve few models.
+        Slow replicas load last.  Replicas that can't serve new jobs load before those that can.  Among the
+        former the most recently current load first, so that the same replicas take turns; among the latter
+        those with the oldest version.  Then come those that serve few models, then the least loaded.
         """
-        if not self.wants_more:
+        if not self.needs_load:
             return
-        middle_s = statistics.median(state.recent_latency_s(self._now_s) for state in self.candidates)
+        median_s = statistics.median(state.recent_latency_s(self._now_s) for state in self.candidates)
 
-        def place(state: ReplicaState) -> tuple[bool, bool, int, int, float]:
-            slow = state.recent_latency_s(self._now_s) > SLOW_REPLICA * middle_s
-            version = state.version_of(self.need.model)
+        def sort_key(state: ReplicaState) -> tuple[bool, bool, int, int, float]:
+            slow = state.recent_latency_s(self._now_s) > SLOW_REPLICA_FACTOR * median_s
+            version = state.version_of(self.demand.model)
             serves = self.serves(state)
-            serving = sum(1 for plan in plans if plan.serves(state))
-            return slow, serves, version if serves else -version, serving, state.load(self._now_s)
+            models_served = sum(1 for plan in plans if plan.serves(state))
+            return slow, serves, version if serves else -version, models_served, state.load(self._now_s)
 
-        self.candidates.sort(key=place, reverse=True)
+        self.candidates.sort(key=sort_key, reverse=True)
