--- a/passgate/versions/loader.py
+++ b/passgate/versions/loader.py
@@ -1,9 +1,8 @@
-"""Gives replicas the orders that bring them to the wanted versions of the weights.
+"""Sends load orders that bring replicas to the target versions of the weights.
 
-The replica's report is read before each order, so that an order that was answered
-late or not at all can not be carried out after a newer one: it names the number of
-orders that the replica has taken, and the replica compares.  A replica that starts again
-counts from 0, so a number is only named to the life whose report told it.
+An order names the number of orders that the replica has accepted, as read from its report just before, and
+the replica rejects any other number.  A delayed order is therefore never executed after a newer one.  A
+restart resets the number, so it is used only for the incarnation that reported it.
 """
 
 from __future__ import annotations
@@ -25,38 +24,38 @@
 from passgate.quarantine.guard import CrashGuard
 from passgate.versions.doubtful_orders import DoubtfulOrders
 from passgate.versions.leadership import Leadership
-from passgate.versions.load_crashes import LoadCrashes
-from passgate.versions.load_plan import LoadChoice, LoadLimit, ModelNeed, plan_loads
+from passgate.versions.load_crashes import LoadCrashGuard
+from passgate.versions.load_plan import LoadLimit, ModelDemand, PlannedLoad, plan_loads
 
 logger = logging.getLogger("passgate.versions")
 
-TICK_S = 0.05
-"""Time between looks for loads to begin; a load takes 0.9 s."""
+PLAN_INTERVAL_S = 0.05
+"""Interval of planning; short compared with a load, which takes about a second."""
 LOAD_TIMEOUT_S = 6.0
-"""Time after which an order that shows no effect is looked into again."""
-TAKEN = frozenset({200, 202})
-"""Statuses of an order that is being carried out or already holds."""
-POLL_S = 0.1
-"""Time between looks whether a load is done."""
-LOOK_GAP_S = 1.2
-"""Time between looks whether a replica that loads has ended; longer than most loads, which need none."""
-REPLACED_S = 0.5
-"""Time in which a replica that starts again after its end is listed, once its entry before has gone."""
-RETRY_S = 0.5
-"""Pause before a replica that did not take an order gets another."""
+"""Time after which an order without visible effect is sent again."""
+ACCEPTED_STATUSES = frozenset({200, 202})
+"""Statuses that say that the load has started or the version is already present."""
+LOAD_POLL_INTERVAL_S = 0.1
+"""Interval of checks whether a load has finished."""
+CRASH_CHECK_INTERVAL_S = 1.2
+"""Interval of crash checks during a load; longer than most loads, which need none."""
+REPLACEMENT_TIMEOUT_S = 0.5
+"""Time to wait for the next incarnation of a removed replica to appear in discovery."""
+ORDER_RETRY_PAUSE_S = 0.5
+"""Pause before a replica that refused an order gets another."""
 
 
 class ReplicaReport(msgspec.Struct, frozen=True, kw_only=True):
-    """What a replica says of itself."""
+    """State that a replica reports about itself."""
 
     orders_taken: int
     busy: bool
     model_versions: dict[str, int]
     born_unix_ms: int = 0
-    """Moment of its start; 0 where it tells none."""
+    """Start time of the replica's process in Unix milliseconds; 0 if the replica does not report it."""
 
     def is_of(self, life: ReplicaLife) -> bool:
-        """Whether a life made this report, as far as both tell."""
+        """Return whether an incarnation made this report; True if either start time is unknown."""
         return self.born_unix_ms == life.born_unix_ms or not (self.born_unix_ms and life.born_unix_ms)
 
 
@@ -73,19 +72,19 @@
 
 
 class ReplicaControl(Protocol):
-    """Calls to replicas that an adapter makes."""
+    """Client for the control endpoints of replicas."""
 
     async def report(self, replica_id: str, address: str) -> ReplicaReport:
         """Read a replica's report; raises PassgateError."""
         ...
 
     async def order(self, order: LoadOrder) -> int:
-        """Send an order and return the status; raises PassgateError when nothing came back."""
+        """Send an order and return the HTTP status; raises PassgateError if there was no answer."""
         ...
 
 
 async def read_life(control: ReplicaControl, life: ReplicaLife, address: str) -> ReplicaLife | None:
-    """Return the life in which the replica at an address is; None when it does not tell."""
+    """Return the incarnation now running at a replica's address; None if the replica does not report it."""
     try:
         report = await control.report(life.replica_id, address)
     except PassgateError as error:
@@ -95,7 +94,7 @@
 
 
 class RunningLoad(msgspec.Struct, frozen=True, kw_only=True):
-    """A load under way."""
+    """A load in progress."""
 
     model: str
     service: str
@@ -103,156 +102,163 @@
 
 
 class WantedVersions:
-    """The newest version that was named for each model."""
+    """The target version of each model: the newest one published for it."""
 
     def __init__(self, decisions: DecisionLog) -> None:
         self._decisions = decisions
         self.versions: dict[str, int] = {}
 
     def newest(self, model: str) -> int:
-        """Return the newest version named for a model, 0 when there is none."""
+        """Return a model's target version, 0 if there is none."""
         return self.versions.get(model, 0)
 
     def offer(self, model: str, version: int) -> None:
-        """Take a named version unless a newer one is known."""
+        """Set a model's target version unless a version as new is known."""
         if version > self.versions.get(model, 0):
             self.versions[model] = version
             self._decisions.write(VersionWanted(model=model, version=version))
 
 
 class Loader:
-    """Loads what is wanted, while this daemon leads."""
+    """Sends load orders while this daemon is the leader."""
 
     def __init__(
         self,
-        wanted: WantedVersions,
+        targets: WantedVersions,
         replicas: ReplicaTable,
         leadership: Leadership,
         control: ReplicaControl,
         holder: str,
-        jobs: Mapping[str, JobNoted],
-        crashes: CrashGuard,
+        newest_demand_by_model: Mapping[str, JobNoted],
+        crash_guard: CrashGuard,
         decisions: DecisionLog,
     ) -> None:
-        self._wanted = wanted
+        self._targets = targets
         self._replicas = replicas
         self._leadership = leadership
         self._control = control
         self._holder = holder
         self._decisions = decisions
-        self._crashes = LoadCrashes(crashes, replicas, decisions)
-        self._jobs = jobs
-        """Model to what its newest job asks for."""
-        self._loading: dict[ReplicaLife, RunningLoad] = {}
-        """Replica to its load."""
-        self._limits: dict[str, LoadLimit] = {}
-        self._retry_at_s: dict[ReplicaLife, float] = {}
-        self._doubtful = DoubtfulOrders()
+        self._crash_guard = LoadCrashGuard(crash_guard, replicas, decisions)
+        self._newest_demand_by_model = newest_demand_by_model
+        """Model to what its newest job requires."""
+        self._load_by_replica: dict[ReplicaLife, RunningLoad] = {}
+        """Replica to its load in progress."""
+        self._limit_by_service: dict[str, LoadLimit] = {}
+        self._retry_at_s_by_replica: dict[ReplicaLife, float] = {}
+        self._unconfirmed_orders = DoubtfulOrders()
 
     async def run(self) -> None:
-        """Order until cancelled."""
+        """Plan and start loads until cancelled; loads in progress are then cancelled too."""
         try:
             while True:
-                self.tick()
-                await asyncio.sleep(TICK_S)
+                self.start_due_loads()
+                await asyncio.sleep(PLAN_INTERVAL_S)
         finally:
-            for load in self._loading.values():
+            for load in self._load_by_replica.values():
                 load.task.cancel()
 
-    def tick(self) -> None:
-        """Start loads where versions are missing and there is room for a load."""
-        self._loading = {key: load for key, load in self._loading.items() if not load.task.done()}
+    def start_due_loads(self) -> None:
+        """Start the planned loads that the concurrency limits of their services allow."""
+        self._load_by_replica = {
+            life: load for life, load in self._load_by_replica.items() if not load.task.done()
+        }
         if not self._leadership.may_order():
             return
         now_s = monotonic_s()
-        self._retry_at_s = {life: at_s for life, at_s in self._retry_at_s.items() if now_s < at_s}
-        for choice in self._choices(now_s):
-            service = choice.state.info.service
-            limit = self._limit(service).allowed(self._replicas_of(service))
-            if self._loads_in(service) < limit and not self._waits_for_another(choice.model):
-                self._start(choice)
-
-    def _waits_for_another(self, model: str) -> bool:
-        """Whether a version that may end replicas is being loaded already."""
-        if not any(load.model == model for load in self._loading.values()):
+        self._retry_at_s_by_replica = {
+            life: at_s for life, at_s in self._retry_at_s_by_replica.items() if now_s < at_s
+        }
+        for planned in self._plan(now_s):
+            service = planned.state.info.service
+            limit = self._limit_of(service).max_loads(self._count_replicas(service))
+            if self._count_loads(service) < limit and not self._must_wait_for_running_load(planned.model):
+                self._start(planned)
+
+    def _must_wait_for_running_load(self, model: str) -> bool:
+        """Whether the target version may crash replicas and a load of the model is already in progress."""
+        if not any(load.model == model for load in self._load_by_replica.values()):
             return False
-        return self._crashes.is_suspect(model, self._wanted.newest(model))
+        return self._crash_guard.must_load_alone(model, self._targets.newest(model))
 
-    def _start(self, choice: LoadChoice) -> None:
-        task = asyncio.get_running_loop().create_task(self._load(choice.state, choice.model))
-        self._loading[choice.state.life] = RunningLoad(
-            model=choice.model, service=choice.state.info.service, task=task
+    def _start(self, planned: PlannedLoad) -> None:
+        task = asyncio.get_running_loop().create_task(self._load(planned.state, planned.model))
+        self._load_by_replica[planned.state.life] = RunningLoad(
+            model=planned.model, service=planned.state.info.service, task=task
         )
 
-    def _choices(self, now_s: float) -> list[LoadChoice]:
-        """Return the loads that are wanted now, the most urgent first."""
+    def _plan(self, now_s: float) -> list[PlannedLoad]:
+        """Return the loads that should be started now, the most urgent first."""
         rules = self._replicas.rules
         return plan_loads(
             [
-                self._need(model, version)
-                for model, version in self._wanted.versions.items()
-                if not self._crashes.is_held(model, version)
+                self._demand(model, version)
+                for model, version in self._targets.versions.items()
+                if not self._crash_guard.update_suspension(model, version)
             ],
             [state for state in self._replicas.all() if rules.allows(state.info, CONTROL, now_s)],
-            loading={life: load.model for life, load in self._loading.items()},
-            waiting=set(self._retry_at_s),
+            model_by_loading_replica={life: load.model for life, load in self._load_by_replica.items()},
+            excluded=set(self._retry_at_s_by_replica),
             now_s=now_s,
         )
 
-    def _need(self, model: str, version: int) -> ModelNeed:
-        job = self._jobs.get(model)
-        if job is None:
-            return ModelNeed(model=model, version=version)
-        return ModelNeed(model=model, version=version, lag=job.lag, items=job.items)
+    def _demand(self, model: str, version: int) -> ModelDemand:
+        newest = self._newest_demand_by_model.get(model)
+        if newest is None:
+            return ModelDemand(model=model, version=version)
+        return ModelDemand(model=model, version=version, lag=newest.lag, items=newest.items)
 
-    def _limit(self, service: str) -> LoadLimit:
-        return self._limits.setdefault(service, LoadLimit())
+    def _limit_of(self, service: str) -> LoadLimit:
+        return self._limit_by_service.setdefault(service, LoadLimit())
 
-    def _loads_in(self, service: str) -> int:
-        return sum(1 for load in self._loading.values() if load.service == service)
+    def _count_loads(self, service: str) -> int:
+        return sum(1 for load in self._load_by_replica.values() if load.service == service)
 
-    def _replicas_of(self, service: str) -> int:
+    def _count_replicas(self, service: str) -> int:
         return sum(1 for state in self._replicas.all() if state.info.service == service)
 
     async def _load(self, state: ReplicaState, model: str) -> None:
         life = state.life
         try:
-            report = await self._report(state)
-            if not self._may_order(state, model, report):
-                self._retry_at_s[life] = monotonic_s() + POLL_S
+            report = await self._read_report(state)
+            if not self._is_order_due(state, model, report):
+                self._retry_at_s_by_replica[life] = monotonic_s() + LOAD_POLL_INTERVAL_S
                 return
-            if await self._order(state, model, report):
+            if await self._send_order(state, model, report):
                 await self._wait_until_loaded(state, model)
             else:
-                self._retry_at_s[life] = monotonic_s() + RETRY_S
+                self._retry_at_s_by_replica[life] = monotonic_s() + ORDER_RETRY_PAUSE_S
         except PassgateError:
-            self._crashes.look_at(state, model, self._wanted.versions[model])
-            self._retry_at_s[life] = monotonic_s() + RETRY_S
+            self._crash_guard.check_for_crash(state, model, self._targets.versions[model])
+            self._retry_at_s_by_replica[life] = monotonic_s() + ORDER_RETRY_PAUSE_S
 
-    def _may_order(self, state: ReplicaState, model: str, report: ReplicaReport) -> bool:
-        """Whether a report calls for an order to the life of a replica that was chosen."""
+    def _is_order_due(self, state: ReplicaState, model: str, report: ReplicaReport) -> bool:
+        """Return whether a replica needs an order and may get one, by the report that it has just sent."""
         if not report.is_of(state.life) or self._replicas.of(state.life) is not state:
             return False
-        if not self._doubtful.may_follow(state.life, report.orders_taken, monotonic_s()):
+        if not self._unconfirmed_orders.may_follow(state.life, report.orders_taken, monotonic_s()):
             return False
-        missing = report.model_versions.get(model, 0) < self._wanted.versions[model]
+        missing = report.model_versions.get(model, 0) < self._targets.versions[model]
         return missing and not report.busy and self._leadership.may_order()
 
-    async def _report(self, state: ReplicaState) -> ReplicaReport:
+    async def _read_report(self, state: ReplicaState) -> ReplicaReport:
         self._replicas.rules.admit(state.info, CONTROL, monotonic_s())
         report = await self._control.report(state.info.replica_id, state.info.address)
         if report.is_of(state.life):
             state.observed_versions.update(report.model_versions)
         return report
 
-    async def _order(self, state: ReplicaState, model: str, report: ReplicaReport) -> bool:
-        """Send an order; return whether the replica took it or already has the version."""
+    async def _send_order(self, state: ReplicaState, model: str, report: ReplicaReport) -> bool:
+        """Send an order and return whether the replica accepted it or already has the version.
+
+        Raises PassgateError; the order then counts as unconfirmed unless it was certainly not executed.
+        """
         self._replicas.rules.admit(state.info, CONTROL, monotonic_s())
         order = LoadOrder(
             replica_id=state.info.replica_id,
             address=state.info.address,
             model=model,
-            version=self._wanted.versions[model],
+            version=self._targets.versions[model],
             holder=self._holder,
             fence=self._leadership.fence,
             expected=report.orders_taken,
@@ -261,10 +267,10 @@
         try:
             status = await self._control.order(order)
             outcome = str(status)
-            return status in TAKEN
+            return status in ACCEPTED_STATUSES
         except PassgateError as error:
             if error.execution is not ExecutionStatus.NOT_RUN:
-                self._doubtful.note(state.life, order.expected, monotonic_s())
+                self._unconfirmed_orders.note(state.life, order.expected, monotonic_s())
             raise
         finally:
             self._decisions.write(
@@ -280,24 +286,27 @@
 
     async def _wait_until_loaded(self, state: ReplicaState, model: str) -> None:
         began_s = monotonic_s()
-        target = self._wanted.versions[model]
-        look_at_s = began_s + LOOK_GAP_S
+        target_version = self._targets.versions[model]
+        next_crash_check_s = began_s + CRASH_CHECK_INTERVAL_S
         while (now_s := monotonic_s()) < began_s + LOAD_TIMEOUT_S:
-            await asyncio.sleep(POLL_S)
-            if state.version_of(model) >= target:
-                self._limit(state.info.service).observe(monotonic_s() - began_s)
-                self._crashes.loaded(state, model, target)
+            await asyncio.sleep(LOAD_POLL_INTERVAL_S)
+            if state.version_of(model) >= target_version:
+                self._limit_of(state.info.service).record_load_time(monotonic_s() - began_s)
+                self._crash_guard.record_loaded(state, model, target_version)
                 return
             if self._replicas.of(state.life) is not state:
-                await self._see_whether_replaced(state, model, target)
+                await self._await_replacement(state, model, target_version)
                 return
-            if now_s >= look_at_s:
-                self._crashes.look_at(state, model, target)
-                look_at_s = now_s + LOOK_GAP_S
-
-    async def _see_whether_replaced(self, state: ReplicaState, model: str, version: int) -> None:
-        """Find out whether a replica that is listed no more ended under its order."""
-        self._crashes.look_at(state, model, version)
-        until_s = monotonic_s() + REPLACED_S
-        while not self._crashes.was_replaced(state, model, version) and monotonic_s() < until_s:
-            await asyncio.sleep(POLL_S)
+            if now_s >= next_crash_check_s:
+                self._crash_guard.check_for_crash(state, model, target_version)
+                next_crash_check_s = now_s + CRASH_CHECK_INTERVAL_S
+
+    async def _await_replacement(self, state: ReplicaState, model: str, version: int) -> None:
+        """Check for a crash of a replica that discovery has removed.
+
+        If another replica appears at its address in time, the crash is proven.
+        """
+        self._crash_guard.check_for_crash(state, model, version)
+        deadline_s = monotonic_s() + REPLACEMENT_TIMEOUT_S
+        while not self._crash_guard.report_if_replaced(state, model, version) and monotonic_s() < deadline_s:
+            await asyncio.sleep(LOAD_POLL_INTERVAL_S)
--- a/tests/duty_stand_in.py
+++ b/tests/duty_stand_in.py
@@ -1,4 +1,4 @@
-"""Stand-in of the platform's endpoint for singleton duties; it judges what it accepts."""
+"""Stub of the platform's usage endpoint that records violations of its contract."""
 
 import asyncio
 import json
@@ -13,16 +13,16 @@
 
 @dataclass
 class DutyFaults:
-    """What goes wrong; a test changes it while daemons run."""
+    """Injected faults; a test changes them while daemons run."""
 
     silent: float = 0.0
-    """Share of calls that get no answer and are carried out up to three seconds later."""
+    """Share of calls that get no answer and are executed up to three seconds later."""
     busy: bool = False
     slow_s: float = 0.0
 
 
 class DutyEndpoint:
-    """Takes usage reports in order of their fences and keeps a record of breaches."""
+    """Accepts usage reports by rising fencing tokens and records breaches."""
 
     def __init__(self, seed=1):
         self.random = random.Random(seed)
@@ -39,8 +39,8 @@
         self.address = listen(self.server)
         return self
 
-    def take(self, holder, fence, report):
-        """Carry a call out; return the status."""
+    def handle_call(self, holder, fence, report):
+        """Execute a call and return its HTTP status."""
         if self.holders.setdefault(fence, holder) != holder:
             self.breaches.append(f"fence {fence} was used by {holder} and {self.holders[fence]}")
         if fence < self.fence:
@@ -72,8 +72,8 @@
             self.set_status(429)
         elif endpoint.random.random() < faults.silent:
             late_s = endpoint.random.uniform(0.0, 3.0)
-            asyncio.get_running_loop().call_later(late_s, endpoint.take, *call)
+            asyncio.get_running_loop().call_later(late_s, endpoint.handle_call, *call)
             await asyncio.sleep(10.0)
         else:
-            self.set_status(endpoint.take(*call))
+            self.set_status(endpoint.handle_call(*call))
         self.finish()
--- a/tests/test_crashing_loads.py
+++ b/tests/test_crashing_loads.py
@@ -1,9 +1,6 @@
-"""An order to load weights that ends each replica that carries it out.
+"""A load order that crashes every replica that executes it.
 
-Seen: the open point of the postmortem on requests that crash replicas.  How it comes about: replicas
-that came back still lack the wanted version, so the leader gives them the same order again, and a
-service loses all its replicas once every few seconds until another version is named.  Cause: what became
-of an order was kept about the replica, whose next life has none of it, never about the version.
+Guards against repeating the order to each restarted replica, which would keep crashing the whole service.
 """
 
 import asyncio
@@ -11,46 +8,46 @@
 from tests import platform_stand_ins as stand_ins
 from tests.crashing_world import in_crashing_world
 
-MOST_ENDED = 4
-"""Three that end before the order is held, and one that loaded beside them."""
+MAX_CRASHED = 4
+"""Three crashes until loads are suspended, and one of a replica that loaded concurrently."""
 
 
-async def start_fleet(world):
+async def start_replicas_and_daemons(world):
     for _ in range(4):
         world.add_replica("llm", models={"m": 1}.items())
     world.configure(1, stand_ins.batch_route())
     await world.start_daemons(2)
 
 
-def name_version(world, version):
+def publish_version(world, version):
     world.log.put("keyed.op", "version/m", {"model": "m", "version": version})
 
 
-def alive(world):
+def running_replicas(world):
     return [replica for replica in world.replicas.values() if not replica.ended]
 
 
 @in_crashing_world
-async def test_an_order_that_ends_replicas_is_not_repeated_and_a_newer_version_is_loaded(world):
-    await start_fleet(world)
+async def test_a_load_that_crashes_replicas_is_suspended_and_a_newer_version_is_loaded(world):
+    await start_replicas_and_daemons(world)
     world.crashing_loads = {("m", 2)}
-    name_version(world, 2)
+    publish_version(world, 2)
     await asyncio.sleep(6.0)
-    assert 2 <= len(world.ended) <= MOST_ENDED
-    name_version(world, 3)
-    await world.until(lambda: all(replica.versions["m"] == 3 for replica in alive(world)), 8.0)
-    assert len(world.ended) <= MOST_ENDED
+    assert 2 <= len(world.ended) <= MAX_CRASHED
+    publish_version(world, 3)
+    await world.until(lambda: all(replica.versions["m"] == 3 for replica in running_replicas(world)), 8.0)
+    assert len(world.ended) <= MAX_CRASHED
 
 
 @in_crashing_world
-async def test_a_version_that_another_replica_holds_is_loaded_although_replicas_ended(world):
-    """Replicas that end for a reason of their own while they load must not hold back a version that works."""
-    await start_fleet(world)
-    good = alive(world)[0]
-    good.versions["m"] = 2
-    good.tell()
+async def test_a_version_that_another_replica_holds_is_loaded_although_replicas_crashed(world):
+    """Guards against suspending a working version after crashes with another cause."""
+    await start_replicas_and_daemons(world)
+    holder = running_replicas(world)[0]
+    holder.versions["m"] = 2
+    holder.tell()
     world.crashing_loads = {("m", 2)}
-    name_version(world, 2)
+    publish_version(world, 2)
     await world.until(lambda: len(world.ended) >= 4)
     world.crashing_loads = set()
-    await world.until(lambda: all(replica.versions["m"] == 2 for replica in alive(world)), 8.0)
+    await world.until(lambda: all(replica.versions["m"] == 2 for replica in running_replicas(world)), 8.0)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -8,11 +8,11 @@
 
 from passgate.clock import monotonic_s, run_virtual
 from passgate.decisions import DecisionLog
-from passgate.discovery.records import PARTS
-from passgate.discovery.relay import PART_GAP_S
-from passgate.discovery.relayed_list import RESYNC_S
+from passgate.discovery.records import LIST_PARTS
+from passgate.discovery.relay import PART_REWRITE_INTERVAL_S
+from passgate.discovery.relayed_list import RESYNC_INTERVAL_RANGE_S
 from passgate.discovery.service import Discovery, ReplicaDecoder, ReplicaTopics
-from passgate.discovery.view import DiscoveryNews, DiscoveryView
+from passgate.discovery.view import DiscoveryView, ReplicaUpdate
 from passgate.eligibility.cold_replicas import ColdLimit
 from passgate.eligibility.places import Places
 from passgate.eligibility.replica_info import ReplicaInfo
@@ -85,11 +85,11 @@
 
     async def main():
         view = DiscoveryView(table, DecisionLog("d", write=len))
-        assert view.take(DiscoveryNews(replica_id="r1", at=5, info=info(1, draining=True)))
-        assert not view.take(DiscoveryNews(replica_id="r1", at=4, info=info(1)))
+        assert view.apply(ReplicaUpdate(replica_id="r1", at=5, info=info(1, draining=True)))
+        assert not view.apply(ReplicaUpdate(replica_id="r1", at=4, info=info(1)))
         assert table.get("r1").info.draining
-        assert view.take(DiscoveryNews(replica_id="r1", at=6))
-        assert not view.take(DiscoveryNews(replica_id="r1", at=5, info=info(1)))
+        assert view.apply(ReplicaUpdate(replica_id="r1", at=6))
+        assert not view.apply(ReplicaUpdate(replica_id="r1", at=5, info=info(1)))
         assert table.get("r1") is None
 
     run_virtual(main())
@@ -103,7 +103,7 @@
         nodes = [Node(log, number) for number in range(3)]
         await asyncio.sleep(2.0)
         assert all(len(node.table.all()) == LIMIT for node in nodes)
-        assert not any(node.discovery.relaying for node in nodes)
+        assert not any(node.discovery.is_relaying for node in nodes)
         for node in nodes:
             await node.kill()
 
@@ -120,7 +120,7 @@
         nodes = [Node(log, number) for number in range(8)]
         await asyncio.sleep(12.0)
         for _ in range(12):
-            relays = [node for node in nodes if node.discovery.relaying]
+            relays = [node for node in nodes if node.discovery.is_relaying]
             assert 1 <= len(relays) <= 2 * ZONES
             if chance.random() < 0.4:
                 victim = chance.choice(relays)
@@ -146,7 +146,7 @@
         beating = asyncio.create_task(beat(log, 60, set(), set()))
         nodes = [Node(log, number) for number in range(8)]
         await asyncio.sleep(15.0)
-        relays = [node for node in nodes if node.discovery.relaying]
+        relays = [node for node in nodes if node.discovery.is_relaying]
         assert len(relays) == ZONES
         assert sum(node.discovery.reads_directly for node in nodes) == ZONES
         beating.cancel()
@@ -241,7 +241,7 @@
         nodes = await fleet_of(log, 60)
         await asyncio.sleep(8.0)
         assert all(node.discovery.loaded for node in nodes)
-        assert sum(node.discovery.relaying for node in nodes) == ZONES
+        assert sum(node.discovery.is_relaying for node in nodes) == ZONES
         calls, read = log.calls, log.bytes_read
         await asyncio.sleep(10.0)
         joins = 10.0 * len(nodes) / 0.35
@@ -282,7 +282,9 @@
             if loses_history and chance.random() < 0.05:
                 log.drop_history(TOPICS.changes)
             await asyncio.sleep(chance.uniform(0.0, 0.4))
-        await asyncio.sleep(RESYNC_S[1] + PART_GAP_S * PARTS if loses_history else 8.0)
+        await asyncio.sleep(
+            RESYNC_INTERVAL_RANGE_S[1] + PART_REWRITE_INTERVAL_S * LIST_PARTS if loses_history else 8.0
+        )
         assert all(node.discovery.loaded for node in nodes)
         assert [differences(node, truth) for node in nodes] == [set()] * len(nodes)
         for node in nodes:
@@ -318,7 +320,7 @@
         for number in range(10, 60):
             log.put_keyed(RAW, f"r{number}", b"")
         await asyncio.sleep(4.0)
-        assert all(node.discovery.reads_directly and not node.discovery.relaying for node in nodes)
+        assert all(node.discovery.reads_directly and not node.discovery.is_relaying for node in nodes)
         assert not log.newest(TOPICS.parts)
         late = Node(log, 6)
         await asyncio.sleep(0.5)
@@ -336,15 +338,15 @@
 
     async def main():
         view = DiscoveryView(table, DecisionLog("d", write=len))
-        view.take_all([info(1)], 5)
+        view.apply_list([info(1)], 5)
         table.unreachable(info(1).life, monotonic_s())
         await asyncio.sleep(2.0)
         if own_record:
-            view.take(DiscoveryNews(replica_id="r1", at=6, info=info(1)))
+            view.apply(ReplicaUpdate(replica_id="r1", at=6, info=info(1)))
         else:
-            view.take_all([info(1)], 6)
-            for news in view.news():
-                view.take(msgspec.structs.replace(news, at=7))
+            view.apply_list([info(1)], 6)
+            for news in view.updates():
+                view.apply(msgspec.structs.replace(news, at=7))
         assert table.cold.is_cold(info(1), monotonic_s()) is not own_record
 
     run_virtual(main())
--- a/tests/test_discovery_other_writers.py
+++ b/tests/test_discovery_other_writers.py
@@ -13,7 +13,7 @@
 from passgate.clock import run_virtual
 from passgate.decisions import DecisionLog
 from passgate.discovery.records import (
-    PARTS,
+    LIST_PARTS,
     ListPart,
     RelayedChanges,
     decode_changes,
@@ -22,8 +22,8 @@
     part_of,
 )
 from passgate.discovery.service import Discovery, ReplicaTopics
-from passgate.discovery.unusable import LINE_GAP_S, TELL_AGAIN_S, UnusableEntries
-from passgate.discovery.view import COME_BACK_S, DiscoveryNews, DiscoveryView
+from passgate.discovery.unusable_entries import KEY_LOG_INTERVAL_S, LOG_INTERVAL_S, UnusableEntries
+from passgate.discovery.view import COME_BACK_S, DiscoveryView, ReplicaUpdate
 from passgate.eligibility.known_service import KnownServiceRule
 from passgate.eligibility.places import Places
 from passgate.eligibility.replica_info import ReplicaInfo
@@ -136,7 +136,7 @@
 
 @given(st.lists(JSON, max_size=4), st.binary(max_size=30))
 def test_one_bad_row_of_a_relayed_list_costs_no_other_one(rows, junk):
-    good = DiscoveryNews(replica_id="r", at=3, info=decode(ENTRY))
+    good = ReplicaUpdate(replica_id="r", at=3, info=decode(ENTRY))
     document = {"part": 0, "at": 4, "changes_from": 0, "replicas": [*rows, msgspec.to_builtins(good)]}
     part = decode_part(KeyedRecord(key="0", value=zlib.compress(json.dumps(document).encode())))
     assert good in part.replicas
@@ -204,7 +204,7 @@
         put(log, "second", ENTRY)
         await asyncio.sleep(1.0)
         assert node.known() == {"first", "second"}
-        assert node.view.unusable.count == 2 * len(BAD)
+        assert node.view.unusable_entries.count == 2 * len(BAD)
 
     run_virtual(main())
 
@@ -236,7 +236,7 @@
         put(log, "r", ENTRY)
         node = Node(log)
         await asyncio.sleep(1.0)
-        node.view._returned_s = asyncio.get_running_loop().time()
+        node.view._log_returned_s = asyncio.get_running_loop().time()
         put(log, "r", b"{")
         await asyncio.sleep(0.5)
         assert node.known() == set()
@@ -255,9 +255,9 @@
             put(log, "other", b"{")
             await asyncio.sleep(1.0)
         lines = node.told("entry_unusable")
-        assert 2 <= len(lines) <= 2 * (1 + 180 / TELL_AGAIN_S)
+        assert 2 <= len(lines) <= 2 * (1 + 180 / KEY_LOG_INTERVAL_S)
         assert len(node.told("replica_changed")) <= 2
-        assert node.view.unusable.count >= 180 * 3 / 2
+        assert node.view.unusable_entries.count >= 180 * 3 / 2
         exposition = node.metrics.exposition().decode()
         counted = next(
             line for line in exposition.splitlines() if line.startswith("passgate_unusable_entries_total")
@@ -271,8 +271,8 @@
     lines = []
     unusable = UnusableEntries(DecisionLog("d", write=len, observe=lines.append))
     for number in range(5000):
-        unusable.note(f"k{number}", "x" * 10_000, now_s=number / 1000)
-    assert len(lines) <= 1 + 5.0 / LINE_GAP_S
+        unusable.record(f"k{number}", "x" * 10_000, now_s=number / 1000)
+    assert len(lines) <= 1 + 5.0 / LOG_INTERVAL_S
     assert max(len(line.reason) for line in lines) < 200
 
 
@@ -281,9 +281,9 @@
         log = MemorySharedLog()
         infos = [decode(ENTRY, key=f"r{number}") for number in range(40)]
         view = DiscoveryView(ReplicaTable(Places(zone="z")), DecisionLog("x", write=len))
-        view.take_all(infos, at=5)
-        for number in range(PARTS):
-            news = tuple(each for each in view.news() if part_of(each.replica_id) == number)
+        view.apply_list(infos, at=5)
+        for number in range(LIST_PARTS):
+            news = tuple(each for each in view.updates() if part_of(each.replica_id) == number)
             record = encode_part(ListPart(part=number, at=5, changes_from=0, replicas=news))
             if number == 3:
                 record = KeyedRecord(key="3", value=b"no list")
@@ -364,6 +364,6 @@
 
 
 def test_relayed_changes_tell_of_entries_that_were_overwritten():
-    news = DiscoveryNews(replica_id="r", at=4, overwritten=True)
+    news = ReplicaUpdate(replica_id="r", at=4, overwritten=True)
     changes = RelayedChanges(relay="d", changes=(news,))
     assert decode_changes(zlib.compress(msgspec.json.encode(changes))).changes == (news,)
--- a/tests/test_duties_scaling.py
+++ b/tests/test_duties_scaling.py
@@ -1,4 +1,4 @@
-"""Orders of replicas by the leader, against a platform that is late, silent or has none."""
+"""Replica orders of the leader, against a platform that is slow, unresponsive or out of replicas."""
 
 import asyncio
 import random
@@ -7,10 +7,10 @@
 
 from passgate.clock import monotonic_s, run_virtual
 from passgate.decisions import DecisionLog
-from passgate.duties.calls import CallBudget, DutyOutcome
+from passgate.duties.calls import CallRateLimiter, DutyOutcome
 from passgate.duties.scaler import BOOT_MARGIN_S, Scaler
-from passgate.duties.scaling_fold import ScalingFold
 from passgate.duties.scaling_policy import ZoneReplicas, spread_replicas
+from passgate.duties.scaling_projection import ScalingProjection
 from passgate.eligibility.evacuation import EvacuatedZones
 from passgate.eligibility.places import Places
 from passgate.eligibility.replica_info import ReplicaInfo
@@ -22,18 +22,18 @@
 from passgate.versions.control import ControlTopic
 
 RULE = ScalingRule(least=1, most=4, boot_s=2.0, spot_price=0.2, zone_prices={"a": 1.0, "b": 0.8})
-SIZES = {"record_bytes": 262_144, "append_bytes": 2_000_000}
+JOURNAL_LIMITS = {"record_bytes": 262_144, "append_bytes": 2_000_000}
 LEASE_S = 3.0
 
 
-class Platform:
-    """Boots what is ordered; some calls are unanswered and carried out seconds later."""
+class PlatformStub:
+    """Boots ordered replicas; some calls get no answer and are executed seconds later."""
 
     def __init__(self, daemons, seed=0, lost=0.0):
         self.daemons = daemons
         self.random = random.Random(seed)
         self.lost = lost
-        self.none_until_s = 0.0
+        self.refusing_until_s = 0.0
         self.fences = {}
         self.holders = {}
         self.counts = {}
@@ -41,18 +41,18 @@
 
     async def order_replicas(self, order):
         if self.random.random() < self.lost:
-            asyncio.get_running_loop().call_later(self.random.choice([0.1, 3.0]), self.take, order)
+            asyncio.get_running_loop().call_later(self.random.choice([0.1, 3.0]), self.handle_order, order)
             await asyncio.sleep(1.0)
             return DutyOutcome.UNKNOWN
         await asyncio.sleep(0.01)
-        return self.take(order)
+        return self.handle_order(order)
 
-    def take(self, order):
+    def handle_order(self, order):
         pool = (order.service, order.zone, order.spot)
         self.calls.append((monotonic_s(), order))
         holder = self.holders.setdefault((pool, order.fence), order.holder)
         assert holder == order.holder, "two holders sent one fence"
-        if order.fence < self.fences.get(pool, -1) or monotonic_s() < self.none_until_s:
+        if order.fence < self.fences.get(pool, -1) or monotonic_s() < self.refusing_until_s:
             return DutyOutcome.REFUSED
         self.fences[pool] = order.fence
         self.counts[pool] = order.count
@@ -77,7 +77,7 @@
                     daemon.replicas.put(info)
 
     def reclaim(self, zone, for_s):
-        self.none_until_s = monotonic_s() + for_s
+        self.refusing_until_s = monotonic_s() + for_s
         for daemon in self.daemons:
             for state in daemon.replicas.all():
                 if state.info.zone == zone and state.info.spot:
@@ -85,30 +85,36 @@
 
 
 class Daemon:
-    def __init__(self, log, platform, name, life=0):
+    def __init__(self, log, platform, name, incarnation=0):
         client = log.client(name)
-        writer = writer_name(name, str(life), f"{name}:7720")
+        writer = writer_name(name, str(incarnation), f"{name}:7720")
         decisions = DecisionLog(name, write=len)
-        self.fold = ScalingFold()
+        self.scaling_projection = ScalingProjection()
         self.replicas = ReplicaTable(Places(zone="a"), seed=1)
         self.evacuated = EvacuatedZones(decisions)
         config = ConfigHolder()
         config.offer(GatewayConfig(version=1, services=(Service(name="llm", scaling=RULE),)))
-        journal = Journal(client, "control", 0, writer, **SIZES)
+        journal = Journal(client, "control", 0, writer, **JOURNAL_LIMITS)
         self.control = ControlTopic(
-            client, "control", journal, lambda: True, decisions, lease_s=LEASE_S, folds=(self.fold,)
+            client,
+            "control",
+            journal,
+            lambda: True,
+            decisions,
+            lease_s=LEASE_S,
+            folds=(self.scaling_projection,),
         )
         self.scaler = Scaler(
-            self.fold,
+            self.scaling_projection,
             journal,
             self.control.leadership,
             platform,
-            CallBudget(40.0),
+            CallRateLimiter(40.0),
             config,
             self.replicas,
             self.control.fold.newest_jobs,
             decisions,
-            evacuated=self.evacuated,
+            evacuated_zones=self.evacuated,
             holder=name,
         )
         for zone in ("a", "b"):
@@ -139,7 +145,7 @@
 
 def world(seed=0, lost=0.0, count=3):
     daemons = []
-    log, platform = MemorySharedLog(), Platform(daemons, seed, lost)
+    log, platform = MemorySharedLog(), PlatformStub(daemons, seed, lost)
     daemons.extend(Daemon(log, platform, f"d{number}").start() for number in range(count))
     return log, platform, daemons
 
@@ -148,7 +154,7 @@
     daemon.control.journal.put(JobNoted(model="m", lag=1, items=items))
 
 
-def test_replicas_for_a_whole_step_are_ordered_within_the_bounds():
+def test_replicas_for_a_whole_step_are_ordered_within_the_limits():
     async def main():
         _, platform, daemons = world()
         await asyncio.sleep(2.0)
@@ -163,7 +169,7 @@
     run_virtual(main())
 
 
-def test_nothing_is_ordered_where_what_is_there_suffices():
+def test_nothing_is_ordered_when_present_replicas_suffice():
     async def main():
         _, platform, daemons = world()
         note(daemons[0], items=16)
@@ -174,21 +180,23 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_late_orders_and_killed_holders_leave_one_number_and_no_shared_fence(seed):
+def test_late_orders_and_killed_leaders_leave_one_count_and_unshared_fences(seed):
     async def main():
         log, platform, daemons = world(seed, lost=0.4)
         await asyncio.sleep(2.0)
-        for life in range(1, 4):
-            note(daemons[seed % 3], items=16 + 10 * life)
+        for incarnation in range(1, 4):
+            note(daemons[seed % 3], items=16 + 10 * incarnation)
             await asyncio.sleep(5.0)
             leaders = [daemon for daemon in daemons if daemon.control.leadership.leads]
-            place = daemons.index(leaders[0] if leaders else daemons[0])
-            await daemons[place].kill()
-            daemons[place] = Daemon(log, platform, f"d{place}", life).start()
+            index = daemons.index(leaders[0] if leaders else daemons[0])
+            await daemons[index].kill()
+            daemons[index] = Daemon(log, platform, f"d{index}", incarnation).start()
         platform.lost = 0.0
         await asyncio.sleep(20.0)
-        decided = {pool: decision.count for pool, decision in daemons[0].fold.decided.items()}
-        assert {pool.zone: count for pool, count in decided.items()} == {
+        count_by_pool = {
+            pool: decision.count for pool, decision in daemons[0].scaling_projection.decision_by_pool.items()
+        }
+        assert {pool.zone: count for pool, count in count_by_pool.items()} == {
             zone: count for (_, zone, _), count in platform.counts.items()
         }
         assert sum(platform.counts.values()) == 4
@@ -196,7 +204,7 @@
     run_virtual(main())
 
 
-def test_after_a_reclaim_replicas_are_ordered_again_without_pressing():
+def test_after_a_reclaim_replicas_are_ordered_again_at_a_limited_rate():
     async def main():
         _, platform, daemons = world()
         await asyncio.sleep(2.0)
@@ -212,8 +220,8 @@
     run_virtual(main())
 
 
-def test_what_is_added_is_spread_over_zones_up_to_the_bound():
+def test_added_replicas_are_spread_over_zones_up_to_the_maximum():
     present = {"a": ZoneReplicas(ordinary=3), "b": ZoneReplicas(ordinary=4)}
-    spread = spread_replicas(RULE, present, wanted=20)
+    spread = spread_replicas(RULE, present, total=20)
     assert spread == {"a": ZoneReplicas(ordinary=3, spot=1), "b": ZoneReplicas(ordinary=4)}
     assert BOOT_MARGIN_S > 0
--- a/tests/test_sharedlog_candidacy.py
+++ b/tests/test_sharedlog_candidacy.py
@@ -5,7 +5,7 @@
 from passgate.clock import run_virtual
 from passgate.decisions import DecisionLog
 from passgate.emulator.shared_log import MemorySharedLog
-from passgate.sharedlog.candidacy import ENOUGH_LARGER, PATIENCE_S, Candidacy
+from passgate.sharedlog.candidacy import SHORTAGE_CONFIRMATION_S, SUFFICIENT_LARGER_MEMBERS, Candidacy
 from passgate.sharedlog.group import GroupDirectory, GroupMember
 from passgate.sharedlog.member_names import member_name
 
@@ -54,7 +54,7 @@
 def test_small_machines_hold_nothing_beside_enough_larger_ones():
     async def scene(log):
         small = [Daemon(log, f"s{number}", SMALL) for number in range(6)]
-        large = [Daemon(log, f"l{number}", LARGE) for number in range(ENOUGH_LARGER)]
+        large = [Daemon(log, f"l{number}", LARGE) for number in range(SUFFICIENT_LARGER_MEMBERS)]
         for _ in range(round(SETTLED_S / STEP_S)):
             await asyncio.sleep(STEP_S)
             assert [daemon.parts for daemon in small] == [0] * 6
@@ -66,13 +66,13 @@
 def test_small_machines_stand_in_for_larger_ones_that_are_lost_and_withdraw_again():
     async def scene(log):
         small = [Daemon(log, f"s{number}", SMALL) for number in range(3)]
-        large = [Daemon(log, f"l{number}", LARGE) for number in range(ENOUGH_LARGER)]
+        large = [Daemon(log, f"l{number}", LARGE) for number in range(SUFFICIENT_LARGER_MEMBERS)]
         await asyncio.sleep(SETTLED_S)
         for daemon in large:
             daemon.end()
-        await asyncio.sleep(SETTLED_S + PATIENCE_S)
+        await asyncio.sleep(SETTLED_S + SHORTAGE_CONFIRMATION_S)
         assert sum(daemon.parts for daemon in small) == PARTS
-        large = [Daemon(log, f"l{number}", LARGE) for number in range(ENOUGH_LARGER)]
+        large = [Daemon(log, f"l{number}", LARGE) for number in range(SUFFICIENT_LARGER_MEMBERS)]
         await asyncio.sleep(SETTLED_S)
         assert [daemon.parts for daemon in small] == [0] * 3
         assert sum(daemon.parts for daemon in large) == PARTS
@@ -92,7 +92,7 @@
 def test_a_log_that_does_not_answer_changes_nothing():
     async def scene(log):
         small = Daemon(log, "s", SMALL)
-        large = [Daemon(log, f"l{number}", LARGE) for number in range(ENOUGH_LARGER)]
+        large = [Daemon(log, f"l{number}", LARGE) for number in range(SUFFICIENT_LARGER_MEMBERS)]
         await asyncio.sleep(SETTLED_S)
         log.faults.refusing = True
         await asyncio.sleep(SETTLED_S)
--- a/tests/test_sharedlog_silence.py
+++ b/tests/test_sharedlog_silence.py
@@ -11,11 +11,11 @@
 from passgate.jobs.records import JobEnded
 from passgate.sharedlog.candidacy import Candidacy
 from passgate.sharedlog.group import GroupMember
-from passgate.sharedlog.hedge import HEDGE_S
+from passgate.sharedlog.hedge import HEDGE_DELAY_S
 from passgate.sharedlog.tail import RecordTail, TailSettings
 
 SILENCES_S = [3.0, 3.3, 3.6, 3.9, 4.2, 4.5]
-SOON_S = HEDGE_S + 0.15
+SOON_S = HEDGE_DELAY_S + 0.15
 """Time after the return within which the log is used again, with the pauses between calls."""
 
 
--- a/tests/test_versions_load_plan.py
+++ b/tests/test_versions_load_plan.py
@@ -1,94 +1,95 @@
-"""Which replicas load which version: turns of models, shares, limits."""
+"""The share of replicas that loads each version, the turns of models, and the limit of concurrent loads."""
 
 from passgate.eligibility.replica_info import ReplicaInfo, ReplicaLife
 from passgate.gateway.replicas import ReplicaState
-from passgate.versions.load_plan import LoadLimit, ModelNeed, plan_loads
+from passgate.versions.load_plan import LoadLimit, ModelDemand, plan_loads
 
 LOAD_S = 0.9
 
 
-def replica(number, versions, *, slots=8):
+def make_replica(number, versions, *, slots=8):
     info = ReplicaInfo(
         replica_id=f"r{number:02}", service="llm", address="a", zone="z", slots=slots, model_versions=versions
     )
     return ReplicaState(info)
 
 
-def replicas(count, models):
-    return [replica(number, dict.fromkeys(models, 1)) for number in range(count)]
+def make_replicas(count, models):
+    return [make_replica(number, dict.fromkeys(models, 1)) for number in range(count)]
 
 
-def load_all(states, needs, *, at_once):
-    """Carry out a plan in rounds until nothing is wanted; return the rounds' models."""
+def execute_plan(states, needs, *, concurrent_loads):
+    """Execute plans in rounds until nothing is left to load; return the models of each round."""
     rounds = []
     while True:
-        choices = plan_loads(needs, states, loading={}, now_s=0.0)[:at_once]
-        if not choices:
+        planned = plan_loads(needs, states, model_by_loading_replica={}, now_s=0.0)[:concurrent_loads]
+        if not planned:
             return rounds
         versions = {need.model: need.version for need in needs}
-        for choice in choices:
-            choice.state.observed_versions[choice.model] = versions[choice.model]
-        rounds.append([choice.model for choice in choices])
+        for load in planned:
+            load.state.observed_versions[load.model] = versions[load.model]
+        rounds.append([choice.model for choice in planned])
 
 
-def test_no_model_waits_for_all_loads_of_another():
-    """Three trainers that name versions all the time: each model gets replicas in each round.
-
-    Fails with one model loaded to its end first: two trainers' jobs found no replica.
-    """
-    states = replicas(23, "abc")
-    needs = [ModelNeed(model=model, version=3, lag=1, items=48) for model in "abc"]
-    first = load_all(states, needs, at_once=9)[0]
+def test_each_model_gets_loads_in_each_round():
+    """Guards against loading one model everywhere first, while the others' jobs have no replicas."""
+    states = make_replicas(23, "abc")
+    needs = [ModelDemand(model=model, version=3, lag=1, items=48) for model in "abc"]
+    first = execute_plan(states, needs, concurrent_loads=9)[0]
     assert {model: first.count(model) for model in "abc"} == {"a": 3, "b": 3, "c": 3}
 
 
-def test_each_version_costs_one_share_of_the_replicas_and_two_shares_serve():
-    states = replicas(23, "abc")
-    loads = []
+def test_each_version_is_loaded_by_one_share_of_the_replicas_and_two_shares_serve():
+    states = make_replicas(23, "abc")
+    load_counts = []
     for version in range(2, 10):
-        needs = [ModelNeed(model=model, version=version, lag=1, items=48) for model in "abc"]
-        loads.append(sum(len(models) for models in load_all(states, needs, at_once=9)))
+        needs = [ModelDemand(model=model, version=version, lag=1, items=48) for model in "abc"]
+        load_counts.append(sum(len(models) for models in execute_plan(states, needs, concurrent_loads=9)))
         for model in "abc":
             serving = [state for state in states if state.version_of(model) >= version - 1]
             assert len(serving) >= 15
-    assert sum(loads) <= 8 * 24
+    assert sum(load_counts) <= 8 * 24
 
 
-def test_a_model_alone_is_loaded_everywhere():
-    states = replicas(5, "a")
-    load_all(states, [ModelNeed(model="a", version=2, lag=1)], at_once=2)
+def test_a_single_model_is_loaded_by_all_replicas():
+    states = make_replicas(5, "a")
+    execute_plan(states, [ModelDemand(model="a", version=2, lag=1)], concurrent_loads=2)
     assert all(state.version_of("a") == 2 for state in states)
 
 
-def test_a_trainer_that_allows_only_the_newest_gets_its_share_of_it():
-    states = replicas(6, "ab")
-    load_all(states, [ModelNeed(model="a", version=2, lag=0)], at_once=2)
+def test_a_trainer_that_accepts_only_the_newest_version_gets_its_share_of_replicas():
+    states = make_replicas(6, "ab")
+    execute_plan(states, [ModelDemand(model="a", version=2, lag=0)], concurrent_loads=2)
     assert sum(state.version_of("a") == 2 for state in states) == 3
 
 
-def test_a_large_job_gets_as_many_replicas_as_it_has_items():
-    states = replicas(12, "abc")
-    load_all(states, [ModelNeed(model="a", version=3, lag=1, items=90)], at_once=4)
+def test_a_large_job_gets_enough_replicas_for_all_its_items():
+    states = make_replicas(12, "abc")
+    execute_plan(states, [ModelDemand(model="a", version=3, lag=1, items=90)], concurrent_loads=4)
     assert sum(state.version_of("a") >= 2 for state in states) == 12
 
 
-def test_replicas_that_load_or_wait_get_no_second_order():
-    states = replicas(3, "ab")
-    needs = [ModelNeed(model="a", version=3, lag=1), ModelNeed(model="b", version=3, lag=1)]
-    choices = plan_loads(
-        needs, states, loading={ReplicaLife("r00"): "a"}, waiting={ReplicaLife("r01")}, now_s=0.0
+def test_loading_and_excluded_replicas_get_no_order():
+    states = make_replicas(3, "ab")
+    needs = [ModelDemand(model="a", version=3, lag=1), ModelDemand(model="b", version=3, lag=1)]
+    planned = plan_loads(
+        needs,
+        states,
+        model_by_loading_replica={ReplicaLife("r00"): "a"},
+        excluded={ReplicaLife("r01")},
+        now_s=0.0,
     )
-    assert [choice.state.info.replica_id for choice in choices] == ["r02"]
+    assert [choice.state.info.replica_id for choice in planned] == ["r02"]
 
 
-def test_loads_that_slow_each_other_down_become_fewer_and_recover():
+def test_slow_loads_lower_the_concurrency_limit_until_loads_are_fast_again():
     limit = LoadLimit()
-    assert limit.allowed(20) == 8
-    limit.observe(LOAD_S)
+    assert limit.max_loads(20) == 8
+    limit.record_load_time(LOAD_S)
     for _ in range(3):
-        limit.observe(LOAD_S * 4)
-    assert limit.allowed(20) == 2
+        limit.record_load_time(LOAD_S * 4)
+    assert limit.max_loads(20) == 2
     for _ in range(20):
-        limit.observe(LOAD_S)
-    assert limit.allowed(20) == 8
-    assert limit.allowed(1) == 1
+        limit.record_load_time(LOAD_S)
+    assert limit.max_loads(20) == 8
+    assert limit.max_loads(1) == 1
