--- a/passgate/duties/folds.py
+++ b/passgate/duties/folds.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from passgate.duties.scaling_projection import ScalingProjection
+from passgate.duties.scaling_fold import ScalingProjection
 from passgate.duties.usage_fold import UsageFold
 
 
--- a/tests/test_duties_scaling.py
+++ b/tests/test_duties_scaling.py
@@ -9,8 +9,8 @@
 from passgate.decisions import DecisionLog
 from passgate.duties.calls import CallRateLimiter, DutyOutcome
 from passgate.duties.scaler import BOOT_MARGIN_S, Scaler
+from passgate.duties.scaling_fold import ScalingProjection
 from passgate.duties.scaling_policy import ZoneReplicas, spread_replicas
-from passgate.duties.scaling_projection import ScalingProjection
 from passgate.eligibility.evacuation import EvacuatedZones
 from passgate.eligibility.places import Places
 from passgate.eligibility.replica_info import ReplicaInfo
