--- a/passgate/discovery/relay.py
+++ b/passgate/discovery/relay.py
@@ -46,11 +46,11 @@
 class ReadProgress(msgspec.Struct, frozen=True, kw_only=True):
     """How far a relay has read."""
 
-    entries_read: int
+    last_entry_offset: int
     """Offset of the last entry of discovery that the view holds."""
-    changes_read: int
+    next_change_offset: int
     """Offset up to which the view holds the changes of all relays."""
-    changes_kept: int
+    first_kept_change_offset: int
     """Offset from which on the log still keeps these changes."""
 
 
@@ -179,7 +179,7 @@
             del self._pending_by_replica_id[news.replica_id]
 
     async def _write_due_parts(self, now_s: float, progress: ReadProgress) -> None:
-        numbers = self._due_parts(now_s, progress.changes_kept)
+        numbers = self._due_parts(now_s, progress.first_kept_change_offset)
         if not numbers:
             return
         replicas: dict[int, list[ReplicaUpdate]] = {number: [] for number in numbers}
@@ -189,8 +189,8 @@
         parts = [
             ListPart(
                 part=number,
-                at=progress.entries_read,
-                changes_from=max(progress.changes_read, progress.changes_kept),
+                at=progress.last_entry_offset,
+                changes_from=max(progress.next_change_offset, progress.first_kept_change_offset),
                 replicas=tuple(replicas[number]),
             )
             for number in numbers
--- a/passgate/discovery/relayed_list.py
+++ b/passgate/discovery/relayed_list.py
@@ -81,12 +81,12 @@
         """When a relay was last known to live, by a record appended after the end was reached."""
 
     @property
-    def changes_read(self) -> int:
+    def next_change_offset(self) -> int:
         """Offset up to which the changes were read."""
         return self._tail.tail.next_offset
 
     @property
-    def changes_kept(self) -> int:
+    def first_kept_change_offset(self) -> int:
         """Offset from which on the log still keeps the changes."""
         return self._tail.tail.first_kept_offset
 
--- a/passgate/discovery/service.py
+++ b/passgate/discovery/service.py
@@ -197,9 +197,9 @@
         if self.is_relaying and self._direct_tail is not None and self._direct_tail[0].loaded:
             await self._relay.append_due(
                 ReadProgress(
-                    entries_read=self._direct_tail[0].next_offset - 1,
-                    changes_read=self._relayed_list.changes_read,
-                    changes_kept=self._relayed_list.changes_kept,
+                    last_entry_offset=self._direct_tail[0].next_offset - 1,
+                    next_change_offset=self._relayed_list.next_change_offset,
+                    first_kept_change_offset=self._relayed_list.first_kept_change_offset,
                 )
             )
 
--- a/passgate/discovery/view.py
+++ b/passgate/discovery/view.py
@@ -44,9 +44,9 @@
 class _LapsedEntry(msgspec.Struct, frozen=True, kw_only=True):
     """An entry that went, and may come back."""
 
-    gone_at: int
+    gone_offset: int
     """Offset that says that it went."""
-    listed_at: int
+    listed_offset: int
     """Offset at which the replica was last known to be listed."""
 
 
@@ -84,7 +84,7 @@
         """Take news of one replica; return whether others may know it otherwise."""
         if news.at <= self._known_offset_by_replica_id.get(news.replica_id, -1):
             return False
-        listed_at = self._listed_at(news.replica_id)
+        listed_at = self._listed_offset(news.replica_id)
         self._known_offset_by_replica_id[news.replica_id] = news.at
         if news.info is not None and self._is_outdated(news.info):
             self.unusable_entries.record(news.replica_id, "written by an older life", monotonic_s())
@@ -94,7 +94,9 @@
         if news.overwritten:
             return self._mark_overwritten(news.replica_id)
         if news.info is None and known is not None and self._may_have_lapsed(known.info):
-            self._lapsed_by_replica_id[news.replica_id] = _LapsedEntry(gone_at=news.at, listed_at=listed_at)
+            self._lapsed_by_replica_id[news.replica_id] = _LapsedEntry(
+                gone_offset=news.at, listed_offset=listed_at
+            )
             self._log_change(news.replica_id, known.info.service, "lapsed", True)
             return False
         if news.info is None:
@@ -143,7 +145,7 @@
         """Take news from a relay, which has waited itself for an entry that may come back."""
         if not news.gone:
             self.apply(news)
-        elif news.at > self._listed_at(news.replica_id):
+        elif news.at > self._listed_offset(news.replica_id):
             self._lapsed_by_replica_id.pop(news.replica_id, None)
             self._known_offset_by_replica_id[news.replica_id] = max(
                 news.at, self._known_offset_by_replica_id.get(news.replica_id, -1)
@@ -181,15 +183,15 @@
         infos = [state.info for state in self._replicas.all()]
         return [
             ReplicaUpdate(
-                replica_id=info.replica_id, at=self._listed_at(info.replica_id), info=info, listed=True
+                replica_id=info.replica_id, at=self._listed_offset(info.replica_id), info=info, listed=True
             )
             for info in infos
         ]
 
-    def _listed_at(self, replica_id: str) -> int:
+    def _listed_offset(self, replica_id: str) -> int:
         """Return the offset at which a replica was last known to be listed; -1 if it never was."""
         lapse = self._lapsed_by_replica_id.get(replica_id)
-        return self._known_offset_by_replica_id.get(replica_id, -1) if lapse is None else lapse.listed_at
+        return self._known_offset_by_replica_id.get(replica_id, -1) if lapse is None else lapse.listed_offset
 
     def _may_have_lapsed(self, info: ReplicaInfo) -> bool:
         """Whether an entry may have gone only because its replica could not reach the log."""
@@ -200,7 +202,7 @@
         if not self._lapsed_by_replica_id or monotonic_s() - self._log_returned_s < COME_BACK_S:
             return []
         gone = [
-            ReplicaUpdate(replica_id=key, at=lapse.gone_at)
+            ReplicaUpdate(replica_id=key, at=lapse.gone_offset)
             for key, lapse in self._lapsed_by_replica_id.items()
         ]
         self._lapsed_by_replica_id.clear()
--- a/passgate/duties/scaler.py
+++ b/passgate/duties/scaler.py
@@ -39,9 +39,9 @@
 class _PoolPacing(msgspec.Struct):
     """Earliest time of a pool's next decision or order, and its current pause."""
 
-    next_s: float = 0.0
-    pause_s: float = FIRST_REFUSAL_PAUSE_S
-    decided_s: float = float("-inf")
+    next_action_s: float = 0.0
+    refusal_pause_s: float = FIRST_REFUSAL_PAUSE_S
+    last_decision_s: float = float("-inf")
 
 
 class Scaler:
@@ -123,12 +123,12 @@
         pacing = self._pacing_by_pool.setdefault(pool, _PoolPacing())
         decision = self._projection.decision_by_pool.get(pool)
         decided_count = decision.count if decision is not None else 0
-        overdue = present < decided_count and now_s - pacing.decided_s > rule.boot_s + BOOT_MARGIN_S
+        overdue = present < decided_count and now_s - pacing.last_decision_s > rule.boot_s + BOOT_MARGIN_S
         grows = count > decided_count
-        if now_s < pacing.next_s or not (grows or (overdue and count > 0)):
+        if now_s < pacing.next_action_s or not (grows or (overdue and count > 0)):
             return
-        pacing.decided_s = now_s
-        pacing.next_s = now_s + DECISION_INTERVAL_S  # until the decision has been read back
+        pacing.last_decision_s = now_s
+        pacing.next_action_s = now_s + DECISION_INTERVAL_S  # until the decision has been read back
         self._journal.put(
             ReplicasDecided(
                 service=pool.service, zone=pool.zone, spot=pool.spot, count=max(count, decided_count)
@@ -142,7 +142,7 @@
             if decision.pool.zone in self._evacuated_zones:
                 continue  # sent after the evacuation, unless a newer decision replaces it
             if (
-                now_s < pacing.next_s
+                now_s < pacing.next_action_s
                 or not self._rate_limiter.try_acquire(now_s)
                 or not self._leadership.may_order()
             ):
@@ -177,19 +177,19 @@
     def _handle_outcome(self, decision: ScalingDecision, pacing: _PoolPacing, outcome: DutyOutcome) -> None:
         now_s = monotonic_s()
         if outcome is DutyOutcome.UNKNOWN:
-            pacing.next_s = now_s + RESEND_PAUSE_S
+            pacing.next_action_s = now_s + RESEND_PAUSE_S
             return
         pool = decision.pool
         self._journal.put(
             ReplicasOrdered(service=pool.service, zone=pool.zone, spot=pool.spot, decided=decision.fence)
         )
         if outcome is DutyOutcome.REFUSED:
-            pacing.next_s = now_s + pacing.pause_s
-            pacing.decided_s = float("-inf")
-            pacing.pause_s = min(pacing.pause_s * 2.0, MAX_REFUSAL_PAUSE_S)
+            pacing.next_action_s = now_s + pacing.refusal_pause_s
+            pacing.last_decision_s = float("-inf")
+            pacing.refusal_pause_s = min(pacing.refusal_pause_s * 2.0, MAX_REFUSAL_PAUSE_S)
         else:
-            pacing.next_s = now_s + DECISION_INTERVAL_S
-            pacing.pause_s = FIRST_REFUSAL_PAUSE_S
+            pacing.next_action_s = now_s + DECISION_INTERVAL_S
+            pacing.refusal_pause_s = FIRST_REFUSAL_PAUSE_S
 
     def _count_present(self, pool: ReplicaPool) -> int:
         return sum(
--- a/passgate/duties/usage_fold.py
+++ b/passgate/duties/usage_fold.py
@@ -29,7 +29,7 @@
 
 class _OpenWindow(msgspec.Struct):
     counts: Counter[str]
-    seen: set[tuple[str, int]]
+    count_ids: set[tuple[str, int]]
     """Meter and number of each count that was added."""
 
 
@@ -67,8 +67,8 @@
             return
         window = self._open_windows.setdefault(entry.window, _OpenWindow(Counter(), set()))
         count_id = (entry.meter, entry.number)
-        if count_id not in window.seen:
-            window.seen.add(count_id)
+        if count_id not in window.count_ids:
+            window.count_ids.add(count_id)
             window.counts.update(entry.counts)
         while len(self._open_windows) > MAX_OPEN_WINDOWS:
             del self._open_windows[min(self._open_windows)]
--- a/passgate/sharedlog/__init__.py
+++ b/passgate/sharedlog/__init__.py
@@ -1,5 +1,4 @@
-"""Interface of a shared, partitioned log and readers that follow it.
+"""Interface of a shared, partitioned log, and readers that follow it.
 
-See :mod:`passgate.sharedlog.log` for the interface, :mod:`passgate.sharedlog.tail`
-for the followers.
+See :mod:`passgate.sharedlog.log` for the interface and :mod:`passgate.sharedlog.tail` for the readers.
 """
--- a/passgate/sharedlog/counted.py
+++ b/passgate/sharedlog/counted.py
@@ -1,6 +1,6 @@
-"""Counts a daemon's calls to the log, by call, topic or group, and outcome.
+"""Counts a daemon's calls to the log by call, by topic or group, and by outcome.
 
-All daemons share the calls that the log grants in a second, so on call has to see which of them grow.
+All daemons share the log's limit of calls per second, so operators need to see which calls grow.
 
 >>> from passgate.clock import run_virtual
 >>> from passgate.emulator.shared_log import MemorySharedLog
@@ -29,13 +29,13 @@
 OUTCOME_OK = "ok"
 
 CountCall = Callable[[str, str, str], None]
-"""Takes the name of a call, its topic or group, and its outcome: ``ok`` or the code of the failure."""
+"""Receives the name of a call, its topic or group, and its outcome: ``ok`` or the error's code."""
 
 T = TypeVar("T")
 
 
 class CountedLog:
-    """A log whose calls are counted; see :class:`SharedLog`."""
+    """A log client that counts its calls; the methods are those of :class:`SharedLog`."""
 
     def __init__(self, log: SharedLog, count: CountCall) -> None:
         self._log = log
@@ -53,16 +53,16 @@
         return await self._await_and_count("read", topic, page)
 
     async def newest(self, topic: str, part: int, *, most_pages: int | None = None) -> KeyedSnapshot:
-        """Return the newest record of every key; a call of several pages counts once."""
+        """Return the newest record of every key; a call that reads several pages counts once."""
         snapshot = self._log.newest(topic, part, most_pages=most_pages)
         return await self._await_and_count("newest", topic, snapshot)
 
     async def join(
         self, group: str, member: str, topics: Sequence[str], *, lifetime_s: float, generation: int
     ) -> GroupShare:
-        """Join a group or stay in it."""
-        share = self._log.join(group, member, topics, lifetime_s=lifetime_s, generation=generation)
-        return await self._await_and_count("join", group, share)
+        """Join a group or renew the membership."""
+        assignment = self._log.join(group, member, topics, lifetime_s=lifetime_s, generation=generation)
+        return await self._await_and_count("join", group, assignment)
 
     async def leave(self, group: str, member: str) -> None:
         """Leave a group at once."""
@@ -73,16 +73,16 @@
         return await self._await_and_count("members", group, self._log.members(group))
 
     def decode_keyed(self, record: bytes) -> KeyedRecord:
-        """Split a raw record of a keyed topic."""
+        """Decode a raw record of a keyed topic; not counted."""
         return self._log.decode_keyed(record)
 
     def encode_keyed(self, record: KeyedRecord) -> bytes:
-        """Return the raw record of a keyed topic."""
+        """Encode a record of a keyed topic; not counted."""
         return self._log.encode_keyed(record)
 
-    async def _await_and_count(self, call: str, subject: str, answer: Awaitable[T]) -> T:
+    async def _await_and_count(self, call: str, subject: str, awaitable: Awaitable[T]) -> T:
         try:
-            result = await answer
+            result = await awaitable
         except LogError as error:
             self._count(call, subject, error.code)
             raise
--- a/passgate/sharedlog/group.py
+++ b/passgate/sharedlog/group.py
@@ -1,7 +1,7 @@
-"""Membership of a group of the log: who watches which partition.
+"""Membership of a log group, which assigns partitions to its members.
 
-The group only spreads work.  Two members that both hold a partition for a moment do
-no harm, as whatever they append is decided in the log's order.
+The group only distributes work.  If two members briefly hold the same partition, no harm is done, as the
+log's order decides about everything that they append.
 """
 
 from __future__ import annotations
@@ -22,31 +22,31 @@
 logger = logging.getLogger("passgate.sharedlog")
 
 JOIN_INTERVAL_S = 0.35
-"""Time between two joins; the shortest lifetime covers two that are lost."""
+"""Interval of joins; a membership of the shortest lifetime survives two lost joins."""
 SETTLING_JOIN_INTERVAL_S = 0.1
-"""The same while the group settles: partitions pass on only once their members have heard of a change."""
+"""Interval of joins while the group settles: a partition moves only once both members know of the change."""
 SETTLING_S = 0.6
 """Time after a change within which all members have joined again."""
 RECENT_ANSWER_S = 0.5
-"""Age of an answer of the log that shows that it serves; longer than the time between two joins."""
+"""Age up to which the last join proves that the log responds; longer than the interval of joins."""
 MIN_LIFETIME_S = 1.2
-"""Silence after which the log takes a member out."""
+"""Shortest silence after which the log removes a member."""
 LEAVE_TIMEOUT_S = 1.0
-"""Time for the log to take note that a member leaves; it lapses by itself otherwise."""
+"""Timeout of a leave call; without it the membership expires."""
 DIRECTORY_MAX_AGE_S = 2.0
-"""Age after which the list of members is read anew when it is needed."""
+"""Age after which the list of members is read again before use."""
 REFRESH_S = 5.0
-"""Time between reads of the list, so that it is known when the log falls silent."""
+"""Interval of background reads, so that the list is known if the log becomes unavailable."""
 DIRECTORY_RETRY_S = 1.0
 """Time after a failed read of the list before the next."""
 OTHER_ZONE_REFRESH_S = 10.0
-"""Time between reads of the lists of other zones, which are needed only when the own zone is cut off."""
+"""Interval of reads of other zones' lists, which are needed only if the own zone is cut off."""
 DIRECTORY_WAIT_S = 0.3
-"""Longest time that a caller waits for the list; then the one known before must do."""
+"""Longest time that a caller waits for a fresh list; after it, the last known one is used."""
 
 
 class GroupMember:
-    """This daemon's membership; keeps joining while it runs."""
+    """This daemon's membership of a group; joins repeatedly while it runs."""
 
     def __init__(
         self,
@@ -69,22 +69,22 @@
         self._generation = 0
         self._last_joined_s = float("-inf")
         self._last_changed_s = float("-inf")
-        """When a change of the group was heard of last."""
+        """When the group's generation changed last, as seen by this member."""
         self._assigned_partitions: frozenset[int] = frozenset()
         self._has_left = False
 
     def held(self) -> frozenset[int]:
-        """Return the partitions that this member holds; none once its lifetime is over."""
+        """Return the partitions assigned to this member; none once its membership has expired."""
         if self._has_left or monotonic_s() - self._last_joined_s > self._lifetime_s:
             return frozenset()
         return self._assigned_partitions
 
     def answered(self) -> bool:
-        """Whether the log has just answered this member, so that it is known to serve."""
+        """Return whether the log has recently responded to this member."""
         return monotonic_s() - self._last_joined_s < RECENT_ANSWER_S
 
     async def run(self) -> None:
-        """Join again and again, while the daemon shall be a member, until cancelled or left."""
+        """Join at regular intervals while the membership policy allows it, until cancelled or left."""
         while not self._has_left:
             if self._membership_policy.wanted:
                 await self._try_join()
@@ -100,7 +100,7 @@
             logger.info("join_failed", extra={"group": self._group, "error": str(error)})
 
     async def _withdraw(self) -> None:
-        """Hold nothing, as larger machines do; jobs that run here stay."""
+        """Leave the group as enough larger machines are members; running jobs continue."""
         self._assigned_partitions = frozenset()
         self._generation = 0
         self._decisions.write(PartitionsHeld(generation=0, parts=()))
@@ -108,17 +108,19 @@
 
     async def _join(self) -> None:
         sent_s = monotonic_s()
-        share = await hedged(self._call_join)
+        assignment = await hedged(self._send_join)
         self._last_joined_s = sent_s
-        held = frozenset(partition.part for partition in share.partitions)
-        if held != self._assigned_partitions:
-            self._decisions.write(PartitionsHeld(generation=share.generation, parts=tuple(sorted(held))))
-        if share.generation != self._generation:
+        assigned = frozenset(partition.part for partition in assignment.partitions)
+        if assigned != self._assigned_partitions:
+            self._decisions.write(
+                PartitionsHeld(generation=assignment.generation, parts=tuple(sorted(assigned)))
+            )
+        if assignment.generation != self._generation:
             self._last_changed_s = monotonic_s()
-        self._generation = share.generation
-        self._assigned_partitions = held
+        self._generation = assignment.generation
+        self._assigned_partitions = assigned
 
-    async def _call_join(self) -> GroupShare:
+    async def _send_join(self) -> GroupShare:
         return await self._log.join(
             self._group,
             self._member,
@@ -128,7 +130,7 @@
         )
 
     async def leave(self) -> None:
-        """Hold nothing from now on and tell the log, best effort."""
+        """Give up all partitions and leave the group; a failure to reach the log is ignored."""
         self._has_left = True
         await self._send_leave()
 
@@ -139,7 +141,7 @@
 
 
 class GroupDirectory:
-    """Who holds which partition, read when it is asked for and kept for a short time."""
+    """Cached list of the members of a group and their partitions."""
 
     def __init__(self, log: SharedLog, group: str, topic: str, candidacy: Candidacy) -> None:
         self._log = log
@@ -148,31 +150,31 @@
         self._membership_policy = candidacy
         self._member_by_partition: dict[GroupPartition, str] = {}
         self._previous_member_by_partition: dict[GroupPartition, str] = {}
-        """Partition to the member that held it before."""
+        """Partition to the member that held it before the current one."""
         self._last_read_s = float("-inf")
         self._read_task: asyncio.Task[None] | None = None
 
     async def member_of(self, part: int) -> str | None:
-        """Return the member that holds a partition; while the log fails, the last one known."""
-        reading = self._read_task is not None and not self._read_task.done()
-        if not reading and monotonic_s() - self._last_read_s > DIRECTORY_MAX_AGE_S:
+        """Return the member that holds a partition; the last known one while the log is unavailable."""
+        is_reading = self._read_task is not None and not self._read_task.done()
+        if not is_reading and monotonic_s() - self._last_read_s > DIRECTORY_MAX_AGE_S:
             self._read_task = asyncio.get_running_loop().create_task(self._read())
-            reading = True
-        if self._read_task is not None and reading:
+            is_reading = True
+        if self._read_task is not None and is_reading:
             await asyncio.wait([self._read_task], timeout=DIRECTORY_WAIT_S)
         return self._member_by_partition.get(GroupPartition(self._topic, part))
 
     def earlier_member_of(self, part: int) -> str | None:
-        """Return the member that held a partition before, as far as it is known."""
+        """Return the member that held a partition before, if known."""
         return self._previous_member_by_partition.get(GroupPartition(self._topic, part))
 
     def others(self, member: str) -> list[str]:
-        """Return the other members, as known last, in any order."""
+        """Return the other members, as last known, in random order."""
         others = sorted({other for other in self._member_by_partition.values() if other != member})
         return random.sample(others, len(others))
 
     async def keep_known(self) -> None:
-        """Keep the list known, until cancelled."""
+        """Refresh the list at regular intervals until cancelled."""
         while True:
             if monotonic_s() - self._last_read_s > DIRECTORY_MAX_AGE_S:
                 await self._read()
@@ -181,7 +183,7 @@
             )
 
     def forget(self) -> None:
-        """Read the list anew when it is needed next; a member did not answer."""
+        """Mark the list as outdated, as a member did not respond; the next use reads it again."""
         self._last_read_s = float("-inf")
 
     async def _read(self) -> None:
@@ -201,7 +203,7 @@
 
 
 class OtherZones:
-    """Members of the groups of other zones, each read when it is asked for."""
+    """Directories of the groups of other zones, each created at its first use."""
 
     def __init__(
         self,
@@ -211,14 +213,15 @@
         zones_by_distance: Callable[[], list[str]],
         prefetched_zones: Callable[[], list[str]] = list,
     ) -> None:
-        """Begin without any.
+        """Start without any directory.
 
         Args:
             log: the log.
-            watch_group: name of the groups; that of a zone has the zone's name after a dot.
-            topic: topic whose partitions they deal.
-            nearest_first: returns the other zones, the nearest first.
-            kept_known: returns the zones whose members are known also once the log falls silent.
+            watch_group: prefix of the group names; a zone's group is named ``prefix.zone``.
+            topic: topic whose partitions the groups assign.
+            zones_by_distance: returns the other zones, the nearest first.
+            prefetched_zones: returns the zones whose members are read in advance, in case the log becomes
+                unavailable.
         """
         self._prefetched_zones = prefetched_zones
         self._log = log
@@ -228,13 +231,13 @@
         self._directory_by_zone: dict[str, GroupDirectory] = {}
 
     def nearest_first(self) -> list[tuple[str, GroupDirectory]]:
-        """Return the other zones and who their members are, the nearest first."""
+        """Return the other zones and their directories, the nearest first."""
         return [(zone, self._directory(zone)) for zone in self._zones_by_distance()]
 
     def known_members(self) -> list[tuple[str, str]]:
-        """Return zones and members that are known without asking the log, nearest zones first.
+        """Return zones and members that are known without a call to the log, the nearest zones first.
 
-        Which zones are the nearest may have changed since their members were read.
+        The order of the zones may have changed since their members were read.
         """
         zones = [
             (zone, self._directory_by_zone[zone])
@@ -244,7 +247,7 @@
         return [(zone, member) for zone, directory in zones for member in directory.others("")]
 
     async def keep_known(self) -> None:
-        """Keep the members of some zones known, until cancelled; there may be no such zone."""
+        """Refresh the prefetched zones' directories until cancelled; return at once if there are none."""
         while zones := self._prefetched_zones():
             for zone in zones:
                 await self._directory(zone).member_of(0)
@@ -252,14 +255,14 @@
             await asyncio.sleep(OTHER_ZONE_REFRESH_S if all_known else DIRECTORY_RETRY_S)
 
     def _directory(self, zone: str) -> GroupDirectory:
-        known = self._directory_by_zone.get(zone)
-        if known is None:
+        directory = self._directory_by_zone.get(zone)
+        if directory is None:
             group = group_of_zone(self._watch_group, zone)
-            known = GroupDirectory(self._log, group, self._topic, Candidacy(ALWAYS_MEMBER_CORES))
-            self._directory_by_zone[zone] = known
-        return known
+            directory = GroupDirectory(self._log, group, self._topic, Candidacy(ALWAYS_MEMBER_CORES))
+            self._directory_by_zone[zone] = directory
+        return directory
 
 
 def group_of_zone(watch_group: str, zone: str) -> str:
-    """Return the group whose members watch partitions for a zone."""
+    """Return the name of the group whose members watch partitions for a zone."""
     return f"{watch_group}.{zone}"
--- a/passgate/sharedlog/member_names.py
+++ b/passgate/sharedlog/member_names.py
@@ -1,7 +1,7 @@
-"""Names of daemons on the log: they tell where other daemons reach one, and how large its machine is.
+"""Names of daemons on the log, which contain their peer address and their number of cores.
 
-A member of a group keeps its name over all its lives, so that one that comes back within
-its lifetime in the group keeps what it held.
+A daemon has the same member name in all its incarnations, so one that restarts before its membership
+expires keeps its partitions.
 
 >>> member_name("front-1", "10.1.0.10:7720", cores=2.1512)
 'front-1~2.15@10.1.0.10:7720'
@@ -14,9 +14,9 @@
 from __future__ import annotations
 
 ADDRESS_MARK = "@"
-"""Stands before the address."""
+"""Separates the address from what precedes it."""
 CORES_SEPARATOR = "~"
-"""Stands before the cores."""
+"""Separates the number of cores from the daemon's identifier."""
 
 
 def member_name(daemon_id: str, peer_address: str, cores: float) -> str:
@@ -25,14 +25,14 @@
 
 
 def address_of(name: str) -> str:
-    """Return the peer address in a name; empty when it has none."""
+    """Return the peer address in a name; empty if there is none."""
     return name.partition(ADDRESS_MARK)[2]
 
 
 def cores_of(member: str) -> float:
-    """Return the cores in a member's name; 0 when it tells none."""
-    told = member.partition(ADDRESS_MARK)[0].rpartition(CORES_SEPARATOR)[2]
+    """Return the number of cores in a member's name; 0 if there is none."""
+    cores_text = member.partition(ADDRESS_MARK)[0].rpartition(CORES_SEPARATOR)[2]
     try:
-        return float(told)
+        return float(cores_text)
     except ValueError:
         return 0.0
--- a/passgate/sharedlog/tail.py
+++ b/passgate/sharedlog/tail.py
@@ -1,11 +1,11 @@
-"""Followers of a shared log: one of records in order, one of the newest values of keys.
+"""Readers that follow the shared log: one for records in order, one for the newest values of keys.
 
-Both read by long polls, never give up, and know how fresh they are.  A follower
-that can not read keeps what it has.
+Both use long polls, retry without limit and know how fresh their view is.  A reader that can't reach the
+log keeps what it has read.
 
->>> tail_is_fresh = Freshness()
->>> tail_is_fresh.confirm_current(10.0)
->>> tail_is_fresh.age_s(12.5)
+>>> freshness = Freshness()
+>>> freshness.confirm_current(10.0)
+>>> freshness.age_s(12.5)
 2.5
 """
 
@@ -33,51 +33,50 @@
 logger = logging.getLogger("passgate.sharedlog")
 
 POLL_WAIT_S = 1.0
-"""Longest wait of one long poll; a lost dependency is noticed soon after."""
+"""Longest wait of a long poll; an unavailable log is noticed soon after it."""
 FIRST_RETRY_PAUSE_S = 0.05
 """Pause after the first failed read."""
 MAX_RETRY_PAUSE_S = 0.4
-"""Pauses after failed reads; short, as configuration must be in force soon after a recovery."""
+"""Longest pause after failed reads; short, so that configuration is read soon after an outage."""
 MIN_PAGE_BYTES = 32 * 1024
-"""Pages become smaller down to this when reads fail, as a large one may not arrive in time."""
+"""Smallest page size after failed reads, as a large page may not arrive before the timeout."""
 GAP_GROWTH_FACTOR = 2.0
 GAP_DECAY_FACTOR = 0.995
 MAX_GAP_S = 0.8
-"""Longest pause between reads while the log throttles; far below the time for configuration."""
+"""Longest pause between reads while the log throttles calls."""
 URGENT_RETRY_PAUSE_S = 0.3
-"""Pause after a throttled read of what must be known at once."""
+"""Pause after a throttled read of an urgent topic."""
 CATCH_UP_POLL_S = 0.01
-"""Time between looks whether the end was reached; a page takes about 50 ms."""
+"""Interval of checks whether the end of the partition was reached."""
 NEVER_S = float("-inf")
 EMPTY_PAGE_MAX_AGE_S = 0.1
-"""How old an empty page may be when it arrives."""
+"""Assumed age of an empty page when it arrives."""
 SLOWEST_ANSWER_S = 1.2
-"""Time for an answer beyond its wait, the time-out of the log's client.  A page that is read later
-had come before, and the machine stood still."""
+"""Longest time from the end of a long poll's wait to its response; a page processed later was delayed by
+this machine."""
 FRESH_S = 1.6
-"""Age up to which a view of the log is taken for the present one: a long poll of 1 s, and its answer.
-Others are judged, and questions of the log answered, only from a view that is not older."""
+"""Age up to which a view of the log counts as current: a long poll and its response."""
 BEHIND_AFTER_S = 2.5
-"""Without a confirmed read for this long, a follower counts as behind."""
+"""Time without a confirmed read after which a reader counts as behind."""
 
 
 class TailSettings(msgspec.Struct, frozen=True, kw_only=True):
-    """What to follow and how."""
+    """Which partition to follow, and how."""
 
     topic: str
     part: int = 0
     gap_s: float = 0.0
-    """Pause after each read, so that frequent small records arrive in batches."""
+    """Pause after each read, so that small records arrive in batches."""
     wait_s: float = POLL_WAIT_S
     urgent: bool = False
-    """Whether a throttled read is repeated soon; for what must be known at once."""
+    """Whether a throttled read is soon repeated instead of slowing down."""
 
 
 class ReadPace:
-    """Pause between reads: grows when the log throttles, shrinks again while it does not.
+    """Adaptive pause between reads: grows while the log throttles calls and shrinks again afterwards.
 
-    All daemons share the log's rate of calls and none knows how many they are, so
-    each slows down at a refusal and speeds up slowly, as senders in a network do.
+    All daemons share the log's rate limit without knowing each other's number, so each one backs off fast
+    and recovers slowly, as in congestion control.
 
     >>> pace = ReadPace(0.05)
     >>> pace.slow_down(); pace.slow_down()
@@ -94,46 +93,46 @@
 
     @property
     def is_slowed(self) -> bool:
-        """Whether the log refused calls lately."""
+        """Whether the pause is still longer than its minimum after a throttled call."""
         return self.gap_s > self._min_gap_s
 
     def slow_down(self) -> None:
-        """The log refused a call for its rate."""
+        """Lengthen the pause after a throttled call."""
         self.gap_s = min(max(self.gap_s, FIRST_RETRY_PAUSE_S) * GAP_GROWTH_FACTOR, MAX_GAP_S)
 
     def speed_up(self) -> None:
-        """A call was served."""
+        """Shorten the pause after a successful call."""
         self.gap_s = max(self._min_gap_s, self.gap_s * GAP_DECAY_FACTOR)
 
 
 class Freshness:
-    """When a follower last knew that it had read everything."""
+    """Records when a reader last knew that it had read everything."""
 
     def __init__(self) -> None:
         self._confirmed_at_s = NEVER_S
         self.recovered_at_s = NEVER_S
-        """When reading began to work again after the last time of being behind."""
+        """When reading succeeded again after the last time that the reader was behind."""
 
     def confirm_current(self, as_of_s: float, applied_at_s: float | None = None) -> None:
-        """Note a read that began at ``began_s``, reached the end and was applied at ``applied_s``."""
+        """Record that everything appended before ``as_of_s`` was read, and applied at ``applied_at_s``."""
         if as_of_s - self._confirmed_at_s > BEHIND_AFTER_S:
             self.recovered_at_s = as_of_s if applied_at_s is None else applied_at_s
         self._confirmed_at_s = max(self._confirmed_at_s, as_of_s)
 
     def age_s(self, now_s: float) -> float:
-        """Return the time since the last confirmed state; infinite before the first."""
+        """Return the time since the last confirmation; infinite before the first."""
         return now_s - self._confirmed_at_s
 
     def silence_s(self, last_contact_s: float | None, now_s: float) -> float:
-        """Return for how long a writer has surely been silent while the log could be read.
+        """Return for how long a writer has certainly been silent while the log could be read.
 
-        ``heard_s`` is when its last record was read, None when there was none.
+        ``last_contact_s`` is when its last record was read, None if there was none.
         """
         return now_s - max(self.recovered_at_s, last_contact_s if last_contact_s is not None else NEVER_S)
 
 
 class _Follower:
-    """Reads again and again; pauses after failures and refusals, and knows how fresh it is."""
+    """Base of readers: reads repeatedly, backs off after failures and throttling, and tracks freshness."""
 
     def __init__(self, log: SharedLog, settings: TailSettings) -> None:
         self._log = log
@@ -147,7 +146,7 @@
         self.freshness = Freshness()
 
     async def run(self) -> None:
-        """Follow until cancelled."""
+        """Read until cancelled."""
         while True:
             try:
                 at_end = await self._read_once()
@@ -167,7 +166,7 @@
                 self._retry_pause_s = min(self._retry_pause_s * 2.0, MAX_RETRY_PAUSE_S)
 
     async def _read_once(self) -> bool:
-        """Read a page; return whether it reached the end."""
+        """Read a page; return whether it reached the end of the partition."""
         raise NotImplementedError
 
     def _skip_removed_records(self, first: int) -> None:
@@ -196,23 +195,25 @@
         )
 
     def _confirm_if_at_end(self, page: LogPage, began_s: float, wait_s: float) -> bool:
-        """Note whether a page reached the end of the partition; return whether it did.
+        """Confirm freshness if a page reached the end of the partition; return whether it did.
 
-        A machine that stood still may read a page long after it was made, so an empty one counts
-        as true no longer than until its answer was due.
+        A suspended machine may process a page long after it was created, so an empty page confirms a time
+        no later than the deadline of its response.
         """
         if page.next_offset < page.end:
             return False
-        # An empty page was the truth when its wait ended, a page with records when it was made.
+        # A page with records was complete when the read began, an empty one when its wait ended.
         now_s = monotonic_s()
-        due_s = began_s + wait_s + SLOWEST_ANSWER_S
-        at_s = began_s if page.records else max(began_s, min(due_s, now_s - EMPTY_PAGE_MAX_AGE_S))
-        self.freshness.confirm_current(at_s, now_s)
+        response_deadline_s = began_s + wait_s + SLOWEST_ANSWER_S
+        as_of_s = (
+            began_s if page.records else max(began_s, min(response_deadline_s, now_s - EMPTY_PAGE_MAX_AGE_S))
+        )
+        self.freshness.confirm_current(as_of_s, now_s)
         return True
 
 
 class RecordTail(_Follower):
-    """Follows one partition from its first kept record; hands each page to ``apply`` in order."""
+    """Follows one partition from its oldest record; passes each page to ``apply`` in order."""
 
     def __init__(self, log: SharedLog, settings: TailSettings, apply: Callable[[LogPage], None]) -> None:
         super().__init__(log, settings)
@@ -220,9 +221,9 @@
         self._advanced = asyncio.Event()
         self.next_offset = 0
         self.first_kept_offset = 0
-        """Offset of the first record that the log still kept at the last read."""
+        """Offset of the oldest record that the log kept at the last read."""
         self.caught_up = False
-        """Whether the end was reached once."""
+        """Whether the end of the partition has been reached since the tail was last started."""
 
     async def _read_once(self) -> bool:
         began_s = monotonic_s()
@@ -245,31 +246,31 @@
             self._advanced = asyncio.Event()
 
     async def wait_past(self, offset: int, timeout_s: float) -> bool:
-        """Wait until the record at ``offset`` was applied; return False when time ran out."""
+        """Wait until the record at ``offset`` was applied; return False on timeout."""
         deadline_s = monotonic_s() + timeout_s
         while self.next_offset <= offset:
-            left_s = deadline_s - monotonic_s()
-            if left_s <= 0.0:
+            remaining_s = deadline_s - monotonic_s()
+            if remaining_s <= 0.0:
                 return False
             try:
-                await asyncio.wait_for(self._advanced.wait(), left_s)
+                await asyncio.wait_for(self._advanced.wait(), remaining_s)
             except TimeoutError:
                 return self.next_offset > offset
         return True
 
     async def wait_caught_up(self, timeout_s: float) -> bool:
-        """Wait until the end was reached once; return False when time ran out."""
-        until_s = monotonic_s() + timeout_s
+        """Wait until the end of the partition has been reached; return False on timeout."""
+        deadline_s = monotonic_s() + timeout_s
         while not self.caught_up:
-            if monotonic_s() >= until_s:
+            if monotonic_s() >= deadline_s:
                 return False
             await asyncio.sleep(CATCH_UP_POLL_S)
         return True
 
     async def confirm(self, timeout_s: float) -> bool:
-        """Return True once everything that stood on the log when called was applied.
+        """Read up to the current end of the partition; return False on failure or timeout.
 
-        Asks the log anew, since a waiting long poll proves nothing.
+        Makes a new read, since a waiting long poll proves nothing about the current end.
         """
         try:
             page = await self._read_page(self.next_offset, 0.0)
@@ -282,9 +283,9 @@
 
 
 class FollowedTail:
-    """Starts and stops a tail as it is needed; what was read stays.
+    """Starts and stops a tail as needed; what was read stays.
 
-    A tail that is started again has to reach the end anew before it counts as caught up.
+    A restarted tail has to reach the end again before it counts as caught up.
     """
 
     def __init__(self, tail: RecordTail) -> None:
@@ -302,7 +303,7 @@
         return self._task is not None and self.tail.caught_up
 
     def set(self, wanted: bool) -> None:
-        """Follow, or stop following."""
+        """Start or stop following."""
         if wanted and self._task is None:
             self.tail.caught_up = False
             self._task = asyncio.get_running_loop().create_task(self.tail.run())
@@ -312,10 +313,10 @@
 
 
 class KeyedTail(_Follower):
-    """Follows a keyed topic: the newest value of each key, then every change of it.
+    """Follows a keyed topic: reads a snapshot of the newest values, then every change.
 
-    ``replace`` gets all records and the offset at which changes begin, ``update``
-    the next records and the offset of the first.
+    ``replace`` receives all records of a snapshot and the offset of the next change; ``update`` receives
+    further records and the offset of the first.
     """
 
     def __init__(
@@ -340,11 +341,11 @@
 
     @property
     def next_offset(self) -> int:
-        """Offset up to which all was read; 0 before the first snapshot."""
+        """Offset of the next record to read; 0 before the first snapshot."""
         return self._next_offset or 0
 
     def start_from(self, snapshot: KeyedSnapshot, began_s: float) -> None:
-        """Begin with a snapshot whose reading began at a loop time."""
+        """Start from a snapshot whose read began at ``began_s``, instead of reading one."""
         self._apply_snapshot(snapshot, began_s)
         self._must_load_snapshot = False
 
@@ -360,11 +361,11 @@
         return self._confirm_if_at_end(page, began_s, self.wait_s)
 
     def _decode(self, record: bytes) -> KeyedRecord:
-        """Return a record; one that can't be read counts as an empty one, so that the others hold."""
+        """Decode a record; a malformed one becomes an empty record, so that the others are still applied."""
         try:
             return self._log.decode_keyed(record)
         except MalformedRecord as error:
-            if not self._malformed_logged:  # once, as another writer may append any number of them
+            if not self._malformed_logged:  # logged once only, as other writers may append many such records
                 self._malformed_logged = True
                 logger.warning("malformed_record", extra={"topic": self._settings.topic, "error": str(error)})
             return KeyedRecord(key="", value=b"")
--- a/passgate/versions/doubtful_orders.py
+++ b/passgate/versions/doubtful_orders.py
@@ -4,10 +4,10 @@
 resets that number to 0, so an unconfirmed order fits again later and would load an older version.  The
 order that would lead to that number is delayed until the old one can't arrive any more.
 
->>> doubtful = DoubtfulOrders()
->>> doubtful.note(ReplicaLife("r", 1), expected=2, now_s=0.0)
->>> next_life = ReplicaLife("r", 2)
->>> [doubtful.may_follow(next_life, orders_taken, now_s=1.0) for orders_taken in (0, 1, 2)]
+>>> unconfirmed = DoubtfulOrders()
+>>> unconfirmed.note(ReplicaLife("r", 1), 2, now_s=0.0)
+>>> restarted = ReplicaLife("r", 2)
+>>> [unconfirmed.may_follow(restarted, orders_taken, now_s=1.0) for orders_taken in (0, 1, 2)]
 [True, False, True]
 """
 
@@ -24,8 +24,8 @@
 
 class _UnconfirmedOrder(msgspec.Struct, frozen=True, kw_only=True):
     life: ReplicaLife
-    expected: int
-    until_s: float
+    expected_orders_taken: int
+    expires_at_s: float
 
 
 class DoubtfulOrders:
@@ -38,20 +38,24 @@
     def note(self, life: ReplicaLife, expected: int, now_s: float) -> None:
         """Record an order to an incarnation whose outcome is unknown."""
         self._drop_expired(now_s)
-        order = _UnconfirmedOrder(life=life, expected=expected, until_s=now_s + UNCONFIRMED_LIFETIME_S)
+        order = _UnconfirmedOrder(
+            life=life, expected_orders_taken=expected, expires_at_s=now_s + UNCONFIRMED_LIFETIME_S
+        )
         self._orders_by_replica_id.setdefault(life.replica_id, []).append(order)
 
     def may_follow(self, life: ReplicaLife, orders_taken: int, now_s: float) -> bool:
         """Return whether an incarnation that has accepted ``orders_taken`` orders may get the next one."""
         orders = self._orders_by_replica_id.get(life.replica_id, ())
         return not any(
-            order.life != life and order.expected == orders_taken + 1 and now_s < order.until_s
+            order.life != life
+            and order.expected_orders_taken == orders_taken + 1
+            and now_s < order.expires_at_s
             for order in orders
         )
 
     def _drop_expired(self, now_s: float) -> None:
         unexpired = {
-            replica_id: [order for order in orders if now_s < order.until_s]
+            replica_id: [order for order in orders if now_s < order.expires_at_s]
             for replica_id, orders in self._orders_by_replica_id.items()
         }
         self._orders_by_replica_id = {
--- a/tests/test_sharedlog_candidacy.py
+++ b/tests/test_sharedlog_candidacy.py
@@ -1,4 +1,4 @@
-"""Which daemons of a zone hold partitions: the larger machines, others only when these are too few."""
+"""Guards against partitions on small machines while enough larger ones run, and against idle partitions."""
 
 import asyncio
 
@@ -9,15 +9,15 @@
 from passgate.sharedlog.group import GroupDirectory, GroupMember
 from passgate.sharedlog.member_names import member_name
 
-PARTS = 12
-LOOK_S = 1.0
-SETTLED_S = 8.0
+PARTITIONS = 12
+CHECK_INTERVAL_S = 1.0
+SETTLING_S = 8.0
 STEP_S = 0.1
-LARGE, SMALL = 2.15, 0.52
+LARGE_CORES, SMALL_CORES = 2.15, 0.52
 
 
 class Daemon:
-    """The part of a daemon that has to do with its zone's group."""
+    """The group membership of a daemon."""
 
     def __init__(self, log, name, cores):
         candidacy = Candidacy(cores)
@@ -35,86 +35,86 @@
         loop = asyncio.get_running_loop()
         self.tasks = [loop.create_task(self.member.run()), loop.create_task(self.directory.keep_known())]
 
-    def end(self):
+    def kill(self):
         for task in self.tasks:
             task.cancel()
 
     @property
-    def parts(self):
+    def partition_count(self):
         return len(self.member.held())
 
 
-def played(scene):
+def run_scenario(scenario):
     async def main():
-        await scene(MemorySharedLog(parts=PARTS))
+        await scenario(MemorySharedLog(parts=PARTITIONS))
 
     run_virtual(main())
 
 
-def test_small_machines_hold_nothing_beside_enough_larger_ones():
-    async def scene(log):
-        small = [Daemon(log, f"s{number}", SMALL) for number in range(6)]
-        large = [Daemon(log, f"l{number}", LARGE) for number in range(SUFFICIENT_LARGER_MEMBERS)]
-        for _ in range(round(SETTLED_S / STEP_S)):
+def test_small_machines_get_no_partitions_while_enough_larger_ones_run():
+    async def scenario(log):
+        small = [Daemon(log, f"s{number}", SMALL_CORES) for number in range(6)]
+        large = [Daemon(log, f"l{number}", LARGE_CORES) for number in range(SUFFICIENT_LARGER_MEMBERS)]
+        for _ in range(round(SETTLING_S / STEP_S)):
             await asyncio.sleep(STEP_S)
-            assert [daemon.parts for daemon in small] == [0] * 6
-        assert sum(daemon.parts for daemon in large) == PARTS
+            assert [daemon.partition_count for daemon in small] == [0] * 6
+        assert sum(daemon.partition_count for daemon in large) == PARTITIONS
 
-    played(scene)
+    run_scenario(scenario)
 
 
-def test_small_machines_stand_in_for_larger_ones_that_are_lost_and_withdraw_again():
-    async def scene(log):
-        small = [Daemon(log, f"s{number}", SMALL) for number in range(3)]
-        large = [Daemon(log, f"l{number}", LARGE) for number in range(SUFFICIENT_LARGER_MEMBERS)]
-        await asyncio.sleep(SETTLED_S)
+def test_small_machines_replace_lost_larger_ones_and_withdraw_again():
+    async def scenario(log):
+        small = [Daemon(log, f"s{number}", SMALL_CORES) for number in range(3)]
+        large = [Daemon(log, f"l{number}", LARGE_CORES) for number in range(SUFFICIENT_LARGER_MEMBERS)]
+        await asyncio.sleep(SETTLING_S)
         for daemon in large:
-            daemon.end()
-        await asyncio.sleep(SETTLED_S + SHORTAGE_CONFIRMATION_S)
-        assert sum(daemon.parts for daemon in small) == PARTS
-        large = [Daemon(log, f"l{number}", LARGE) for number in range(SUFFICIENT_LARGER_MEMBERS)]
-        await asyncio.sleep(SETTLED_S)
-        assert [daemon.parts for daemon in small] == [0] * 3
-        assert sum(daemon.parts for daemon in large) == PARTS
+            daemon.kill()
+        await asyncio.sleep(SETTLING_S + SHORTAGE_CONFIRMATION_S)
+        assert sum(daemon.partition_count for daemon in small) == PARTITIONS
+        large = [Daemon(log, f"l{number}", LARGE_CORES) for number in range(SUFFICIENT_LARGER_MEMBERS)]
+        await asyncio.sleep(SETTLING_S)
+        assert [daemon.partition_count for daemon in small] == [0] * 3
+        assert sum(daemon.partition_count for daemon in large) == PARTITIONS
 
-    played(scene)
+    run_scenario(scenario)
 
 
-def test_machines_of_one_size_all_take_part():
-    async def scene(log):
-        daemons = [Daemon(log, f"s{number}", SMALL) for number in range(4)]
-        await asyncio.sleep(SETTLED_S)
-        assert [daemon.parts for daemon in daemons] == [PARTS // 4] * 4
+def test_machines_of_equal_size_are_all_members():
+    async def scenario(log):
+        daemons = [Daemon(log, f"s{number}", SMALL_CORES) for number in range(4)]
+        await asyncio.sleep(SETTLING_S)
+        assert [daemon.partition_count for daemon in daemons] == [PARTITIONS // 4] * 4
 
-    played(scene)
+    run_scenario(scenario)
 
 
-def test_a_log_that_does_not_answer_changes_nothing():
-    async def scene(log):
-        small = Daemon(log, "s", SMALL)
-        large = [Daemon(log, f"l{number}", LARGE) for number in range(SUFFICIENT_LARGER_MEMBERS)]
-        await asyncio.sleep(SETTLED_S)
+def test_an_unavailable_log_does_not_change_membership():
+    async def scenario(log):
+        small = Daemon(log, "s", SMALL_CORES)
+        large = [Daemon(log, f"l{number}", LARGE_CORES) for number in range(SUFFICIENT_LARGER_MEMBERS)]
+        await asyncio.sleep(SETTLING_S)
         log.faults.refusing = True
-        await asyncio.sleep(SETTLED_S)
+        await asyncio.sleep(SETTLING_S)
         log.faults.refusing = False
         for _ in range(10):
-            await asyncio.sleep(LOOK_S)
-            assert small.parts == 0
-        assert sum(daemon.parts for daemon in large) == PARTS
+            await asyncio.sleep(CHECK_INTERVAL_S)
+            assert small.partition_count == 0
+        assert sum(daemon.partition_count for daemon in large) == PARTITIONS
 
-    played(scene)
+    run_scenario(scenario)
 
 
-def test_partitions_are_dealt_soon_after_all_daemons_came_back():
-    """Fails with joins each 0.35 s only, as each member must hear of the last one that joined."""
+def test_partitions_are_assigned_soon_after_all_daemons_restart():
+    """Guards against slow settling, as each member must see the generation of the last one that joined."""
 
-    async def scene(log):
+    async def scenario(log):
         daemons = []
         for number in range(8):
-            daemons.append(Daemon(log, f"l{number}", LARGE))
+            daemons.append(Daemon(log, f"l{number}", LARGE_CORES))
             await asyncio.sleep(0.02)
         await asyncio.sleep(0.3)
-        assert sum(daemon.parts for daemon in daemons) == PARTS
-        assert max(daemon.parts for daemon in daemons) <= 2
+        assert sum(daemon.partition_count for daemon in daemons) == PARTITIONS
+        assert max(daemon.partition_count for daemon in daemons) <= 2
 
-    played(scene)
+    run_scenario(scenario)
--- a/tests/test_sharedlog_silence.py
+++ b/tests/test_sharedlog_silence.py
@@ -1,4 +1,4 @@
-"""How soon a daemon uses the log again after a time of silence, at whatever moment it returns."""
+"""Guards against slow recovery after the log was silent, whenever it responds again."""
 
 import asyncio
 
@@ -14,53 +14,53 @@
 from passgate.sharedlog.hedge import HEDGE_DELAY_S
 from passgate.sharedlog.tail import RecordTail, TailSettings
 
-SILENCES_S = [3.0, 3.3, 3.6, 3.9, 4.2, 4.5]
-SOON_S = HEDGE_DELAY_S + 0.15
-"""Time after the return within which the log is used again, with the pauses between calls."""
+SILENCE_DURATIONS_S = [3.0, 3.3, 3.6, 3.9, 4.2, 4.5]
+MAX_RESUME_S = HEDGE_DELAY_S + 0.15
+"""Longest time from the log's return to its use, with the pauses between calls."""
 
 
-async def silence(log, silent_s):
+async def make_log_silent(log, silent_s):
     log.faults.silent = True
     await asyncio.sleep(silent_s)
     log.faults.silent = False
     return monotonic_s()
 
 
-@pytest.mark.parametrize("silent_s", SILENCES_S)
-def test_what_waited_is_appended_soon(silent_s):
+@pytest.mark.parametrize("silent_s", SILENCE_DURATIONS_S)
+def test_pending_entries_are_appended_soon_after_a_silence(silent_s):
     async def main():
         log = MemorySharedLog()
         sizes = {"record_bytes": 262_144, "append_bytes": 2_000_000}
         journal = Journal(log.client("d"), "t", 0, "d.a", **sizes)
         task = asyncio.get_running_loop().create_task(journal.run())
         log.faults.silent = True
-        stands = journal.put(JobEnded(job_id="j"))
-        back_s = await silence(log, silent_s)
-        await stands
-        assert monotonic_s() - back_s < SOON_S
+        appended = journal.put(JobEnded(job_id="j"))
+        returned_s = await make_log_silent(log, silent_s)
+        await appended
+        assert monotonic_s() - returned_s < MAX_RESUME_S
         task.cancel()
 
     run_virtual(main())
 
 
-@pytest.mark.parametrize("silent_s", SILENCES_S)
-def test_what_was_written_meanwhile_is_read_soon(silent_s):
+@pytest.mark.parametrize("silent_s", SILENCE_DURATIONS_S)
+def test_new_records_are_read_soon_after_a_silence(silent_s):
     async def main():
         log = MemorySharedLog()
         tail = RecordTail(log.client("d"), TailSettings(topic="t"), lambda page: None)
         task = asyncio.get_running_loop().create_task(tail.run())
         assert await tail.wait_caught_up(1.0)
-        back_s = await silence(log, silent_s)
+        returned_s = await make_log_silent(log, silent_s)
         log.add("t", 0, [b"x"])
         assert await tail.wait_past(0, 5.0)
-        assert monotonic_s() - back_s < SOON_S
+        assert monotonic_s() - returned_s < MAX_RESUME_S
         task.cancel()
 
     run_virtual(main())
 
 
-@pytest.mark.parametrize("silent_s", SILENCES_S)
-def test_a_member_holds_its_partitions_soon_again(silent_s):
+@pytest.mark.parametrize("silent_s", SILENCE_DURATIONS_S)
+def test_a_member_regains_its_partitions_soon_after_a_silence(silent_s):
     async def main():
         log = MemorySharedLog()
         member = GroupMember(
@@ -69,10 +69,10 @@
         task = asyncio.get_running_loop().create_task(member.run())
         await asyncio.sleep(1.0)
         assert member.held()
-        back_s = await silence(log, silent_s)
+        returned_s = await make_log_silent(log, silent_s)
         while not member.held():
             await asyncio.sleep(0.01)
-        assert monotonic_s() - back_s < 2 * SOON_S
+        assert monotonic_s() - returned_s < 2 * MAX_RESUME_S
         task.cancel()
 
     run_virtual(main())
--- a/tests/test_sharedlog_tail.py
+++ b/tests/test_sharedlog_tail.py
@@ -1,4 +1,4 @@
-"""How followers of the shared log read: at which pace, in virtual time."""
+"""Pauses between reads of a tail that is behind or at the end."""
 
 import asyncio
 
@@ -10,38 +10,38 @@
 GAP_S = 1.0
 
 
-def test_a_follower_that_is_behind_reads_on_without_a_pause():
+def test_a_tail_that_is_behind_reads_without_pauses():
     async def main():
         log = MemorySharedLog()
         record = b"x" * (MAX_PAGE_BYTES // 2 + 1)
         for _ in range(8):
             log.add("t", 0, [record])
-        seen = []
+        pages = []
         tail = RecordTail(
-            log.client("d"), TailSettings(topic="t", gap_s=GAP_S), lambda page: seen.append(page)
+            log.client("d"), TailSettings(topic="t", gap_s=GAP_S), lambda page: pages.append(page)
         )
         began_s = monotonic_s()
         task = asyncio.get_running_loop().create_task(tail.run())
         assert await tail.wait_caught_up(20.0)
-        assert len(seen) == 8
+        assert len(pages) == 8
         assert monotonic_s() - began_s < GAP_S
         task.cancel()
 
     run_virtual(main())
 
 
-def test_a_follower_at_the_end_gathers_records_in_pages():
+def test_a_tail_at_the_end_reads_records_in_batches():
     async def main():
         log = MemorySharedLog()
-        seen = []
+        pages = []
         tail = RecordTail(
-            log.client("d"), TailSettings(topic="t", gap_s=GAP_S), lambda page: seen.append(page)
+            log.client("d"), TailSettings(topic="t", gap_s=GAP_S), lambda page: pages.append(page)
         )
         task = asyncio.get_running_loop().create_task(tail.run())
         for _ in range(50):
             log.add("t", 0, [b"x"])
             await asyncio.sleep(0.1)
-        assert 4 <= len(seen) <= 8
+        assert 4 <= len(pages) <= 8
         task.cancel()
 
     run_virtual(main())
