--- a/passgate/sharedlog/log.py
+++ b/passgate/sharedlog/log.py
@@ -47,7 +47,7 @@
     execution = ExecutionStatus.NOT_RUN
 
     def __init__(self, end: int) -> None:
-        super().__init__(f"the partition ends at offset {end}, not at the expected one", end=end)
+        super().__init__(f"not the expected end of the partition, which ends at offset {end}", end=end)
         self.end = end
 
 
