--- a/passgate/discovery/__init__.py
+++ b/passgate/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""The replicas that a daemon knows: from the platform's discovery, or through relays if they are many."""
+"""The list of replicas that a daemon knows: read from discovery directly, or through relays if it is long."""
--- a/passgate/discovery/records.py
+++ b/passgate/discovery/records.py
@@ -1,6 +1,6 @@
-"""What relays keep on the log of a long list of replicas: each change, and the whole list in parts.
+"""Records in which relays keep a long list of replicas on the log.
 
-A daemon that starts reads the parts, and then the changes from where the parts were made.  Both are
+A daemon that starts reads the list in parts, and then the changes since the parts were written.  Both are
 compressed JSON.
 
 >>> part = ListPart(part=3, at=40, changes_from=7)
@@ -23,21 +23,21 @@
 from passgate.sharedlog.log import KeyedRecord
 
 LIST_PARTS = 16
-"""Parts of the list.  One of 3,000 replicas takes about 4 KB, so 150,000 replicas fit into records."""
+"""Number of parts of the list; a part of a list of 100,000 replicas still fits into one record."""
 COMPRESSION_LEVEL = 6
-"""The library's default; a list of 3,000 replicas shrinks from 0.6 MB to a ninth."""
+"""Level of zlib's compression; its default."""
 
 Content = TypeVar("Content", bound=msgspec.Struct)
 
 
 class RelayedChanges(msgspec.Struct, frozen=True, kw_only=True):
-    """One record of a relay; without changes it only shows that the relay lives."""
+    """One record of a relay; without changes it only shows that the relay is alive."""
 
     relay: str
-    """The daemon that appended it."""
+    """Daemon that appended the record."""
     changes: tuple[ReplicaUpdate, ...] = ()
     unreadable: int = 0
-    """Changes of the record that could not be read."""
+    """Number of changes in the record that could not be decoded."""
 
 
 class ListPart(msgspec.Struct, frozen=True, kw_only=True):
@@ -45,12 +45,12 @@
 
     part: int
     at: int
-    """Offset in discovery up to which the part is whole: a replica that it lacks was gone then."""
+    """Offset in discovery up to which the part is complete; a replica missing from it was gone then."""
     changes_from: int
-    """Offset in the topic of changes from which on they are not in the part."""
+    """Offset in the topic of changes of the first change that is not in the part."""
     replicas: tuple[ReplicaUpdate, ...] = ()
     unreadable: int = 0
-    """Replicas of the part that could not be read."""
+    """Number of replicas of the part that could not be decoded."""
 
 
 class _ChangesRecord(msgspec.Struct):
@@ -66,17 +66,17 @@
 
 
 def part_of(replica_id: str) -> int:
-    """Return the part of the list that holds a replica."""
+    """Return the number of the part that holds a replica."""
     return zlib.crc32(replica_id.encode()) % LIST_PARTS
 
 
 def encode_part(part: ListPart) -> KeyedRecord:
-    """Return the record of a part."""
+    """Encode a part as a record."""
     return KeyedRecord(key=str(part.part), value=_compress(part))
 
 
 def decode_part(record: KeyedRecord) -> ListPart:
-    """Return the part of a record, without replicas that can't be read; raises MalformedRecord."""
+    """Decode a part without its unreadable replicas; raises MalformedRecord."""
     part = _decompress(record.value, _PartRecord)
     replicas = _decode_readable(part.replicas)
     return ListPart(
@@ -89,24 +89,26 @@
 
 
 def encode_changes(changes: RelayedChanges) -> bytes:
-    """Return the record of changes."""
+    """Encode changes as a record."""
     return _compress(changes)
 
 
 def decode_changes(record: bytes) -> RelayedChanges:
-    """Return the changes of a record, without those that can't be read; raises MalformedRecord."""
-    told = _decompress(record, _ChangesRecord)
-    changes = _decode_readable(told.changes)
-    return RelayedChanges(relay=told.relay, changes=changes, unreadable=len(told.changes) - len(changes))
+    """Decode changes without unreadable ones; raises MalformedRecord."""
+    decoded = _decompress(record, _ChangesRecord)
+    changes = _decode_readable(decoded.changes)
+    return RelayedChanges(
+        relay=decoded.relay, changes=changes, unreadable=len(decoded.changes) - len(changes)
+    )
 
 
 def _decode_readable(rows: list[msgspec.Raw]) -> tuple[ReplicaUpdate, ...]:
-    """Return the news that can be read; one that can't must not cost the others."""
-    news = []
+    """Return the rows that can be decoded, so that a malformed one does not affect the others."""
+    updates = []
     for row in rows:
-        with contextlib.suppress(msgspec.DecodeError, RecursionError):  # the caller counts what is left out
-            news.append(msgspec.json.decode(row, type=ReplicaUpdate))
-    return tuple(news)
+        with contextlib.suppress(msgspec.DecodeError, RecursionError):  # the caller counts the omitted rows
+            updates.append(msgspec.json.decode(row, type=ReplicaUpdate))
+    return tuple(updates)
 
 
 def _compress(content: msgspec.Struct) -> bytes:
--- a/passgate/discovery/relay.py
+++ b/passgate/discovery/relay.py
@@ -1,10 +1,8 @@
-"""Relays: daemons that read a long list of replicas and append what changes in it for all others.
+"""Relays: daemons that read a long list of replicas and append its changes for all other daemons.
 
-Every replica writes to discovery about once a second, changed or not, so a list of 3,000 replicas is
-read by a few daemons only.  Which daemons relay is decided by the groups of the log
-(:class:`passgate.sharedlog.group.GroupMember`): one in each zone.  The first of them appends each
-change at once; the others only what it has left out, so the loss of one loses no change.  What
-two append twice does no harm, as each change names its offset in discovery.
+Every replica writes to discovery about once a second, so only one daemon per zone reads a long list; the
+log's groups select it.  The primary relay appends each change at once; the others append what it has
+missed.  Duplicates are harmless, as each change names its offset in discovery.
 """
 
 from __future__ import annotations
@@ -30,32 +28,30 @@
 logger = logging.getLogger("passgate.discovery")
 
 HEARTBEAT_INTERVAL_S = 0.5
-"""Time between records of the first relay; a third of the silence after which it counts as gone."""
+"""Interval of the primary relay's records; a third of the relay timeout."""
 RELAY_TIMEOUT_S = 1.5
-"""A relay that has appended nothing for this long counts as gone."""
+"""Time without a record after which a relay counts as gone."""
 BACKUP_DELAY_S = 0.7
-"""Time that the other relays leave to the first for a change: a pause of its reads, an append, and most
-of a pause of theirs.  A change that the first one's end has left out is known everywhere after 1.8 s."""
+"""Time that the backup relays give the primary one to append a change, including pauses between reads."""
 MAX_CHANGES_PER_RECORD = 1000
-"""Changes in one record; compressed they take some 21 of the 256 KB that a record may hold."""
+"""Most changes in one record; compressed, they are far below the log's limit of a record."""
 PART_REWRITE_INTERVAL_S = 2.0
-"""Time between two rewritten parts of the list.  All are rewritten within 32 s, so a daemon that starts
-reads the changes of half a minute, and parts outlive the 300 s for which the log keeps changes."""
+"""Interval of rewrites of one part; all parts are rewritten long before the log removes the changes since."""
 
 
 class ReadProgress(msgspec.Struct, frozen=True, kw_only=True):
     """How far a relay has read."""
 
     last_entry_offset: int
-    """Offset of the last entry of discovery that the view holds."""
+    """Offset of the last entry of discovery that the view contains."""
     next_change_offset: int
-    """Offset up to which the view holds the changes of all relays."""
+    """Offset of the first change in the topic of changes that the view may lack."""
     first_kept_change_offset: int
-    """Offset from which on the log still keeps these changes."""
+    """Offset of the oldest change that the log still keeps."""
 
 
 class Relay:
-    """What one daemon does for the others while it relays."""
+    """The work of one daemon while it relays; it also tracks the other relays."""
 
     def __init__(
         self, log: SharedLog, changes_topic: str, list_topic: str, view: DiscoveryView, daemon_id: str
@@ -67,7 +63,7 @@
             changes_topic: topic of the changes.
             list_topic: keyed topic of the list's parts.
             view: the replicas as this daemon knows them.
-            daemon_id: names this daemon to other relays.
+            daemon_id: identifies this daemon to other relays.
         """
         self._log = log
         self._changes_topic = changes_topic
@@ -75,48 +71,50 @@
         self._view = view
         self._daemon_id = daemon_id
         self._last_contact_s_by_relay: dict[str, float] = {}
-        """Other relays, and when each appended last."""
+        """Other relay to the loop time of its last record."""
         self._appended_offset_by_replica_id: dict[str, int] = {}
-        """Replica to the newest offset in discovery that stands in the topic of changes."""
+        """Replica to its newest offset in discovery in the topic of changes."""
         self._pending_by_replica_id: dict[str, tuple[ReplicaUpdate, float]] = {}
-        """Changes that are to be appended, with the loop time since when."""
+        """Replica to a change that is to be appended, and the loop time since when."""
         self._last_record_s = float("-inf")
         self._last_part_rewrite_s = float("-inf")
         self._next_part = 0
         self._changes_offset_by_part: dict[int, int] = {}
-        """Part of the list to the offset of the changes that it lacks, as this relay wrote it last."""
+        """Part of the list to ``changes_from`` of its last record by this relay."""
 
     def start(self) -> None:
-        """Relay from now on; all parts are written anew, as nobody may have done so for long."""
+        """Start relaying; all parts are written again, as no relay may have done so for long."""
         self._pending_by_replica_id.clear()
         self._changes_offset_by_part.clear()
 
     async def drop_list(self) -> None:
-        """Drop the list from the log, as it is short now and each daemon reads it itself."""
-        drops = [KeyedRecord(key=str(number), value=b"") for number in range(LIST_PARTS)]
+        """Delete the list from the log, as it has become short; a failure is logged only."""
+        deletions = [KeyedRecord(key=str(number), value=b"") for number in range(LIST_PARTS)]
         try:
-            await self._log.append(self._list_topic, 0, [self._log.encode_keyed(drop) for drop in drops])
+            await self._log.append(
+                self._list_topic, 0, [self._log.encode_keyed(deletion) for deletion in deletions]
+            )
         except LogError as error:
             logger.info("replica_list_not_dropped", extra={"error": str(error)})
 
     def add_changes(self, changes: list[ReplicaUpdate]) -> None:
-        """Note what has changed in discovery."""
+        """Add changes in discovery to those that are to be appended."""
         now_s = monotonic_s()
-        for news in changes:
-            self._pending_by_replica_id[news.replica_id] = (news, now_s)
+        for update in changes:
+            self._pending_by_replica_id[update.replica_id] = (update, now_s)
 
-    def record_appended(self, changes: RelayedChanges, fresh: bool) -> None:
-        """Note what stands in the topic of changes, from this or another relay.
+    def record_appended(self, changes: RelayedChanges, is_new: bool) -> None:
+        """Record what a relay, this one or another, has appended to the topic of changes.
 
         Args:
             changes: one record.
-            fresh: whether it was appended just now, so that its relay lives.
+            is_new: whether it was appended just now, so that its relay is alive.
         """
-        for news in changes.changes:
-            self._appended_offset_by_replica_id[news.replica_id] = max(
-                news.at, self._appended_offset_by_replica_id.get(news.replica_id, -1)
+        for update in changes.changes:
+            self._appended_offset_by_replica_id[update.replica_id] = max(
+                update.at, self._appended_offset_by_replica_id.get(update.replica_id, -1)
             )
-        if not fresh:
+        if not is_new:
             return
         self._last_record_s = monotonic_s()
         if changes.relay != self._daemon_id:
@@ -124,23 +122,25 @@
 
     @property
     def has_pending_changes(self) -> bool:
-        """Whether the others don't know yet all that this daemon does."""
+        """Whether this daemon knows changes that are not in the topic of changes."""
         return bool(self._pending_by_replica_id)
 
     def are_others_alive(self) -> bool:
-        """Whether another relay lives."""
+        """Return whether another relay is alive."""
         return bool(self._live_relays(monotonic_s()))
 
-    async def append_due(self, read_progress: ReadProgress) -> None:
-        """Append what is due."""
+    async def append_due(self, progress: ReadProgress) -> None:
+        """Append due changes or a heartbeat, and as primary relay due parts; a failure is logged only."""
         now_s = monotonic_s()
-        is_first = self._is_first(now_s)
-        due = self._due_changes(now_s if is_first else now_s - BACKUP_DELAY_S)
+        is_primary = self._is_primary(now_s)
+        due = self._due_changes(now_s if is_primary else now_s - BACKUP_DELAY_S)
         try:
-            if due or now_s - self._last_record_s >= (HEARTBEAT_INTERVAL_S if is_first else RELAY_TIMEOUT_S):
+            if due or now_s - self._last_record_s >= (
+                HEARTBEAT_INTERVAL_S if is_primary else RELAY_TIMEOUT_S
+            ):
                 await self._append_changes(due)
-            if is_first:
-                await self._write_due_parts(now_s, read_progress)
+            if is_primary:
+                await self._write_due_parts(now_s, progress)
         except LogError as error:
             logger.info("relay_failed", extra={"error": str(error)})
         self._drop_stale_state(now_s)
@@ -148,44 +148,46 @@
     def _live_relays(self, now_s: float) -> list[str]:
         return [
             name
-            for name, heard_s in self._last_contact_s_by_relay.items()
-            if now_s - heard_s < RELAY_TIMEOUT_S
+            for name, last_contact_s in self._last_contact_s_by_relay.items()
+            if now_s - last_contact_s < RELAY_TIMEOUT_S
         ]
 
-    def _is_first(self, now_s: float) -> bool:
+    def _is_primary(self, now_s: float) -> bool:
         names = [*self._live_relays(now_s), self._daemon_id]
         return min(names, key=lambda name: zlib.crc32(name.encode())) == self._daemon_id
 
     async def _append_changes(self, due: list[ReplicaUpdate]) -> None:
-        """Append changes, or that there are none."""
+        """Append changes in as many records as needed; without changes an empty one as heartbeat."""
         self._last_record_s = monotonic_s()
-        for first in range(0, max(len(due), 1), MAX_CHANGES_PER_RECORD):
-            batch = tuple(due[first : first + MAX_CHANGES_PER_RECORD])
+        for start in range(0, max(len(due), 1), MAX_CHANGES_PER_RECORD):
+            batch = tuple(due[start : start + MAX_CHANGES_PER_RECORD])
             record = encode_changes(RelayedChanges(relay=self._daemon_id, changes=batch))
             await self._log.append(self._changes_topic, 0, [record])
-            for news in batch:
-                self._remove_pending(news)
-
-    def _due_changes(self, until_s: float) -> list[ReplicaUpdate]:
-        """Return the changes known until a loop time that no relay has appended."""
-        for news, _ in list(self._pending_by_replica_id.values()):
-            if self._appended_offset_by_replica_id.get(news.replica_id, -1) >= news.at:
-                self._remove_pending(news)
-        return [news for news, since_s in self._pending_by_replica_id.values() if since_s <= until_s]
+            for update in batch:
+                self._remove_pending(update)
+
+    def _due_changes(self, known_before_s: float) -> list[ReplicaUpdate]:
+        """Return the changes that were known at a loop time and that no relay has appended."""
+        for update, _ in list(self._pending_by_replica_id.values()):
+            if self._appended_offset_by_replica_id.get(update.replica_id, -1) >= update.at:
+                self._remove_pending(update)
+        return [
+            update for update, since_s in self._pending_by_replica_id.values() if since_s <= known_before_s
+        ]
 
-    def _remove_pending(self, news: ReplicaUpdate) -> None:
-        waiting = self._pending_by_replica_id.get(news.replica_id)
-        if waiting is not None and waiting[0].at <= news.at:
-            del self._pending_by_replica_id[news.replica_id]
+    def _remove_pending(self, update: ReplicaUpdate) -> None:
+        pending = self._pending_by_replica_id.get(update.replica_id)
+        if pending is not None and pending[0].at <= update.at:
+            del self._pending_by_replica_id[update.replica_id]
 
     async def _write_due_parts(self, now_s: float, progress: ReadProgress) -> None:
         numbers = self._due_parts(now_s, progress.first_kept_change_offset)
         if not numbers:
             return
         replicas: dict[int, list[ReplicaUpdate]] = {number: [] for number in numbers}
-        for news in self._view.updates():
-            if (number := part_of(news.replica_id)) in replicas:
-                replicas[number].append(news)
+        for update in self._view.updates():
+            if (number := part_of(update.replica_id)) in replicas:
+                replicas[number].append(update)
         parts = [
             ListPart(
                 part=number,
@@ -200,12 +202,12 @@
         for part in parts:
             self._changes_offset_by_part[part.part] = part.changes_from
 
-    def _due_parts(self, now_s: float, changes_kept: int) -> list[int]:
-        """Return the parts that nobody can follow any more, and now and then one more."""
+    def _due_parts(self, now_s: float, first_kept_change_offset: int) -> list[int]:
+        """Return the parts that can't be continued with the changes still kept, and regularly one more."""
         numbers = {
             number
             for number in range(LIST_PARTS)
-            if self._changes_offset_by_part.get(number, -1) < changes_kept
+            if self._changes_offset_by_part.get(number, -1) < first_kept_change_offset
         }
         if now_s - self._last_part_rewrite_s >= PART_REWRITE_INTERVAL_S:
             self._last_part_rewrite_s = now_s
@@ -214,14 +216,16 @@
         return sorted(numbers)
 
     def _drop_stale_state(self, now_s: float) -> None:
-        """Drop relays that are gone, and offsets of replicas that are."""
+        """Drop relays that timed out, and offsets of replicas that are gone."""
         self._last_contact_s_by_relay = {
-            name: heard_s
-            for name, heard_s in self._last_contact_s_by_relay.items()
-            if now_s - heard_s < RELAY_TIMEOUT_S
+            relay: last_contact_s
+            for relay, last_contact_s in self._last_contact_s_by_relay.items()
+            if now_s - last_contact_s < RELAY_TIMEOUT_S
         }
         if len(self._appended_offset_by_replica_id) > 2 * len(self._view) + MAX_CHANGES_PER_RECORD:
             known = set(self._view.replica_ids())
             self._appended_offset_by_replica_id = {
-                name: at for name, at in self._appended_offset_by_replica_id.items() if name in known
+                replica_id: offset
+                for replica_id, offset in self._appended_offset_by_replica_id.items()
+                if replica_id in known
             }
--- a/passgate/discovery/relayed_list.py
+++ b/passgate/discovery/relayed_list.py
@@ -1,4 +1,4 @@
-"""Reads a long list of replicas as the relays keep it: its parts once, then each change."""
+"""Reads a long list of replicas as relays keep it on the log: its parts once, then each change."""
 
 from __future__ import annotations
 
@@ -24,21 +24,19 @@
 logger = logging.getLogger("passgate.discovery")
 
 CHANGES_READ_PAUSE_S = 0.6
-"""Pause between reads of the changes, which arrive in batches.  While weights are loaded there are new
-ones all the time, so 300 daemons make 500 calls a second, of which the log grants 2,000 or more; a
-replica that leaves is known to all after 1.1 s at most, and has 2 s."""
+"""Pause between reads of the changes, which arrive in batches; short enough to learn of a draining replica
+within 2 s."""
 RELOAD_INTERVAL_S = 0.5
-"""Time between tries to read the list while no relay has written it."""
+"""Interval of attempts to read the list until relays have written it completely."""
 RESYNC_INTERVAL_RANGE_S = (45.0, 75.0)
-"""Time after which the list is read again, drawn; 300 daemons with a list of 0.15 MB, and as much again
-of changes of half a minute, take 1.5 MB a second."""
+"""Bounds of the random time after which the list is read again, which limits the load of all daemons."""
 RELAY_CHANGE_RESYNC_RANGE_S = (1.0, 4.0)
-"""The same once another relay has begun, as the one before it may have left out a change as it ended."""
+"""The same after another relay took over, as its predecessor may have lost a change when it stopped."""
 NEVER_S = float("-inf")
 
 
 class RelayedList:
-    """Keeps the view as the relays tell it, while it follows."""
+    """Keeps the view up to date with the relays' records while it follows them."""
 
     def __init__(
         self,
@@ -56,9 +54,9 @@
             log: carries changes and the list.
             changes_topic: topic of the changes.
             list_topic: keyed topic of the list's parts.
-            view: takes what is read.
-            take_changes: is told of each record of a relay, and whether it was appended just now.
-            decisions: where decisions are noted.
+            view: receives what is read.
+            on_changes: called with each record of a relay and whether it was appended just now.
+            decisions: log of decisions.
             rng: draws when the list is read again.
         """
         self._log = log
@@ -70,40 +68,40 @@
         settings = TailSettings(topic=changes_topic, gap_s=CHANGES_READ_PAUSE_S)
         self._tail = FollowedTail(RecordTail(log, settings, self._apply_page))
         self.is_complete = False
-        """Whether the list was read, and no change since was missed."""
+        """Whether the list was read and no change has been missed since."""
         self._next_load_s = NEVER_S
-        """When the list is to be read next."""
+        """Loop time at which the list is read next."""
         self._last_relay = ""
-        """The relay that was heard last."""
+        """The relay whose record was read last."""
         self._next_offset = 0
-        """Where the next page has to begin; history that is lost makes it begin later."""
+        """Offset at which the next page has to start; if it starts later, changes were removed unread."""
         self._last_contact_s = NEVER_S
-        """When a relay was last known to live, by a record appended after the end was reached."""
+        """Loop time of the last record that a relay appended after the end was reached."""
 
     @property
     def next_change_offset(self) -> int:
-        """Offset up to which the changes were read."""
+        """Offset of the next change to read."""
         return self._tail.tail.next_offset
 
     @property
     def first_kept_change_offset(self) -> int:
-        """Offset from which on the log still keeps the changes."""
+        """Offset of the oldest change that the log still keeps."""
         return self._tail.tail.first_kept_offset
 
     @property
     def loaded(self) -> bool:
-        """Whether the view is whole, and a relay keeps it so."""
+        """Whether the view is complete and a relay is keeping it so."""
         return self.is_complete and self._last_contact_s > NEVER_S
 
     def silence_s(self) -> float:
-        """Return for how long all relays have surely been silent while the log could be read."""
+        """Return for how long all relays have certainly been silent while the log could be read."""
         freshness = self._tail.tail.freshness
         if freshness.recovered_at_s == NEVER_S:
             return 0.0
         return freshness.silence_s(self._last_contact_s, monotonic_s())
 
     async def follow(self) -> None:
-        """Follow; called again and again.  Reads the list if that has to be done."""
+        """Follow the changes and read the list if that is due; to be called repeatedly."""
         now_s = monotonic_s()
         if now_s >= self._next_load_s:
             self._next_load_s = now_s + RELOAD_INTERVAL_S
@@ -111,13 +109,13 @@
         self._tail.set(True)
 
     def stop(self) -> None:
-        """Follow no more; the list is read anew if it is followed again."""
+        """Stop following; the list is read again when following resumes."""
         self._tail.set(False)
         self.is_complete = False
         self._next_load_s = self._last_contact_s = NEVER_S
 
     async def exists_on_log(self) -> bool:
-        """Whether relays have written a list, whole or not; raises LogError."""
+        """Return whether relays have written any part of the list; raises LogError."""
         return bool((await self._log.newest(self._list_topic, 0)).records)
 
     async def _load_parts(self) -> None:
@@ -130,15 +128,15 @@
         for part in parts:
             self._apply_part(part)
         if {part.part for part in parts} != set(range(LIST_PARTS)):
-            return  # the missing parts are read with a further try, once relays have written them again
+            return  # missing parts are read at the next attempt, once relays have written them
         self._next_load_s = monotonic_s() + self._rng.uniform(*RESYNC_INTERVAL_RANGE_S)
-        # A part may list what a change since has taken away, so the changes are read again as well.
+        # A part may list a replica that a later change has removed, so the changes are applied again.
         self._tail.set(False)
         self._next_offset = self._tail.tail.next_offset = min(part.changes_from for part in parts)
         self.is_complete = True
 
     def _decode_part(self, record: KeyedRecord) -> ListPart | None:
-        """Return the part of a record, or None when it can't be read."""
+        """Return the part of a record, or None if it is malformed."""
         try:
             part = decode_part(record)
         except MalformedRecord as error:
@@ -149,22 +147,22 @@
 
     def _record_unreadable(self, key: str, count: int) -> None:
         for _ in range(count):
-            self._view.unusable_entries.record(key, "a replica in it can't be read", monotonic_s())
+            self._view.unusable_entries.record(key, "a replica in it could not be decoded", monotonic_s())
 
     def _apply_part(self, part: ListPart) -> None:
-        listed = {news.replica_id for news in part.replicas}
+        listed = {update.replica_id for update in part.replicas}
         for replica_id in self._view.replica_ids():
             if part_of(replica_id) == part.part and replica_id not in listed:
                 self._view.apply_relayed(ReplicaUpdate(replica_id=replica_id, at=part.at))
-        for news in part.replicas:
-            self._view.apply(news)
+        for update in part.replicas:
+            self._view.apply(update)
 
     def _apply_page(self, page: LogPage) -> None:
         if page.start != self._next_offset:
             self.is_complete = False
             self._next_load_s = monotonic_s() + RELOAD_INTERVAL_S
         self._next_offset = page.next_offset
-        fresh = self._tail.current
+        is_new = self._tail.current
         for index, record in enumerate(page.records):
             try:
                 changes = decode_changes(record)
@@ -172,14 +170,14 @@
                 self._decisions.write(RecordUnreadable(offset=page.start + index, reason=str(error)))
                 continue
             self._record_unreadable(f"changes of {changes.relay}", changes.unreadable)
-            for news in changes.changes:
-                self._view.apply_relayed(news)
-            self._on_changes(changes, fresh)
-            if fresh:
+            for update in changes.changes:
+                self._view.apply_relayed(update)
+            self._on_changes(changes, is_new)
+            if is_new:
                 self._record_relay_alive(changes.relay)
 
     def _record_relay_alive(self, relay: str) -> None:
-        """Note that a relay lives; read the list again soon if it is another one."""
+        """Record that a relay is alive; if it is another one than before, read the list again soon."""
         self._last_contact_s = monotonic_s()
         if relay != self._last_relay:
             self._last_relay = relay
--- a/passgate/discovery/service.py
+++ b/passgate/discovery/service.py
@@ -1,4 +1,4 @@
-"""Follows the list of replicas: directly when it is short, through a few relays when it is long."""
+"""Follows the list of replicas: directly if it is short, through a few relays if it is long."""
 
 from __future__ import annotations
 
@@ -25,40 +25,39 @@
 DIRECT_LIMIT = 200
 """Replicas up to which each daemon reads discovery itself."""
 DIRECT_RETURN_SHARE = 0.75
-"""Share of the limit below which a list that was long counts as short."""
+"""Share of the limit below which a long list counts as short again."""
 UPDATE_INTERVAL_S = 0.25
-"""Time between looks at what has to change; a quarter of the shortest silence that is judged."""
+"""Interval of updates; short compared with the relay timeout."""
 RELAY_UPDATE_INTERVAL_S = 0.1
-"""The same for a relay, whose changes all others wait for."""
+"""Interval of updates of a relay, whose changes all others wait for."""
 DIRECT_READ_PAUSE_S = 0.25
-"""Pause between reads of the list by a daemon that reads it itself; entries change each second."""
+"""Pause between direct reads of discovery, whose entries change every second."""
 FALLBACK_SILENCE_RANGE_S = (4.0, 10.0)
-"""Silence of all relays, while the log can be read, after which a daemon reads discovery itself: longer
-than it takes the log's groups to name another one, and drawn, as 300 daemons that read 1.6 MB each
-at once would take the log 6 s."""
+"""Bounds of the random silence of all relays after which a daemon reads discovery itself; longer than the
+selection of a new relay."""
 
 
 class ReplicaDecoder:
-    """How an adapter reads an entry of discovery."""
+    """Decoder of discovery entries, implemented by an adapter."""
 
     def decode(self, record: KeyedRecord) -> ReplicaInfo:
-        """Return the replica of an entry; raises MalformedRecord if it names none to use."""
+        """Decode an entry; raises MalformedRecord if it names no usable replica."""
         raise NotImplementedError
 
 
 class ReplicaTopics(msgspec.Struct, frozen=True, kw_only=True):
-    """Where replicas stand on the log."""
+    """Topics of the log that hold replicas."""
 
     entries: str
     """Keyed topic to which the replicas write."""
     changes: str
-    """Topic to which relays append what changed."""
+    """Topic to which relays append changes."""
     parts: str
     """Keyed topic in which relays keep the whole list."""
 
 
 class Source(Enum):
-    """Where a daemon reads the replicas."""
+    """Where a daemon reads the list of replicas."""
 
     UNKNOWN = "unknown"
     DIRECT = "direct"
@@ -66,7 +65,7 @@
 
 
 class Discovery:
-    """Keeps a view up to date, directly or through relays, and relays when it is this daemon's turn."""
+    """Keeps a view up to date, directly or through relays, and relays if this daemon is selected for it."""
 
     def __init__(
         self,
@@ -85,14 +84,15 @@
 
         Args:
             log: carries entries, changes and the list.
-            topics: where they stand.
-            decoder: reads an entry.
+            topics: names of the topics.
+            decoder: decodes entries.
             view: the replicas as this daemon knows them.
-            daemon_id: names this daemon to other relays.
-            may_relay: whether this daemon is to relay a long list now; a few are at a time.
-            decisions: where decisions are noted.
+            daemon_id: identifies this daemon to other relays.
+            may_relay: returns whether this daemon is selected to relay a long list.
+            decisions: log of decisions.
             direct_limit: replicas up to which a list is short.
-            seed: seeds the random times of a fallback and of reading the list again; drawn if None.
+            seed: seeds the random times of the fallback and of reading the list again; None for a random
+                seed.
         """
         self._log = log
         self._topics = topics
@@ -119,10 +119,10 @@
         self.loaded = False
         """Whether the whole list was read once."""
         self.is_relaying = False
-        """Whether this daemon reads the list for others."""
+        """Whether this daemon is a relay now."""
 
     async def run(self) -> None:
-        """Follow until cancelled."""
+        """Follow the list until cancelled."""
         self._started_at_s = monotonic_s()
         try:
             while True:
@@ -149,10 +149,10 @@
         self._remove_lapsed()
         self._view.drop_gone()
 
-    # --- where to read -------------------------------------------------------------
+    # --- choice of the source ------------------------------------------------------
 
     async def _choose_source(self) -> None:
-        """Decide where to read; raises LogError."""
+        """Choose where to read; raises LogError."""
         if self._source is Source.UNKNOWN:
             await self._find_source()
         elif self._source is Source.DIRECT and len(self._view) > self._direct_limit:
@@ -169,11 +169,14 @@
         self._follow_directly()
 
     def _is_short_again(self) -> bool:
-        all_know = not (self.is_relaying and self._relay.has_pending_changes)
-        return self.loaded and all_know and len(self._view) <= self._direct_limit * DIRECT_RETURN_SHARE
+        all_appended = not (self.is_relaying and self._relay.has_pending_changes)
+        return self.loaded and all_appended and len(self._view) <= self._direct_limit * DIRECT_RETURN_SHARE
 
     async def _find_source(self) -> None:
-        """Look whether relays keep a list; else read no more than the first page of entries."""
+        """Use relays if they keep a list; else read one page of entries to see whether the list is short.
+
+        Raises LogError.
+        """
         if await self._relayed_list.exists_on_log():
             self._source = Source.RELAYED
             return
@@ -185,7 +188,7 @@
         self._source = Source.DIRECT
         self._follow_directly().start_from(snapshot, began_s)
 
-    # --- through relays ------------------------------------------------------------
+    # --- reading through relays ----------------------------------------------------
 
     async def _follow_relays(self) -> None:
         await self._relayed_list.follow()
@@ -204,11 +207,11 @@
             )
 
     def _should_relay(self) -> bool:
-        """Whether to relay; one whose turn is over goes on until it hears another."""
+        """Whether to relay; a relay that is no longer selected continues until another one is alive."""
         return self._may_relay() or (self.is_relaying and not self._relay.are_others_alive())
 
     def _must_fall_back(self) -> bool:
-        """Whether to read discovery directly, as nobody relays."""
+        """Whether to read discovery directly, as no relay is alive."""
         return self._relayed_list.silence_s() > self._fallback_silence_s
 
     def _set_relaying(self, relaying: bool) -> None:
@@ -219,7 +222,7 @@
             self._relay.start()
         self._decisions.write(RelayChanged(relaying=relaying, replicas=len(self._view)))
 
-    # --- directly ------------------------------------------------------------------
+    # --- direct reading ------------------------------------------------------------
 
     def _follow_directly(self) -> KeyedTail:
         if self._direct_tail is None:
@@ -241,24 +244,25 @@
         usable = [info for info in infos.values() if info is not None]
         changes = self._view.apply_list(usable, next_offset - 1, overwritten)
         if self.is_relaying and self._relayed_list.is_complete:
-            # Without a list on the log nobody follows the changes yet, and its parts will hold all.
+            # While the log has no complete list, no daemon follows the changes, and the parts will contain
+            # all.
             self._relay.add_changes(changes)
 
     def _apply_entries(self, records: tuple[KeyedRecord, ...], start: int) -> None:
         self._update_freshness()
         for index, record in enumerate(records):
             info = self._decode(record) if record.value else None
-            news = ReplicaUpdate(
+            update = ReplicaUpdate(
                 replica_id=record.key,
                 at=start + index,
                 info=info,
                 overwritten=bool(record.value) and info is None,
             )
-            if self._view.apply(news) and self.is_relaying:
-                self._relay.add_changes([news])
+            if self._view.apply(update) and self.is_relaying:
+                self._relay.add_changes([update])
 
     def _decode(self, record: KeyedRecord) -> ReplicaInfo | None:
-        """Return the replica of an entry, or None when it names none to use."""
+        """Return the replica of an entry; an unusable entry is recorded and gives None."""
         try:
             return self._decoder.decode(record)
         except MalformedRecord as error:
@@ -270,9 +274,9 @@
             self._view.update_freshness(self._direct_tail[0].freshness)
 
     def _remove_lapsed(self) -> None:
-        gone = self._view.remove_lapsed()
-        if gone and self.is_relaying:
-            self._relay.add_changes(gone)
+        removals = self._view.remove_lapsed()
+        if removals and self.is_relaying:
+            self._relay.add_changes(removals)
 
     # --- progress ------------------------------------------------------------------
 
--- a/passgate/discovery/unusable_entries.py
+++ b/passgate/discovery/unusable_entries.py
@@ -1,6 +1,6 @@
-"""Counts entries that name no replica to use, and tells of them in few lines.
+"""Counts discovery entries that name no usable replica, and logs them at a limited rate.
 
-Entries may come from other writers, again and again: a line a second for each would hide all others.
+Other writers may write such entries repeatedly, and a log line for each would hide all other lines.
 
 >>> lines = []
 >>> unusable = UnusableEntries(DecisionLog("d", write=lines.append))
@@ -15,29 +15,29 @@
 from passgate.decisions import DecisionLog, EntryUnusable
 
 KEY_LOG_INTERVAL_S = 60.0
-"""Time between two lines on one key; on call looks at minutes."""
+"""Shortest time between two log lines about one key."""
 LOG_INTERVAL_S = 1.0
-"""Time between two lines on any key."""
+"""Shortest time between two log lines about any key."""
 MAX_REMEMBERED_KEYS = 1024
-"""Keys that are remembered as told of; a writer may make up any number of them."""
+"""Keys whose log lines are remembered; bounded, as a writer may invent any number of them."""
 MAX_LOGGED_CHARACTERS = 120
-"""Part of a key or a reason that is logged, as a writer may make them long."""
+"""Logged part of a key or a reason, which a writer may make long."""
 
 
 class UnusableEntries:
-    """What was told of, and what is still to be told."""
+    """Counter and rate-limited log of unusable entries."""
 
     def __init__(self, decisions: DecisionLog) -> None:
         self._decisions = decisions
         self._logged_at_s_by_key: dict[str, float] = {}
-        """Key to when a line told of it."""
+        """Key to the time of its last log line."""
         self._last_logged_s = float("-inf")
         self._unlogged_count = 0
         self.count = 0
-        """Entries so far."""
+        """Unusable entries so far."""
 
     def record(self, key: str, reason: str, now_s: float) -> bool:
-        """Count an entry; return whether a line tells of it and of those since the last line."""
+        """Count an entry; return whether a log line was written about all entries since the last line."""
         self.count += 1
         self._unlogged_count += 1
         if (
