--- a/tests/test_discovery_other_writers.py
+++ b/tests/test_discovery_other_writers.py
@@ -22,7 +22,7 @@
     part_of,
 )
 from passgate.discovery.service import Discovery, ReplicaTopics
-from passgate.discovery.unusable_entries import KEY_LOG_INTERVAL_S, LOG_INTERVAL_S, UnusableEntries
+from passgate.discovery.unusable import KEY_LOG_INTERVAL_S, LOG_INTERVAL_S, UnusableEntries
 from passgate.discovery.view import COME_BACK_S, DiscoveryView, ReplicaUpdate
 from passgate.eligibility.known_service import KnownServiceRule
 from passgate.eligibility.places import Places
--- a/tests/test_replica_lives.py
+++ b/tests/test_replica_lives.py
@@ -37,7 +37,7 @@
     "discovery/view.py",  # discovery has one entry per identifier, ordered by offset
     "discovery/relay.py",  # as above
     "discovery/relayed_list.py",  # as above
-    "discovery/unusable_entries.py",  # keys of discovery entries, whatever they contain
+    "discovery/unusable.py",  # keys of discovery entries, whatever they contain
     "eligibility/cold_replicas.py",  # an unreachable replica may return as another incarnation, and cold
     "eligibility/permits.py",  # a cold replica's limit counts the requests to all its incarnations
     "eligibility/permit_grantor.py",  # as above
