--- a/passgate/duties/scaler.py
+++ b/passgate/duties/scaler.py
@@ -52,7 +52,7 @@
         projection: ScalingProjection,
         journal: Journal,
         leadership: Leadership,
-        calls: DutyCalls,
+        client: DutyCalls,
         rate_limiter: CallRateLimiter,
         config: ConfigHolder,
         replicas: ReplicaTable,
@@ -80,7 +80,7 @@
         self._projection = projection
         self._journal = journal
         self._leadership = leadership
-        self._calls = calls
+        self._client = client
         self._rate_limiter = rate_limiter
         self._config = config
         self._replicas = replicas
@@ -151,7 +151,7 @@
 
     async def _send_order(self, decision: ScalingDecision) -> DutyOutcome:
         pool = decision.pool
-        outcome = await self._calls.order_replicas(
+        outcome = await self._client.order_replicas(
             ReplicaOrder(
                 service=pool.service,
                 zone=pool.zone,
--- a/passgate/duties/usage_fold.py
+++ b/passgate/duties/usage_fold.py
@@ -43,13 +43,13 @@
         """Window to its committed counts, until the platform is known to have accepted the report."""
         self.late = 0
         """Requests that were counted after their window had been committed."""
-        self.history_lost = False
+        self.is_history_truncated = False
         """Whether older records of the topic were removed before this daemon read them."""
         self._open_windows: dict[int, _OpenWindow] = {}
 
     def set_first_offset(self, first_offset: int) -> None:
         """Record the offset of the first record that is read."""
-        self.history_lost = first_offset > 0
+        self.is_history_truncated = first_offset > 0
 
     def apply(self, offset: int, writer: str, entry: object, *, leads: bool) -> None:
         """Apply one entry of the record at an offset; ``leads``: its writer was the leader there."""
@@ -91,4 +91,4 @@
 
         If the oldest records were removed, the commit of a counted window may be among them.
         """
-        return None if self.history_lost else min(self._open_windows, default=None)
+        return None if self.is_history_truncated else min(self._open_windows, default=None)
--- a/passgate/duties/usage_reporter.py
+++ b/passgate/duties/usage_reporter.py
@@ -39,7 +39,7 @@
         projection: UsageFold,
         journal: Journal,
         leadership: Leadership,
-        calls: DutyCalls,
+        client: DutyCalls,
         rate_limiter: CallRateLimiter,
         windows: UsageWindows,
         wall_clock_s: Callable[[], float],
@@ -65,7 +65,7 @@
         self._projection = projection
         self._journal = journal
         self._leadership = leadership
-        self._calls = calls
+        self._client = client
         self._rate_limiter = rate_limiter
         self._windows = windows
         self._wall_clock_s = wall_clock_s
@@ -120,7 +120,7 @@
         report = UsageReport(
             window=window, counts=self._projection.unreported[window], holder=self._holder, fence=fence
         )
-        outcome = await self._calls.report_usage(report)
+        outcome = await self._client.report_usage(report)
         self._decisions.write(UsageReportSent(window=window, fence=fence, outcome=outcome.value))
         self._handle_outcome(window, fence, outcome)
 
--- a/passgate/sharedlog/group.py
+++ b/passgate/sharedlog/group.py
@@ -143,11 +143,11 @@
 class GroupDirectory:
     """Cached list of the members of a group and their partitions."""
 
-    def __init__(self, log: SharedLog, group: str, topic: str, candidacy: Candidacy) -> None:
+    def __init__(self, log: SharedLog, group: str, topic: str, membership_policy: Candidacy) -> None:
         self._log = log
         self._group = group
         self._topic = topic
-        self._membership_policy = candidacy
+        self._membership_policy = membership_policy
         self._member_by_partition: dict[GroupPartition, str] = {}
         self._previous_member_by_partition: dict[GroupPartition, str] = {}
         """Partition to the member that held it before the current one."""
--- a/passgate/versions/leadership.py
+++ b/passgate/versions/leadership.py
@@ -33,7 +33,7 @@
 
     def __init__(
         self,
-        fold: LeadFold,
+        projection: LeadFold,
         journal: Journal,
         freshness: Freshness,
         decisions: DecisionLog,
@@ -53,7 +53,7 @@
                 if no answer is known yet.
         """
         self._status_of = sign_of
-        self._projection = fold
+        self._projection = projection
         self._journal = journal
         self._freshness = freshness
         self._decisions = decisions
--- a/passgate/versions/loader.py
+++ b/passgate/versions/loader.py
@@ -106,16 +106,16 @@
 
     def __init__(self, decisions: DecisionLog) -> None:
         self._decisions = decisions
-        self.versions: dict[str, int] = {}
+        self.version_by_model: dict[str, int] = {}
 
     def newest(self, model: str) -> int:
         """Return a model's target version, 0 if there is none."""
-        return self.versions.get(model, 0)
+        return self.version_by_model.get(model, 0)
 
     def offer(self, model: str, version: int) -> None:
         """Set a model's target version unless a version as new is known."""
-        if version > self.versions.get(model, 0):
-            self.versions[model] = version
+        if version > self.version_by_model.get(model, 0):
+            self.version_by_model[model] = version
             self._decisions.write(VersionWanted(model=model, version=version))
 
 
@@ -193,7 +193,7 @@
         return plan_loads(
             [
                 self._demand(model, version)
-                for model, version in self._targets.versions.items()
+                for model, version in self._targets.version_by_model.items()
                 if not self._crash_guard.update_suspension(model, version)
             ],
             [state for state in self._replicas.all() if rules.allows(state.info, CONTROL, now_s)],
@@ -229,7 +229,7 @@
             else:
                 self._retry_at_s_by_replica[life] = monotonic_s() + ORDER_RETRY_PAUSE_S
         except PassgateError:
-            self._crash_guard.check_for_crash(state, model, self._targets.versions[model])
+            self._crash_guard.check_for_crash(state, model, self._targets.version_by_model[model])
             self._retry_at_s_by_replica[life] = monotonic_s() + ORDER_RETRY_PAUSE_S
 
     def _is_order_due(self, state: ReplicaState, model: str, report: ReplicaReport) -> bool:
@@ -238,7 +238,7 @@
             return False
         if not self._unconfirmed_orders.may_follow(state.life, report.orders_taken, monotonic_s()):
             return False
-        missing = report.model_versions.get(model, 0) < self._targets.versions[model]
+        missing = report.model_versions.get(model, 0) < self._targets.version_by_model[model]
         return missing and not report.busy and self._leadership.may_order()
 
     async def _read_report(self, state: ReplicaState) -> ReplicaReport:
@@ -258,7 +258,7 @@
             replica_id=state.info.replica_id,
             address=state.info.address,
             model=model,
-            version=self._targets.versions[model],
+            version=self._targets.version_by_model[model],
             holder=self._holder,
             fence=self._leadership.fence,
             expected=report.orders_taken,
@@ -286,7 +286,7 @@
 
     async def _wait_until_loaded(self, state: ReplicaState, model: str) -> None:
         began_s = monotonic_s()
-        target_version = self._targets.versions[model]
+        target_version = self._targets.version_by_model[model]
         next_crash_check_s = began_s + CRASH_CHECK_INTERVAL_S
         while (now_s := monotonic_s()) < began_s + LOAD_TIMEOUT_S:
             await asyncio.sleep(LOAD_POLL_INTERVAL_S)
