--- a/passgate/duties/scaler.py
+++ b/passgate/duties/scaler.py
@@ -68,7 +68,7 @@
             projection: the decided numbers of replicas.
             journal: this daemon's writer of the control topic.
             leadership: says whether this daemon may send orders.
-            calls: client for the platform.
+            client: client for the platform.
             rate_limiter: rate limit of the calls of all duties.
             config: the active configuration, which sets the limits.
             replicas: the replicas that are present.
--- a/passgate/duties/service.py
+++ b/passgate/duties/service.py
@@ -53,7 +53,7 @@
 
         Args:
             settings: which duties are enabled, and the platform's limits.
-            calls: client for the platform.
+            client: client for the platform.
             control: the control topic, whose leader performs the duties.
             projections: projections of that topic that the duties use.
             transport: carries requests to other daemons.
--- a/passgate/duties/usage_reporter.py
+++ b/passgate/duties/usage_reporter.py
@@ -54,7 +54,7 @@
             projection: counts and committed reports.
             journal: this daemon's writer of the control topic.
             leadership: says whether this daemon may make calls, and its fencing token.
-            calls: client for the platform.
+            client: client for the platform.
             rate_limiter: rate limit of the calls of all duties.
             windows: the usage windows of the wall clock.
             wall_clock_s: returns the time of day.
--- a/passgate/versions/lead_fold.py
+++ b/passgate/versions/lead_fold.py
@@ -3,10 +3,11 @@
 All followers of the topic apply its records in offset order and therefore agree on the leader.  The
 projection also holds what the newest job of each model requires of its weights.
 
->>> fold = LeadFold()
->>> fold.apply(0, Batch(writer="d1.a", entries=(LeaderClaimed(holder="d1.a", after=NO_CLAIM),)), now_s=0.0)
->>> fold.apply(1, Batch(writer="d2.a", entries=(LeaderClaimed(holder="d2.a", after=NO_CLAIM),)), now_s=0.0)
->>> fold.leader, fold.leader_fence
+>>> projection = LeadFold()
+>>> for offset, writer in enumerate(("d1.a", "d2.a")):
+...     claim = LeaderClaimed(holder=writer, after=NO_CLAIM)
+...     projection.apply(offset, Batch(writer=writer, entries=(claim,)), now_s=0.0)
+>>> projection.leader, projection.leader_fence
 ('d1.a', 0)
 """
 
--- a/passgate/versions/leadership.py
+++ b/passgate/versions/leadership.py
@@ -44,7 +44,7 @@
         """Start without leadership.
 
         Args:
-            fold: the projection that decides who leads.
+            projection: the projection that decides who leads.
             journal: this daemon's writer of the control topic.
             freshness: how current this daemon's view of that topic is.
             decisions: log of decisions.
