--- a/passgate/discovery/service.py
+++ b/passgate/discovery/service.py
@@ -180,13 +180,13 @@
         if await self._relayed_list.exists_on_log():
             self._source = Source.RELAYED
             return
-        began_s = monotonic_s()
+        started_at_s = monotonic_s()
         snapshot = await self._log.newest(self._topics.entries, 0, most_pages=1)
         if snapshot.more:
             self._source = Source.RELAYED
             return
         self._source = Source.DIRECT
-        self._follow_directly().start_from(snapshot, began_s)
+        self._follow_directly().start_from(snapshot, started_at_s)
 
     # --- reading through relays ----------------------------------------------------
 
--- a/passgate/discovery/view.py
+++ b/passgate/discovery/view.py
@@ -130,7 +130,7 @@
         return was_in_use
 
     def _remove(self, replica_id: str) -> bool:
-        """Remove a replica that is no longer listed; return whether it was known."""
+        """Remove a replica that is no longer listed; return whether it was present."""
         known = self._remove_from_table(replica_id)
         self._log_change(replica_id, known.info.service if known else "", "gone", known is not None)
         return known is not None
@@ -216,7 +216,9 @@
         """Drop the state of replicas that have been gone for long."""
         cutoff_s = monotonic_s() - GONE_RETENTION_S
         for replica_id in [
-            gone_id for gone_id, gone_s in self._gone_since_s_by_replica_id.items() if gone_s < cutoff_s
+            expired_id
+            for expired_id, gone_since_s in self._gone_since_s_by_replica_id.items()
+            if gone_since_s < cutoff_s
         ]:
             del self._gone_since_s_by_replica_id[replica_id]
             if self._replicas.get(replica_id) is None:
--- a/passgate/duties/scaler.py
+++ b/passgate/duties/scaler.py
@@ -118,7 +118,7 @@
             self._decide_pool(pool, replicas.spot, present[zone].spot, rule)
 
     def _decide_pool(self, pool: ReplicaPool, count: int, present: int, rule: ScalingRule) -> None:
-        """Decide a pool's number again if it grows, or if the ordered replicas are overdue."""
+        """Decide a pool's number if it grows, or again if replicas are overdue; it never shrinks."""
         now_s = monotonic_s()
         pacing = self._pacing_by_pool.setdefault(pool, _PoolPacing())
         decision = self._projection.decision_by_pool.get(pool)
--- a/passgate/sharedlog/tail.py
+++ b/passgate/sharedlog/tail.py
@@ -194,7 +194,7 @@
             settings.topic, settings.part, start, wait_s=wait_s, max_bytes=self._max_page_bytes
         )
 
-    def _confirm_if_at_end(self, page: LogPage, began_s: float, wait_s: float) -> bool:
+    def _confirm_if_at_end(self, page: LogPage, started_at_s: float, wait_s: float) -> bool:
         """Confirm freshness if a page reached the end of the partition; return whether it did.
 
         A suspended machine may process a page long after it was created, so an empty page confirms a time
@@ -204,9 +204,11 @@
             return False
         # A page with records was complete when the read began, an empty one when its wait ended.
         now_s = monotonic_s()
-        response_deadline_s = began_s + wait_s + SLOWEST_ANSWER_S
+        response_deadline_s = started_at_s + wait_s + SLOWEST_ANSWER_S
         as_of_s = (
-            began_s if page.records else max(began_s, min(response_deadline_s, now_s - EMPTY_PAGE_MAX_AGE_S))
+            started_at_s
+            if page.records
+            else max(started_at_s, min(response_deadline_s, now_s - EMPTY_PAGE_MAX_AGE_S))
         )
         self.freshness.confirm_current(as_of_s, now_s)
         return True
@@ -226,11 +228,11 @@
         """Whether the end of the partition has been reached since the tail was last started."""
 
     async def _read_once(self) -> bool:
-        began_s = monotonic_s()
+        started_at_s = monotonic_s()
         wait_s = self.wait_s if self.caught_up else 0.0
         page = await self._read_page(self.next_offset, wait_s)
         self._apply_page(page)
-        at_end = self._confirm_if_at_end(page, began_s, wait_s)
+        at_end = self._confirm_if_at_end(page, started_at_s, wait_s)
         self.caught_up = self.caught_up or at_end
         return at_end
 
@@ -283,7 +285,7 @@
 
 
 class FollowedTail:
-    """Starts and stops a tail as needed; what was read stays.
+    """Starts and stops a tail as needed; it continues where it stopped.
 
     A restarted tail has to reach the end again before it counts as caught up.
     """
@@ -302,12 +304,12 @@
         """Whether the tail is being read and has reached the end."""
         return self._task is not None and self.tail.caught_up
 
-    def set(self, wanted: bool) -> None:
+    def set(self, should_follow: bool) -> None:
         """Start or stop following."""
-        if wanted and self._task is None:
+        if should_follow and self._task is None:
             self.tail.caught_up = False
             self._task = asyncio.get_running_loop().create_task(self.tail.run())
-        elif not wanted and self._task is not None:
+        elif not should_follow and self._task is not None:
             self._task.cancel()
             self._task = None
 
@@ -344,21 +346,21 @@
         """Offset of the next record to read; 0 before the first snapshot."""
         return self._next_offset or 0
 
-    def start_from(self, snapshot: KeyedSnapshot, began_s: float) -> None:
-        """Start from a snapshot whose read began at ``began_s``, instead of reading one."""
-        self._apply_snapshot(snapshot, began_s)
+    def start_from(self, snapshot: KeyedSnapshot, started_at_s: float) -> None:
+        """Start from a snapshot whose read began at ``started_at_s``, instead of reading one."""
+        self._apply_snapshot(snapshot, started_at_s)
         self._must_load_snapshot = False
 
     async def _read_once(self) -> bool:
         if self._must_load_snapshot:
             await self._load_snapshot()
             self._must_load_snapshot = False
-        began_s = monotonic_s()
+        started_at_s = monotonic_s()
         page = await self._read_page(self._next_offset or 0, self.wait_s)
         if page.records and page.start == self._next_offset:
             self._update(tuple(self._decode(record) for record in page.records), page.start)
             self._next_offset = page.next_offset
-        return self._confirm_if_at_end(page, began_s, self.wait_s)
+        return self._confirm_if_at_end(page, started_at_s, self.wait_s)
 
     def _decode(self, record: bytes) -> KeyedRecord:
         """Decode a record; a malformed one becomes an empty record, so that the others are still applied."""
@@ -374,10 +376,10 @@
         self._must_load_snapshot = True
 
     async def _load_snapshot(self) -> None:
-        began_s = monotonic_s()
-        self._apply_snapshot(await self._log.newest(self._settings.topic, self._settings.part), began_s)
+        started_at_s = monotonic_s()
+        self._apply_snapshot(await self._log.newest(self._settings.topic, self._settings.part), started_at_s)
 
-    def _apply_snapshot(self, snapshot: KeyedSnapshot, began_s: float) -> None:
+    def _apply_snapshot(self, snapshot: KeyedSnapshot, started_at_s: float) -> None:
         self._replace(snapshot.records, snapshot.next_offset)
         self._next_offset = snapshot.next_offset
-        self.freshness.confirm_current(began_s)
+        self.freshness.confirm_current(started_at_s)
--- a/passgate/versions/control.py
+++ b/passgate/versions/control.py
@@ -53,7 +53,7 @@
         *,
         lease_s: float,
         folds: Sequence[ControlProjection] = (),
-        sign_of: Callable[[str, float], Sign | None] = lambda writer, heard_s: None,
+        sign_of: Callable[[str, float], Sign | None] = lambda writer, last_contact_s: None,
     ) -> None:
         self._projections = folds
         self._has_started = False
--- a/passgate/versions/doubtful_orders.py
+++ b/passgate/versions/doubtful_orders.py
@@ -23,7 +23,7 @@
 
 
 class _UnconfirmedOrder(msgspec.Struct, frozen=True, kw_only=True):
-    life: ReplicaLife
+    incarnation: ReplicaLife
     expected_orders_taken: int
     expires_at_s: float
 
@@ -35,19 +35,21 @@
         self._orders_by_replica_id: dict[str, list[_UnconfirmedOrder]] = {}
         """Keyed by identifier, not by incarnation, because later incarnations are affected."""
 
-    def note(self, life: ReplicaLife, expected: int, now_s: float) -> None:
+    def note(self, incarnation: ReplicaLife, expected: int, now_s: float) -> None:
         """Record an order to an incarnation whose outcome is unknown."""
         self._drop_expired(now_s)
         order = _UnconfirmedOrder(
-            life=life, expected_orders_taken=expected, expires_at_s=now_s + UNCONFIRMED_LIFETIME_S
+            incarnation=incarnation,
+            expected_orders_taken=expected,
+            expires_at_s=now_s + UNCONFIRMED_LIFETIME_S,
         )
-        self._orders_by_replica_id.setdefault(life.replica_id, []).append(order)
+        self._orders_by_replica_id.setdefault(incarnation.replica_id, []).append(order)
 
-    def may_follow(self, life: ReplicaLife, orders_taken: int, now_s: float) -> bool:
+    def may_follow(self, incarnation: ReplicaLife, orders_taken: int, now_s: float) -> bool:
         """Return whether an incarnation that has accepted ``orders_taken`` orders may get the next one."""
-        orders = self._orders_by_replica_id.get(life.replica_id, ())
+        orders = self._orders_by_replica_id.get(incarnation.replica_id, ())
         return not any(
-            order.life != life
+            order.incarnation != incarnation
             and order.expected_orders_taken == orders_taken + 1
             and now_s < order.expires_at_s
             for order in orders
--- a/passgate/versions/leadership.py
+++ b/passgate/versions/leadership.py
@@ -39,7 +39,7 @@
         decisions: DecisionLog,
         *,
         lease_s: float,
-        sign_of: Callable[[str, float], Sign | None] = lambda writer, heard_s: None,
+        sign_of: Callable[[str, float], Sign | None] = lambda writer, last_contact_s: None,
     ) -> None:
         """Start without leadership.
 
--- a/passgate/versions/load_plan.py
+++ b/passgate/versions/load_plan.py
@@ -91,14 +91,14 @@
     plans = [_ModelPlan(demand, replicas, model_by_loading_replica, now_s) for demand in demands]
     for plan in plans:
         plan.sort_candidates(plans)
-    taken = {*model_by_loading_replica, *excluded}
+    unavailable = {*model_by_loading_replica, *excluded}
     planned: list[PlannedLoad] = []
     while unsatisfied := [plan for plan in plans if plan.needs_load]:
         plan = min(unsatisfied, key=lambda plan: (plan.served_share, plan.newest_count))
         state = plan.candidates.pop()
-        if state.life in taken:
+        if state.life in unavailable:
             continue
-        taken.add(state.life)
+        unavailable.add(state.life)
         plan.add_load(state)
         planned.append(PlannedLoad(state=state, model=plan.demand.model))
     return planned
--- a/passgate/versions/loader.py
+++ b/passgate/versions/loader.py
@@ -54,9 +54,11 @@
     born_unix_ms: int = 0
     """Start time of the replica's process in Unix milliseconds; 0 if the replica does not report it."""
 
-    def is_of(self, life: ReplicaLife) -> bool:
+    def is_of(self, incarnation: ReplicaLife) -> bool:
         """Return whether an incarnation made this report; True if either start time is unknown."""
-        return self.born_unix_ms == life.born_unix_ms or not (self.born_unix_ms and life.born_unix_ms)
+        return self.born_unix_ms == incarnation.born_unix_ms or not (
+            self.born_unix_ms and incarnation.born_unix_ms
+        )
 
 
 class LoadOrder(msgspec.Struct, frozen=True, kw_only=True):
@@ -83,14 +85,14 @@
         ...
 
 
-async def read_life(control: ReplicaControl, life: ReplicaLife, address: str) -> ReplicaLife | None:
+async def read_life(control: ReplicaControl, last_known: ReplicaLife, address: str) -> ReplicaLife | None:
     """Return the incarnation now running at a replica's address; None if the replica does not report it."""
     try:
-        report = await control.report(life.replica_id, address)
+        report = await control.report(last_known.replica_id, address)
     except PassgateError as error:
-        logger.info("life_not_read", extra={"replica": life.text(), "error": str(error)})
+        logger.info("life_not_read", extra={"replica": last_known.text(), "error": str(error)})
         return None
-    return ReplicaLife(life.replica_id, report.born_unix_ms) if report.born_unix_ms else None
+    return ReplicaLife(last_known.replica_id, report.born_unix_ms) if report.born_unix_ms else None
 
 
 class RunningLoad(msgspec.Struct, frozen=True, kw_only=True):
@@ -161,7 +163,7 @@
     def start_due_loads(self) -> None:
         """Start the planned loads that the concurrency limits of their services allow."""
         self._load_by_replica = {
-            life: load for life, load in self._load_by_replica.items() if not load.task.done()
+            incarnation: load for incarnation, load in self._load_by_replica.items() if not load.task.done()
         }
         if not self._leadership.may_order():
             return
@@ -197,7 +199,9 @@
                 if not self._crash_guard.update_suspension(model, version)
             ],
             [state for state in self._replicas.all() if rules.allows(state.info, CONTROL, now_s)],
-            model_by_loading_replica={life: load.model for life, load in self._load_by_replica.items()},
+            model_by_loading_replica={
+                incarnation: load.model for incarnation, load in self._load_by_replica.items()
+            },
             excluded=set(self._retry_at_s_by_replica),
             now_s=now_s,
         )
@@ -218,19 +222,19 @@
         return sum(1 for state in self._replicas.all() if state.info.service == service)
 
     async def _load(self, state: ReplicaState, model: str) -> None:
-        life = state.life
+        incarnation = state.life
         try:
             report = await self._read_report(state)
             if not self._is_order_due(state, model, report):
-                self._retry_at_s_by_replica[life] = monotonic_s() + LOAD_POLL_INTERVAL_S
+                self._retry_at_s_by_replica[incarnation] = monotonic_s() + LOAD_POLL_INTERVAL_S
                 return
             if await self._send_order(state, model, report):
                 await self._wait_until_loaded(state, model)
             else:
-                self._retry_at_s_by_replica[life] = monotonic_s() + ORDER_RETRY_PAUSE_S
+                self._retry_at_s_by_replica[incarnation] = monotonic_s() + ORDER_RETRY_PAUSE_S
         except PassgateError:
             self._crash_guard.check_for_crash(state, model, self._targets.version_by_model[model])
-            self._retry_at_s_by_replica[life] = monotonic_s() + ORDER_RETRY_PAUSE_S
+            self._retry_at_s_by_replica[incarnation] = monotonic_s() + ORDER_RETRY_PAUSE_S
 
     def _is_order_due(self, state: ReplicaState, model: str, report: ReplicaReport) -> bool:
         """Return whether a replica needs an order and may get one, by the report that it has just sent."""
@@ -285,13 +289,13 @@
             )
 
     async def _wait_until_loaded(self, state: ReplicaState, model: str) -> None:
-        began_s = monotonic_s()
+        started_at_s = monotonic_s()
         target_version = self._targets.version_by_model[model]
-        next_crash_check_s = began_s + CRASH_CHECK_INTERVAL_S
-        while (now_s := monotonic_s()) < began_s + LOAD_TIMEOUT_S:
+        next_crash_check_s = started_at_s + CRASH_CHECK_INTERVAL_S
+        while (now_s := monotonic_s()) < started_at_s + LOAD_TIMEOUT_S:
             await asyncio.sleep(LOAD_POLL_INTERVAL_S)
             if state.version_of(model) >= target_version:
-                self._limit_of(state.info.service).record_load_time(monotonic_s() - began_s)
+                self._limit_of(state.info.service).record_load_time(monotonic_s() - started_at_s)
                 self._crash_guard.record_loaded(state, model, target_version)
                 return
             if self._replicas.of(state.life) is not state:
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -116,7 +116,7 @@
         rng = random.Random(seed)
         log = MemorySharedLog(seed)
         drained, gone = set(), set()
-        beating = asyncio.create_task(rewrite_entries(log, 60, drained, gone))
+        writing = asyncio.create_task(rewrite_entries(log, 60, drained, gone))
         nodes = [Node(log, number) for number in range(8)]
         await asyncio.sleep(12.0)
         for _ in range(12):
@@ -133,7 +133,7 @@
             loaded_nodes = [node for node in nodes if node.discovery.loaded]
             assert len(loaded_nodes) >= len(nodes) - 1
             assert all(node.replica_table.get(f"r{number}").info.draining for node in loaded_nodes)
-        beating.cancel()
+        writing.cancel()
         for node in nodes:
             await node.kill()
 
@@ -143,13 +143,13 @@
 def test_only_relays_read_a_long_list_directly():
     async def main():
         log = MemorySharedLog()
-        beating = asyncio.create_task(rewrite_entries(log, 60, set(), set()))
+        writing = asyncio.create_task(rewrite_entries(log, 60, set(), set()))
         nodes = [Node(log, number) for number in range(8)]
         await asyncio.sleep(15.0)
         relays = [node for node in nodes if node.discovery.is_relaying]
         assert len(relays) == ZONES
         assert sum(node.discovery.reads_directly for node in nodes) == ZONES
-        beating.cancel()
+        writing.cancel()
         for node in nodes:
             await node.kill()
 
@@ -160,7 +160,7 @@
     async def main():
         log = MemorySharedLog()
         drained = set()
-        beating = asyncio.create_task(rewrite_entries(log, 60, drained, set()))
+        writing = asyncio.create_task(rewrite_entries(log, 60, drained, set()))
         nodes = [Node(log, number) for number in range(4)]
         await asyncio.sleep(10.0)
         log.faults = SharedLogFaults(silent=True)
@@ -172,7 +172,7 @@
         write_entry(log, 7, draining=True)
         await asyncio.sleep(MAX_PROPAGATION_S)
         assert all(node.replica_table.get("r7").info.draining for node in nodes)
-        beating.cancel()
+        writing.cancel()
         for node in nodes:
             await node.kill()
 
@@ -239,7 +239,7 @@
     async def main():
         log = MemorySharedLog()
         log.faults = SharedLogFaults(read_bytes_per_s=2_000_000.0)
-        beating = asyncio.create_task(rewrite_entries(log, 1200, set(), set()))
+        writing = asyncio.create_task(rewrite_entries(log, 1200, set(), set()))
         await asyncio.sleep(1.0)
         nodes = await start_nodes(log, 60)
         await asyncio.sleep(8.0)
@@ -250,7 +250,7 @@
         joins = 10.0 * len(nodes) / 0.35
         assert log.calls - calls - joins < 2.5 * 10.0 * len(nodes)
         assert log.bytes_read - read < 10_000_000
-        beating.cancel()
+        writing.cancel()
         for node in nodes:
             await node.kill()
 
--- a/tests/test_replica_lives.py
+++ b/tests/test_replica_lives.py
@@ -124,10 +124,10 @@
 
 
 @pytest.mark.parametrize(
-    "life", [ReplicaLife("r"), ReplicaLife("r", 9), ReplicaLife("a@1"), ReplicaLife("a@1", 2)]
+    "incarnation", [ReplicaLife("r"), ReplicaLife("r", 9), ReplicaLife("a@1"), ReplicaLife("a@1", 2)]
 )
-def test_an_incarnation_is_parsed_from_its_text(life):
-    assert ReplicaLife.from_text(life.text()) == life
+def test_an_incarnation_is_parsed_from_its_text(incarnation):
+    assert ReplicaLife.from_text(incarnation.text()) == incarnation
 
 
 @pytest.mark.parametrize("source", ["log", "relay"])
--- a/tests/test_sharedlog_tail.py
+++ b/tests/test_sharedlog_tail.py
@@ -20,11 +20,11 @@
         tail = RecordTail(
             log.client("d"), TailSettings(topic="t", gap_s=GAP_S), lambda page: pages.append(page)
         )
-        began_s = monotonic_s()
+        started_at_s = monotonic_s()
         task = asyncio.get_running_loop().create_task(tail.run())
         assert await tail.wait_caught_up(20.0)
         assert len(pages) == 8
-        assert monotonic_s() - began_s < GAP_S
+        assert monotonic_s() - started_at_s < GAP_S
         task.cancel()
 
     run_virtual(main())
