--- a/passgate/duties/scaling_policy.py
+++ b/passgate/duties/scaling_policy.py
@@ -1,8 +1,8 @@
 """Computes how many replicas of which kind a service needs for the current steps of its trainers.
 
-Trainers submit whole steps and wait for their last item, so a service gets as many slots as the newest step
-of each model has items, up to the operator's maximum per zone.  Present ordinary replicas stay.  Further
-ones are added evenly over the zones, cheapest zone first, as spot replicas if these are cheaper.
+Trainers wait for the last item of a step, so a service gets as many slots as the newest step of each model
+has items, up to the operator's maximum per zone.  Present ordinary replicas stay; further ones are spread
+evenly, cheapest zone first, as spot replicas if these are cheaper.
 
 >>> rule = ScalingRule(least=1, most=4, boot_s=4.0, spot_price=0.2, zone_prices={"a": 1.0, "b": 0.8})
 >>> present = {"a": ZoneReplicas(ordinary=2), "b": ZoneReplicas(ordinary=2)}
--- a/passgate/duties/usage_channel.py
+++ b/passgate/duties/usage_channel.py
@@ -93,7 +93,9 @@
             response = await self._transport.call(address, RECORD_COUNTS_METHOD, payload, timeout_s)
             self._reported_leader = msgspec.json.decode(response, type=CountsRecorded).leader
         except (PeerError, msgspec.DecodeError):
-            return False  # the next way is tried; failures of the last one, the own append, are reported
+            return (
+                False  # the caller uses the next way; failures of the last one, the own append, are reported
+            )
         return True
 
     async def _append(self, entries: Sequence[UsageCounted]) -> bool:
--- a/passgate/versions/doubtful_orders.py
+++ b/passgate/versions/doubtful_orders.py
@@ -2,7 +2,7 @@
 
 A replica executes an order only if the order names the number of orders that it has accepted.  A restart
 resets that number to 0, so an unconfirmed order fits again later and would load an older version.  The
-order that would lead to that number is delayed until the old one can't arrive any more.
+order that leads to that number is delayed until the old one can't arrive.
 
 >>> unconfirmed = DoubtfulOrders()
 >>> unconfirmed.note(ReplicaLife("r", 1), 2, now_s=0.0)
--- a/passgate/versions/leadership.py
+++ b/passgate/versions/leadership.py
@@ -1,8 +1,8 @@
 """Lease-based leadership: at most one daemon at a time sends orders to replicas.
 
 A claim on the log is accepted if it names the last accepted claim and that leader's last record; its offset
-is the leader's fencing token.  Each batch that the leader appends renews the lease.  It sends orders only
-for a short time after a batch that it has read back, and others claim only after a longer silence.
+is the fencing token.  Each batch that the leader appends renews the lease.  It sends orders only for a
+short time after a batch that it has read back; others claim only after a longer silence.
 """
 
 from __future__ import annotations
