--- a/passgate/duties/scaler.py
+++ b/passgate/duties/scaler.py
@@ -52,7 +52,7 @@
         projection: ScalingProjection,
         journal: Journal,
         leadership: Leadership,
-        calls: DutyCalls,
+        client: DutyCalls,
         rate_limiter: CallRateLimiter,
         config: ConfigHolder,
         replicas: ReplicaTable,
@@ -68,7 +68,7 @@
             projection: the decided numbers of replicas.
             journal: this daemon's writer of the control topic.
             leadership: says whether this daemon may send orders.
-            calls: client for the platform.
+            client: client for the platform.
             rate_limiter: rate limit of the calls of all duties.
             config: the active configuration, which sets the limits.
             replicas: the replicas that are present.
@@ -80,7 +80,7 @@
         self._projection = projection
         self._journal = journal
         self._leadership = leadership
-        self._calls = calls
+        self._client = client
         self._rate_limiter = rate_limiter
         self._config = config
         self._replicas = replicas
@@ -118,7 +118,7 @@
             self._decide_pool(pool, replicas.spot, present[zone].spot, rule)
 
     def _decide_pool(self, pool: ReplicaPool, count: int, present: int, rule: ScalingRule) -> None:
-        """Decide a pool's number again if it grows, or if the ordered replicas are overdue."""
+        """Decide a pool's number if it grows, or again if replicas are overdue; it never shrinks."""
         now_s = monotonic_s()
         pacing = self._pacing_by_pool.setdefault(pool, _PoolPacing())
         decision = self._projection.decision_by_pool.get(pool)
@@ -151,7 +151,7 @@
 
     async def _send_order(self, decision: ScalingDecision) -> DutyOutcome:
         pool = decision.pool
-        outcome = await self._calls.order_replicas(
+        outcome = await self._client.order_replicas(
             ReplicaOrder(
                 service=pool.service,
                 zone=pool.zone,
--- a/passgate/duties/service.py
+++ b/passgate/duties/service.py
@@ -36,7 +36,7 @@
     def __init__(
         self,
         settings: DutySettings,
-        calls: DutyCalls,
+        client: DutyCalls,
         control: ControlTopic,
         projections: DutyFolds,
         transport: PeerTransport,
@@ -53,7 +53,7 @@
 
         Args:
             settings: which duties are enabled, and the platform's limits.
-            calls: client for the platform.
+            client: client for the platform.
             control: the control topic, whose leader performs the duties.
             projections: projections of that topic that the duties use.
             transport: carries requests to other daemons.
@@ -79,7 +79,7 @@
             projections.usage,
             journal,
             control.leadership,
-            calls,
+            client,
             rate_limiter,
             windows,
             clock.now_s,
@@ -93,7 +93,7 @@
                 projections.scaling,
                 journal,
                 control.leadership,
-                calls,
+                client,
                 rate_limiter,
                 config,
                 replicas,
--- a/passgate/duties/usage_reporter.py
+++ b/passgate/duties/usage_reporter.py
@@ -39,7 +39,7 @@
         projection: UsageFold,
         journal: Journal,
         leadership: Leadership,
-        calls: DutyCalls,
+        client: DutyCalls,
         rate_limiter: CallRateLimiter,
         windows: UsageWindows,
         wall_clock_s: Callable[[], float],
@@ -54,7 +54,7 @@
             projection: counts and committed reports.
             journal: this daemon's writer of the control topic.
             leadership: says whether this daemon may make calls, and its fencing token.
-            calls: client for the platform.
+            client: client for the platform.
             rate_limiter: rate limit of the calls of all duties.
             windows: the usage windows of the wall clock.
             wall_clock_s: returns the time of day.
@@ -65,7 +65,7 @@
         self._projection = projection
         self._journal = journal
         self._leadership = leadership
-        self._calls = calls
+        self._client = client
         self._rate_limiter = rate_limiter
         self._windows = windows
         self._wall_clock_s = wall_clock_s
@@ -120,7 +120,7 @@
         report = UsageReport(
             window=window, counts=self._projection.unreported[window], holder=self._holder, fence=fence
         )
-        outcome = await self._calls.report_usage(report)
+        outcome = await self._client.report_usage(report)
         self._decisions.write(UsageReportSent(window=window, fence=fence, outcome=outcome.value))
         self._handle_outcome(window, fence, outcome)
 
--- a/passgate/versions/leadership.py
+++ b/passgate/versions/leadership.py
@@ -1,8 +1,8 @@
 """Lease-based leadership: at most one daemon at a time sends orders to replicas.
 
 A claim on the log is accepted if it names the last accepted claim and that leader's last record; its offset
-is the leader's fencing token.  Each batch that the leader appends renews the lease.  It sends orders only
-for a short time after a batch that it has read back, and others claim only after a longer silence.
+is the fencing token.  Each batch that the leader appends renews the lease.  It sends orders only for a
+short time after a batch that it has read back; others claim only after a longer silence.
 """
 
 from __future__ import annotations
@@ -33,18 +33,18 @@
 
     def __init__(
         self,
-        fold: LeadFold,
+        projection: LeadFold,
         journal: Journal,
         freshness: Freshness,
         decisions: DecisionLog,
         *,
         lease_s: float,
-        sign_of: Callable[[str, float], Sign | None] = lambda writer, heard_s: None,
+        sign_of: Callable[[str, float], Sign | None] = lambda writer, last_contact_s: None,
     ) -> None:
         """Start without leadership.
 
         Args:
-            fold: the projection that decides who leads.
+            projection: the projection that decides who leads.
             journal: this daemon's writer of the control topic.
             freshness: how current this daemon's view of that topic is.
             decisions: log of decisions.
@@ -53,7 +53,7 @@
                 if no answer is known yet.
         """
         self._status_of = sign_of
-        self._projection = fold
+        self._projection = projection
         self._journal = journal
         self._freshness = freshness
         self._decisions = decisions
--- a/passgate/versions/loader.py
+++ b/passgate/versions/loader.py
@@ -54,9 +54,11 @@
     born_unix_ms: int = 0
     """Start time of the replica's process in Unix milliseconds; 0 if the replica does not report it."""
 
-    def is_of(self, life: ReplicaLife) -> bool:
+    def is_of(self, incarnation: ReplicaLife) -> bool:
         """Return whether an incarnation made this report; True if either start time is unknown."""
-        return self.born_unix_ms == life.born_unix_ms or not (self.born_unix_ms and life.born_unix_ms)
+        return self.born_unix_ms == incarnation.born_unix_ms or not (
+            self.born_unix_ms and incarnation.born_unix_ms
+        )
 
 
 class LoadOrder(msgspec.Struct, frozen=True, kw_only=True):
@@ -83,14 +85,14 @@
         ...
 
 
-async def read_life(control: ReplicaControl, life: ReplicaLife, address: str) -> ReplicaLife | None:
+async def read_life(control: ReplicaControl, last_known: ReplicaLife, address: str) -> ReplicaLife | None:
     """Return the incarnation now running at a replica's address; None if the replica does not report it."""
     try:
-        report = await control.report(life.replica_id, address)
+        report = await control.report(last_known.replica_id, address)
     except PassgateError as error:
-        logger.info("life_not_read", extra={"replica": life.text(), "error": str(error)})
+        logger.info("life_not_read", extra={"replica": last_known.text(), "error": str(error)})
         return None
-    return ReplicaLife(life.replica_id, report.born_unix_ms) if report.born_unix_ms else None
+    return ReplicaLife(last_known.replica_id, report.born_unix_ms) if report.born_unix_ms else None
 
 
 class RunningLoad(msgspec.Struct, frozen=True, kw_only=True):
@@ -106,16 +108,16 @@
 
     def __init__(self, decisions: DecisionLog) -> None:
         self._decisions = decisions
-        self.versions: dict[str, int] = {}
+        self.version_by_model: dict[str, int] = {}
 
     def newest(self, model: str) -> int:
         """Return a model's target version, 0 if there is none."""
-        return self.versions.get(model, 0)
+        return self.version_by_model.get(model, 0)
 
     def offer(self, model: str, version: int) -> None:
         """Set a model's target version unless a version as new is known."""
-        if version > self.versions.get(model, 0):
-            self.versions[model] = version
+        if version > self.version_by_model.get(model, 0):
+            self.version_by_model[model] = version
             self._decisions.write(VersionWanted(model=model, version=version))
 
 
@@ -161,7 +163,7 @@
     def start_due_loads(self) -> None:
         """Start the planned loads that the concurrency limits of their services allow."""
         self._load_by_replica = {
-            life: load for life, load in self._load_by_replica.items() if not load.task.done()
+            incarnation: load for incarnation, load in self._load_by_replica.items() if not load.task.done()
         }
         if not self._leadership.may_order():
             return
@@ -193,11 +195,13 @@
         return plan_loads(
             [
                 self._demand(model, version)
-                for model, version in self._targets.versions.items()
+                for model, version in self._targets.version_by_model.items()
                 if not self._crash_guard.update_suspension(model, version)
             ],
             [state for state in self._replicas.all() if rules.allows(state.info, CONTROL, now_s)],
-            model_by_loading_replica={life: load.model for life, load in self._load_by_replica.items()},
+            model_by_loading_replica={
+                incarnation: load.model for incarnation, load in self._load_by_replica.items()
+            },
             excluded=set(self._retry_at_s_by_replica),
             now_s=now_s,
         )
@@ -218,19 +222,19 @@
         return sum(1 for state in self._replicas.all() if state.info.service == service)
 
     async def _load(self, state: ReplicaState, model: str) -> None:
-        life = state.life
+        incarnation = state.life
         try:
             report = await self._read_report(state)
             if not self._is_order_due(state, model, report):
-                self._retry_at_s_by_replica[life] = monotonic_s() + LOAD_POLL_INTERVAL_S
+                self._retry_at_s_by_replica[incarnation] = monotonic_s() + LOAD_POLL_INTERVAL_S
                 return
             if await self._send_order(state, model, report):
                 await self._wait_until_loaded(state, model)
             else:
-                self._retry_at_s_by_replica[life] = monotonic_s() + ORDER_RETRY_PAUSE_S
+                self._retry_at_s_by_replica[incarnation] = monotonic_s() + ORDER_RETRY_PAUSE_S
         except PassgateError:
-            self._crash_guard.check_for_crash(state, model, self._targets.versions[model])
-            self._retry_at_s_by_replica[life] = monotonic_s() + ORDER_RETRY_PAUSE_S
+            self._crash_guard.check_for_crash(state, model, self._targets.version_by_model[model])
+            self._retry_at_s_by_replica[incarnation] = monotonic_s() + ORDER_RETRY_PAUSE_S
 
     def _is_order_due(self, state: ReplicaState, model: str, report: ReplicaReport) -> bool:
         """Return whether a replica needs an order and may get one, by the report that it has just sent."""
@@ -238,7 +242,7 @@
             return False
         if not self._unconfirmed_orders.may_follow(state.life, report.orders_taken, monotonic_s()):
             return False
-        missing = report.model_versions.get(model, 0) < self._targets.versions[model]
+        missing = report.model_versions.get(model, 0) < self._targets.version_by_model[model]
         return missing and not report.busy and self._leadership.may_order()
 
     async def _read_report(self, state: ReplicaState) -> ReplicaReport:
@@ -258,7 +262,7 @@
             replica_id=state.info.replica_id,
             address=state.info.address,
             model=model,
-            version=self._targets.versions[model],
+            version=self._targets.version_by_model[model],
             holder=self._holder,
             fence=self._leadership.fence,
             expected=report.orders_taken,
@@ -285,13 +289,13 @@
             )
 
     async def _wait_until_loaded(self, state: ReplicaState, model: str) -> None:
-        began_s = monotonic_s()
-        target_version = self._targets.versions[model]
-        next_crash_check_s = began_s + CRASH_CHECK_INTERVAL_S
-        while (now_s := monotonic_s()) < began_s + LOAD_TIMEOUT_S:
+        started_at_s = monotonic_s()
+        target_version = self._targets.version_by_model[model]
+        next_crash_check_s = started_at_s + CRASH_CHECK_INTERVAL_S
+        while (now_s := monotonic_s()) < started_at_s + LOAD_TIMEOUT_S:
             await asyncio.sleep(LOAD_POLL_INTERVAL_S)
             if state.version_of(model) >= target_version:
-                self._limit_of(state.info.service).record_load_time(monotonic_s() - began_s)
+                self._limit_of(state.info.service).record_load_time(monotonic_s() - started_at_s)
                 self._crash_guard.record_loaded(state, model, target_version)
                 return
             if self._replicas.of(state.life) is not state:
