--- a/passgate/platform/__init__.py
+++ b/passgate/platform/__init__.py
@@ -1,5 +1,5 @@
-"""Adapter of the users' platform: its names, formats and calls; it decides nothing.
+"""Adapter of the users' platform: translates its names, message formats and HTTP calls.
 
-This folder lies inside the package because a package called ``platform`` at the
-repository's root would shadow the standard library's module of that name.
+Holds no policy; all decisions are made by the packages that it calls.  It must stay inside ``passgate``:
+a top-level package ``platform`` would shadow the standard library's module of that name.
 """
--- a/passgate/platform/__main__.py
+++ b/passgate/platform/__main__.py
@@ -4,6 +4,6 @@
 
 if __name__ == "__main__":
     hold_signals()
-    from passgate.platform.program import main  # takes most of the start, so signals are held before
+    from passgate.platform.program import main  # slow, so signals are blocked before this import
 
     main()
--- a/passgate/platform/beliefs.py
+++ b/passgate/platform/beliefs.py
@@ -1,4 +1,4 @@
-"""Hands what stands under the platform's keys to the daemon."""
+"""Applies the operator topic's records to the daemon, and decodes the platform's discovery entries."""
 
 from __future__ import annotations
 
@@ -21,33 +21,36 @@
 
 
 class Beliefs:
-    """Translation of the operator's topic."""
+    """Applies records of the operator's topic to the daemon: configuration, versions and evacuations.
+
+    A record that can not be decoded is logged and skipped, so that it does not block later ones.
+    """
 
     def __init__(self, daemon: GatewayDaemon) -> None:
         self._daemon = daemon
 
     def replace_operator(self, records: Records, next_offset: int) -> None:
-        """Take the newest record of every key; an evacuation that is not among them has ended."""
-        # The records of a snapshot don't tell their offsets, and only their zones are used.
-        evacuations = _evacuations(records, next_offset)
-        zones = [change.zone for change in evacuations if change.evacuated]
+        """Apply the newest record of every key; an evacuation that is not among them has ended."""
+        # Records of a snapshot carry no offsets; the offsets set here are not used.
+        changes = _evacuation_changes(records, next_offset)
+        zones = [change.zone for change in changes if change.evacuated]
         self._daemon.evacuated.replace(zones, next_offset)
-        self._take_others(records)
+        self._apply_configurations_and_versions(records)
 
     def update_operator(self, records: Records, start: int) -> None:
-        """Take further records, the first of which stands at an offset."""
-        self._daemon.evacuated.update(_evacuations(records, start), start + len(records))
-        self._take_others(records)
+        """Apply consecutive records of which the first has the offset ``start``."""
+        self._daemon.evacuated.update(_evacuation_changes(records, start), start + len(records))
+        self._apply_configurations_and_versions(records)
 
-    def _take_others(self, records: Records) -> None:
-        """Take configurations and named versions."""
+    def _apply_configurations_and_versions(self, records: Records) -> None:
         for record in records:
             try:
-                self._take_operator_record(record)
+                self._apply_configuration_or_version(record)
             except msgspec.DecodeError as error:
                 logger.warning("unreadable_record", extra={"key": record.key, "error": str(error)})
 
-    def _take_operator_record(self, record: KeyedRecord) -> None:
+    def _apply_configuration_or_version(self, record: KeyedRecord) -> None:
+        """Apply a record; raises msgspec.DecodeError.  Other keys and deletions are ignored."""
         if not record.value:
             return
         if record.key == names.CONFIGURATION_KEY:
@@ -56,10 +59,10 @@
             self._daemon.wanted.offer(*documents.decode_version(record.value))
 
 
-def _evacuations(records: Records, start: int) -> Iterator[EvacuationChange]:
-    """Return what begins or ends an evacuation; any value begins one, an empty one ends it.
+def _evacuation_changes(records: Records, start: int) -> Iterator[EvacuationChange]:
+    """Yield the evacuations that records start or end: any value starts one, an empty value ends it.
 
-    A value that can not be read must not leave a zone in use that the operator wants empty.
+    The value is not decoded, so that a malformed one still takes its zone out of use.
     """
     for offset, record in enumerate(records, start):
         if not record.key.startswith(names.EVACUATION_KEY_PREFIX):
@@ -73,10 +76,10 @@
 
 
 class PlatformReplicaDecoder(ReplicaDecoder):
-    """Reads entries of the platform's discovery."""
+    """Decodes entries of the platform's discovery topic."""
 
     def decode(self, record: KeyedRecord) -> ReplicaInfo:
-        """Return the replica of an entry; raises MalformedRecord if it names none to use."""
+        """Return the replica of an entry; raises MalformedRecord if the entry is not valid."""
         try:
             return documents.decode_replica(record.key, record.value)
         except (msgspec.DecodeError, RecursionError) as error:
--- a/passgate/platform/documents.py
+++ b/passgate/platform/documents.py
@@ -1,4 +1,8 @@
-"""Translates the platform's documents: configuration, replicas, versions, jobs."""
+"""Converts between the platform's JSON documents and passgate's types.
+
+Decoded are the configuration, discovery entries, named versions, replicas' reports and submitted jobs;
+encoded are pages of results.
+"""
 
 from __future__ import annotations
 
@@ -30,7 +34,7 @@
 
 logger = logging.getLogger("passgate.platform")
 
-KINDS = {
+ROUTE_KIND_BY_NAME = {
     "safe": RouteKind.SAFE,
     "unsafe": RouteKind.UNSAFE,
     "keyed": RouteKind.UNSAFE,
@@ -38,13 +42,13 @@
     "rollout": RouteKind.BATCH,
 }
 READY, DRAINING = "ready", "draining"
-"""States of a replica that names itself; any other state names no replica to use."""
-MOST_SLOTS = 1_000_000
-"""Slots from which on an entry is taken for a mistake; replicas work on some 10 to 100 requests at once."""
-HIGHEST_PORT = 65_535
-"""Highest port of TCP."""
-MOST_MS = 2**53
-"""Milliseconds that every reader of JSON holds exactly."""
+"""Valid states of a discovery entry; an entry with another state is rejected."""
+MAX_SLOTS = 1_000_000
+"""Discovery entries with more slots are rejected; replicas serve 10 to 100 requests at once."""
+MAX_PORT = 65_535
+"""Highest TCP port."""
+MAX_MS = 2**53
+"""Largest integer up to which a double, and so every JSON parser, is exact."""
 
 # ruff: noqa: N815  (field names are the platform's)
 
@@ -120,11 +124,11 @@
     service: Annotated[str, msgspec.Meta(min_length=1)]
     address: str
     zone: Annotated[str, msgspec.Meta(min_length=1)]
-    slots: Annotated[int, msgspec.Meta(ge=1, le=MOST_SLOTS)]
+    slots: Annotated[int, msgspec.Meta(ge=1, le=MAX_SLOTS)]
     state: str
     spot: bool = False
     models: list[_Model] = []
-    born: Annotated[int, msgspec.Meta(ge=0, le=MOST_MS)] = 0
+    born: Annotated[int, msgspec.Meta(ge=0, le=MAX_MS)] = 0
     coldRemainingMs: float = 0.0
 
 
@@ -166,13 +170,13 @@
 
 
 def decode_config(data: bytes) -> GatewayConfig:
-    """Return the configuration of ``op/config``; raises msgspec.DecodeError."""
+    """Return the configuration that the operator's record holds; raises msgspec.DecodeError."""
     config = msgspec.json.decode(data, type=_Config)
     limits = config.limits
     return GatewayConfig(
         version=config.version,
-        routes=tuple(_route(route) for route in config.routes),
-        services=tuple(_service(service) for service in config.services),
+        routes=tuple(_to_route(route) for route in config.routes),
+        services=tuple(_to_service(service) for service in config.services),
         tenants=tuple(
             Tenant(
                 name=tenant.name,
@@ -191,23 +195,23 @@
     )
 
 
-def _service(service: _Service) -> Service:
+def _to_service(service: _Service) -> Service:
     return Service(
         name=service.name,
         max_connections=service.maxConns,
-        scaling=_scaling(service.scaling) if service.scaling is not None else None,
-        cold_start=_cold_start(service),
+        scaling=_to_scaling_rule(service.scaling) if service.scaling is not None else None,
+        cold_start=_to_cold_start(service),
     )
 
 
-def _cold_start(service: _Service) -> ColdStart | None:
-    """Return what a cold replica bears; None where the platform tells no rate."""
+def _to_cold_start(service: _Service) -> ColdStart | None:
+    """Return the limit on requests to cold replicas; None if the platform states no rate."""
     if service.coldPerS <= 0.0:
         return None
     return ColdStart(lasts_s=service.coldStartS, requests_per_s=service.coldPerS)
 
 
-def _scaling(scaling: _Scaling) -> ScalingRule:
+def _to_scaling_rule(scaling: _Scaling) -> ScalingRule:
     return ScalingRule(
         least=scaling.min,
         most=scaling.max,
@@ -217,14 +221,15 @@
     )
 
 
-def _route(route: _Route) -> Route:
+def _to_route(route: _Route) -> Route:
+    """Convert a route; an unknown kind becomes UNSAFE, so that its requests never run twice."""
     split = route.trafficSplit or [_Split(service=route.service)]
     return Route(
         name=route.name,
         host=route.host,
         path_prefix=route.pathPrefix,
         parts=tuple(RoutePart(part.service, part.weight) for part in split),
-        kind=KINDS.get(route.kind, RouteKind.UNSAFE),
+        kind=ROUTE_KIND_BY_NAME.get(route.kind, RouteKind.UNSAFE),
         timeout_s=route.timeoutMs / 1000,
         target_latency_s=route.targetLatencyMs / 1000,
         max_attempts=max(route.maxAttempts, 1),
@@ -239,16 +244,15 @@
 
 
 def decode_replica(replica_id: str, data: bytes) -> ReplicaInfo:
-    """Return the replica of a discovery entry; raises msgspec.DecodeError if it names none to use.
+    """Return the replica of a discovery entry; raises msgspec.DecodeError if the entry is not valid.
 
-    Entries may come from other writers: each field that requests depend on has to be there, of its
-    type, and of a known state.
+    Other programs write to the topic, too, so the fields that routing depends on are validated.
     """
     replica = msgspec.json.decode(data, type=_Replica)
     if not replica_id:
-        raise msgspec.ValidationError("an entry without identifier")
+        raise msgspec.ValidationError("discovery entry has no replica identifier")
     if replica.state not in (READY, DRAINING):
-        raise msgspec.ValidationError(f"unknown state {replica.state!r}")
+        raise msgspec.ValidationError(f"unknown replica state {replica.state!r}")
     _check_address(replica.address)
     return ReplicaInfo(
         replica_id=replica_id,
@@ -265,36 +269,36 @@
 
 
 def _check_address(address: str) -> None:
-    """Raise msgspec.ValidationError unless an address is ``IP:PORT``."""
+    """Raise msgspec.ValidationError unless ``address`` is ``IP:PORT``."""
     host, _, port = address.rpartition(":")
     try:
         ipaddress.ip_address(host.removeprefix("[").removesuffix("]"))
     except ValueError as error:
-        raise msgspec.ValidationError(f"no address: {address!r}") from error
-    if not (port.isascii() and port.isdigit() and 0 < int(port[:6]) <= HIGHEST_PORT):
-        raise msgspec.ValidationError(f"no port: {address!r}")
+        raise msgspec.ValidationError(f"address has no numeric IP: {address!r}") from error
+    if not (port.isascii() and port.isdigit() and 0 < int(port[:6]) <= MAX_PORT):
+        raise msgspec.ValidationError(f"address has no port from 1 to 65535: {address!r}")
 
 
 def decode_version(data: bytes) -> tuple[str, int]:
-    """Return the model and the version that a trainer named."""
+    """Return a model and the target version that the operator named; raises msgspec.DecodeError."""
     named = msgspec.json.decode(data, type=_NamedVersion)
     return named.model, named.version
 
 
 def evacuated_zone(key: str) -> str:
-    """Return the zone that a key of the operator's topic evacuates; raises InvalidConfiguration.
+    """Return the zone that an evacuation's key names; raises InvalidConfiguration if it names none.
 
     >>> evacuated_zone("evacuate/a1")
     'a1'
     """
     zone = key.removeprefix(names.EVACUATION_KEY_PREFIX)
     if not zone:
-        raise InvalidConfiguration("an evacuation names no zone", key=key)
+        raise InvalidConfiguration("the key of an evacuation names no zone", key=key)
     return zone
 
 
 def decode_report(data: bytes) -> ReplicaReport:
-    """Return a replica's report of itself."""
+    """Return a replica's report about itself; raises msgspec.DecodeError."""
     report = msgspec.json.decode(data, type=_Report)
     return ReplicaReport(
         orders_taken=report.seq,
@@ -305,9 +309,9 @@
 
 
 def decode_job(job_id: str, host: str, path: str, body: bytes, caller: Caller) -> JobSpec:
-    """Return the job of a submitted body; raises MalformedBody.
+    """Return the job that a caller submitted; raises MalformedBody.
 
-    Its identifier is scoped by the caller's tenant, as callers choose identifiers freely.
+    Callers choose ``job_id`` freely, so it is scoped to the caller's tenant.
     """
     try:
         job = msgspec.json.decode(body, type=_Job)
@@ -319,12 +323,12 @@
                 body=base64.b64decode(item.body),
                 tokens=item.tokens,
                 group=item.group,
-                reward=_reward(item.scorer),
+                reward=_to_reward_spec(item.scorer),
             )
             for item in job.requests
         )
     except (msgspec.DecodeError, ValueError) as error:
-        raise MalformedBody(f"no batch job: {error}", execution=ExecutionStatus.NOT_RUN) from error
+        raise MalformedBody(f"body is not a batch job: {error}", execution=ExecutionStatus.NOT_RUN) from error
     return JobSpec(
         job_id=scoped_id(caller.tenant, job_id),
         tenant=caller.tenant,
@@ -339,7 +343,7 @@
     )
 
 
-def _reward(scorer: _Scorer | None) -> RewardSpec | None:
+def _to_reward_spec(scorer: _Scorer | None) -> RewardSpec | None:
     if scorer is None:
         return None
     return RewardSpec(id=scorer.id, host=scorer.host, path=scorer.path, body=base64.b64decode(scorer.body))
@@ -360,7 +364,7 @@
 
 
 def results_document(page: ResultPage) -> _Results:
-    """Return a page of results in the platform's form."""
+    """Return a page of a job's results as the platform's document."""
     return _Results(
         total=page.total,
         nextToken=page.next_position,
--- a/passgate/platform/duty_calls.py
+++ b/passgate/platform/duty_calls.py
@@ -1,4 +1,4 @@
-"""Calls of singleton duties in the platform's form."""
+"""Calls that singleton duties make to the platform: usage reports and orders of replicas."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 from passgate.platform import names
 
 CALL_TIMEOUT_S = 1.0
-"""Well within a lease of 3 s, so that a new holder's first call comes later than the last one's end."""
-OUTCOMES = {200: DutyOutcome.ACCEPTED, 409: DutyOutcome.REFUSED}
+"""Well below the lease of 3 s, so that a former leader's last call ends before a new leader's first."""
+OUTCOME_BY_STATUS = {200: DutyOutcome.ACCEPTED, 409: DutyOutcome.REFUSED}
 
 
 class _Usage(msgspec.Struct):
@@ -28,19 +28,23 @@
 
 
 class PlatformDutyCalls(DutyCalls):
-    """Sends the calls over HTTP."""
+    """Sends the calls of duties over HTTP, each at most once.
+
+    The holder and its fence token let the platform refuse a former leader.  A failed call is reported as
+    ``DutyOutcome.UNKNOWN``, not raised.
+    """
 
     def __init__(self, http: HttpClient, address: str) -> None:
         self._http = http
         self._address = address
 
     async def report_usage(self, report: UsageReport) -> DutyOutcome:
-        """Send the report of a window."""
+        """Report the usage counts of one window."""
         document = _Usage(window=report.window, counts=dict(report.counts))
         return await self._call(names.USAGE_PATH, document, report.holder, report.fence)
 
     async def order_replicas(self, order: ReplicaOrder) -> DutyOutcome:
-        """Order replicas of one kind in a zone."""
+        """Order a number of replicas of a service in a zone, spot or on-demand."""
         document = _Scale(service=order.service, zone=order.zone, desired=order.count, spot=order.spot)
         return await self._call(names.SCALE_PATH, document, order.holder, order.fence)
 
@@ -49,8 +53,8 @@
             method="POST",
             url=f"http://{self._address}{path}",
             headers={
-                names.DUTY_HOLDER: holder,
-                names.DUTY_FENCE: str(fence),
+                names.DUTY_HOLDER_HEADER: holder,
+                names.DUTY_FENCE_HEADER: str(fence),
                 "Content-Type": "application/json",
             },
             body=msgspec.json.encode(document),
@@ -61,5 +65,5 @@
         try:
             answer = await self._http.fetch(call)
         except PassgateError:
-            return DutyOutcome.UNKNOWN  # the caller notes the outcome and calls again
-        return OUTCOMES.get(answer.status, DutyOutcome.UNKNOWN)
+            return DutyOutcome.UNKNOWN  # the duty logs the outcome and calls again
+        return OUTCOME_BY_STATUS.get(answer.status, DutyOutcome.UNKNOWN)
--- a/passgate/platform/front.py
+++ b/passgate/platform/front.py
@@ -1,4 +1,4 @@
-"""The platform's calls to the system, mapped to the gateway's services."""
+"""The platform's HTTP interface: requests of callers to the daemon, and its control calls to replicas."""
 
 from __future__ import annotations
 
@@ -25,22 +25,22 @@
 from passgate.versions.loader import LoadOrder, ReplicaReport
 
 MAX_WAIT_S = 1.0
-"""Longest hold of a read of results that the platform allows."""
+"""Longest time for which the platform lets a read of results wait for new ones."""
 DEFAULT_DEADLINE_S = 4.0
-"""Time that a caller of a job is taken to wait when it does not say."""
+"""Deadline, counted from the request's arrival, of a job request that carries none."""
 ANSWER_MARGIN_S = 0.1
-"""Part of a caller's time that is left for the answer to travel."""
+"""Time before a caller's deadline that is reserved for sending the answer."""
 REPORT_TIMEOUT_S = 1.0
-"""Time for a replica's report; a calm one takes some ms."""
+"""Timeout of reading a replica's report."""
 ORDER_TIMEOUT_S = 1.5
-"""Time for the answer to an order; half of the lease, so that a leader's last order ends within it."""
+"""Timeout of a load order; half of the lease, so that a leader's last order ends before its lease does."""
 NO_ROUTE = "no_route"
 LOGGED_PATH_CHARACTERS = 80
-OCTETS = (("Content-Type", "application/octet-stream"),)
+BINARY_HEADERS = (("Content-Type", "application/octet-stream"),)
 
 
 class Front:
-    """Handles every request that comes to the front address."""
+    """Handles all requests to the front address: routed ones, and those for jobs, results and item bodies."""
 
     def __init__(self, daemon: GatewayDaemon) -> None:
         self._daemon = daemon
@@ -49,50 +49,53 @@
         """Answer a request; raises PassgateError."""
         path, _, query = request.path.partition("?")
         if path.startswith(names.JOB_PATH):
-            return await self._job_call(request, path.removeprefix(names.JOB_PATH), query)
+            return await self._handle_job_request(request, path.removeprefix(names.JOB_PATH), query)
         if path.startswith(names.ITEM_PATH):
-            return await self._item_call(request, path.removeprefix(names.ITEM_PATH), query)
-        return await self._routed(request)
+            return await self._handle_item_request(request, path.removeprefix(names.ITEM_PATH), query)
+        return await self._handle_routed(request)
 
-    async def _routed(self, request: IncomingRequest) -> GatewayAnswer | StreamAnswer:
-        table = self._table()
+    async def _handle_routed(self, request: IncomingRequest) -> GatewayAnswer | StreamAnswer:
+        table = self._usable_routes()
         route = table.match(request.host, request.path)
         if route is None:
-            self._note_refusal(request, NotFound.http_status, NO_ROUTE)
-            raise self._unless_stale(NotFound("no such route", execution=ExecutionStatus.NOT_RUN))
-        caller = self._caller_of(request, table, public=route.public)
+            self._log_refusal(request, NotFound.http_status, NO_ROUTE)
+            raise self._retryable_if_stale(
+                NotFound("no route matches the host and path", execution=ExecutionStatus.NOT_RUN)
+            )
+        caller = self._authenticate(request, table, public=route.public)
         if route.kind is RouteKind.BATCH:
-            return await self._submit(request, caller)
+            return await self._submit_job(request, caller)
         if route.kind is RouteKind.STREAMING:
             return await self._daemon.stream_forwarder.forward(request, route, caller)
         return await self._daemon.forwarder.forward(request, route, caller)
 
-    def _table(self) -> RouteTable:
+    def _usable_routes(self) -> RouteTable:
+        """Return the routes; raises NotReady without a configuration, or with one that is too old to use."""
         table = self._daemon.config.table
         if table is None:
-            raise NotReady("no configuration is known yet", execution=ExecutionStatus.NOT_RUN)
+            raise NotReady("no configuration was received yet", execution=ExecutionStatus.NOT_RUN)
         if self._daemon.configuration_expired:
             raise NotReady("the configuration is too old to be used", execution=ExecutionStatus.NOT_RUN)
         return table
 
-    def _caller_of(self, request: IncomingRequest, table: RouteTable, *, public: bool) -> Caller:
-        """Return who sent a request; raises Unauthorized, or NotReady while that may be out of date."""
+    def _authenticate(self, request: IncomingRequest, table: RouteTable, *, public: bool) -> Caller:
+        """Return the caller; raises Unauthorized, or NotReady if the configuration may be stale."""
         try:
             return table.keys.caller_of(request.headers, public=public)
         except Unauthorized as error:
-            self._note_refusal(request, error.http_status, error.code)
-            raise self._unless_stale(error) from error
+            self._log_refusal(request, error.http_status, error.code)
+            raise self._retryable_if_stale(error) from error
 
-    def _unless_stale(self, refusal: PassgateError) -> PassgateError:
-        """Return a refusal for good, or one that lets the caller come back while the log is away.
+    def _retryable_if_stale(self, refusal: PassgateError) -> PassgateError:
+        """Return ``refusal``, or a retryable NotReady instead if the configuration may be stale.
 
-        A route or a key that is not known here may have been added meanwhile.
+        While the log can not be read, the operator may have added the unknown route or key.
         """
         if self._daemon.configuration_may_be_stale:
             return NotReady("the configuration may be out of date", execution=ExecutionStatus.NOT_RUN)
         return refusal
 
-    def _note_refusal(self, request: IncomingRequest, status: int, reason: str) -> None:
+    def _log_refusal(self, request: IncomingRequest, status: int, reason: str) -> None:
         self._daemon.decisions.write(
             RequestRefused(
                 request_id=request.header(names.HEADERS.request_id),
@@ -103,54 +106,64 @@
             )
         )
 
-    async def _submit(self, request: IncomingRequest, caller: Caller) -> GatewayAnswer:
+    async def _submit_job(self, request: IncomingRequest, caller: Caller) -> GatewayAnswer:
         job_id = request.header(names.HEADERS.request_id)
         if not job_id:
-            raise InvalidRequest("a batch job needs an id", execution=ExecutionStatus.NOT_RUN)
+            raise InvalidRequest(
+                "a batch job needs a request identifier, which names it", execution=ExecutionStatus.NOT_RUN
+            )
         spec = documents.decode_job(job_id, request.host, request.path, request.body, caller)
         await self._daemon.jobs.submit(spec, _deadline_s(request))
         return GatewayAnswer(status=202)
 
-    def _job_key(self, request: IncomingRequest, job_id: str) -> str:
-        """Return the job that a caller means; no other tenant's job has that name.
+    def _tenant_job_id(self, request: IncomingRequest, job_id: str) -> str:
+        """Authenticate the caller and return ``job_id`` scoped to its tenant.
 
-        Raises NotReady or Unauthorized.
+        The scope keeps a caller from reading or cancelling jobs of another tenant.  Raises NotReady or
+        Unauthorized.
         """
-        table = self._table()
-        caller = self._caller_of(request, table, public=table.takes_public_jobs(request.host))
+        table = self._usable_routes()
+        caller = self._authenticate(request, table, public=table.takes_public_jobs(request.host))
         return scoped_id(caller.tenant, job_id)
 
-    async def _job_call(self, request: IncomingRequest, told_id: str, query: str) -> GatewayAnswer:
-        job_id = self._job_key(request, told_id)
+    async def _handle_job_request(
+        self, request: IncomingRequest, caller_job_id: str, query: str
+    ) -> GatewayAnswer:
+        """Cancel a job (DELETE), or return the results after a position (any other method)."""
+        job_id = self._tenant_job_id(request, caller_job_id)
         if request.method == "DELETE":
             await self._daemon.jobs.end(request.host, job_id, _deadline_s(request))
             return GatewayAnswer(status=200)
         after = parse_qs(query).get("afterRev", ["0"])[0]
-        told_ms = request.header(names.HEADERS.wait_ms)
-        wait_s = min(int(told_ms) / 1000 if told_ms.isdigit() else 0.0, MAX_WAIT_S)
+        wait_ms = request.header(names.HEADERS.wait_ms)
+        wait_s = min(int(wait_ms) / 1000 if wait_ms.isdigit() else 0.0, MAX_WAIT_S)
         position = int(after) if after.isdigit() else 0
         page = await self._daemon.jobs.read(request.host, job_id, position, wait_s)
         return json_answer(200, documents.results_document(page))
 
-    async def _item_call(self, request: IncomingRequest, told_id: str, query: str) -> GatewayAnswer:
-        job_id = self._job_key(request, told_id)
+    async def _handle_item_request(
+        self, request: IncomingRequest, caller_job_id: str, query: str
+    ) -> GatewayAnswer:
+        """Return the body of one item of a job."""
+        job_id = self._tenant_job_id(request, caller_job_id)
         item_id = parse_qs(query).get("id", [""])[0]
         body = await self._daemon.jobs.body(request.host, job_id, item_id)
-        return GatewayAnswer(status=200, headers=OCTETS, body=body)
+        return GatewayAnswer(status=200, headers=BINARY_HEADERS, body=body)
 
 
 def _deadline_s(request: IncomingRequest) -> float:
+    """Return the loop time by which the work has to end, so that the answer arrives in time."""
     return request.deadline_s(names.HEADERS.deadline_ms, DEFAULT_DEADLINE_S) - ANSWER_MARGIN_S
 
 
 class PlatformReplicaControl:
-    """Reports and orders in the platform's form."""
+    """Reads replicas' reports and sends them load orders over HTTP, each call at most once."""
 
     def __init__(self, http: HttpClient) -> None:
         self._http = http
 
     async def report(self, replica_id: str, address: str) -> ReplicaReport:
-        """Read a replica's report."""
+        """Return a replica's report about itself; raises PassgateError, NotReady if there is no valid one."""
         call = HttpCall(
             method="GET",
             url=f"http://{address}{names.REPORT_PATH}",
@@ -161,14 +174,14 @@
         )
         answer = await self._http.fetch(call)
         if answer.status != 200:
-            raise NotReady("no report", execution=ExecutionStatus.NOT_RUN, status=answer.status)
+            raise NotReady("replica sent no report", execution=ExecutionStatus.NOT_RUN, status=answer.status)
         try:
             return documents.decode_report(answer.body)
         except (msgspec.DecodeError, RecursionError) as error:
-            raise NotReady("unreadable report", execution=ExecutionStatus.NOT_RUN) from error
+            raise NotReady("the replica's report is not valid", execution=ExecutionStatus.NOT_RUN) from error
 
     async def order(self, order: LoadOrder) -> int:
-        """Send an order; return the status."""
+        """Send a load order and return the HTTP status; raises PassgateError if no answer arrived."""
         document = {
             "op": "version",
             "model": order.model,
--- a/passgate/platform/log_client.py
+++ b/passgate/platform/log_client.py
@@ -1,4 +1,4 @@
-"""The platform's log service behind :class:`passgate.sharedlog.log.SharedLog`.
+"""HTTP client of the platform's log service; implements :class:`passgate.sharedlog.log.SharedLog`.
 
 >>> unpack_records(pack_records([b"ab", b"c"]))
 (b'ab', b'c')
@@ -33,17 +33,17 @@
 )
 
 CALL_TIMEOUT_S = 1.2
-"""Time for one call's answer beyond the wait it asks for."""
+"""Timeout of a call, in addition to the time that a read waits for records."""
 CONNECT_TIMEOUT_S = 0.7
-"""Time for a new connection to the log; a lost opening packet is sent again only after a second."""
+"""Timeout of a new connection; below the 1 s after which TCP repeats a lost SYN, so a retry is faster."""
 OK, GONE, PRECONDITION_FAILED, THROTTLED = 200, 410, 412, 429
-LENGTH = struct.Struct(">I")
-PAGE_HEAD = struct.Struct(">QQ")
-FIRST_PAGE_PAUSE_S = 0.1
-"""Pause before a throttled page is asked for again."""
-MAX_PAGE_PAUSE_S = 1.0
-"""Longest such pause."""
-MAX_PAGE_TRIES = 20
+RECORD_LENGTH = struct.Struct(">I")
+PAGE_HEADER = struct.Struct(">QQ")
+FIRST_RETRY_PAUSE_S = 0.1
+"""Pause before the first retry of a throttled page; it doubles with each retry."""
+MAX_RETRY_PAUSE_S = 1.0
+"""Longest pause between retries of a throttled page, before jitter."""
+MAX_PAGE_ATTEMPTS = 20
 RECORDS_TYPE = "application/octet-stream"
 JSON_TYPE = "application/json"
 
@@ -53,7 +53,7 @@
     end: int
 
 
-class _End(msgspec.Struct):
+class _PartitionBounds(msgspec.Struct):
     end: int = 0
     first: int = 0
 
@@ -95,46 +95,49 @@
 
 
 def pack_records(records: Sequence[bytes]) -> bytes:
-    """Return records in the form of the wire: each behind its length."""
-    return b"".join(LENGTH.pack(len(record)) + record for record in records)
+    """Concatenate records, each prefixed with its length."""
+    return b"".join(RECORD_LENGTH.pack(len(record)) + record for record in records)
 
 
 def unpack_records(data: bytes) -> tuple[bytes, ...]:
-    """Return the records of the wire's form."""
+    """Split concatenated records; the inverse of :func:`pack_records`."""
     records = []
     position = 0
-    while position + LENGTH.size <= len(data):
-        (size,) = LENGTH.unpack_from(data, position)
-        position += LENGTH.size
+    while position + RECORD_LENGTH.size <= len(data):
+        (size,) = RECORD_LENGTH.unpack_from(data, position)
+        position += RECORD_LENGTH.size
         records.append(data[position : position + size])
         position += size
     return tuple(records)
 
 
-def _check(answer: HttpAnswer) -> None:
+def _raise_for_status(answer: HttpAnswer) -> None:
     if answer.status == THROTTLED:
-        raise LogThrottled("too many calls")
+        raise LogThrottled("the log throttles calls")
     if answer.status != OK:
-        raise LogUnavailable(f"refused with {answer.status}", status=answer.status)
+        raise LogUnavailable(f"call refused with status {answer.status}", status=answer.status)
 
 
 class PlatformLog:
-    """Calls of the log service."""
+    """Client of the log service.
+
+    Each call is sent at most once, except that pages of :meth:`newest` are read again when throttled.
+    """
 
     def __init__(self, http: HttpClient, address: str) -> None:
         self._http = http
-        self._base = ""
+        self._base_url = ""
         self.set_address(address)
 
     def set_address(self, address: str) -> None:
         """Use another address from the next call on."""
-        self._base = f"http://{address}"
+        self._base_url = f"http://{address}"
 
     async def append(self, topic: str, part: int, records: Sequence[bytes], *, at: int | None = None) -> int:
-        """Append all records or none; see :class:`SharedLog`."""
+        """Append all records or none; see :meth:`SharedLog.append`."""
         query = f"?topic={quote(topic)}&part={part}" + (f"&at={at}" if at is not None else "")
         try:
-            answer = await self._call(
+            answer = await self._fetch(
                 "POST", names.APPEND_PATH + query, pack_records(records), CALL_TIMEOUT_S
             )
         except PassgateError as error:
@@ -142,31 +145,31 @@
                 raise LogUnavailable(str(error)) from error
             raise LogAppendUnknown(str(error)) from error
         if answer.status == PRECONDITION_FAILED:
-            raise AppendConflict(msgspec.json.decode(answer.body, type=_End).end)
+            raise AppendConflict(msgspec.json.decode(answer.body, type=_PartitionBounds).end)
         if answer.status != OK:
-            raise LogUnavailable(f"append refused with {answer.status}", status=answer.status)
+            raise LogUnavailable(f"append refused with status {answer.status}", status=answer.status)
         return msgspec.json.decode(answer.body, type=_Appended).offset
 
     async def read(
         self, topic: str, part: int, start: int, *, wait_s: float, max_bytes: int = MAX_PAGE_BYTES
     ) -> LogPage:
-        """Return records from an offset; see :class:`SharedLog`."""
+        """Return records from an offset; see :meth:`SharedLog.read`."""
         wait_ms = int(wait_s * 1000)
         max_kb = max(max_bytes // 1024, 1)
         path = f"{names.READ_PATH}?topic={quote(topic)}&part={part}&from={start}&max_kb={max_kb}"
-        answer = await self._read(f"{path}&waitMs={wait_ms}", wait_s + CALL_TIMEOUT_S)
+        answer = await self._get(f"{path}&waitMs={wait_ms}", wait_s + CALL_TIMEOUT_S)
         if answer.status == GONE:
-            raise HistoryGone(msgspec.json.decode(answer.body, type=_End).first)
+            raise HistoryGone(msgspec.json.decode(answer.body, type=_PartitionBounds).first)
         if answer.status == THROTTLED:
-            raise LogThrottled("too many reads")
-        if answer.status != OK or len(answer.body) < PAGE_HEAD.size:
-            raise LogUnavailable(f"read refused with {answer.status}", status=answer.status)
-        end, first = PAGE_HEAD.unpack_from(answer.body)
-        records = unpack_records(answer.body[PAGE_HEAD.size :])
+            raise LogThrottled("the log throttles reads")
+        if answer.status != OK or len(answer.body) < PAGE_HEADER.size:
+            raise LogUnavailable(f"read failed with status {answer.status}", status=answer.status)
+        end, first = PAGE_HEADER.unpack_from(answer.body)
+        records = unpack_records(answer.body[PAGE_HEADER.size :])
         return LogPage(start=start, end=end, records=records, first=first)
 
     async def newest(self, topic: str, part: int, *, most_pages: int | None = None) -> KeyedSnapshot:
-        """Return the newest record of every key; see :class:`SharedLog`."""
+        """Return the newest record of every key; see :meth:`SharedLog.newest`."""
         records: list[KeyedRecord] = []
         end: int | None = None
         after = ""
@@ -174,86 +177,92 @@
             path = f"{names.NEWEST_PATH}?topic={quote(topic)}&part={part}"
             answer = await self._read_page(path + (f"&afterRev={quote(after, safe='')}" if after else ""))
             if answer.status != OK:
-                raise LogUnavailable(f"read refused with {answer.status}", status=answer.status)
+                raise LogUnavailable(f"read refused with status {answer.status}", status=answer.status)
             page = msgspec.json.decode(answer.body, type=_NewestPage)
-            # The pages are no snapshot: reading on from the first page's end repeats what moved meanwhile.
+            # Keys may change between two pages, so reading has to continue from the end at the first page.
             end = page.end if end is None else end
             records += [KeyedRecord(key=row.key, value=base64.b64decode(row.value)) for row in page.requests]
             more = page.more and bool(page.requests)
             if not more or pages == most_pages:
                 return KeyedSnapshot(records=tuple(records), next_offset=end, more=more)
             after = page.requests[-1].key
-        raise AssertionError("unreachable")
+        raise AssertionError("the loop over pages ends by returning")
 
     async def _read_page(self, path: str) -> HttpAnswer:
-        """Read one page; when throttled wait and ask again, as beginning anew would cost all pages."""
-        pause_s = FIRST_PAGE_PAUSE_S
-        for _ in range(MAX_PAGE_TRIES):
-            answer = await self._read(path, CALL_TIMEOUT_S)
+        """Read one page, retrying while throttled, as giving up would discard all pages read before.
+
+        Raises LogThrottled after MAX_PAGE_ATTEMPTS attempts, and LogUnavailable without a retry.
+        """
+        pause_s = FIRST_RETRY_PAUSE_S
+        for _ in range(MAX_PAGE_ATTEMPTS):
+            answer = await self._get(path, CALL_TIMEOUT_S)
             if answer.status != THROTTLED:
                 return answer
             await asyncio.sleep(pause_s * random.uniform(0.5, 1.5))
-            pause_s = min(pause_s * 2.0, MAX_PAGE_PAUSE_S)
-        raise LogThrottled("too many reads")
+            pause_s = min(pause_s * 2.0, MAX_RETRY_PAUSE_S)
+        raise LogThrottled("the log kept throttling the reads of one page")
 
     async def join(
         self, group: str, member: str, topics: Sequence[str], *, lifetime_s: float, generation: int
     ) -> GroupShare:
-        """Join a group or stay in it; see :class:`SharedLog`."""
+        """Join a group or renew the membership; see :meth:`SharedLog.join`."""
         document = _Join(group, member, list(topics), int(lifetime_s * 1000), generation)
         answer = await self._post(names.JOIN_PATH, document)
         joined = msgspec.json.decode(answer.body, type=_Joined)
-        held = frozenset(GroupPartition(topic, part) for topic, part, _ in joined.parts)
-        return GroupShare(generation=joined.generation, partitions=held)
+        partitions = frozenset(GroupPartition(topic, part) for topic, part, _ in joined.parts)
+        return GroupShare(generation=joined.generation, partitions=partitions)
 
     async def leave(self, group: str, member: str) -> None:
         """Leave a group at once."""
         await self._post(names.LEAVE_PATH, _Leave(group, member))
 
     async def members(self, group: str) -> dict[GroupPartition, str]:
-        """Return the member of each partition; see :class:`SharedLog`."""
-        answer = await self._read(f"{names.MEMBERS_PATH}?group={quote(group)}", CALL_TIMEOUT_S)
-        _check(answer)
+        """Return the member of each assigned partition; see :meth:`SharedLog.members`."""
+        answer = await self._get(f"{names.MEMBERS_PATH}?group={quote(group)}", CALL_TIMEOUT_S)
+        _raise_for_status(answer)
         rows = msgspec.json.decode(answer.body, type=_Members).parts
         return {GroupPartition(topic, part): member for topic, part, member, _ in rows}
 
     async def _post(self, path: str, document: msgspec.Struct) -> HttpAnswer:
         try:
-            answer = await self._call("POST", path, msgspec.json.encode(document), CALL_TIMEOUT_S, JSON_TYPE)
+            answer = await self._fetch("POST", path, msgspec.json.encode(document), CALL_TIMEOUT_S, JSON_TYPE)
         except PassgateError as error:
             raise LogUnavailable(str(error)) from error
-        _check(answer)
+        _raise_for_status(answer)
         return answer
 
     def decode_keyed(self, record: bytes) -> KeyedRecord:
-        """Split a raw record of a keyed topic: length of the key, key, value; raises MalformedRecord."""
-        size = record[0] if record else 0
-        if len(record) < 1 + size:
-            raise MalformedRecord("a keyed record without its whole key")
+        """Decode a raw record of a keyed topic; raises MalformedRecord.
+
+        It consists of the key's length in one byte, the key in UTF-8, and the value.
+        """
+        key_size = record[0] if record else 0
+        if len(record) < 1 + key_size:
+            raise MalformedRecord("a keyed record is shorter than its key")
         try:
-            key = record[1 : 1 + size].decode()
+            key = record[1 : 1 + key_size].decode()
         except UnicodeDecodeError as error:
-            raise MalformedRecord("a key that is no text") from error
-        return KeyedRecord(key=key, value=record[1 + size :])
+            raise MalformedRecord("the key of a keyed record is not UTF-8") from error
+        return KeyedRecord(key=key, value=record[1 + key_size :])
 
     def encode_keyed(self, record: KeyedRecord) -> bytes:
-        """Return a raw record of a keyed topic."""
+        """Encode a record of a keyed topic; raises ValueError if the key is longer than 255 bytes."""
         key = record.key.encode()
         return bytes([len(key)]) + key + record.value
 
-    async def _read(self, path: str, timeout_s: float) -> HttpAnswer:
+    async def _get(self, path: str, timeout_s: float) -> HttpAnswer:
         try:
-            return await self._call("GET", path, None, timeout_s)
+            return await self._fetch("GET", path, None, timeout_s)
         except PassgateError as error:
             raise LogUnavailable(str(error)) from error
 
-    async def _call(
+    async def _fetch(
         self, method: str, path: str, body: bytes | None, timeout_s: float, content_type: str = RECORDS_TYPE
     ) -> HttpAnswer:
         return await self._http.fetch(
             HttpCall(
                 method=method,
-                url=self._base + path,
+                url=self._base_url + path,
                 body=body,
                 headers={"Content-Type": content_type} if body is not None else {},
                 send=SendPolicy.ONCE,
--- a/passgate/platform/names.py
+++ b/passgate/platform/names.py
@@ -1,4 +1,4 @@
-"""Names of the platform: headers, paths, topics and words."""
+"""HTTP headers, URL paths, log topics and record keys that the platform defines."""
 
 from __future__ import annotations
 
@@ -31,8 +31,8 @@
 
 USAGE_PATH = "/usage"
 SCALE_PATH = "/scale"
-DUTY_HOLDER = "X-Duty-Holder"
-DUTY_FENCE = "X-Fence-Token"
+DUTY_HOLDER_HEADER = "X-Duty-Holder"
+DUTY_FENCE_HEADER = "X-Fence-Token"
 USAGE_DUTY = "usage"
 SCALING_DUTY = "autoscale"
 
--- a/passgate/platform/program.py
+++ b/passgate/platform/program.py
@@ -1,4 +1,4 @@
-"""One daemon on the users' platform, from its settings to the end of its planned stop."""
+"""Builds a daemon for the users' platform from its settings and runs it until its graceful shutdown ends."""
 
 from __future__ import annotations
 
@@ -24,12 +24,12 @@
 from passgate.platform.settings import SettingsWatcher, read_settings, settings_path
 from passgate.process_signals import handle_signals, hold_signals
 
-OPERATOR_GAP_S = 0.05
-"""Pause between reads of the operator's topic; small, as keys are to be in force within seconds."""
+OPERATOR_READ_PAUSE_S = 0.05
+"""Pause between reads of the operator's topic; short, as changes have to apply within seconds."""
 
 
 def make_daemon(settings: GatewaySettings, http: HttpClient, log: PlatformLog) -> GatewayDaemon:
-    """Return a daemon that follows the platform's topics."""
+    """Return a daemon, not yet running, that reads and writes the platform's topics."""
     topics = LogTopics(
         operator=names.OPERATOR_TOPIC,
         replicas=ReplicaTopics(
@@ -49,34 +49,34 @@
     daemon = GatewayDaemon(
         settings, names.HEADERS, topics, http, log, control, PlatformReplicaDecoder(), peers, duty_calls
     )
-    beliefs = Beliefs(daemon)
-    daemon.follow(topics.operator, OPERATOR_GAP_S, beliefs.replace_operator, beliefs.update_operator)
+    handler = Beliefs(daemon)
+    daemon.follow(topics.operator, OPERATOR_READ_PAUSE_S, handler.replace_operator, handler.update_operator)
     return daemon
 
 
 def runner() -> asyncio.Runner:
-    """Return what runs a daemon."""
+    """Return an asyncio runner with a daemon's event loop."""
     return asyncio.Runner(loop_factory=DaemonEventLoop)
 
 
 async def serve() -> None:
-    """Run one daemon until SIGTERM."""
+    """Run one daemon until SIGTERM or SIGINT; SIGHUP reloads its settings."""
     with contextlib.suppress(OSError):
-        os.set_blocking(sys.stdout.fileno(), False)  # a reader that takes nothing must not stall the loop
+        os.set_blocking(sys.stdout.fileno(), False)  # a stalled reader of the log must not block the loop
     settings = read_settings(settings_path())
     http = make_http_client()
     log = PlatformLog(http, settings.log_address)
     daemon = make_daemon(settings, http, log)
     watcher = SettingsWatcher(daemon, log, settings_path())
     handle_signals({signal.SIGTERM: daemon.stop, signal.SIGINT: daemon.stop, signal.SIGHUP: watcher.read})
-    watching = asyncio.get_running_loop().create_task(watcher.run())
+    watch_task = asyncio.get_running_loop().create_task(watcher.run())
     await daemon.run(Front(daemon).handle)
     hold_signals()
-    watching.cancel()
+    watch_task.cancel()
     http.close()
 
 
 def main() -> None:
-    """Run a daemon with the settings that the platform names."""
+    """Run a daemon with the settings file that the platform provides; raises SettingsError."""
     with runner() as daemon_runner:
         daemon_runner.run(serve())
--- a/passgate/platform/settings.py
+++ b/passgate/platform/settings.py
@@ -1,4 +1,4 @@
-"""Reads the platform's settings file."""
+"""Reads the platform's settings file, and reloads it when it changes."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 
 logger = logging.getLogger("passgate.platform")
 
-WATCH_S = 2.0
-"""Time between looks at the settings file, which may change without a signal."""
+CHECK_INTERVAL_S = 2.0
+"""Interval of the checks whether the settings file has changed; a change need not come with a signal."""
 
 RETENTION_MARGIN_S = 30.0
-"""A job stays readable for this much longer than the platform asks."""
+"""Time for which a job stays readable beyond the time that the platform requires."""
 
 
 class _Listen(msgspec.Struct, frozen=True):
@@ -56,7 +56,7 @@
 
 
 class _Experiments(msgspec.Struct, frozen=True):
-    """Ways that are not in use by default; the platform's own file has no such part."""
+    """Experimental features, all off by default; settings files of the platform lack this section."""
 
     scaling: ScalingPolicy = ScalingPolicy.NEVER
 
@@ -64,16 +64,16 @@
 class _Limits(msgspec.Struct, frozen=True):
     maxFds: int = 8200  # noqa: N815
     cpuShare: float = 1.0  # noqa: N815
-    """Share of the time for which the process may run."""
+    """Fraction of the time for which the process may run."""
     cores: float = 1.0
-    """Speed while it runs, in ordinary cores; not the number of threads that run at once."""
+    """Speed while it runs, relative to an ordinary core; not a number of threads."""
 
 
 class _Node(msgspec.Struct, frozen=True, kw_only=True):
     node: str
     zone: str
     zones: dict[str, str] = {}
-    """Zone to its region."""
+    """Region by zone."""
     listen: _Listen
     ip: str = ""
     portRange: tuple[int, ...] = ()  # noqa: N815  (name of the platform)
@@ -85,16 +85,16 @@
 
 
 def settings_path() -> str:
-    """Return the path of the settings file."""
+    """Return the path of the settings file, from the environment or the default."""
     return os.environ.get(names.SETTINGS_VARIABLE, names.SETTINGS_PATH)
 
 
 def parse_settings(text: str) -> GatewaySettings:
-    """Return the settings of a file's text; raises SettingsError."""
+    """Return the settings in a YAML text; raises SettingsError."""
     try:
         node = msgspec.convert(yaml.load(text, Loader=yaml.CSafeLoader), _Node, strict=False)
     except (yaml.YAMLError, msgspec.ValidationError) as error:
-        raise SettingsError(f"settings file: {error}") from error
+        raise SettingsError(f"settings file is not valid: {error}") from error
     return GatewaySettings(
         daemon_id=node.node,
         zone=node.zone,
@@ -141,7 +141,7 @@
 
 
 def read_settings(path: str) -> GatewaySettings:
-    """Return the settings of a file; raises SettingsError."""
+    """Return the settings in a file; raises SettingsError if it can not be read or is not valid."""
     try:
         with open(path, encoding="utf-8") as file:
             return parse_settings(file.read())
@@ -150,25 +150,25 @@
 
 
 class SettingsWatcher:
-    """Reads the settings file again when it was changed, with or without a signal."""
+    """Applies the settings file to the daemon and its log client whenever the file has changed."""
 
     def __init__(self, daemon: GatewayDaemon, log: PlatformLog, path: str) -> None:
         self._daemon = daemon
         self._log = log
         self._path = path
-        self._seen = self._mark()
+        self._last_stamp = self._file_stamp()
 
     async def run(self) -> None:
-        """Look at the file until cancelled."""
+        """Check the file periodically until cancelled, and reload it after a change."""
         while True:
-            await asyncio.sleep(WATCH_S)
-            mark = self._mark()
-            if mark != self._seen:
+            await asyncio.sleep(CHECK_INTERVAL_S)
+            stamp = self._file_stamp()
+            if stamp != self._last_stamp:
                 self.read()
 
     def read(self) -> None:
-        """Read the file; a file that can not be read changes nothing."""
-        self._seen = self._mark()
+        """Reload the file; an unreadable or invalid file is logged and changes nothing."""
+        self._last_stamp = self._file_stamp()
         try:
             settings = read_settings(self._path)
         except SettingsError as error:
@@ -177,7 +177,8 @@
         self._log.set_address(settings.log_address)
         self._daemon.reload(settings)
 
-    def _mark(self) -> tuple[int, int]:
+    def _file_stamp(self) -> tuple[int, int]:
+        """Return the file's modification time in nanoseconds and its size; zeros if there is no file."""
         try:
             status = os.stat(self._path)
         except OSError:
--- a/tests/test_import_order.py
+++ b/tests/test_import_order.py
@@ -1,4 +1,4 @@
-"""Packages import downwards only: no circle between packages or modules beyond those listed."""
+"""Checks for import cycles between modules, and for imports against the order of the platform's packages."""
 
 import ast
 import pathlib
@@ -17,58 +17,62 @@
     "daemon",
     "platform",
 ]
-"""Packages that run on the users' platform, the lowest first; a package imports lower ones only."""
+"""Packages that run on the users' platform, lowest layer first; a package imports only lower layers."""
 
-KNOWN_MODULE_CIRCLES = [
+KNOWN_MODULE_CYCLES = [
     {"passgate.check.simulation.faults", "passgate.check.simulation.run"},
     {"passgate.check.socket_faults", "passgate.check.socket_report", "passgate.check.socket_run"},
     {"passgate.emulator.admin_server", "passgate.emulator.standins_server"},
 ]
-"""Circles of `passgate serve`'s checks and stand-ins; the list may shrink and never grows."""
+"""Import cycles of `passgate serve`'s checks and stand-ins; the list must not grow."""
 
 
-def modules():
-    found = {}
+def find_modules():
+    """Return the path of each module of passgate by its name."""
+    path_by_module = {}
     for path in ROOT.rglob("*.py"):
         name = ".".join(path.relative_to(ROOT.parent).with_suffix("").parts)
-        found[name.removesuffix(".__init__")] = path
-    return found
+        path_by_module[name.removesuffix(".__init__")] = path
+    return path_by_module
 
 
-def imports_of(path, known):
-    """Return the modules of passgate that a file imports anywhere."""
+def imported_modules(path, modules):
+    """Return those of ``modules`` that a file imports, also inside functions."""
     names = set()
     for node in ast.walk(ast.parse(path.read_text(encoding="utf-8"))):
         if isinstance(node, ast.Import):
             names |= {alias.name for alias in node.names}
         elif isinstance(node, ast.ImportFrom) and node.module:
-            whole = {f"{node.module}.{alias.name}" for alias in node.names}
-            names |= (whole & known) or {node.module}
-    return names & known
+            submodules = {f"{node.module}.{alias.name}" for alias in node.names}
+            names |= (submodules & modules) or {node.module}
+    return names & modules
 
 
-def circles(graph):
-    """Return the groups of nodes that reach each other (Tarjan, by reachability)."""
-    reach = {}
+def find_cycles(graph):
+    """Return the strongly connected components of more than one node."""
+    reachable = {}
     for start in graph:
-        seen, todo = set(), [start]
-        while todo:
-            for node in graph.get(todo.pop(), ()):
+        seen, pending = set(), [start]
+        while pending:
+            for node in graph.get(pending.pop(), ()):
                 if node not in seen:
                     seen.add(node)
-                    todo.append(node)
-        reach[start] = seen
-    found = []
+                    pending.append(node)
+        reachable[start] = seen
+    cycles = []
     for node in graph:
-        circle = {other for other in reach[node] if node in reach.get(other, ())}
-        if len(circle) > 1 and circle not in found:
-            found.append(circle)
-    return found
+        cycle = {other for other in reachable[node] if node in reachable.get(other, ())}
+        if len(cycle) > 1 and cycle not in cycles:
+            cycles.append(cycle)
+    return cycles
 
 
-def module_graph():
-    found = modules()
-    return {name: imports_of(path, set(found)) - {name} for name, path in found.items()}
+def import_graph():
+    """Return the modules that each module imports."""
+    path_by_module = find_modules()
+    return {
+        name: imported_modules(path, set(path_by_module)) - {name} for name, path in path_by_module.items()
+    }
 
 
 def package_of(module):
@@ -76,15 +80,15 @@
     return parts[1] if len(parts) > 2 else ""
 
 
-def test_no_circle_of_modules_but_the_known_ones():
-    for circle in circles(module_graph()):
-        assert circle in KNOWN_MODULE_CIRCLES
+def test_modules_have_no_unknown_import_cycles():
+    for cycle in find_cycles(import_graph()):
+        assert cycle in KNOWN_MODULE_CYCLES
 
 
-def test_packages_of_the_platform_import_downwards():
+def test_packages_of_the_platform_import_only_lower_layers():
     upward = [
         (module, imported)
-        for module, names in module_graph().items()
+        for module, names in import_graph().items()
         for imported in names
         if package_of(module) in PLATFORM_ORDER
         and package_of(imported) in PLATFORM_ORDER
