--- a/passgate/peers/__init__.py
+++ b/passgate/peers/__init__.py
@@ -1,5 +1,5 @@
-"""Calls and messages between daemons: netstrings of JSON over TCP, or in virtual time.
+"""Calls and one-way messages between daemons.
 
-``transport`` is the interface; ``peer_transport`` carries it over sockets and
-``memory_transport`` in virtual time.
+``transport`` is the interface, ``peer_transport`` implements it over TCP with netstrings of JSON, and
+``memory_transport`` in memory and virtual time.
 """
--- a/passgate/peers/calls.py
+++ b/passgate/peers/calls.py
@@ -1,4 +1,4 @@
-"""Calls between peers: matching answers to open calls, and answering calls."""
+"""Both ends of a call between peers: matches answers to open calls, and runs the handler of a call."""
 
 from __future__ import annotations
 
@@ -17,28 +17,31 @@
 
 
 class OpenCall(msgspec.Struct):
-    """A call that waits for its answer."""
+    """A call that waits for its answer; ``answer`` resolves to the payload or to a PeerError."""
 
     call_id: int
     answer: asyncio.Future
 
 
 class CallTable:
-    """Open calls of one transport by id; ids are never reused, so a late answer is dropped."""
+    """Open calls of one transport by identifier.
+
+    Identifiers are never reused, so a late answer can not be taken for that of another call.
+    """
 
     def __init__(self) -> None:
         self._open: dict[int, OpenCall] = {}
         self._last_id = 0
 
     def open(self) -> OpenCall:
-        """Return a new open call."""
+        """Register a new call; pass it to :meth:`wait`, which removes it again."""
         self._last_id += 1
         call = OpenCall(self._last_id, asyncio.get_running_loop().create_future())
         self._open[call.call_id] = call
         return call
 
     def resolve(self, frame: CallReply | CallFailure) -> None:
-        """Give an answer to its call; unknown ids are ignored."""
+        """Complete the call that a frame answers; ignored if it is unknown or already complete."""
         call = self._open.get(frame.call_id)
         if call is None or call.answer.done():
             return
@@ -48,17 +51,20 @@
             call.answer.set_exception(PeerCallFailed(frame.message, peer_code=frame.code))
 
     def fail(self, call: OpenCall, error: PeerError) -> None:
-        """End one call with an error."""
+        """Complete one call with an error, unless it is already complete."""
         if not call.answer.done():
             call.answer.set_exception(error)
 
     def fail_all(self, error: PeerError) -> None:
-        """End all open calls with an error."""
+        """Complete all open calls with an error."""
         for call in list(self._open.values()):
             self.fail(call, error)
 
     async def wait(self, call: OpenCall, timeout_s: float) -> bytes:
-        """Return the answer; raises PeerError."""
+        """Return the answer's payload and remove the call.
+
+        Raises PeerTimeout, or the PeerError with which the call was completed.
+        """
         try:
             return await asyncio.wait_for(call.answer, timeout_s)
         except TimeoutError as error:
@@ -68,18 +74,21 @@
 
 
 def check_payload(payload: bytes) -> None:
-    """Refuse a payload that fits into no frame; raises PeerCallFailed as not run."""
+    """Raise PeerCallFailed if a payload does not fit into a frame."""
     if len(payload) > MAXIMUM_PAYLOAD_BYTES:
         raise PeerCallFailed("payload too large", peer_code="payload_too_large", size_bytes=len(payload))
 
 
 async def answer_call(handler: CallHandler, sender: str, request: CallRequest) -> CallReply | CallFailure:
-    """Run the handler and return the frame that answers the call."""
+    """Run the handler and return the answer frame; a handler's exception becomes a CallFailure.
+
+    The text of an unexpected exception is not sent, only its type.
+    """
     try:
         payload = await handler(sender, request.method, request.payload)
         check_payload(payload)
     except PassgateError as error:
         return CallFailure(request.call_id, error.code, str(error))
-    except Exception as error:  # noqa: BLE001  a faulty handler must not end the connection of its peers
+    except Exception as error:  # noqa: BLE001  a handler's bug must not close the connection
         return CallFailure(request.call_id, PassgateError.code, type(error).__name__)
     return CallReply(request.call_id, payload)
--- a/passgate/peers/frames.py
+++ b/passgate/peers/frames.py
@@ -1,4 +1,4 @@
-"""Frames on a peer connection: netstrings of JSON, and their incremental decoder.
+"""Frames of peer connections, encoded as netstrings of JSON, and their incremental decoder.
 
 >>> decoder = FrameDecoder()
 >>> decoder.feed(encode_frame(Proof(digest="ab")))
@@ -13,32 +13,32 @@
 from passgate.errors import PeerMalformedFrame
 
 MAXIMUM_FRAME_BYTES = 1 << 20
-"""Largest JSON document in one frame; a larger one closes the connection."""
+"""Largest JSON document of one frame; a larger one closes the connection."""
 
 MAXIMUM_PAYLOAD_BYTES = 700_000
-"""Largest payload of a call or its answer; base64 in JSON makes it a third larger."""
+"""Largest payload of a call or its answer; its base64, a third larger, has to fit into a frame."""
 
 PROTOCOL_VERSION = 1
 
 
 class Hello(msgspec.Struct, frozen=True, tag="hello"):
-    """First frame in both directions."""
+    """First frame that each side sends."""
 
     version: int
     address: str
-    """Peer port of the sender, to which answers and later messages go."""
+    """Address of the sender's peer port, which identifies it to its peers."""
     nonce: str = ""
     """Random challenge for the other side's Proof; empty without a credential."""
 
 
 class Proof(msgspec.Struct, frozen=True, tag="proof"):
-    """Second frame when a credential is configured; the credential itself never travels."""
+    """Second frame if a credential is configured: an HMAC over the other side's nonce, in hexadecimal."""
 
     digest: str
 
 
 class OneWay(msgspec.Struct, frozen=True, tag="m"):
-    """A message without answer."""
+    """A message without an answer."""
 
     body: msgspec.Raw
 
@@ -52,14 +52,14 @@
 
 
 class CallReply(msgspec.Struct, frozen=True, tag="r"):
-    """Answer to a call."""
+    """Successful answer to a call."""
 
     call_id: int
     payload: bytes
 
 
 class CallFailure(msgspec.Struct, frozen=True, tag="f"):
-    """A call ended with an error on the answering side."""
+    """Error answer to a call: the code and message of the error that the other side's handler raised."""
 
     call_id: int
     code: str
@@ -67,9 +67,10 @@
 
 
 class Goodbye(msgspec.Struct, frozen=True, tag="bye"):
-    """Why the sender is about to close the connection."""
+    """Last frame of a connection that the sender closes because of an error."""
 
     code: str
+    """Code of the PeerError, for example ``peer_credential_refused``."""
 
 
 Frame = Hello | Proof | OneWay | CallRequest | CallReply | CallFailure | Goodbye
@@ -84,7 +85,7 @@
 
 
 class FrameDecoder:
-    """Turns received bytes into frames; after an error it must not be used again."""
+    """Decodes a byte stream into frames; must not be used again after an error."""
 
     def __init__(self, maximum_bytes: int = MAXIMUM_FRAME_BYTES) -> None:
         self._netstrings = pynetstring.Decoder(maximum_bytes)
--- a/passgate/peers/memory_transport.py
+++ b/passgate/peers/memory_transport.py
@@ -1,7 +1,7 @@
-"""Peer transport in virtual time, with delays, cuts, loss and paused processes.
+"""Peer transport in memory and virtual time, with delays, network partitions, loss and paused processes.
 
-Frames are encoded and decoded as on a socket, so that byte counts and processor
-time are real; only the sockets are missing.
+Frames are encoded and decoded as by the TCP transport, so byte counts and the processor time of encoding
+are those of real connections.
 """
 
 from __future__ import annotations
@@ -28,46 +28,51 @@
 )
 from passgate.peers.transport import CallHandler, MessageHandler, TrafficCounters
 
-CONNECTIONS_MAXIMUM = 128
-"""Connections that a hollow peer is taken to keep open, as the TCP transport does."""
+MAX_CONNECTIONS = 128
+"""Simulated connections per transport; the same limit as that of the TCP transport."""
 
 
 class LinkDelays(msgspec.Struct, frozen=True, kw_only=True):
-    """One-way delays in seconds."""
+    """One-way delays between two transports."""
 
     within_zone_s: float = 0.0002
     between_zones_s: float = 0.001
     jitter_share: float = 0.2
+    """Largest random addition, as a fraction of the delay."""
 
 
 class MemoryNetwork:
-    """Connects memory transports; faults are set on it by zone, address or share of loss."""
+    """Delivers frames between memory transports and simulates network partitions and loss."""
 
     def __init__(self, random: Random, delays: LinkDelays | None = None) -> None:
         self._random = random
         self._delays = delays or LinkDelays()
-        self._nodes: dict[str, MemoryTransport] = {}
+        self._transport_by_address: dict[str, MemoryTransport] = {}
         self._group_of: Callable[[str, str], object] | None = None
         self.loss = 0.0
-        """Share of frames lost; worse than TCP, which would send them again."""
+        """Fraction of frames lost; they are not retransmitted, unlike with TCP."""
 
     def transport(self, address: str, zone: str) -> MemoryTransport:
-        """Return a transport at ``address``; it replaces an earlier one there."""
-        node = MemoryTransport(self, address, zone)
-        self._nodes[address] = node
-        return node
+        """Create a transport at ``address``; it replaces an earlier one there."""
+        transport = MemoryTransport(self, address, zone)
+        self._transport_by_address[address] = transport
+        return transport
 
     def cut(self, group_of: Callable[[str, str], object]) -> None:
-        """Let frames pass only where ``group_of(address, zone)`` is equal on both ends."""
+        """Partition the network: deliver only between ends with equal ``group_of(address, zone)``."""
         self._group_of = group_of
 
     def heal(self) -> None:
-        """End a cut."""
+        """End the partition of the network."""
         self._group_of = None
 
-    def carry(self, source: MemoryTransport, destination: str, data: bytes) -> bool:
-        """Deliver ``data`` after the link's delay; False when nothing listens or a cut stands."""
-        target = self._nodes.get(destination)
+    def deliver(self, source: MemoryTransport, destination: str, data: bytes) -> bool:
+        """Deliver ``data`` after the link's delay.
+
+        Returns False if no transport is open at ``destination`` or a partition separates them, and True
+        for a lost frame.
+        """
+        target = self._transport_by_address.get(destination)
         if target is None or target.closed or self._is_cut(source, target):
             return False
         if self.loss and self._random.random() < self.loss:
@@ -78,7 +83,7 @@
 
     def _arrive(self, source: MemoryTransport, target: MemoryTransport, data: bytes) -> None:
         if not self._is_cut(source, target):
-            target.arrive(source.address, data)
+            target.receive(source.address, data)
 
     def _is_cut(self, one: MemoryTransport, other: MemoryTransport) -> bool:
         group_of = self._group_of
@@ -93,7 +98,7 @@
 
 
 class MemoryTransport:
-    """One daemon's end of a :class:`MemoryNetwork`."""
+    """Transport of one daemon on a :class:`MemoryNetwork`."""
 
     def __init__(self, network: MemoryNetwork, address: str, zone: str) -> None:
         self.address = address
@@ -108,10 +113,10 @@
         self._tasks: set[asyncio.Task] = set()
         self._connected: OrderedDict[str, None] = OrderedDict()
         self._paused = False
-        self._held_back: list[Callable[[], None]] = []
+        self._deferred_actions: list[Callable[[], None]] = []
 
     def start(self, on_message: MessageHandler, on_call: CallHandler) -> None:
-        """Begin to deliver messages and calls."""
+        """Set the handlers of received messages and calls; no frame may arrive before."""
         self._on_message = on_message
         self._on_call = on_call
 
@@ -121,15 +126,17 @@
             self.counters.frames_dropped += 1
 
     async def call(self, address: str, method: str, payload: bytes, timeout_s: float) -> bytes:
-        """Return the peer's answer; raises PeerError."""
+        """Return the peer's answer; raises PeerError.
+
+        An unreachable peer is reported as PeerTimeout, as if its packets were lost.
+        """
         check_payload(payload)
         call = self._calls.open()
-        # A refused or cut-off peer is noticed by the timeout, as with packets lost on the way.
         self._transmit(address, CallRequest(call.call_id, method, payload))
         return await self._calls.wait(call, timeout_s)
 
     async def close(self) -> None:
-        """Stop; calls in flight fail with PeerError."""
+        """Stop; calls in progress fail with PeerConnectionLost."""
         self.closed = True
         self._calls.fail_all(PeerConnectionLost("transport closed"))
         for task in list(self._tasks):
@@ -138,25 +145,25 @@
     # --- pauses of the whole process ------------------------------------------------------
 
     def pause(self) -> None:
-        """Freeze this daemon: frames wait, and so do timers set through :meth:`call_later`."""
+        """Simulate a stopped process: defer received frames and timers set through :meth:`call_later`."""
         self._paused = True
 
     def resume(self) -> None:
-        """End a pause; due timers run first, then waiting frames, as after a stopped process."""
+        """End a pause: run due timers, then deliver received frames, in the order of a resumed process."""
         self._paused = False
-        held_back, self._held_back = self._held_back, []
-        for action in held_back:
+        actions, self._deferred_actions = self._deferred_actions, []
+        for action in actions:
             action()
 
     def call_later(self, delay_s: float, callback: Callable[[], None]) -> asyncio.TimerHandle:
-        """Run ``callback`` later, or at the end of the pause when paused by then."""
-        return asyncio.get_running_loop().call_later(delay_s, self._unless_paused, callback)
+        """Call ``callback`` after a delay, or when a pause ends if it is due during the pause."""
+        return asyncio.get_running_loop().call_later(delay_s, self._run_or_defer, callback)
 
-    def _unless_paused(self, callback: Callable[[], None]) -> None:
+    def _run_or_defer(self, callback: Callable[[], None]) -> None:
         if self.closed:
             return
         if self._paused:
-            self._held_back.insert(0, callback)
+            self._deferred_actions.insert(0, callback)  # before received frames
         else:
             callback()
 
@@ -169,10 +176,10 @@
         self._connect(address)
         self.counters.frames_sent += 1
         self.counters.bytes_sent += len(data)
-        return self._network.carry(self, address, data)
+        return self._network.deliver(self, address, data)
 
     def _connect(self, address: str) -> None:
-        """Count the hello of a new connection, as the cache of the TCP transport would."""
+        """Count a new connection and its Hello unless the least-recently-used cache holds one."""
         if address in self._connected:
             self._connected.move_to_end(address)
             return
@@ -181,15 +188,15 @@
         self.counters.frames_sent += 1
         self.counters.connections_opened += 1
         self._connected[address] = None
-        if len(self._connected) > CONNECTIONS_MAXIMUM:
+        if len(self._connected) > MAX_CONNECTIONS:
             self._connected.popitem(last=False)
 
-    def arrive(self, sender: str, data: bytes) -> None:
-        """Take in one frame from the network."""
+    def receive(self, sender: str, data: bytes) -> None:
+        """Handle encoded frames that the network delivers; ignored after :meth:`close`."""
         if self.closed:
             return
         if self._paused:
-            self._held_back.append(lambda: self.arrive(sender, data))
+            self._deferred_actions.append(lambda: self.receive(sender, data))
             return
         self.counters.frames_received += 1
         self.counters.bytes_received += len(data)
@@ -198,7 +205,7 @@
 
     def _dispatch(self, sender: str, frame: Frame) -> None:
         if isinstance(frame, OneWay):
-            assert self._on_message is not None, "started before frames arrive"
+            assert self._on_message is not None, "start() was not called"
             self._on_message(sender, bytes(frame.body))
         elif isinstance(frame, CallRequest):
             task = asyncio.get_running_loop().create_task(self._answer(sender, frame))
@@ -208,6 +215,6 @@
             self._calls.resolve(frame)
 
     async def _answer(self, sender: str, request: CallRequest) -> None:
-        assert self._on_call is not None, "started before frames arrive"
+        assert self._on_call is not None, "start() was not called"
         answer = await answer_call(self._on_call, sender, request)
         self._transmit(sender, answer)
--- a/passgate/peers/peer_connection.py
+++ b/passgate/peers/peer_connection.py
@@ -1,8 +1,8 @@
-"""One TCP connection between two peer ports: handshake, then frames in both directions.
+"""One TCP connection between two peers: handshake, then frames in both directions.
 
-Both ends send Hello first.  With a credential each end proves that it knows it by
-an HMAC over the other's nonce; the credential itself never travels.  Frames queued
-before the handshake ends go out after it.
+Both sides send Hello first.  If a credential is configured, each side then proves that it knows it by an
+HMAC over the other's nonce; the credential itself is never sent.  Frames sent before the handshake is
+complete are queued.
 """
 
 from __future__ import annotations
@@ -33,26 +33,30 @@
 from passgate.peers.transport import TrafficCounters
 
 HANDSHAKE_TIMEOUT_S = 5.0
-"""Time for both greetings on a new connection."""
+"""Time within which a new connection has to be open and its handshake complete."""
 READ_CHUNK_BYTES = 65536
-"""Most bytes taken from a connection at once."""
-QUEUED_BEFORE_HANDSHAKE_MAXIMUM = 256
-"""Frames kept while the handshake runs; further ones are dropped."""
+"""Most bytes read from a connection at once."""
+MAX_QUEUED_FRAMES = 256
+"""Frames queued until the handshake is complete; further ones are dropped."""
 
 CONNECTING = "connecting"
 ACCEPTING = "accepting"
 
 
 def proof_digest(credential: str, role: str, nonce: str) -> str:
-    """Return the proof that the end in ``role`` knows the credential.
+    """Return the digest by which the side in ``role`` proves that it knows the credential.
 
-    The role keeps an attacker from returning an end's own proof to it.
+    As the role is part of the digest, a proof can not be reflected to the side that made it.
     """
     return hmac.new(credential.encode(), f"passgate-peer|{role}|{nonce}".encode(), "sha256").hexdigest()
 
 
 class PeerConnection:
-    """Reads and writes frames; reports each frame and the end to its owner."""
+    """A connection that one side opened (CONNECTING) and the other accepted (ACCEPTING).
+
+    :meth:`run` does the handshake and reads; it returns once the connection is closed.  ``on_ready`` is
+    called when the handshake is complete, ``on_frame`` with each later frame.
+    """
 
     def __init__(
         self,
@@ -66,13 +70,13 @@
         connect_to: tuple[str, int] | None = None,
     ) -> None:
         self.peer_address = ""
-        """The peer's port as its Hello states it; empty before the handshake ends."""
+        """Address in the peer's Hello; empty until the handshake is complete."""
         self.error: PeerError | None = None
-        """Why the connection ended."""
-        self.busy = 0
-        """Calls open or being answered on it."""
-        self.heard_s = monotonic_s()
-        """When bytes came last, or the connection was made."""
+        """Why the connection was closed; None while it is open."""
+        self.calls_in_progress = 0
+        """Calls in progress on this connection, in both directions."""
+        self.last_received_s = monotonic_s()
+        """Loop time of the last bytes received; at first that of the connection's creation."""
         self._stream = stream
         self._role = role
         self._hello = hello
@@ -83,81 +87,84 @@
         self._connect_to = connect_to
         self._peer_hello: Hello | None = None
         self._ready = False
-        self._queued: list[Frame] = []
+        self._queued_frames: list[Frame] = []
 
     @property
     def ready(self) -> bool:
-        """Return whether the handshake was completed, so that frames were sent."""
+        """Return whether the handshake is complete; before that, no queued frame has been sent."""
         return self._ready
 
     @property
     def closed(self) -> bool:
-        """Return whether no frame can be sent any more."""
+        """Return whether the connection is closed, so that no frame can be sent."""
         return self._stream.closed()
 
     def send(self, frame: Frame) -> bool:
-        """Send a frame, after the handshake if need be; False when it was dropped."""
+        """Send a frame, or queue it until the handshake is complete; return False if it was dropped."""
         if self.closed:
             return False
         if self._ready:
             return self._write(frame)
-        if len(self._queued) >= QUEUED_BEFORE_HANDSHAKE_MAXIMUM:
+        if len(self._queued_frames) >= MAX_QUEUED_FRAMES:
             return False
-        self._queued.append(frame)
+        self._queued_frames.append(frame)
         return True
 
     def close(self) -> None:
-        """Close at once."""
+        """Close at once, without a Goodbye."""
         self._stream.close()
 
     async def run(self) -> None:
-        """Shake hands and read frames until the connection ends; sets ``error``."""
+        """Connect if necessary, do the handshake and read frames until the connection closes.
+
+        Sets ``error`` instead of raising.
+        """
         loop = asyncio.get_running_loop()
-        deadline = loop.call_later(HANDSHAKE_TIMEOUT_S, self._end_unless_ready)
+        handshake_timer = loop.call_later(HANDSHAKE_TIMEOUT_S, self._close_unless_ready)
         try:
             if self._connect_to is not None:
                 await self._stream.connect(self._connect_to)
             self._write(self._hello)
-            await self._read()
+            await self._read_frames()
         except (StreamClosedError, OSError):
-            self.error = self.error or self._lost()
+            self.error = self.error or self._closed_error()
         except PeerError as error:
-            self._end_with(error)
+            self._fail(error)
         finally:
-            deadline.cancel()
-            self._counters.frames_dropped += len(self._queued)
-            self._queued.clear()
+            handshake_timer.cancel()
+            self._counters.frames_dropped += len(self._queued_frames)
+            self._queued_frames.clear()
             self._stream.close()
 
-    async def _read(self) -> None:
+    async def _read_frames(self) -> None:
         decoder = FrameDecoder()
         while True:
             data = await self._stream.read_bytes(READ_CHUNK_BYTES, partial=True)
             self._counters.bytes_received += len(data)
-            self.heard_s = monotonic_s()
+            self.last_received_s = monotonic_s()
             for frame in decoder.feed(data):
                 self._counters.frames_received += 1
                 self._receive(frame)
 
     def _receive(self, frame: Frame) -> None:
         if isinstance(frame, Goodbye):
-            raise _error_of_goodbye(frame)
+            raise _goodbye_error(frame)
         if self._ready:
             if isinstance(frame, Hello | Proof):
-                raise PeerMalformedFrame("second handshake")
+                raise PeerMalformedFrame("handshake frame after the handshake")
             self._on_frame(self, frame)
         elif isinstance(frame, Hello) and self._peer_hello is None:
             self._receive_hello(frame)
         elif isinstance(frame, Proof) and self._peer_hello is not None:
             self._receive_proof(frame)
         else:
-            raise PeerMalformedFrame("frame before the handshake")
+            raise PeerMalformedFrame("unexpected frame during the handshake")
 
     def _receive_hello(self, hello: Hello) -> None:
         if hello.version != PROTOCOL_VERSION:
-            raise PeerMalformedFrame(f"protocol version {hello.version}")
+            raise PeerMalformedFrame(f"unsupported protocol version {hello.version}")
         if bool(hello.nonce) != bool(self._credential):
-            raise PeerCredentialRefused("only one side has a credential")
+            raise PeerCredentialRefused("only one of the two peers has a credential")
         self._peer_hello = hello
         if self._credential:
             self._write(Proof(proof_digest(self._credential, self._role, hello.nonce)))
@@ -168,16 +175,16 @@
         other_role = ACCEPTING if self._role == CONNECTING else CONNECTING
         expected = proof_digest(self._credential, other_role, self._hello.nonce)
         if not hmac.compare_digest(expected, proof.digest):
-            raise PeerCredentialRefused("wrong credential")
+            raise PeerCredentialRefused("the peer's credential differs")
         self._become_ready()
 
     def _become_ready(self) -> None:
-        assert self._peer_hello is not None, "hello comes first"
+        assert self._peer_hello is not None, "no Hello was received"
         self._ready = True
         self.peer_address = self._peer_hello.address
         self._on_ready(self)
-        queued, self._queued = self._queued, []
-        for frame in queued:
+        queued_frames, self._queued_frames = self._queued_frames, []
+        for frame in queued_frames:
             self._write(frame)
 
     def _write(self, frame: Frame) -> bool:
@@ -186,23 +193,24 @@
             written = self._stream.write(data)
         except (StreamBufferFullError, StreamClosedError):
             return False
-        written.add_done_callback(_ignore_outcome)
+        written.add_done_callback(_retrieve_exception)
         self._counters.frames_sent += 1
         self._counters.bytes_sent += len(data)
         return True
 
-    def _end_unless_ready(self) -> None:
+    def _close_unless_ready(self) -> None:
         if not self._ready:
             self.error = PeerUnreachable("handshake timed out")
             self._stream.close()
 
-    def _lost(self) -> PeerError:
-        # Calls wait for the handshake, so before its end nothing of them was sent.
+    def _closed_error(self) -> PeerError:
+        # Calls are queued until the handshake is complete, so before that no call can have run.
         if self._ready:
-            return PeerConnectionLost("connection closed")
-        return PeerUnreachable("connection closed before the handshake ended")
+            return PeerConnectionLost("connection closed by either side, or lost")
+        return PeerUnreachable("connection closed before the handshake was complete")
 
-    def _end_with(self, error: PeerError) -> None:
+    def _fail(self, error: PeerError) -> None:
+        """Record and count an error, and tell the peer its code before the connection is closed."""
         self.error = error
         if isinstance(error, PeerCredentialRefused):
             self._counters.refused += 1
@@ -211,14 +219,14 @@
         self._write(Goodbye(error.code))
 
 
-def _error_of_goodbye(frame: Goodbye) -> PeerError:
+def _goodbye_error(frame: Goodbye) -> PeerError:
     for kind in (PeerCredentialRefused, PeerMalformedFrame):
         if frame.code == kind.code:
-            return kind("said by the peer")
-    return PeerConnectionLost(f"peer closed: {frame.code}")
+            return kind("reported by the peer")
+    return PeerConnectionLost(f"the peer closed the connection with error {frame.code}")
 
 
-def _ignore_outcome(written: asyncio.Future) -> None:
-    # The reading side notices a lost connection; here the error is only marked as seen.
+def _retrieve_exception(written: asyncio.Future) -> None:
+    # The read loop handles a lost connection; this only keeps asyncio from logging the same error.
     if not written.cancelled():
         written.exception()
--- a/passgate/peers/peer_transport.py
+++ b/passgate/peers/peer_transport.py
@@ -1,8 +1,8 @@
-"""Peer transport over TCP: netstrings of JSON on a bounded set of connections.
+"""Peer transport over TCP, with a bounded number of connections.
 
-A connection serves both directions: answers and later messages to a peer go out on
-whatever connection to it is open.  The least recently used idle ones are closed when
-there are more than ``connections_maximum``.
+A connection is used in both directions: an answer is sent on the connection of its call, a new message or
+call on any open connection to the peer.  Above ``max_connections``, the least recently used connections
+without calls in progress are closed.
 """
 
 from __future__ import annotations
@@ -33,25 +33,24 @@
 from passgate.peers.peer_connection import ACCEPTING, CONNECTING, PeerConnection
 from passgate.peers.transport import CallHandler, MessageHandler, TrafficCounters
 
-CONNECTIONS_MAXIMUM = 128
+MAX_CONNECTIONS = 128
 
-ANSWERS_MAXIMUM = 256
-"""Calls of peers answered at once; further ones fail with ``overloaded``."""
+MAX_INCOMING_CALLS = 256
+"""Calls of peers in progress at once; further ones fail with ``overloaded``."""
 
 BUFFER_BYTES = 4 * MAXIMUM_FRAME_BYTES
-"""A peer that reads slower than this loses messages instead of our memory."""
+"""Most unread or unsent bytes of a connection; beyond it, frames to a slow peer are dropped."""
 
 NONCE_BYTES = 16
-"""Random bytes by which a peer proves that it knows the credential."""
-SILENT_S = 1.0
-"""A connection on which a call timed out and nothing came for this long is closed."""
+"""Random bytes of the challenge in a Hello."""
+SILENCE_TIMEOUT_S = 1.0
+"""When a call times out, its connection is closed if nothing was received on it for this long."""
 
 
 class TcpPeerTransport(TCPServer):
-    """Carries one-way messages and calls between daemons over TCP.
+    """Sends and receives one-way messages and calls between daemons over TCP.
 
-    The port is bound at once, so that ``address`` is known; connections are accepted
-    after :meth:`start`.
+    The constructor binds the port, so that ``address`` is known; :meth:`start` accepts connections.
     """
 
     def __init__(
@@ -61,32 +60,33 @@
         *,
         advertised_host: str | None = None,
         credential: str = "",
-        connections_maximum: int = CONNECTIONS_MAXIMUM,
+        max_connections: int = MAX_CONNECTIONS,
     ) -> None:
         """Bind the peer port.
 
         Args:
-            host: IP number to listen on.
-            port: 0 picks a free one.
-            advertised_host: IP number under which peers reach this daemon; ``host`` by default.
-            credential: shared secret that peers must know; empty means none is asked for.
-            connections_maximum: connections kept open in all.
+            host: IP address to listen on.
+            port: port to listen on; 0 picks a free one.
+            advertised_host: IP address under which peers reach this daemon; ``host`` by default.
+            credential: shared secret that peers must know; empty means that none is required.
+            max_connections: limit of open connections; exceeded while all have calls in progress.
 
         Raises:
             OSError: the port can not be bound.
         """
         super().__init__(max_buffer_size=BUFFER_BYTES)
-        self._bound = bind_sockets(port, host)
-        self.address = format_address(advertised_host or host, self._bound[0].getsockname()[1])
+        self._listening_sockets = bind_sockets(port, host)
+        self.address = format_address(advertised_host or host, self._listening_sockets[0].getsockname()[1])
         self.counters = TrafficCounters()
         self._credential = credential
-        self._connections_maximum = connections_maximum
+        self._max_connections = max_connections
         self._connections: OrderedDict[PeerConnection, None] = OrderedDict()
-        self._by_address: dict[str, PeerConnection] = {}
+        """Open connections, the least recently used first."""
+        self._connection_by_address: dict[str, PeerConnection] = {}
         self._calls = CallTable()
-        self._calls_on: dict[PeerConnection, list[OpenCall]] = {}
+        self._open_calls_by_connection: dict[PeerConnection, list[OpenCall]] = {}
         self._tasks: set[asyncio.Task] = set()
-        self._answering = 0
+        self._incoming_calls = 0
         self._closing = False
         self._on_message: MessageHandler | None = None
         self._on_call: CallHandler | None = None
@@ -94,10 +94,10 @@
     # --- interface ------------------------------------------------------------------------
 
     def start(self, on_message: MessageHandler, on_call: CallHandler) -> None:
-        """Begin to accept connections and to deliver messages and calls."""
+        """Start to accept connections; received messages and calls go to the handlers."""
         self._on_message = on_message
         self._on_call = on_call
-        self.add_sockets(self._bound)
+        self.add_sockets(self._listening_sockets)
 
     def send(self, address: str, payload: bytes) -> None:
         """Send a one-way JSON message, best effort; never blocks and never raises."""
@@ -110,29 +110,31 @@
         check_payload(payload)
         connection = self._connection_to(address)
         if connection is None:
-            raise PeerUnreachable("no connection", address=address)
+            raise PeerUnreachable("no connection can be opened", address=address)
         call = self._calls.open()
-        open_calls = self._calls_on.setdefault(connection, [])
+        open_calls = self._open_calls_by_connection.setdefault(connection, [])
         open_calls.append(call)
-        connection.busy += 1
+        connection.calls_in_progress += 1
         if not connection.send(CallRequest(call.call_id, method, payload)):
-            self._calls.fail(call, PeerUnreachable("too much is queued", address=address))
+            self._calls.fail(
+                call, PeerUnreachable("connection closed or its send queue full", address=address)
+            )
         try:
             return await self._calls.wait(call, timeout_s)
         except PeerTimeout:
-            if monotonic_s() - connection.heard_s > SILENT_S:
-                connection.close()  # the machine is gone or cut off; the next call connects anew
+            if monotonic_s() - connection.last_received_s > SILENCE_TIMEOUT_S:
+                connection.close()  # the peer is probably unreachable; the next call opens a new one
             raise
         finally:
-            connection.busy -= 1
+            connection.calls_in_progress -= 1
             open_calls.remove(call)
 
     async def close(self) -> None:
-        """Close the port and all connections; calls in flight fail with PeerError."""
+        """Close the port and all connections; calls in progress fail with PeerConnectionLost."""
         self._closing = True
         self.stop()
-        for bound in self._bound:
-            bound.close()
+        for listening_socket in self._listening_sockets:
+            listening_socket.close()
         for connection in list(self._connections):
             connection.close()
         tasks = list(self._tasks)
@@ -144,13 +146,14 @@
     # --- connections --------------------------------------------------------------------------
 
     async def handle_stream(self, stream: IOStream, address: tuple) -> None:
-        """Take in a connection that a peer opened."""
+        """Serve a connection that a peer opened, until it is closed."""
         stream.max_write_buffer_size = BUFFER_BYTES
         connection = self._new_connection(stream, ACCEPTING)
         await self._run(connection)
 
     def _connection_to(self, address: str) -> PeerConnection | None:
-        connection = self._by_address.get(address)
+        """Return the open connection to a peer, or start to open one; None if that is impossible."""
+        connection = self._connection_by_address.get(address)
         if connection is not None and not connection.closed:
             self._connections.move_to_end(connection)
             return connection
@@ -170,8 +173,8 @@
         except (OSError, ValueError):
             return None
         connection = self._new_connection(stream, CONNECTING, (host, port))
-        self._by_address[address] = connection
-        self._spawn(self._run(connection))
+        self._connection_by_address[address] = connection
+        self._start_task(self._run(connection))
         return connection
 
     def _new_connection(
@@ -191,30 +194,31 @@
         )
         self.counters.connections_opened += 1
         self._connections[connection] = None
-        self._close_least_used()
+        self._close_surplus_connections()
         return connection
 
     async def _run(self, connection: PeerConnection) -> None:
         try:
             await connection.run()
         finally:
-            self._forget(connection)
+            self._remove(connection)
 
-    def _forget(self, connection: PeerConnection) -> None:
+    def _remove(self, connection: PeerConnection) -> None:
+        """Remove a closed connection and fail its open calls."""
         self._connections.pop(connection, None)
-        for address, other in list(self._by_address.items()):
+        for address, other in list(self._connection_by_address.items()):
             if other is connection:
-                del self._by_address[address]
-        error = connection.error or PeerConnectionLost("connection closed")
-        for call in self._calls_on.pop(connection, []):
+                del self._connection_by_address[address]
+        error = connection.error or PeerConnectionLost("connection closed on this side")
+        for call in self._open_calls_by_connection.pop(connection, []):
             self._calls.fail(call, error)
 
-    def _close_least_used(self) -> None:
-        surplus = len(self._connections) - self._connections_maximum
+    def _close_surplus_connections(self) -> None:
+        surplus = len(self._connections) - self._max_connections
         for connection in list(self._connections):
             if surplus <= 0:
                 return
-            if connection.busy == 0:
+            if connection.calls_in_progress == 0:
                 connection.close()
                 self._connections.pop(connection)
                 surplus -= 1
@@ -222,39 +226,41 @@
     # --- frames -------------------------------------------------------------------------------------
 
     def _on_ready(self, connection: PeerConnection) -> None:
-        present = self._by_address.get(connection.peer_address)
-        if present is None or present.closed:
-            self._by_address[connection.peer_address] = connection
+        known = self._connection_by_address.get(connection.peer_address)
+        if known is None or known.closed:
+            self._connection_by_address[connection.peer_address] = connection
 
     def _on_frame(self, connection: PeerConnection, frame: Frame) -> None:
         if connection in self._connections:
             self._connections.move_to_end(connection)
         if isinstance(frame, OneWay):
-            assert self._on_message is not None, "started before frames arrive"
+            assert self._on_message is not None, "start() was not called"
             self._on_message(connection.peer_address, bytes(frame.body))
         elif isinstance(frame, CallRequest):
-            self._start_answer(connection, frame)
+            self._start_call(connection, frame)
         elif isinstance(frame, CallReply | CallFailure):
             self._calls.resolve(frame)
 
-    def _start_answer(self, connection: PeerConnection, request: CallRequest) -> None:
-        if self._answering >= ANSWERS_MAXIMUM:
-            failure = CallFailure(request.call_id, Overloaded.code, "too many calls at once")
+    def _start_call(self, connection: PeerConnection, request: CallRequest) -> None:
+        """Start to handle a peer's call, or answer at once that this daemon is overloaded."""
+        if self._incoming_calls >= MAX_INCOMING_CALLS:
+            failure = CallFailure(request.call_id, Overloaded.code, "too many calls in progress")
             connection.send(failure)
             return
-        self._spawn(self._answer(connection, request))
+        self._start_task(self._answer(connection, request))
 
     async def _answer(self, connection: PeerConnection, request: CallRequest) -> None:
-        assert self._on_call is not None, "started before frames arrive"
-        self._answering += 1
-        connection.busy += 1
+        assert self._on_call is not None, "start() was not called"
+        self._incoming_calls += 1
+        connection.calls_in_progress += 1
         try:
             connection.send(await answer_call(self._on_call, connection.peer_address, request))
         finally:
-            connection.busy -= 1
-            self._answering -= 1
+            connection.calls_in_progress -= 1
+            self._incoming_calls -= 1
 
-    def _spawn(self, coroutine) -> None:
+    def _start_task(self, coroutine) -> None:
+        """Start a task and keep a reference, so that it is not collected and :meth:`close` cancels it."""
         task = asyncio.get_running_loop().create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
@@ -271,5 +277,5 @@
 
 
 def format_address(host: str, port: int) -> str:
-    """Return ``host:port``, with brackets round an IPv6 number."""
+    """Return ``host:port``, with brackets around an IPv6 address."""
     return f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
--- a/tests/test_peer_transport.py
+++ b/tests/test_peer_transport.py
@@ -37,7 +37,7 @@
 
 
 class Peer:
-    """A started transport that keeps what it receives."""
+    """A started transport that queues received messages and answers calls with :func:`echo`."""
 
     def __init__(self, transport):
         self.transport = transport
@@ -49,7 +49,7 @@
         return self.transport.address
 
 
-def over_tcp(scenario, **options):
+def run_over_tcp(scenario, **options):
     async def run():
         peers = [Peer(TcpPeerTransport(**options)) for _ in range(2)]
         try:
@@ -61,7 +61,7 @@
     asyncio.run(run())
 
 
-def in_memory(scenario):
+def run_in_memory(scenario):
     async def run():
         from random import Random
 
@@ -76,8 +76,8 @@
     loop.close()
 
 
-@pytest.mark.parametrize("carry", [over_tcp, in_memory])
-def test_both_transports_carry_messages_and_calls(carry):
+@pytest.mark.parametrize("run_scenario", [run_over_tcp, run_in_memory])
+def test_messages_and_calls_on_both_transports(run_scenario):
     async def scenario(one, two):
         one.transport.send(two.address, b'["x"]')
         assert await asyncio.wait_for(two.received.get(), TIMEOUT_S) == (one.address, b'["x"]')
@@ -93,20 +93,20 @@
         with pytest.raises(PeerCallFailed):
             await one.transport.call(two.address, "m", bytes(MAXIMUM_FRAME_BYTES), TIMEOUT_S)
 
-    carry(scenario)
+    run_scenario(scenario)
 
 
-def test_answer_comes_back_on_the_connection_of_the_caller():
+def test_peer_sends_on_the_connection_that_the_caller_opened():
     async def scenario(one, two):
         await one.transport.call(two.address, "m", b"", TIMEOUT_S)
         two.transport.send(one.address, b"[1]")
         await asyncio.wait_for(one.received.get(), TIMEOUT_S)
         assert two.transport.counters.connections_opened == 1
 
-    over_tcp(scenario)
+    run_over_tcp(scenario)
 
 
-def test_call_to_a_closed_port_was_surely_not_run():
+def test_call_to_a_closed_port_is_unreachable():
     async def scenario(one, two):
         with socket.socket() as unused:
             unused.bind(("127.0.0.1", 0))
@@ -114,52 +114,54 @@
         with pytest.raises(PeerUnreachable):
             await one.transport.call(f"127.0.0.1:{port}", "m", b"", TIMEOUT_S)
 
-    over_tcp(scenario)
+    run_over_tcp(scenario)
 
 
 def test_call_fails_when_the_peer_closes_before_answering():
     async def scenario(one, two):
-        calling = asyncio.ensure_future(one.transport.call(two.address, "hang", b"", TIMEOUT_S))
+        call = asyncio.ensure_future(one.transport.call(two.address, "hang", b"", TIMEOUT_S))
         await two.transport.call(one.address, "m", b"", TIMEOUT_S)
-        while not two.transport._answering:
+        while not two.transport._incoming_calls:
             await asyncio.sleep(0)
         await two.transport.close()
         with pytest.raises(PeerConnectionLost):
-            await calling
+            await call
 
-    over_tcp(scenario)
+    run_over_tcp(scenario)
 
 
-def test_least_recently_used_connections_are_closed_and_open_calls_survive():
+def test_surplus_connections_are_closed_but_not_those_with_calls_in_progress():
     async def scenario(hub, _other):
         others = [Peer(TcpPeerTransport()) for _ in range(5)]
-        hanging = asyncio.ensure_future(hub.transport.call(others[0].address, "hang", b"", TIMEOUT_S))
+        open_call = asyncio.ensure_future(hub.transport.call(others[0].address, "hang", b"", TIMEOUT_S))
         for peer in others[1:]:
             await hub.transport.call(peer.address, "m", b"", TIMEOUT_S)
         assert len(hub.transport._connections) == 3
-        assert not hanging.done()
-        hanging.cancel()
+        assert not open_call.done()
+        open_call.cancel()
         for peer in others:
             await peer.transport.close()
 
-    over_tcp(scenario, connections_maximum=3)
+    run_over_tcp(scenario, max_connections=3)
 
 
 # --- credentials ------------------------------------------------------------------------
 
 
-def test_peers_with_one_credential_talk():
+def test_peers_with_the_same_credential_accept_each_other():
     async def scenario(one, two):
         assert await one.transport.call(two.address, "m", b"1", TIMEOUT_S) == b"m:1"
 
-    over_tcp(scenario, credential="secret")
+    run_over_tcp(scenario, credential="secret")
 
 
-@pytest.mark.parametrize(("of_caller", "of_peer"), [("wrong", "right"), ("", "right"), ("right", "")])
-def test_peers_with_different_credentials_refuse_each_other(of_caller, of_peer):
+@pytest.mark.parametrize(
+    ("caller_credential", "peer_credential"), [("wrong", "right"), ("", "right"), ("right", "")]
+)
+def test_peers_with_different_credentials_refuse_each_other(caller_credential, peer_credential):
     async def run():
-        one = Peer(TcpPeerTransport(credential=of_caller))
-        two = Peer(TcpPeerTransport(credential=of_peer))
+        one = Peer(TcpPeerTransport(credential=caller_credential))
+        two = Peer(TcpPeerTransport(credential=peer_credential))
         one.transport.send(two.address, b"[1]")
         with pytest.raises(PeerCredentialRefused):
             await one.transport.call(two.address, "m", b"", TIMEOUT_S)
@@ -171,8 +173,8 @@
     asyncio.run(run())
 
 
-def test_proof_of_the_other_role_is_refused():
-    # An attacker without the credential returns the victim's own proof to it.
+def test_reflected_proof_is_refused():
+    # An attacker without the credential sends the victim's own proof back to it.
     async def run():
         victim = Peer(TcpPeerTransport(credential="secret"))
         reader, writer = await asyncio.open_connection(*parse_address(victim.address))
@@ -216,7 +218,7 @@
         b'30:{"type":"m","body":[1,2,3,4,5]},',
     ],
 )
-def test_malformed_frames_close_only_the_connection_they_came_on(data):
+def test_malformed_frames_close_only_their_own_connection(data):
     async def scenario(one, two):
         reader, writer = await asyncio.open_connection(*parse_address(one.address))
         writer.write(data)
@@ -226,19 +228,19 @@
         assert one.received.empty()
         assert await two.transport.call(one.address, "m", b"", TIMEOUT_S) == b"m:"
 
-    over_tcp(scenario)
+    run_over_tcp(scenario)
 
 
-def test_caller_of_a_peer_that_answers_nonsense_gets_a_typed_error():
+def test_call_to_a_server_of_another_protocol_raises_malformed_frame():
     async def scenario(one, _two):
-        async def nonsense(_reader, writer):
+        async def answer_http(_reader, writer):
             writer.write(b"HTTP/1.1 400 Bad Request\r\n\r\n")
 
-        server = await asyncio.start_server(nonsense, "127.0.0.1", 0)
+        server = await asyncio.start_server(answer_http, "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
-        with pytest.raises(PeerMalformedFrame) as refusal:
+        with pytest.raises(PeerMalformedFrame) as caught:
             await one.transport.call(f"127.0.0.1:{port}", "m", b"", TIMEOUT_S)
-        assert isinstance(refusal.value, PeerError)
+        assert isinstance(caught.value, PeerError)
         server.close()
 
-    over_tcp(scenario)
+    run_over_tcp(scenario)
