--- a/passgate/clients/__init__.py
+++ b/passgate/clients/__init__.py
@@ -1,1 +1,1 @@
-"""Adapters of the interfaces to real protocols over HTTP."""
+"""HTTP clients that implement the protocols of :mod:`passgate.interfaces`, and what they share."""
--- a/passgate/clients/calls.py
+++ b/passgate/clients/calls.py
@@ -1,4 +1,4 @@
-"""What an HTTP call is: its limits, how often it may be sent, its whole answer.
+"""Types of an HTTP call: its limits, how often it may be sent, and its answer.
 
 >>> HttpCall(method="GET", url="http://127.0.0.1:1/load", headers={"Authorization": "Bearer s"})
 HttpCall(GET http://127.0.0.1:1/load)
@@ -16,25 +16,25 @@
 from passgate.errors import DeadlineExceeded, ExecutionStatus
 
 CONTROL_TIMEOUT_S = 5.0
-"""Time limit of short calls that control or observe a back end."""
+"""Timeout of short calls that control or observe a back end."""
 
 
 class HttpLimits(msgspec.Struct, frozen=True, kw_only=True):
-    """Limits of one daemon's HTTP client."""
+    """Limits of one :class:`~passgate.clients.curl.HttpClient`."""
 
     max_transfers: int = 8192
-    """Requests to back ends at once; one more is refused as not run, never queued."""
+    """Concurrent requests to back ends; a further one is refused as not run, never queued."""
     max_control_transfers: int = 8192
-    """Calls to the log, the platform and engines' control at once; never short because of requests."""
+    """Concurrent control calls (log, platform, control of back ends), counted apart from requests."""
     resolve_names: bool = True
-    """Whether hosts may be names; libcurl starts threads to resolve them, so daemons say no."""
+    """Whether a host may be a name; libcurl starts a thread to resolve it."""
     connect_timeout_s: float = 2.0
     unacknowledged_timeout_s: float | None = None
-    """Time after which a connection whose bytes are not acknowledged is dead; None leaves the kernel's."""
+    """Time without acknowledgement of sent bytes after which a connection fails; None: kernel's default."""
     max_body_bytes: int = 64 * 1024 * 1024
-    """Largest body of one buffered answer."""
+    """Largest body that :meth:`Transfer.read_all` buffers."""
     max_buffered_bytes: int = 64 * 1024
-    """Unread bytes of one stream after which the transfer is paused."""
+    """Unread bytes of one answer after which the transfer is paused."""
     max_idle_connections: int = 256
     max_connection_idle_s: int = 30
     """An idle connection older than this is not used again."""
@@ -44,15 +44,15 @@
     """How often a request may be sent, and on which connections."""
 
     REPEAT = "repeat"
-    """For reads: libcurl may send again when a kept connection turns out dead."""
+    """For reads: libcurl may send again if a reused connection turns out to be closed."""
     ONCE = "once"
-    """Sent at most once, on a kept connection if there is one."""
+    """Sent at most once; may reuse a connection."""
     ONCE_ON_FRESH_CONNECTION = "once_on_fresh_connection"
-    """Sent at most once on a connection of its own, so that no idle close can hit it."""
+    """Sent at most once, on a new connection, which the server can not close as idle meanwhile."""
 
 
 class HttpCall(msgspec.Struct, frozen=True, kw_only=True):
-    """One request to be sent."""
+    """One HTTP request and how it is sent."""
 
     method: str
     url: str
@@ -60,25 +60,25 @@
     headers: Mapping[str, str] = {}
     send: SendPolicy = SendPolicy.ONCE_ON_FRESH_CONNECTION
     timeout_s: float | None = None
-    """Time for the whole transfer; None means no limit."""
+    """Timeout of the whole transfer; None means no limit."""
     control: bool = False
-    """Whether it counts against the control calls instead of the requests to back ends."""
+    """Whether it counts against ``max_control_transfers`` instead of ``max_transfers``."""
     connect_timeout_s: float | None = None
-    """Time for a new connection; None means the client's limit."""
+    """Timeout of a new connection; None means the client's limit."""
     not_sent_after_s: float | None = None
-    """Loop time after which the request must not leave any more; None means no limit."""
+    """Loop time after which the request is no longer sent but fails with SendTooLate; None: no limit."""
     length_required: bool = True
-    """Whether a whole answer must declare its length; else the end of its connection may end it."""
+    """Whether an answer without a declared length is refused; else the connection's end completes it."""
     stall_timeout_s: int | None = None
-    """Whole seconds without a byte after which the transfer fails; None means no limit."""
+    """Seconds without a received byte after which the transfer fails; None means no limit."""
 
     def __repr__(self) -> str:
-        """Leave out headers, which may hold a credential, and the body."""
+        """Show neither headers, which may hold a credential, nor the body."""
         return f"HttpCall({self.method} {self.url})"
 
 
 class HttpAnswer(msgspec.Struct, frozen=True, kw_only=True):
-    """A whole, length-checked answer."""
+    """A complete answer whose length was verified."""
 
     status: int
     headers: HTTPHeaders
@@ -86,12 +86,12 @@
 
 
 def send_policy(repeatable: bool) -> SendPolicy:
-    """Return how a request for a back end is sent."""
+    """Return how a request to a back end is sent, depending on whether it may run twice."""
     return SendPolicy.ONCE if repeatable else SendPolicy.ONCE_ON_FRESH_CONNECTION
 
 
-def control_read(address: str, path: str) -> HttpCall:
-    """Return the call that reads a back end's report at ``path``."""
+def control_get(address: str, path: str) -> HttpCall:
+    """Return the control call that reads ``path`` of a back end."""
     return HttpCall(
         method="GET",
         url=f"http://{address}{path}",
@@ -102,10 +102,10 @@
 
 
 def remaining_s(deadline_s: float | None) -> float | None:
-    """Return the time left until a loop time; raises DeadlineExceeded (not run) when it is over."""
+    """Return the time left until a deadline in loop time; raises DeadlineExceeded if it has passed."""
     if deadline_s is None:
         return None
     left_s = deadline_s - monotonic_s()
     if left_s <= 0.0:
-        raise DeadlineExceeded("deadline is over", execution=ExecutionStatus.NOT_RUN)
+        raise DeadlineExceeded("deadline passed before sending", execution=ExecutionStatus.NOT_RUN)
     return left_s
--- a/passgate/clients/connections.py
+++ b/passgate/clients/connections.py
@@ -1,7 +1,7 @@
-"""Tells whether the server has closed a kept connection, before a request goes out on it.
+"""Detects, before a request is sent, that the server has closed a reused connection.
 
-libcurl looks for dead connections at most once a second; a request sent on one
-in between fails with an unknown outcome although nobody could have read it.
+libcurl checks idle connections at most once a second.  A request sent on a closed one in between would
+fail with an unknown outcome, although the server can not have read it.
 """
 
 from __future__ import annotations
@@ -11,20 +11,20 @@
 
 import msgspec
 
-MAX_REMEMBERED = 8192
+MAX_RECORDED_SOCKETS = 8192
 
 
 def set_unacknowledged_timeout(descriptor: int, timeout_s: float) -> None:
-    """Let the kernel end a connection whose sent bytes stay unacknowledged for ``timeout_s``."""
-    view = socket.socket(socket.AF_INET, socket.SOCK_STREAM, socket.IPPROTO_TCP, fileno=descriptor)
+    """Let the kernel close a connection whose sent bytes stay unacknowledged for ``timeout_s``."""
+    borrowed = socket.socket(socket.AF_INET, socket.SOCK_STREAM, socket.IPPROTO_TCP, fileno=descriptor)
     try:
-        view.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, int(timeout_s * 1000))
+        borrowed.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, int(timeout_s * 1000))
     finally:
-        view.detach()
+        borrowed.detach()
 
 
-class ConnectionEnds(msgspec.Struct, frozen=True):
-    """Both ends of one TCP connection."""
+class ConnectionEndpoints(msgspec.Struct, frozen=True):
+    """Local and remote endpoint of one TCP connection."""
 
     remote_ip: str
     local_ip: str
@@ -32,49 +32,56 @@
     local_port: int
 
 
-class KeptConnections:
-    """Descriptors of libcurl's sockets by the connections' ends.
+class ConnectionSockets:
+    """Descriptors of libcurl's sockets by the endpoints of their connections.
 
-    Descriptors stay libcurl's own; they are looked at only while libcurl is
-    about to use them, and only when they still have the expected ends.
+    libcurl owns the descriptors and may close and reuse them at any time.  So one is used only while
+    libcurl is about to send on its connection, only after its ports were compared, and never closed here.
     """
 
     def __init__(self) -> None:
-        self._descriptors: collections.OrderedDict[ConnectionEnds, int] = collections.OrderedDict()
-
-    def remember(self, ends: ConnectionEnds, descriptor: int) -> None:
-        """Note the socket of a new connection; the oldest notes are dropped beyond a limit."""
-        self._descriptors[ends] = descriptor
-        self._descriptors.move_to_end(ends)
-        if len(self._descriptors) > MAX_REMEMBERED:
-            self._descriptors.popitem(last=False)
-
-    def is_closed(self, ends: ConnectionEnds) -> bool:
-        """Return whether the server is known to have closed a connection that lies idle."""
-        descriptor = self._descriptors.get(ends)
+        self._descriptor_by_endpoints: collections.OrderedDict[ConnectionEndpoints, int] = (
+            collections.OrderedDict()
+        )
+
+    def record(self, endpoints: ConnectionEndpoints, descriptor: int) -> None:
+        """Record the socket of a new connection; beyond a limit the oldest record is dropped."""
+        self._descriptor_by_endpoints[endpoints] = descriptor
+        self._descriptor_by_endpoints.move_to_end(endpoints)
+        if len(self._descriptor_by_endpoints) > MAX_RECORDED_SOCKETS:
+            self._descriptor_by_endpoints.popitem(last=False)
+
+    def is_closed_by_server(self, endpoints: ConnectionEndpoints) -> bool:
+        """Return whether the server has closed an idle connection; False if its socket is not known."""
+        descriptor = self._descriptor_by_endpoints.get(endpoints)
         if descriptor is None:
             return False
         try:
-            view = socket.socket(socket.AF_INET, socket.SOCK_STREAM, socket.IPPROTO_TCP, fileno=descriptor)
+            borrowed = socket.socket(
+                socket.AF_INET, socket.SOCK_STREAM, socket.IPPROTO_TCP, fileno=descriptor
+            )
         except OSError:
             return False
         try:
-            return _has_ends(view, ends) and _is_readable(view)
+            return _has_ports(borrowed, endpoints) and _is_readable(borrowed)
         finally:
-            view.detach()
+            borrowed.detach()
 
 
-def _has_ends(view: socket.socket, ends: ConnectionEnds) -> bool:
+def _has_ports(borrowed: socket.socket, endpoints: ConnectionEndpoints) -> bool:
     try:
-        return view.getsockname()[1] == ends.local_port and view.getpeername()[1] == ends.remote_port
+        return (
+            borrowed.getsockname()[1] == endpoints.local_port
+            and borrowed.getpeername()[1] == endpoints.remote_port
+        )
     except OSError:
         return False
 
 
-def _is_readable(view: socket.socket) -> bool:
-    # Before a request nothing is to be read: an end, a reset or stray bytes, all make it unfit.
+def _is_readable(borrowed: socket.socket) -> bool:
+    # An idle connection has nothing to read; a close, a reset or stray bytes make it unusable.
     try:
-        view.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
+        borrowed.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
     except BlockingIOError:
         return False
     except OSError:
--- a/passgate/clients/curl.py
+++ b/passgate/clients/curl.py
@@ -1,8 +1,8 @@
-"""The one place that makes HTTP transfers: tornado's curl client with passgate's limits.
+"""HTTP client on Tornado's curl client, with explicit limits and send policies.
 
-libcurl's and tornado's own defaults (10 transfers at once, 20 s in all,
-redirects, ``Expect``, proxies from the environment, a silent second send) are
-all set explicitly, here and in :mod:`passgate.clients.transfer`.
+Defaults of libcurl and Tornado that could delay, cut or repeat a request (10 concurrent transfers, 20 s in
+total, redirects, ``Expect``, proxies from the environment, a silent second send) are overridden here and
+in :mod:`passgate.clients.transfer`.
 
 >>> HttpLimits().connect_timeout_s
 2.0
@@ -21,29 +21,29 @@
 from tornado.httputil import HTTPHeaders
 
 from passgate.clients.calls import HttpAnswer, HttpCall, HttpLimits
-from passgate.clients.connections import KeptConnections
+from passgate.clients.connections import ConnectionSockets
 from passgate.clients.transfer import Transfer
 from passgate.errors import BackendUnreachable, ExecutionStatus
 
 NO_TIMEOUT_S = 0.0
-"""libcurl reads a total timeout of zero as "none"."""
+"""Total timeout that libcurl takes as "no limit"."""
 MIN_TIMEOUT_S = 0.001
-"""Least total timeout; libcurl would round a smaller one to "none"."""
+"""Shortest total timeout; libcurl would round a shorter one to 0, which means "no limit"."""
 MAX_TIMEOUT_S = 24 * 3600.0
-"""Most total timeout; beyond 64 bits of milliseconds the option can not be set."""
+"""Longest total timeout; the option can not be set to more than 64 bits of milliseconds."""
 LOCALHOST = "localhost"
 MAX_CACHED_HOSTS = 4096
 USER_AGENT = "passgate"
 
 
-class _Client(CurlAsyncHTTPClient):
-    """Tornado's client with handles made on demand and transfers that can be aborted."""
+class _CurlClient(CurlAsyncHTTPClient):
+    """Tornado's client with handles created on demand, and transfers that can be resumed and aborted."""
 
     def initialize(self, limits: HttpLimits) -> None:  # type: ignore[override]
         super().initialize(max_clients=0, max_body_size=limits.max_body_bytes)
 
-    def keep_connections(self, count: int) -> None:
-        # libcurl counts connections in use too, and closes idle ones beyond the limit.
+    def set_max_connections(self, count: int) -> None:
+        # libcurl counts connections in use, too, and closes idle ones above the limit.
         self._multi.setopt(pycurl.M_MAXCONNECTS, count)
 
     def fetch_impl(self, request, callback) -> None:
@@ -54,18 +54,18 @@
         super().fetch_impl(request, callback)
 
     def resume(self, handle: pycurl.Curl) -> None:
-        # A failed transfer raises here; its end is reported in the usual way.
+        # Raises if the transfer has failed, which libcurl also reports through the transfer's callback.
         with contextlib.suppress(pycurl.error):
             handle.pause(pycurl.PAUSE_CONT)
         self._set_timeout(0)
 
     def abort(self, handle: pycurl.Curl) -> None:
-        # Removing a running handle from the multi makes libcurl close its connection.
-        self._finish(handle, pycurl.E_ABORTED_BY_CALLBACK, "aborted by its reader")
+        # Removing a running handle from the multi handle makes libcurl close its connection.
+        self._finish(handle, pycurl.E_ABORTED_BY_CALLBACK, "transfer aborted by its reader")
 
 
 @functools.lru_cache(maxsize=MAX_CACHED_HOSTS)
-def _is_number(host: str) -> bool:
+def _is_ip_or_localhost(host: str) -> bool:
     try:
         ipaddress.ip_address(host)
     except ValueError:
@@ -74,48 +74,52 @@
 
 
 def needs_no_resolver(url: str) -> bool:
-    """Return whether the URL's host is an IP number, or ``localhost``, which libcurl knows itself."""
-    return _is_number(urlsplit(url).hostname or "")
+    """Return whether the URL's host is an IP address, or ``localhost``, which libcurl resolves itself."""
+    return _is_ip_or_localhost(urlsplit(url).hostname or "")
 
 
 class HttpClient:
-    """Starts transfers on the running loop; share one among all adapters of a daemon."""
+    """Starts transfers on the running loop; one client is shared by all adapters of a daemon."""
 
     def __init__(self, limits: HttpLimits | None = None) -> None:
         self.limits = limits or HttpLimits()
-        self._client = _Client(force_instance=True, limits=self.limits)
-        self._connections = KeptConnections()
-        self._requests: set[Transfer] = set()
-        self._control: set[Transfer] = set()
+        self._client = _CurlClient(force_instance=True, limits=self.limits)
+        self._connections = ConnectionSockets()
+        self._request_transfers: set[Transfer] = set()
+        self._control_transfers: set[Transfer] = set()
 
     @property
-    def running(self) -> int:
+    def transfer_count(self) -> int:
         """Number of transfers in progress."""
-        return len(self._requests) + len(self._control)
+        return len(self._request_transfers) + len(self._control_transfers)
 
     def start(self, call: HttpCall) -> Transfer:
-        """Start a request; raises BackendUnreachable (not run) when too many are in progress."""
+        """Start a transfer.
+
+        Raises BackendUnreachable (not run) if the limit of transfers is reached, or if the host is a name
+        and names are not resolved.
+        """
         if not self.limits.resolve_names and not needs_no_resolver(call.url):
             raise BackendUnreachable(
-                "host is not an IP number", execution=ExecutionStatus.NOT_RUN, url=call.url
+                "host is not an IP address", execution=ExecutionStatus.NOT_RUN, url=call.url
             )
-        group = self._group_with_room(call)
+        transfers = self._transfers_below_limit(call)
         transfer = Transfer(self._client, self._connections, self.limits, call)
-        group.add(transfer)
-        self._client.keep_connections(self.running + self.limits.max_idle_connections)
+        transfers.add(transfer)
+        self._client.set_max_connections(self.transfer_count + self.limits.max_idle_connections)
 
         def end(response: HTTPResponse) -> None:
-            if transfer.take_restart():
+            if transfer.claim_restart():
                 self._client.fetch_impl(self._request(call, transfer), end)
                 return
-            group.discard(transfer)
-            transfer.on_end(response)
+            transfers.discard(transfer)
+            transfer.record_end(response)
 
         self._client.fetch_impl(self._request(call, transfer), end)
         return transfer
 
     async def fetch(self, call: HttpCall) -> HttpAnswer:
-        """Send a request and return its whole answer, of any status."""
+        """Send a request and return its complete answer, of any status; raises PassgateError."""
         transfer = self.start(call)
         try:
             return await transfer.read_all()
@@ -124,16 +128,19 @@
 
     def close(self) -> None:
         """Abort all transfers and free the handles."""
-        for transfer in [*self._requests, *self._control]:
+        for transfer in [*self._request_transfers, *self._control_transfers]:
             transfer.abort()
         self._client.close()
 
-    def _group_with_room(self, call: HttpCall) -> set[Transfer]:
-        group = self._control if call.control else self._requests
+    def _transfers_below_limit(self, call: HttpCall) -> set[Transfer]:
+        """Return the transfers that a call counts among; raises BackendUnreachable if they are too many."""
+        transfers = self._control_transfers if call.control else self._request_transfers
         limit = self.limits.max_control_transfers if call.control else self.limits.max_transfers
-        if len(group) >= limit:
-            raise BackendUnreachable("too many transfers", execution=ExecutionStatus.NOT_RUN, limit=limit)
-        return group
+        if len(transfers) >= limit:
+            raise BackendUnreachable(
+                "too many transfers in progress", execution=ExecutionStatus.NOT_RUN, limit=limit
+            )
+        return transfers
 
     def _request(self, call: HttpCall, transfer: Transfer) -> HTTPRequest:
         return HTTPRequest(
--- a/passgate/clients/http_app.py
+++ b/passgate/clients/http_app.py
@@ -1,11 +1,11 @@
-"""AppClient over HTTP: forwards one call and proves that the answer is its own and whole."""
+"""AppClient over HTTP: forwards a call and verifies that the answer is complete and belongs to it."""
 
 from __future__ import annotations
 
 from passgate.clients import wire
-from passgate.clients.calls import HttpAnswer, HttpCall, control_read, remaining_s, send_policy
+from passgate.clients.calls import HttpAnswer, HttpCall, control_get, remaining_s, send_policy
 from passgate.clients.curl import HttpClient
-from passgate.clients.replies import decode_body, decode_error, retry_after_s, unreachable
+from passgate.clients.replies import control_call_error, decode_body, decode_error, retry_after_s
 from passgate.errors import AnswerMismatch, BackendRefused, ExecutionStatus, PassgateError
 from passgate.schema import AppRequest, AppResponse, LoadReport
 
@@ -14,22 +14,21 @@
 
 
 class HttpAppClient:
-    """Client of application services that echo ``X-Request-Id``."""
+    """Client of application services; they must return the request's ``X-Request-Id``."""
 
     def __init__(self, http: HttpClient) -> None:
         self._http = http
 
     async def call(self, address: str, request: AppRequest) -> AppResponse:
-        """Forward one call; see :class:`passgate.interfaces.AppClient`.
+        """Forward one call; see :meth:`passgate.interfaces.AppClient.call`.
 
-        Any status is an answer, except a refusal marked as not run.
-
-        Raises besides: DeadlineExceeded.
+        An answer of any status is returned, except one that the service marks as not run, which raises
+        BackendRefused.  Raises DeadlineExceeded, too.
         """
-        answer = await self._http.fetch(_call(address, request))
-        _check_own(answer, request.request_id)
+        answer = await self._http.fetch(_build_call(address, request))
+        _check_request_id(answer, request.request_id)
         if answer.headers.get(wire.EXECUTION_HEADER) == ExecutionStatus.NOT_RUN.value:
-            raise _refusal(answer)
+            raise _refusal_error(answer)
         return AppResponse(
             request_id=request.request_id,
             status=answer.status,
@@ -39,20 +38,20 @@
         )
 
     async def load_report(self, address: str) -> LoadReport:
-        """Return the replica's latest report; see :class:`passgate.interfaces.AppClient`."""
-        answer = await self._http.fetch(control_read(address, wire.LOAD_PATH))
+        """Return the replica's latest report; see :meth:`passgate.interfaces.AppClient.load_report`."""
+        answer = await self._http.fetch(control_get(address, wire.LOAD_PATH))
         if answer.status != OK_STATUS:
-            raise unreachable(answer)
+            raise control_call_error(answer)
         return decode_body(answer, wire.AppLoadAnswer).report()
 
 
-def _call(address: str, request: AppRequest) -> HttpCall:
+def _build_call(address: str, request: AppRequest) -> HttpCall:
     timeout_s = remaining_s(request.deadline_s)
     headers = {
         "Content-Type": request.content_type,
-        wire.REQUEST_ID_HEADER: wire.header_text(request.request_id),
-        wire.CALLER_HEADER: wire.header_text(request.caller),
-        wire.PRIORITY_HEADER: wire.header_text(request.priority_class),
+        wire.REQUEST_ID_HEADER: wire.encode_header_value(request.request_id),
+        wire.CALLER_HEADER: wire.encode_header_value(request.caller),
+        wire.PRIORITY_HEADER: wire.encode_header_value(request.priority_class),
     }
     if timeout_s is not None:
         headers[wire.TIMEOUT_HEADER] = str(int(timeout_s * 1000))
@@ -69,14 +68,18 @@
     )
 
 
-def _check_own(answer: HttpAnswer, request_id: str) -> None:
+def _check_request_id(answer: HttpAnswer, request_id: str) -> None:
     echoed = answer.headers.get(wire.REQUEST_ID_HEADER)
-    if echoed != wire.header_text(request_id):
+    if echoed != wire.encode_header_value(request_id):
         raise AnswerMismatch("answer belongs to another request", expected=request_id, got=echoed)
 
 
-def _refusal(answer: HttpAnswer) -> PassgateError:
+def _refusal_error(answer: HttpAnswer) -> PassgateError:
     error = decode_error(answer)
     details = {} if error is None else error.details
     wait_s = retry_after_s(answer)
-    return BackendRefused("service refused", retry_after_s=wait_s, **{**details, "status": answer.status})
+    return BackendRefused(
+        "the application service refused the call",
+        retry_after_s=wait_s,
+        **{**details, "status": answer.status},
+    )
--- a/passgate/clients/http_engine.py
+++ b/passgate/clients/http_engine.py
@@ -1,8 +1,7 @@
-"""EngineClient over HTTP: streamed completions verified piece by piece.
+"""EngineClient over HTTP, with verified streams of completions.
 
-Nothing is handed on that is not proven to belong to the request, in order, with
-its weight version; the piece with the finish reason is handed on only after the
-stream's end mark.
+A chunk is yielded only after :class:`StreamVerifier` has checked that it belongs to the request, is in
+order and has a weight version; the last chunk, which has the finish reason, only after the end mark.
 """
 
 from __future__ import annotations
@@ -17,12 +16,12 @@
     HttpAnswer,
     HttpCall,
     SendPolicy,
-    control_read,
+    control_get,
     remaining_s,
     send_policy,
 )
 from passgate.clients.curl import HttpClient
-from passgate.clients.replies import decode_body, decode_error, engine_failure, unreachable
+from passgate.clients.replies import control_call_error, decode_body, decode_error, engine_failure
 from passgate.clients.stream_verifier import StreamVerifier
 from passgate.clients.transfer import Transfer
 from passgate.errors import (
@@ -47,21 +46,28 @@
     """Client of engines that speak the completions interface of :mod:`passgate.clients.wire`."""
 
     def __init__(self, http: HttpClient, stall_timeout_s: int | None = None) -> None:
-        """``stall_timeout_s`` gives up a stream without a byte for so long; queued ones are silent too."""
+        """Create a client.
+
+        Args:
+            http: shared HTTP client.
+            stall_timeout_s: seconds without a received byte after which a stream fails; a request that
+                waits in the engine's queue receives none, either.  None means no limit.
+        """
         self._http = http
         self._stall_timeout_s = stall_timeout_s
 
     async def generate(self, address: str, request: GenerateRequest) -> AsyncIterator[GenerateChunk]:
-        """Stream one request's output; see :class:`passgate.interfaces.EngineClient`.
+        """Stream one request's output; see :meth:`passgate.interfaces.EngineClient.generate`.
 
-        Raises besides: VersionNotReported, DeadlineExceeded (after ``deadline_s``).
+        Raises VersionNotReported and, after ``deadline_s``, DeadlineExceeded, too.  An error after the
+        first token has the execution status RAN instead of UNKNOWN.
         """
         transfer = self._http.start(_completion_call(address, request, self._stall_timeout_s))
         verifier = StreamVerifier(request)
         try:
             if await transfer.head() != 200:
                 raise engine_failure(await transfer.read_all())
-            _check_echo(transfer, request.request_id)
+            _check_request_id(transfer, request.request_id)
             while not verifier.done:
                 for chunk in verifier.feed(await transfer.read()):
                     yield chunk
@@ -76,7 +82,7 @@
                 transfer.abort()
 
     async def cancel(self, address: str, request_id: str) -> None:
-        """Ask an engine to stop working on a request; failures are ignored."""
+        """Ask an engine to stop working on a request; best effort, failures are ignored."""
         body = msgspec.json.encode(wire.CancelCall(request_id=request_id))
         try:
             await self._http.fetch(_post(address, "/v1/completions/cancel", body, CONTROL_TIMEOUT_S))
@@ -102,18 +108,19 @@
         error = decode_error(answer)
         if error is not None and error.code == OrderRefused.code:
             raise OrderRefused(error.message, execution=error.execution, **error.details)
-        raise unreachable(answer)
+        raise control_call_error(answer)
 
     async def _get(self, address: str, path: str) -> HttpAnswer:
-        answer = await self._http.fetch(control_read(address, path))
+        answer = await self._http.fetch(control_get(address, path))
         if answer.status != 200:
-            raise unreachable(answer)
+            raise control_call_error(answer)
         return answer
 
 
-def _check_echo(transfer: Transfer, request_id: str) -> None:
+def _check_request_id(transfer: Transfer, request_id: str) -> None:
+    """Raise AnswerMismatch if the engine returns another request identifier; it may return none."""
     echoed = transfer.headers.get(wire.REQUEST_ID_HEADER)
-    if echoed is not None and echoed != wire.header_text(request_id):
+    if echoed is not None and echoed != wire.encode_header_value(request_id):
         raise AnswerMismatch("answer belongs to another request", expected=request_id, got=echoed)
 
 
@@ -140,7 +147,7 @@
         headers={
             "Content-Type": wire.JSON_TYPE,
             "Accept": wire.EVENT_STREAM_TYPE,
-            wire.REQUEST_ID_HEADER: wire.header_text(request.request_id),
+            wire.REQUEST_ID_HEADER: wire.encode_header_value(request.request_id),
         },
         send=send_policy(request.repeatable),
         timeout_s=timeout_s,
--- a/passgate/clients/http_log.py
+++ b/passgate/clients/http_log.py
@@ -1,7 +1,7 @@
-"""LogClient over HTTP, with failures told as they are.
+"""LogClient over HTTP.
 
-An append fails as LogUnavailable only when nothing can have been appended:
-no byte was sent, or the log itself said so.  All else is LogAppendUnknown.
+A failed append raises LogUnavailable only if nothing can have been appended: the request was not sent, or
+the log reports that it was not run.  Any other failure raises LogAppendUnknown.
 """
 
 from __future__ import annotations
@@ -18,20 +18,20 @@
 from passgate.errors import ExecutionStatus, LogAppendUnknown, LogError, LogUnavailable, PassgateError
 from passgate.interfaces import LogBatch
 
-READ_GRACE_S = 5.0
-"""Time that a read may take beyond its own wait."""
+READ_TIMEOUT_MARGIN_S = 5.0
+"""Timeout of a read, in addition to the time that it waits for records."""
 
 
 class HttpLogClient:
-    """The platform's log behind one address."""
+    """Client of one server of the platform's log."""
 
     def __init__(self, http: HttpClient, address: str, credential: str | None = None) -> None:
         self._http = http
-        self._base = f"http://{address}/v1/streams"
+        self._base_url = f"http://{address}/v1/streams"
         self._headers = wire.authorization(credential)
 
     async def append(self, stream: str, payloads: Sequence[bytes], timeout_s: float) -> int:
-        """Append records and return the offset of the first; see :class:`passgate.interfaces.LogClient`."""
+        """Append records and return the offset of the first; raises LogUnavailable or LogAppendUnknown."""
         body = msgspec.json.encode(wire.AppendCall(payloads=tuple(payloads)))
         call = HttpCall(
             method="POST",
@@ -47,11 +47,11 @@
             if answer.status == 200:
                 return decode_body(answer, wire.AppendAnswer).offset
         except PassgateError as error:
-            raise _append_failure(error.execution, str(error)) from error
-        raise _append_failure(_reported_execution(answer), f"log answered {answer.status}")
+            raise _append_error(error.execution, str(error)) from error
+        raise _append_error(_reported_execution(answer), f"append answered with status {answer.status}")
 
     async def read(self, stream: str, offset: int, limit: int, wait_s: float) -> LogBatch:
-        """Return up to ``limit`` records from ``offset``; raises LogUnavailable."""
+        """Return up to ``limit`` records from ``offset``, waiting up to ``wait_s``; raises LogUnavailable."""
         url = f"{self._url(stream)}?offset={offset}&limit={limit}&wait_s={wait_s:g}"
         call = HttpCall(
             method="GET",
@@ -59,7 +59,7 @@
             headers=self._headers,
             send=SendPolicy.REPEAT,
             control=True,
-            timeout_s=wait_s + READ_GRACE_S,
+            timeout_s=wait_s + READ_TIMEOUT_MARGIN_S,
         )
         try:
             answer = await self._http.fetch(call)
@@ -68,10 +68,10 @@
                 return LogBatch(entries=batch.entries, end_offset=batch.end_offset)
         except PassgateError as error:
             raise LogUnavailable(str(error)) from error
-        raise LogUnavailable(f"log answered {answer.status}")
+        raise LogUnavailable(f"read answered with status {answer.status}")
 
     def _url(self, stream: str) -> str:
-        return f"{self._base}/{quote(stream, safe='')}/records"
+        return f"{self._base_url}/{quote(stream, safe='')}/records"
 
 
 def _reported_execution(answer: HttpAnswer) -> ExecutionStatus:
@@ -79,7 +79,7 @@
     return ExecutionStatus.UNKNOWN if error is None else error.execution
 
 
-def _append_failure(execution: ExecutionStatus, message: str) -> LogError:
+def _append_error(execution: ExecutionStatus, message: str) -> LogError:
     if execution is ExecutionStatus.NOT_RUN:
         return LogUnavailable(message)
     return LogAppendUnknown(message)
--- a/passgate/clients/http_platform.py
+++ b/passgate/clients/http_platform.py
@@ -1,4 +1,4 @@
-"""MachineList and WeightStore over HTTP, and the calls that change them."""
+"""MachineList and WeightStore over HTTP, and the calls by which machines and versions are registered."""
 
 from __future__ import annotations
 
@@ -17,28 +17,29 @@
 from passgate.schema import MachineInfo
 
 PLATFORM_TIMEOUT_S = 5.0
-LONGEST_ANSWER_BYTES = 64 * 2**20
-"""Most bytes of a decompressed answer."""
-_GZIP_WINDOW = 16 + zlib.MAX_WBITS
+MAX_ANSWER_BYTES = 64 * 2**20
+"""Largest decompressed answer."""
+_GZIP_WINDOW_BITS = 16 + zlib.MAX_WBITS
+"""Makes zlib expect the gzip format."""
 
 
 class _PlatformClient:
-    """Sends calls to one platform service and maps every failure to PlatformError."""
+    """Sends calls to one service of the platform; every failure raises PlatformError."""
 
     def __init__(self, http: HttpClient, address: str, credential: str | None = None) -> None:
         self._http = http
-        self._base = f"http://{address}/v1"
+        self._base_url = f"http://{address}/v1"
         self._headers = {**wire.authorization(credential), "Accept-Encoding": "gzip"}
 
     async def _send(
-        self, method: str, path: str, body: bytes | None = None, *, known_tag: str = ""
+        self, method: str, path: str, body: bytes | None = None, *, entity_tag: str = ""
     ) -> HttpAnswer:
-        """Send one call; with ``known_tag`` the answer may be 304, without a body."""
+        """Send one call; with an entity tag the request is conditional, and the answer may be 304."""
         call = HttpCall(
             method=method,
-            url=self._base + path,
+            url=self._base_url + path,
             body=body,
-            headers=self._headers | ({"If-None-Match": known_tag} if known_tag else {}),
+            headers=self._headers | ({"If-None-Match": entity_tag} if entity_tag else {}),
             send=SendPolicy.REPEAT,
             control=True,
             timeout_s=PLATFORM_TIMEOUT_S,
@@ -47,67 +48,67 @@
             answer = await self._http.fetch(call)
         except PassgateError as error:
             raise PlatformError(str(error), execution=error.execution) from error
-        if answer.status != HTTPStatus.OK and not (known_tag and answer.status == HTTPStatus.NOT_MODIFIED):
-            raise PlatformError("platform refused", status=answer.status, path=path)
-        return _decompressed(answer)
+        if answer.status != HTTPStatus.OK and not (entity_tag and answer.status == HTTPStatus.NOT_MODIFIED):
+            raise PlatformError("the platform refused a call", status=answer.status, path=path)
+        return _decompress(answer)
 
 
 class HttpMachineList(_PlatformClient):
-    """The platform's machine list.
+    """Client of the platform's machine list.
 
-    A list that has not changed is not sent again: the read is conditional (RFC 9110,
-    section 13.1.2).  A platform without entity tags sends the whole list each time.
+    Reads are conditional (RFC 9110, section 13.1.2), so an unchanged list is not sent again if the platform
+    supports entity tags.
     """
 
     def __init__(self, http: HttpClient, address: str, credential: str | None = None) -> None:
         super().__init__(http, address, credential)
-        self._tag = ""
+        self._entity_tag = ""
         self._machines: Sequence[MachineInfo] = ()
 
     async def machines(self) -> Sequence[MachineInfo]:
-        """Return the list; raises PlatformError when it can not be read."""
-        answer = await self._send("GET", "/machines", known_tag=self._tag)
+        """Return the list; raises PlatformError if it can not be read."""
+        answer = await self._send("GET", "/machines", entity_tag=self._entity_tag)
         if answer.status == HTTPStatus.NOT_MODIFIED:
             return self._machines
         self._machines = _decode(answer, wire.MachinesAnswer).machines
-        self._tag = answer.headers.get("Etag", "")
+        self._entity_tag = answer.headers.get("Etag", "")
         return self._machines
 
     async def register(self, machine: MachineInfo) -> None:
-        """Put one machine on the list, or replace its entry; raises PlatformError."""
+        """Add a machine to the list, or replace its entry; raises PlatformError."""
         path = f"/machines/{quote(machine.machine_id, safe='')}"
         await self._send("PUT", path, msgspec.json.encode(machine))
 
     async def leave(self, machine_id: str) -> None:
-        """Mark one machine as leaving; raises PlatformError."""
+        """Mark a machine as leaving; raises PlatformError."""
         await self._send("POST", f"/machines/{quote(machine_id, safe='')}/leaving", b"")
 
 
 class HttpWeightStore(_PlatformClient):
-    """The platform's weight store."""
+    """Client of the platform's weight store."""
 
     async def size_bytes(self, model: str, version: int) -> int:
-        """Return the size of one version; raises PlatformError when absent."""
+        """Return the size of a version; raises PlatformError if the store does not have it."""
         answer = await self._send("GET", f"/weights/{quote(model, safe='')}/{version}")
         return _decode(answer, wire.WeightAnswer).size_bytes
 
     async def publish(self, model: str, version: int, size_bytes: int) -> None:
-        """Put a version into the store, as its trainer does; raises PlatformError."""
+        """Register a version in the store, as its trainer does; raises PlatformError."""
         body = msgspec.json.encode(wire.WeightAnswer(size_bytes=size_bytes))
         await self._send("PUT", f"/weights/{quote(model, safe='')}/{version}", body)
 
 
-def _decompressed(answer: HttpAnswer) -> HttpAnswer:
-    """Undo the compression of a long answer; a list of machines shrinks to a fraction."""
+def _decompress(answer: HttpAnswer) -> HttpAnswer:
+    """Return an answer with its body decompressed; raises PlatformError if that fails."""
     if answer.headers.get("Content-Encoding", "") != "gzip":
         return answer
-    unpacking = zlib.decompressobj(_GZIP_WINDOW)
+    decompressor = zlib.decompressobj(_GZIP_WINDOW_BITS)
     try:
-        body = unpacking.decompress(answer.body, LONGEST_ANSWER_BYTES)
+        body = decompressor.decompress(answer.body, MAX_ANSWER_BYTES)
     except zlib.error as error:
-        raise PlatformError(f"bad compression: {error}") from error
-    if not unpacking.eof:
-        raise PlatformError("answer is cut off or too long", limit_bytes=LONGEST_ANSWER_BYTES)
+        raise PlatformError(f"the platform's answer is not valid gzip: {error}") from error
+    if not decompressor.eof:
+        raise PlatformError("the platform's answer is truncated or too long", limit_bytes=MAX_ANSWER_BYTES)
     return msgspec.structs.replace(answer, body=body)
 
 
--- a/passgate/clients/replies.py
+++ b/passgate/clients/replies.py
@@ -1,4 +1,4 @@
-"""From answers of back ends to typed results and typed errors."""
+"""Decodes answers of back ends to typed results and typed errors."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
     PassgateError,
 )
 
-REFUSING_STATUSES = frozenset({400, 404, 405, 413, 422, 429})
-"""Statuses by which an engine itself says that it did not start the request."""
+NOT_RUN_STATUSES = frozenset({400, 404, 405, 413, 422, 429})
+"""Statuses with which an engine guarantees that it has not started the request."""
 RETRY_AFTER_HEADER = "Retry-After"
 
 _error_decoder = msgspec.json.Decoder(wire.ErrorAnswer)
@@ -27,15 +27,15 @@
 
 
 def decode_body(answer: HttpAnswer, kind: type[_Body]) -> _Body:
-    """Return the typed body; raises IncompleteAnswer when it is not readable."""
+    """Return the body decoded as JSON of a type; raises IncompleteAnswer if that fails."""
     try:
         return msgspec.json.decode(answer.body, type=kind)
     except msgspec.MsgspecError as error:
-        raise IncompleteAnswer(f"unreadable answer: {error}") from error
+        raise IncompleteAnswer(f"answer can not be decoded: {error}") from error
 
 
 def decode_error(answer: HttpAnswer) -> ErrorBody | None:
-    """Return the error that the answer carries, if it is one of ours."""
+    """Return the error in the answer's body, or None if it is not in passgate's form."""
     try:
         return _error_decoder.decode(answer.body).error
     except msgspec.MsgspecError:
@@ -45,33 +45,40 @@
 def engine_failure(answer: HttpAnswer) -> PassgateError:
     """Return the error of an engine's answer whose status is not 200.
 
-    The engine's own word on execution goes first, then the meaning of the status.
+    The execution status is the one that the body reports, else the one that the HTTP status implies.
     """
     error = decode_error(answer)
     if error is not None:
         return reported_failure(error)
-    if answer.status in REFUSING_STATUSES:
-        return BackendRefused("back end refused", retry_after_s=retry_after_s(answer), status=answer.status)
-    return ExecutionFailed("back end failed", execution=ExecutionStatus.UNKNOWN, status=answer.status)
+    if answer.status in NOT_RUN_STATUSES:
+        return BackendRefused(
+            "the back end refused the request", retry_after_s=retry_after_s(answer), status=answer.status
+        )
+    return ExecutionFailed(
+        "the back end failed the request", execution=ExecutionStatus.UNKNOWN, status=answer.status
+    )
 
 
 def reported_failure(error: ErrorBody) -> PassgateError:
-    """Return the error that a back end reported in its own words."""
+    """Return BackendRefused for an error reported as not run, else ExecutionFailed.
+
+    The back end's own code is kept in the detail ``reported``.
+    """
     details = {**error.details, "reported": error.code}
     if error.execution is ExecutionStatus.NOT_RUN:
         return BackendRefused(error.message, retry_after_s=error.retry_after_s, **details)
     return ExecutionFailed(error.message, execution=error.execution, **details)
 
 
-def unreachable(answer: HttpAnswer) -> BackendUnreachable:
-    """Return the error of a control call that was answered with a failure."""
+def control_call_error(answer: HttpAnswer) -> BackendUnreachable:
+    """Return the error of a control call whose answer has an error status."""
     error = decode_error(answer)
     execution = ExecutionStatus.UNKNOWN if error is None else error.execution
-    return BackendUnreachable("control call failed", execution=execution, status=answer.status)
+    return BackendUnreachable("control call answered with an error", execution=execution, status=answer.status)
 
 
 def retry_after_s(answer: HttpAnswer) -> float | None:
-    """Return the answer's ``Retry-After`` in seconds, None when absent or a date."""
+    """Return the answer's ``Retry-After`` in seconds, or None if it is absent or a date."""
     text = answer.headers.get(RETRY_AFTER_HEADER, "")
     try:
         return max(float(text), 0.0)
--- a/passgate/clients/stream_verifier.py
+++ b/passgate/clients/stream_verifier.py
@@ -1,4 +1,4 @@
-"""Proof that a streamed completion is its request's own, in order, versioned and whole.
+"""Verifies that a streamed completion belongs to its request and is in order, versioned and complete.
 
 >>> request = GenerateRequest(request_id="r", caller="c", pool="p", model="m", prompt=(1,), max_tokens=4)
 >>> verifier = StreamVerifier(request)
@@ -26,7 +26,7 @@
 from passgate.schema import FinishReason, GenerateChunk, GenerateRequest
 
 COMPLETION_ID_PREFIX = "cmpl-"
-"""Some engines put it before the request identifier that they were given."""
+"""Prefix that some engines add to the request identifier."""
 
 FIRST_VERSION = 1
 
@@ -34,75 +34,81 @@
 
 
 class StreamVerifier:
-    """Turns the bytes of one stream into verified chunks; holds no I/O.
+    """Decodes the bytes of one stream to verified chunks; does no I/O.
 
-    Invariant: the chunk with the finish reason leaves only after the end mark.
+    Invariant: the chunk with the finish reason is returned only after the end mark, so a truncated stream
+    never looks complete.
     """
 
     def __init__(self, request: GenerateRequest) -> None:
         self.done = False
-        """The stream's end mark was seen after its finish reason."""
+        """Whether the end mark was received, which completes the stream."""
         self._request = request
         self._position = len(request.resume_tokens)
         self._events = wire.EventDecoder()
-        self._last: GenerateChunk | None = None
+        self._last_chunk: GenerateChunk | None = None
+        """The chunk with the finish reason, kept until the end mark."""
 
     @property
     def started(self) -> bool:
-        """Whether a token of this request's output has arrived."""
+        """Whether a token of this stream was received."""
         return self._position > len(self._request.resume_tokens)
 
     def feed(self, data: bytes) -> list[GenerateChunk]:
-        """Return the chunks completed by ``data``; ``b""`` means that the body ended.
+        """Return the chunks completed by ``data``; ``b""`` means that the body has ended.
 
         Raises:
-            IncompleteAnswer, AnswerMismatch, VersionNotReported, BackendRefused.
+            IncompleteAnswer: the stream ended early, is out of order, or can not be decoded.
+            AnswerMismatch: an event carries another request identifier.
+            VersionNotReported: tokens came without a weight version.
+            BackendRefused: the engine refused the request before its first token.
         """
         if not data:
             raise self._incomplete("stream ended without its end mark")
         chunks = []
-        for event in self._split(data):
-            chunk = self._end() if event == wire.DONE_MARK else self._piece(event)
+        for event in self._split_events(data):
+            chunk = self._finish() if event == wire.DONE_MARK else self._read_event(event)
             if chunk is not None:
                 chunks.append(chunk)
         return chunks
 
-    def _split(self, data: bytes) -> list[bytes]:
+    def _split_events(self, data: bytes) -> list[bytes]:
         try:
             return self._events.feed(data)
         except ValueError as error:
             raise self._incomplete(str(error)) from error
 
-    def _end(self) -> GenerateChunk:
-        if self._last is None:
+    def _finish(self) -> GenerateChunk:
+        if self._last_chunk is None:
             raise self._incomplete("end mark without a finish reason")
         self.done = True
-        return self._last
+        return self._last_chunk
 
-    def _piece(self, data: bytes) -> GenerateChunk | None:
+    def _read_event(self, data: bytes) -> GenerateChunk | None:
+        """Return the event's chunk, or None for the last chunk and for an event without output."""
         event = self._decode(data)
         if event.error is not None:
-            raise self._reported(event.error)
-        self._check_own(event)
-        if not event.choices:  # some engines tell the total in an event of its own
-            self._check_total(event)
+            raise self._reported_error(event.error)
+        self._check_request_id(event)
+        if not event.choices:  # some engines send the token count in a separate event
+            self._check_token_count(event)
             return None
-        if self._last is not None:
-            raise self._incomplete("output goes on after its finish reason")
-        chunk = self._chunk(event, event.choices[0])
+        if self._last_chunk is not None:
+            raise self._incomplete("output continues after its finish reason")
+        chunk = self._verified_chunk(event, event.choices[0])
         self._position += len(chunk.tokens)
-        self._check_total(event)
+        self._check_token_count(event)
         if chunk.finish_reason is None:
             return chunk
-        self._last = chunk
+        self._last_chunk = chunk
         return None
 
-    def _chunk(self, event: wire.CompletionEvent, choice: wire.CompletionChoice) -> GenerateChunk:
+    def _verified_chunk(self, event: wire.CompletionEvent, choice: wire.CompletionChoice) -> GenerateChunk:
         if event.position is not None and event.position != self._position:
-            raise self._incomplete("piece is out of order", got=event.position)
+            raise self._incomplete("chunk is out of order", got=event.position)
         version = _weight_version(event)
         if choice.token_ids and version is None:
-            raise VersionNotReported("piece has no weight version", position=self._position)
+            raise VersionNotReported("chunk has no weight version", position=self._position)
         return GenerateChunk(
             request_id=self._request.request_id,
             start=self._position,
@@ -111,24 +117,27 @@
             finish_reason=_finish_reason(choice),
         )
 
-    def _check_own(self, event: wire.CompletionEvent) -> None:
-        own = self._request.request_id
-        if event.id not in (own, COMPLETION_ID_PREFIX + own):
-            raise AnswerMismatch("piece belongs to another request", expected=own, got=event.id)
+    def _check_request_id(self, event: wire.CompletionEvent) -> None:
+        expected = self._request.request_id
+        if event.id not in (expected, COMPLETION_ID_PREFIX + expected):
+            raise AnswerMismatch("chunk belongs to another request", expected=expected, got=event.id)
 
     def _decode(self, data: bytes) -> wire.CompletionEvent:
         try:
             return _event_decoder.decode(data)
         except msgspec.MsgspecError as error:
-            raise self._incomplete(f"unreadable event: {error}") from error
+            raise self._incomplete(f"event can not be decoded: {error}") from error
 
-    def _check_total(self, event: wire.CompletionEvent) -> None:
+    def _check_token_count(self, event: wire.CompletionEvent) -> None:
         if self._position > self._request.max_tokens:
-            raise self._incomplete("more tokens than asked for")
+            raise self._incomplete("more tokens than max_tokens")
         if event.usage is not None and event.usage.completion_tokens != self._position:
-            raise self._incomplete("token count differs", reported=event.usage.completion_tokens)
+            raise self._incomplete(
+                "received tokens differ from the reported count", reported=event.usage.completion_tokens
+            )
 
-    def _reported(self, error: ErrorBody) -> PassgateError:
+    def _reported_error(self, error: ErrorBody) -> PassgateError:
+        """Return the error that the engine reported; it counts as a refusal only before the first token."""
         if error.execution is ExecutionStatus.NOT_RUN and not self.started:
             return reported_failure(error)
         return self._incomplete(error.message, code=error.code)
@@ -145,11 +154,11 @@
     try:
         return FinishReason(choice.finish_reason)
     except ValueError as error:
-        raise IncompleteAnswer("output was not finished", finish_reason=choice.finish_reason) from error
+        raise IncompleteAnswer("unknown finish reason", finish_reason=choice.finish_reason) from error
 
 
 def _weight_version(event: wire.CompletionEvent) -> int | None:
-    told = event.weight_version
-    if isinstance(told, str):
-        told = int(told) if told.isdecimal() else None
-    return told if told is not None and told >= FIRST_VERSION else None
+    reported = event.weight_version
+    if isinstance(reported, str):
+        reported = int(reported) if reported.isdecimal() else None
+    return reported if reported is not None and reported >= FIRST_VERSION else None
--- a/passgate/clients/transfer.py
+++ b/passgate/clients/transfer.py
@@ -1,8 +1,8 @@
-"""One HTTP request on the wire, driven by libcurl's callbacks.
+"""One HTTP transfer, driven by libcurl's callbacks.
 
-A :class:`Transfer` reads its body piece by piece with back-pressure, can be
-aborted while it runs, and knows whether libcurl ever came to send the request,
-which alone decides between ``not_run`` and ``unknown``.
+A :class:`Transfer` reads its body incrementally with back-pressure and can be aborted while it runs.  It
+records whether libcurl ever started to send the request, which alone decides whether a failure's execution
+status is ``not_run`` or ``unknown``.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from tornado.httputil import HTTPHeaders, HTTPInputError
 
 from passgate.clients.calls import HttpAnswer, HttpCall, HttpLimits, SendPolicy
-from passgate.clients.connections import ConnectionEnds, KeptConnections, set_unacknowledged_timeout
+from passgate.clients.connections import ConnectionEndpoints, ConnectionSockets, set_unacknowledged_timeout
 from passgate.clock import monotonic_s
 from passgate.errors import (
     BackendUnreachable,
@@ -30,58 +30,58 @@
 
 SIGNALS_OFF = 1
 UPLOAD_BUFFER_BYTES = 16 * 1024
-"""Least that libcurl takes; its default of 64 KiB stays allocated for the life of a stream."""
-FINISH_UNREAD_S = 2.0
-"""Time that a server has to end a body after its end mark."""
+"""libcurl's minimum; its default, 64 KiB, would stay allocated as long as a stream runs."""
+FINISH_UNREAD_TIMEOUT_S = 2.0
+"""Time within which a server has to end a body of which the rest is not read."""
 TCP_KEEPALIVE_IDLE_S = 10
 TCP_KEEPALIVE_INTERVAL_S = 2
-"""With the kernel's nine probes, a machine that vanished is known after 28 s of silence."""
+"""With the kernel's nine probes, a peer that vanished is detected after 28 s of silence."""
 STALLED_BYTES_PER_S = 1
 FIRST_FINAL_STATUS = 200
 BODILESS_STATUSES = frozenset({204, 304})
 REJECT_DATA = -1
-"""Returned from a callback; libcurl then fails the transfer."""
+"""Result of a data callback that makes libcurl fail the transfer."""
 STATUS_LINE_PREFIX = b"HTTP/"
 TRUNCATED_ERRNOS = frozenset({pycurl.E_PARTIAL_FILE, pycurl.E_BAD_CONTENT_ENCODING})
-"""The server ended a body before its declared end."""
+"""libcurl's errors for a body that ends before its declared length or is badly encoded."""
 
 
 class HandleControl(Protocol):
-    """What a transfer asks of the client that runs it."""
+    """Operations of the HTTP client that a transfer needs."""
 
     def resume(self, handle: pycurl.Curl) -> None:
-        """Go on with a paused transfer."""
+        """Resume a paused transfer."""
         ...
 
     def abort(self, handle: pycurl.Curl) -> None:
-        """End a transfer and close its connection."""
+        """End a running transfer and close its connection."""
         ...
 
 
 class Transfer:
-    """One running request.  Made by :meth:`HttpClient.start`.
+    """One HTTP transfer, started by :meth:`HttpClient.start`.
 
-    Read the head with :meth:`head`, then pieces of the body with :meth:`read`
-    until it returns ``b""``.  Every failure is raised typed, with its
-    ``execution``.  Call :meth:`abort` when the rest is not wanted.
+    Await :meth:`head` for the status and headers, then :meth:`read` the body until it returns ``b""``.  Both
+    raise the transfer's failure as a PassgateError with its execution status.  Call :meth:`abort` or
+    :meth:`finish_unread` if the body is not read to its end.
     """
 
     def __init__(
-        self, client: HandleControl, connections: KeptConnections, limits: HttpLimits, call: HttpCall
+        self, client: HandleControl, connections: ConnectionSockets, limits: HttpLimits, call: HttpCall
     ) -> None:
         self.call = call
-        self.sends = 0
-        """Times that libcurl came to send the request."""
+        self.send_count = 0
+        """How often libcurl has started to send the request."""
         self.status = 0
         self.headers = HTTPHeaders()
         self.received_bytes = 0
         self.connect_s: float | None = None
-        """Time that a new connection took to open; None on one that was open already."""
-        self._socket_s = 0.0
+        """Time that it took to open a new connection; None if an open one was reused."""
+        self._socket_created_s = 0.0
         self._client = client
         self._connections = connections
         self._new_descriptor: int | None = None
-        self._found_closed = False
+        self._reused_connection_closed = False
         self._restarted = False
         self._aborted = False
         self._limits = limits
@@ -89,7 +89,7 @@
         self._pieces: collections.deque[bytes] = collections.deque()
         self._buffered_bytes = 0
         self._paused = False
-        self._head_done = False
+        self._head_complete = False
         self._ended = False
         self._error: PassgateError | None = None
         self._waiter: asyncio.Future[None] | None = None
@@ -97,25 +97,29 @@
     # --- reading -----------------------------------------------------------------
 
     async def head(self) -> int:
-        """Wait for the answer's head; return its status."""
-        while not self._head_done and not self._ended:
-            await self._changed()
-        if not self._head_done:
+        """Wait for the status line and headers and return the status; raises PassgateError."""
+        while not self._head_complete and not self._ended:
+            await self._wait_for_change()
+        if not self._head_complete:
             raise self._failure()
         return self.status
 
     async def read(self) -> bytes:
-        """Return the bytes received since the last call; ``b""`` at the verified end."""
+        """Wait for data and return all that is buffered; ``b""`` at the end.  Raises PassgateError."""
         while not self._pieces and not self._ended:
-            await self._changed()
+            await self._wait_for_change()
         if self._pieces:
-            return self._take()
+            return self._take_buffered()
         if self._error is not None:
             raise self._error
         return b""
 
     async def read_all(self) -> HttpAnswer:
-        """Return the whole answer; raises IncompleteAnswer when its length is not proven."""
+        """Return the complete answer.
+
+        Raises PassgateError; IncompleteAnswer if the body is too large, or if its length is not the
+        declared one or was not declared although required.
+        """
         await self.head()
         parts = []
         size = 0
@@ -131,36 +135,37 @@
         return HttpAnswer(status=self.status, headers=self.headers, body=b"".join(parts))
 
     def abort(self) -> None:
-        """End the transfer now; its connection is closed.  Harmless after the end."""
+        """Stop the transfer and close its connection; does nothing after the transfer's end."""
         if self._handle is not None and not self._ended:
             self._aborted = True
             self._client.abort(self._handle)
 
     def finish_unread(self) -> None:
-        """Let the transfer end by itself, so that its connection is kept; abort it if it does not."""
+        """Let the transfer end by itself, so that its connection can be reused; abort it after a timeout."""
         if not self._ended:
-            asyncio.get_running_loop().call_later(FINISH_UNREAD_S, self.abort)
+            asyncio.get_running_loop().call_later(FINISH_UNREAD_TIMEOUT_S, self.abort)
 
     @property
     def ended(self) -> bool:
-        """Whether nothing more will arrive."""
+        """Whether the transfer has ended, so that no more bytes will be received."""
         return self._ended
 
     def execution(self) -> ExecutionStatus:
-        """Return what is known of the request when the transfer failed."""
-        return ExecutionStatus.UNKNOWN if self.sends else ExecutionStatus.NOT_RUN
+        """Return the execution status of the request if the transfer fails."""
+        return ExecutionStatus.UNKNOWN if self.send_count else ExecutionStatus.NOT_RUN
 
     def _check_length(self, size: int) -> None:
         if self.status in BODILESS_STATUSES or self.call.method == "HEAD":
             return
         declared = self.headers.get("Content-Length")
         if declared is not None and declared != str(size):
-            raise IncompleteAnswer("answer's length differs from Content-Length", declared=declared, got=size)
+            raise IncompleteAnswer("body length differs from Content-Length", declared=declared, got=size)
         chunked = self.headers.get("Transfer-Encoding", "").lower() == "chunked"
         if declared is None and not chunked and self.call.length_required:
-            raise IncompleteAnswer("answer declares no length")
+            raise IncompleteAnswer("answer has neither Content-Length nor chunked encoding")
 
-    def _take(self) -> bytes:
+    def _take_buffered(self) -> bytes:
+        """Remove and return the buffered bytes, and resume a transfer that was paused by them."""
         data = b"".join(self._pieces) if len(self._pieces) > 1 else self._pieces[0]
         self._pieces.clear()
         self._buffered_bytes = 0
@@ -169,7 +174,7 @@
             self._client.resume(self._handle)
         return data
 
-    async def _changed(self) -> None:
+    async def _wait_for_change(self) -> None:
         self._waiter = asyncio.get_running_loop().create_future()
         try:
             await self._waiter
@@ -181,12 +186,14 @@
             self._waiter.set_result(None)
 
     def _failure(self) -> PassgateError:
-        return self._error or BackendUnreachable("no answer", execution=self.execution())
+        return self._error or BackendUnreachable(
+            "the transfer ended without an answer", execution=self.execution()
+        )
 
     # --- called by libcurl ---------------------------------------------------------
 
     def prepare(self, handle: pycurl.Curl) -> None:
-        """Set this transfer's options and callbacks on a handle."""
+        """Set this transfer's options and callbacks on a libcurl handle."""
         self._handle = handle
         handle.setopt(pycurl.NOPROXY, "*")
         handle.setopt(pycurl.NOSIGNAL, SIGNALS_OFF)
@@ -196,12 +203,12 @@
         handle.setopt(pycurl.TCP_KEEPINTVL, TCP_KEEPALIVE_INTERVAL_S)
         handle.setopt(pycurl.MAXAGE_CONN, self._limits.max_connection_idle_s)
         handle.setopt(pycurl.PATH_AS_IS, 1)
-        handle.setopt(pycurl.VERBOSE, 0)  # tornado's debug log would show credentials
+        handle.setopt(pycurl.VERBOSE, 0)  # Tornado's debug log would contain credentials
         if self.call.stall_timeout_s is not None:
             handle.setopt(pycurl.LOW_SPEED_LIMIT, STALLED_BYTES_PER_S)
             handle.setopt(pycurl.LOW_SPEED_TIME, self.call.stall_timeout_s)
         own_connection = self.call.send is SendPolicy.ONCE_ON_FRESH_CONNECTION
-        handle.setopt(pycurl.FRESH_CONNECT, int(own_connection or self._found_closed))
+        handle.setopt(pycurl.FRESH_CONNECT, int(own_connection or self._reused_connection_closed))
         handle.setopt(pycurl.FORBID_REUSE, int(own_connection))
         handle.setopt(pycurl.UPLOAD_BUFFERSIZE, UPLOAD_BUFFER_BYTES)
         handle.setopt(pycurl.SOCKOPTFUNCTION, self._on_socket)
@@ -211,32 +218,40 @@
 
     def _on_socket(self, descriptor: int, purpose: int) -> int:
         self._new_descriptor = descriptor
-        self._socket_s = monotonic_s()
+        self._socket_created_s = monotonic_s()
         if self._limits.unacknowledged_timeout_s is not None:
             set_unacknowledged_timeout(descriptor, self._limits.unacknowledged_timeout_s)
         return pycurl.SOCKOPT_OK
 
     def _on_send(self, remote_ip: str, local_ip: str, remote_port: int, local_port: int) -> int:
-        # libcurl comes here each time that it is about to send the request, also the second time.
-        if self.sends and self.call.send is not SendPolicy.REPEAT:
+        # libcurl calls this each time before it sends the request, also before a repetition.
+        if self.send_count and self.call.send is not SendPolicy.REPEAT:
             return pycurl.PREREQFUNC_ABORT
-        last_s = self.call.not_sent_after_s
-        if last_s is not None and monotonic_s() > last_s:
-            self._error = SendTooLate("the time to send is over", execution=ExecutionStatus.NOT_RUN)
+        latest_send_s = self.call.not_sent_after_s
+        if latest_send_s is not None and monotonic_s() > latest_send_s:
+            self._error = SendTooLate("the latest time to send has passed", execution=ExecutionStatus.NOT_RUN)
             return pycurl.PREREQFUNC_ABORT
-        ends = ConnectionEnds(remote_ip, local_ip, remote_port, local_port)
+        endpoints = ConnectionEndpoints(remote_ip, local_ip, remote_port, local_port)
         if self._new_descriptor is not None:
-            self._connections.remember(ends, self._new_descriptor)
-            self.connect_s = monotonic_s() - self._socket_s
-        elif self._connections.is_closed(ends):
-            self._found_closed = True
+            self._connections.record(endpoints, self._new_descriptor)
+            self.connect_s = monotonic_s() - self._socket_created_s
+        elif self._connections.is_closed_by_server(endpoints):
+            self._reused_connection_closed = True
             return pycurl.PREREQFUNC_ABORT
-        self.sends += 1
+        self.send_count += 1
         return pycurl.PREREQFUNC_OK
 
-    def take_restart(self) -> bool:
-        """Return, once, whether the transfer ended unsent on a dead connection and shall start anew."""
-        restart = self._found_closed and not self._restarted and not self.sends and not self._aborted
+    def claim_restart(self) -> bool:
+        """Return whether to start the transfer again on a new connection; True at most once.
+
+        True if the transfer ended before the request was sent, because the server had closed the connection.
+        """
+        restart = (
+            self._reused_connection_closed
+            and not self._restarted
+            and not self.send_count
+            and not self._aborted
+        )
         self._restarted = self._restarted or restart
         return restart
 
@@ -244,7 +259,7 @@
         try:
             self._add_header(line)
         except (HTTPInputError, ValueError) as error:
-            self._error = IncompleteAnswer(f"unreadable header: {error}")
+            self._error = IncompleteAnswer(f"answer's header can not be parsed: {error}")
             return REJECT_DATA
         return len(line)
 
@@ -258,7 +273,7 @@
             self.headers.parse_line(text)
             return
         if self.status >= FIRST_FINAL_STATUS:
-            self._head_done = True
+            self._head_complete = True
             self._wake()
 
     def _on_data(self, data: bytes) -> int:
@@ -271,8 +286,8 @@
         self._wake()
         return len(data)
 
-    def on_end(self, response: HTTPResponse) -> None:
-        """Record the transfer's end; called by the client once."""
+    def record_end(self, response: HTTPResponse) -> None:
+        """Record the transfer's end and its failure, if any; called once, by the client."""
         self._handle = None
         self._ended = True
         if self._error is None:
@@ -284,19 +299,25 @@
         if isinstance(error, CurlError):
             timeout_s = self.call.timeout_s
             in_time = timeout_s is None or response.request_time < timeout_s
-            return classify_failure(error.errno, self.sends > 0, in_time, str(error))
+            return classify_failure(error.errno, self.send_count > 0, in_time, str(error))
         if error is None or isinstance(error, HTTPError):
-            return None  # also a whole answer with a status such as 404 is an error to tornado
-        # The text may hold a header's value, so only the kind is told.
+            return None  # Tornado reports a complete answer with an error status as HTTPError
+        # The error's text may contain a header's value, such as a credential, so only its type is shown.
         message = f"request can not be sent: {type(error).__name__}"
         return BackendUnreachable(message, execution=ExecutionStatus.NOT_RUN)
 
 
 def classify_failure(errno: int, sent: bool, in_time: bool, message: str) -> PassgateError:
-    """Return the typed error of a failed transfer.
+    """Return the error of a failed transfer.
+
+    Its execution status is NOT_RUN only if libcurl never started to send the request: connection refused,
+    no route, name not resolved, connect timeout.
 
-    ``not_run`` is claimed only when libcurl never came to send the request:
-    refused, no route, name not resolved, connect timeout.
+    Args:
+        errno: libcurl's error code.
+        sent: whether libcurl started to send the request.
+        in_time: whether the transfer ended before its total timeout.
+        message: text of the error.
     """
     if not sent:
         return BackendUnreachable(message, execution=ExecutionStatus.NOT_RUN, curl_errno=errno)
--- a/passgate/clients/wire.py
+++ b/passgate/clients/wire.py
@@ -1,9 +1,8 @@
-"""Bodies exchanged with engines, app services and the platform; JSON throughout.
+"""Headers and JSON bodies exchanged with engines, application services and the platform.
 
-The engines' part follows the completions interface that rollout engines share:
-``POST /v1/completions`` with ``stream: true`` answers server-sent events, each
-with the tokens of one piece and the ``weight_version`` that produced them, the
-last event before ``[DONE]`` carrying ``finish_reason``.
+Engines are called through the completions interface that rollout engines share: ``POST /v1/completions``
+with ``stream: true`` returns server-sent events.  Each has the tokens of one chunk and the ``weight_version``
+that produced them; the last one before ``[DONE]`` has the ``finish_reason``.
 
 >>> EventDecoder().feed(b": ping\\n\\ndata: {}\\n\\nda")
 [b'{}']
@@ -28,10 +27,11 @@
 TIMEOUT_HEADER = "X-Timeout-Ms"
 NOT_REPEATABLE_HEADER = "X-Not-Repeatable"
 LOAD_PATH = "/load"
-"""Where back ends answer their load report."""
+"""Path of a back end's load report."""
 JSON_TYPE = "application/json"
 EVENT_STREAM_TYPE = "text/event-stream"
 PLAIN_HEADER_CHARACTERS = " !#$&'()*+,/:;=?@[]^`{|}~\""
+"""Characters, besides letters, digits and ``_.-~``, that are not percent-encoded in headers."""
 DONE_MARK = b"[DONE]"
 MAX_EVENT_BYTES = 1024 * 1024
 
@@ -47,17 +47,17 @@
     return_token_ids: bool = False
     seed: int = 0
     user: str = ""
-    """Caller that fairness counts against."""
+    """Identity by which the engine schedules requests fairly."""
     priority_class: str = "default"
     timeout_s: float | None = None
-    """Time left until the answer is worthless."""
+    """Time left until the request's deadline; None means no deadline."""
     minimum_weight_version: int = 0
     resume_token_ids: tuple[int, ...] = ()
-    """Output tokens of an earlier attempt; the engine goes on after them."""
+    """Output tokens of an earlier attempt, which the engine continues."""
 
 
 class CompletionChoice(msgspec.Struct, frozen=True, kw_only=True):
-    """The only choice of a streamed piece."""
+    """Tokens of a streamed chunk; an event has one choice."""
 
     index: int = 0
     text: str = ""
@@ -66,7 +66,7 @@
 
 
 class Usage(msgspec.Struct, frozen=True, kw_only=True):
-    """Token counts of the whole output, on the last event."""
+    """Token count of the complete output, in the last event."""
 
     completion_tokens: int
 
@@ -78,9 +78,9 @@
     object: str = "text_completion"
     choices: tuple[CompletionChoice, ...] = ()
     weight_version: int | str | None = None
-    """Version that produced the piece, as a number or its decimal text."""
+    """Version that produced the tokens, as a number or as decimal text."""
     position: int | None = None
-    """Position of the piece's first token in the whole output, when the engine tells it."""
+    """Position of the first token in the complete output, if the engine reports it."""
     usage: Usage | None = None
     error: ErrorBody | None = None
 
@@ -102,17 +102,17 @@
 
     replica_id: str
     sequence: int
-    """Grows with each report of one process."""
+    """Increases with each report of one process."""
     running: int
-    """Calls being executed."""
+    """Calls in progress."""
     waiting: int = 0
-    """Calls that the service queues itself."""
+    """Calls in the service's own queue."""
     leaving: bool = False
-    """The replica takes no new calls."""
+    """Whether the replica accepts no new calls."""
 
     @classmethod
     def of(cls, report: LoadReport) -> AppLoadAnswer:
-        """Return the answer that carries an application's report."""
+        """Return the answer with the fields of an application's report."""
         return cls(
             replica_id=report.replica_id,
             sequence=report.sequence,
@@ -122,7 +122,7 @@
         )
 
     def report(self) -> LoadReport:
-        """Return the report, without tokens or KV memory."""
+        """Return the report; its token and KV fields are 0."""
         return LoadReport(
             replica_id=self.replica_id,
             sequence=self.sequence,
@@ -180,7 +180,7 @@
 
 
 def encode_chunk(chunk: GenerateChunk, total_tokens: int | None = None) -> bytes:
-    """Return the server-sent event of a chunk; ``total_tokens`` goes into the last one."""
+    """Return the server-sent event of a chunk; ``total_tokens`` is given with the last chunk."""
     finish = None if chunk.finish_reason is None else chunk.finish_reason.value
     event = CompletionEvent(
         id=chunk.request_id,
@@ -193,42 +193,42 @@
 
 
 def encode_event(data: bytes) -> bytes:
-    """Return one server-sent event around ``data``, which has no line breaks."""
+    """Return one server-sent event with ``data``, which must not contain line breaks."""
     return b"data: " + data + b"\n\n"
 
 
 class EventDecoder:
     """Splits a byte stream into the ``data`` of its server-sent events.
 
-    Each event here has one ``data`` line; comments and other fields are passed over.
+    Each ``data`` line counts as one event; comments and other fields are ignored.
     """
 
     def __init__(self) -> None:
-        self._rest = b""
+        self._unfinished_line = b""
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Return the data of the events completed by ``data``; raises ValueError when one is too long."""
-        lines = (self._rest + data).split(b"\n")
-        self._rest = lines.pop()
-        if len(self._rest) > MAX_EVENT_BYTES:
+        """Return the data of the events completed by ``data``; raises ValueError if a line is too long."""
+        lines = (self._unfinished_line + data).split(b"\n")
+        self._unfinished_line = lines.pop()
+        if len(self._unfinished_line) > MAX_EVENT_BYTES:
             raise ValueError("server-sent event is too long")
         return [line[5:].strip() for line in lines if line.startswith(b"data:")]
 
     @property
-    def has_rest(self) -> bool:
-        """Whether bytes of an unfinished event are left."""
-        return bool(self._rest.strip())
+    def has_unfinished_line(self) -> bool:
+        """Whether a line was received only in part."""
+        return bool(self._unfinished_line.strip())
 
 
-def header_text(value: str) -> str:
-    """Return a value as it stands in a header: percent-encoded where not plain ASCII.
+def encode_header_value(value: str) -> str:
+    """Return a value for a header; all but letters, digits and some ASCII characters are percent-encoded.
 
-    >>> header_text("Damião"), header_text("linha/7")
+    >>> encode_header_value("Damião"), encode_header_value("linha/7")
     ('Dami%C3%A3o', 'linha/7')
     """
     return quote(value, safe=PLAIN_HEADER_CHARACTERS)
 
 
 def authorization(credential: str | None) -> dict[str, str]:
-    """Return the header that carries a bearer credential, or none."""
+    """Return the headers with a bearer credential; empty without one."""
     return {} if credential is None else {"Authorization": f"Bearer {credential}"}
--- a/tests/test_clients_http_app.py
+++ b/tests/test_clients_http_app.py
@@ -18,11 +18,12 @@
 
 
 class EchoApp:
-    """Answers with what it was asked."""
+    """Application service that returns the body of each call."""
 
     def __init__(self):
         self.calls = []
-        self.hold = None
+        self.resume_event = None
+        """Event for which calls wait; None means that they don't wait."""
         self.refuse = False
 
     async def load_report(self, address):
@@ -42,8 +43,8 @@
         self.calls.append(request)
         if self.refuse:
             raise BackendRefused("full", retry_after_s=2.0)
-        if self.hold is not None:
-            await self.hold.wait()
+        if self.resume_event is not None:
+            await self.resume_event.wait()
         status = 404 if request.path.startswith("/missing") else 200
         return AppResponse(
             request_id=request.request_id, status=status, body=request.body, replica_id="linha-0"
@@ -67,17 +68,21 @@
     return AppRequest(request_id=request_id, **{**fields, "body": b'{"photo": 1}', **changes})
 
 
-async def test_call_arrives_as_sent_and_its_answer_comes_back():
+async def test_service_receives_the_call_and_its_answer_is_returned():
     async with served_app() as (server, client, address):
         response = await client.call(address, app_request(repeatable=False, priority_class="gold"))
         assert (response.status, response.body, response.replica_id) == (200, b'{"photo": 1}', "linha-0")
-        seen = server.model.calls[0]
-        assert (seen.caller, seen.path, seen.priority_class) == ("supervisor", "/verdict?lot=7", "gold")
-        assert seen.repeatable is False
+        received = server.model.calls[0]
+        assert (received.caller, received.path, received.priority_class) == (
+            "supervisor",
+            "/verdict?lot=7",
+            "gold",
+        )
+        assert received.repeatable is False
 
 
 @pytest.mark.parametrize("method", ["GET", "POST", "PUT", "PATCH", "DELETE"])
-async def test_methods_and_statuses_pass_through(method):
+async def test_method_status_and_body_are_passed_on_unchanged(method):
     async with served_app() as (_, client, address):
         body = b"" if method in ("GET", "DELETE") else b"x"
         response = await client.call(address, app_request(method=method, path="/missing", body=body))
@@ -85,15 +90,15 @@
 
 
 @pytest.mark.parametrize("caller", ["Damião", "Žižka", "a\r\nX-Evil: 1", "50% off", ""])
-async def test_any_caller_and_identifier_travels_as_it_is(caller):
+async def test_caller_and_identifier_may_contain_any_characters(caller):
     async with served_app() as (server, client, address):
         response = await client.call(address, app_request(caller + "/1", caller=caller))
         assert response.request_id == caller + "/1"
-        seen = server.model.calls[0]
-        assert (seen.request_id, seen.caller) == (caller + "/1", caller)
+        received = server.model.calls[0]
+        assert (received.request_id, received.caller) == (caller + "/1", caller)
 
 
-async def test_load_report_is_read_and_a_call_to_its_path_is_still_forwarded():
+async def test_load_report_is_read_and_a_caller_may_still_use_its_path():
     async with served_app() as (server, client, address):
         report = await client.load_report(address)
         assert report == await server.model.load_report("a1")
@@ -102,25 +107,25 @@
         assert [call.path for call in server.model.calls] == ["/load"]
 
 
-async def test_answer_that_is_not_a_report_is_typed():
+async def test_failed_load_report_raises_backend_unreachable():
     async with served_app() as (server, client, address):
         server.faults.unavailable = True
         with pytest.raises(BackendUnreachable):
             await client.load_report(address)
         server.faults.unavailable = False
-        server.faults.lose_answers = 9  # a read may be sent again
+        server.faults.lose_answers = 9  # libcurl may repeat a read
         with pytest.raises(BackendUnreachable):
             await client.load_report(address)
 
 
-async def test_crossed_answer_is_a_mismatch():
+async def test_answer_of_another_request_raises_answer_mismatch():
     async with served_app() as (server, client, address):
         server.faults.cross_answers = 1
         with pytest.raises(AnswerMismatch):
             await client.call(address, app_request())
 
 
-async def test_refusal_of_the_service_is_not_run():
+async def test_refusal_by_the_service_is_not_run_and_keeps_its_retry_after():
     async with served_app() as (server, client, address):
         server.model.refuse = True
         with pytest.raises(BackendRefused) as caught:
@@ -129,9 +134,9 @@
         assert caught.value.retry_after_s == 2.0
 
 
-async def test_not_repeatable_call_dropped_on_the_way_reaches_the_service_once():
+async def test_not_repeatable_call_whose_answer_is_lost_reaches_the_service_once():
     async with served_app() as (server, client, address):
-        await client.call(address, app_request("r0"))  # leaves a kept connection
+        await client.call(address, app_request("r0"))  # leaves a reusable connection
         server.faults.lose_answers = 1
         with pytest.raises(BackendUnreachable) as caught:
             await client.call(address, app_request("r1", repeatable=False))
@@ -139,21 +144,20 @@
         assert server.counters.received == {"r0": 1, "r1": 1}
 
 
-async def test_answer_to_a_cancelled_call_is_dropped():
-    """A late answer never reaches a later call, as its connection is gone."""
+async def test_answer_to_a_cancelled_call_is_not_returned_to_the_next_call():
     async with served_app() as (server, client, address):
-        server.model.hold = asyncio.Event()
-        late = asyncio.create_task(client.call(address, app_request("late")))
+        server.model.resume_event = asyncio.Event()
+        cancelled = asyncio.create_task(client.call(address, app_request("late")))
         while not server.model.calls:
             await asyncio.sleep(0)
-        late.cancel()
-        await asyncio.gather(late, return_exceptions=True)
-        server.model.hold.set()
+        cancelled.cancel()
+        await asyncio.gather(cancelled, return_exceptions=True)
+        server.model.resume_event.set()
         response = await client.call(address, app_request("next", body=b"own"))
         assert (response.request_id, response.body) == ("next", b"own")
 
 
-async def test_deadline_that_is_over_is_not_run():
+async def test_call_after_its_deadline_is_not_run():
     async with served_app() as (server, client, address):
         with pytest.raises(DeadlineExceeded) as caught:
             await client.call(address, app_request(deadline_s=monotonic_s() - 1.0))
--- a/tests/test_clients_http_log.py
+++ b/tests/test_clients_http_log.py
@@ -28,7 +28,7 @@
         http.close()
 
 
-async def test_records_come_back_in_order_with_their_offsets():
+async def test_records_are_read_in_order_with_their_offsets():
     async with served_log() as (_, _, client):
         assert await client.append("claim.a/b%2F c", [b"\x00one", b"two"], TIMEOUT_S) == 0
         assert await client.append("claim.a/b%2F c", [b"three"], TIMEOUT_S) == 2
@@ -38,17 +38,17 @@
         assert (await client.read("never-written", 0, 10, 0.0)).end_offset == 0
 
 
-async def test_long_poll_answers_at_the_next_append():
+async def test_long_poll_returns_at_the_next_append():
     async with served_log() as (log, _, client):
-        reading = asyncio.create_task(client.read("s", 0, 10, 30.0))
+        read_task = asyncio.create_task(client.read("s", 0, 10, 30.0))
         while not log._waiters.get("s"):
             await asyncio.sleep(0)
         await client.append("s", [b"x"], TIMEOUT_S)
-        batch = await asyncio.wait_for(reading, TIMEOUT_S)
+        batch = await asyncio.wait_for(read_task, TIMEOUT_S)
         assert batch.entries[0].payload == b"x"
 
 
-async def test_refused_connection_is_unavailable():
+async def test_refused_connection_raises_log_unavailable():
     async with served_log() as (_, server, client):
         server.crash()
         with pytest.raises(LogUnavailable):
@@ -57,7 +57,7 @@
             await client.read("s", 0, 1, 0.0)
 
 
-async def test_logs_own_refusal_is_unavailable():
+async def test_refusal_by_the_log_raises_log_unavailable():
     async with served_log() as (log, server, client):
         log.faults.down = True
         with pytest.raises(LogUnavailable):
@@ -68,16 +68,16 @@
             await client.append("s", [b"x"], TIMEOUT_S)
 
 
-async def test_append_whose_answer_is_lost_is_unknown_and_on_the_log_once():
+async def test_append_whose_answer_is_lost_is_unknown_and_not_sent_again():
     async with served_log() as (log, server, client):
-        await client.append("s", [b"first"], TIMEOUT_S)  # leaves a kept connection
+        await client.append("s", [b"first"], TIMEOUT_S)  # leaves a reusable connection
         server.faults.lose_answers = 1
         with pytest.raises(LogAppendUnknown):
             await client.append("s", [b"x"], TIMEOUT_S)
         assert log.records_by_stream["s"] == 2
 
 
-async def test_append_dropped_unread_on_a_kept_connection_is_unknown_and_not_sent_again():
+async def test_append_dropped_on_a_reused_connection_is_unknown_and_not_sent_again():
     async with served_log() as (log, server, client):
         await client.append("s", [b"first"], TIMEOUT_S)
         server.faults.drop_requests = 1
--- a/tests/test_clients_http_platform.py
+++ b/tests/test_clients_http_platform.py
@@ -15,7 +15,7 @@
 
 
 class ScriptedHttp:
-    """Answers calls with scripted answers and keeps the calls."""
+    """HTTP client that returns prepared answers and records the calls."""
 
     def __init__(self, *answers):
         self.answers = list(answers)
@@ -30,7 +30,7 @@
     return HttpAnswer(status=status, headers=HTTPHeaders(headers), body=body)
 
 
-async def test_unchanged_list_is_taken_from_memory_and_a_changed_one_is_not():
+async def test_unchanged_list_is_taken_from_the_cache_and_a_changed_one_is_read():
     empty = msgspec.json.encode(MachinesAnswer(machines=()))
     http = ScriptedHttp(answer(BODY, Etag='"1"'), answer(status=304), answer(empty, Etag='"2"'))
     machines = HttpMachineList(http, "127.0.0.1:1")
@@ -40,7 +40,7 @@
     assert [call.headers.get("If-None-Match") for call in http.calls] == [None, '"1"', '"1"']
 
 
-async def test_platform_without_tags_is_read_whole_each_time():
+async def test_list_without_entity_tag_is_read_unconditionally():
     http = ScriptedHttp(answer(BODY), answer(BODY))
     machines = HttpMachineList(http, "127.0.0.1:1")
     await machines.machines()
@@ -48,18 +48,18 @@
     assert "If-None-Match" not in http.calls[1].headers
 
 
-async def test_not_modified_without_a_question_is_an_error():
+async def test_not_modified_answer_to_an_unconditional_read_is_an_error():
     with pytest.raises(PlatformError):
         await HttpMachineList(ScriptedHttp(answer(status=304)), "127.0.0.1:1").machines()
 
 
-async def test_compressed_list_is_read():
+async def test_compressed_list_is_decompressed():
     http = ScriptedHttp(answer(gzip.compress(BODY), **{"Content-Encoding": "gzip"}))
     assert await HttpMachineList(http, "127.0.0.1:1").machines() == (MACHINE,)
 
 
-@pytest.mark.parametrize("broken", [b"not gzip", gzip.compress(BODY)[:-9], b""])
-async def test_broken_compression_is_typed(broken):
-    http = ScriptedHttp(answer(broken, **{"Content-Encoding": "gzip"}))
+@pytest.mark.parametrize("body", [b"not gzip", gzip.compress(BODY)[:-9], b""])
+async def test_invalid_or_truncated_gzip_raises_platform_error(body):
+    http = ScriptedHttp(answer(body, **{"Content-Encoding": "gzip"}))
     with pytest.raises(PlatformError):
         await HttpMachineList(http, "127.0.0.1:1").machines()
--- a/tests/test_clients_stream_verifier.py
+++ b/tests/test_clients_stream_verifier.py
@@ -1,4 +1,4 @@
-"""The stream verifier: nothing unproven leaves it, however the bytes are cut."""
+"""StreamVerifier returns only verified chunks, however the stream is split, truncated or malformed."""
 
 import msgspec
 import pytest
@@ -37,7 +37,7 @@
     return msgspec.json.encode(wire.ErrorAnswer(error=error.body()))
 
 
-def whole_stream():
+def complete_stream():
     return [chunk(0, (5, 6)), chunk(2, (7,), version=4), chunk(3, (8,), FinishReason.STOP, version=4)]
 
 
@@ -53,30 +53,30 @@
         if verifier.done:
             return chunks
     verifier.feed(b"")
-    raise AssertionError("an ended body was taken")
+    raise AssertionError("a truncated body was accepted")
 
 
 @given(st.lists(st.integers(0, 400), max_size=12))
-def test_stream_cut_anywhere_into_pieces_gives_the_same_chunks(cuts):
-    data = b": keep-alive\r\n\r\n" + encode(whole_stream()) + DONE
+def test_chunks_do_not_depend_on_how_the_stream_is_split(cuts):
+    data = b": keep-alive\r\n\r\n" + encode(complete_stream()) + DONE
     edges = sorted({0, len(data), *(cut for cut in cuts if cut < len(data))})
     pieces = [data[start:end] for start, end in zip(edges, edges[1:], strict=False)]
-    assert read_all(StreamVerifier(REQUEST), pieces) == whole_stream()
+    assert read_all(StreamVerifier(REQUEST), pieces) == complete_stream()
 
 
 @given(st.integers(1, 600))
-def test_truncated_stream_is_never_whole(length):
-    data = encode(whole_stream()) + DONE.rstrip()
+def test_truncated_stream_is_never_complete(length):
+    data = encode(complete_stream()) + DONE.rstrip()
     verifier = StreamVerifier(REQUEST)
-    seen = verifier.feed(data[: min(length, len(data) - 1)])
+    chunks = verifier.feed(data[: min(length, len(data) - 1)])
     assert not verifier.done
-    assert all(each.finish_reason is None for each in seen)
+    assert all(each.finish_reason is None for each in chunks)
     with pytest.raises(IncompleteAnswer):
         verifier.feed(b"")
 
 
 @given(st.binary(max_size=200))
-def test_any_bytes_give_a_typed_error_or_nothing(data):
+def test_arbitrary_bytes_give_no_chunk_and_raise_only_passgate_errors(data):
     verifier = StreamVerifier(REQUEST)
     try:
         assert verifier.feed(data + b"\n\n") == []
@@ -97,7 +97,7 @@
     ],
     ids=["other", "gap", "overlap", "no-version", "too-many", "after-finish", "two-finishes"],
 )
-def test_stream_with_one_defect_is_refused(chunks, error):
+def test_stream_with_one_defect_raises(chunks, error):
     with pytest.raises(error):
         StreamVerifier(REQUEST).feed(b"".join(wire.encode_chunk(each) for each in chunks) + DONE)
 
@@ -107,7 +107,7 @@
         StreamVerifier(REQUEST).feed(encode([chunk(0, (5,))]) + DONE)
 
 
-def test_wrong_reported_total_is_incomplete():
+def test_wrong_reported_token_count_is_incomplete():
     with pytest.raises(IncompleteAnswer):
         StreamVerifier(REQUEST).feed(wire.encode_chunk(chunk(0, (5,), FinishReason.STOP), 2) + DONE)
 
@@ -123,7 +123,7 @@
         (500, {}, b'{"error": 1}', ExecutionFailed, ExecutionStatus.UNKNOWN, None),
     ],
 )
-def test_refusal_is_not_run_only_by_the_engines_own_word(
+def test_error_answer_is_not_run_only_if_the_engine_says_so(
     status, headers, body, error, execution, retry_after_s
 ):
     failure = engine_failure(HttpAnswer(status=status, headers=HTTPHeaders(headers), body=body))
@@ -132,13 +132,13 @@
     assert failure.retry_after_s == retry_after_s
 
 
-def test_total_may_come_in_an_event_of_its_own_after_the_finish_reason():
+def test_token_count_may_follow_the_finish_reason_in_a_separate_event():
     last = wire.encode_chunk(chunk(0, (5,), FinishReason.STOP))
-    for total, is_whole in ((1, True), (2, False)):
+    for total, is_complete in ((1, True), (2, False)):
         event = wire.CompletionEvent(id="r1", usage=wire.Usage(completion_tokens=total))
         data = last + wire.encode_event(msgspec.json.encode(event)) + DONE
         verifier = StreamVerifier(REQUEST)
-        if is_whole:
+        if is_complete:
             assert len(verifier.feed(data)) == 1
         else:
             with pytest.raises(IncompleteAnswer):
@@ -146,11 +146,11 @@
 
 
 @pytest.mark.parametrize(
-    ("told", "version"), [("12", 12), (12, 12), ("default", None), ("", None), (0, None), (None, None)]
+    ("reported", "version"), [("12", 12), (12, 12), ("default", None), ("", None), (0, None), (None, None)]
 )
-def test_version_may_be_told_as_decimal_text(told, version):
+def test_weight_version_may_be_a_number_or_decimal_text(reported, version):
     choice = wire.CompletionChoice(token_ids=(5,))
-    event = wire.CompletionEvent(id="cmpl-r1", choices=(choice,), weight_version=told)
+    event = wire.CompletionEvent(id="cmpl-r1", choices=(choice,), weight_version=reported)
     data = wire.encode_event(msgspec.json.encode(event))
     if version is None:
         with pytest.raises(VersionNotReported):
@@ -159,7 +159,7 @@
         assert StreamVerifier(REQUEST).feed(data)[0].version == version
 
 
-def test_engine_that_does_not_tell_positions_is_counted():
+def test_positions_are_counted_if_the_engine_does_not_report_them():
     event = wire.CompletionEvent(
         id="r1", choices=(wire.CompletionChoice(token_ids=(5, 6)),), weight_version=3
     )
@@ -168,7 +168,7 @@
     assert [each.start for each in verifier.feed(data * 2)] == [0, 2]
 
 
-def test_refusal_inside_the_stream_is_not_run_only_before_the_first_token():
+def test_error_event_is_a_refusal_only_before_the_first_token():
     refusal = wire.CompletionEvent(error=Draining().body())
     data = wire.encode_event(msgspec.json.encode(refusal))
     with pytest.raises(BackendRefused):
