--- a/passgate/clients/replies.py
+++ b/passgate/clients/replies.py
@@ -74,7 +74,7 @@
     """Return the error of a control call whose answer has an error status."""
     error = decode_error(answer)
     execution = ExecutionStatus.UNKNOWN if error is None else error.execution
-    return BackendUnreachable("control call answered with an error", execution=execution, status=answer.status)
+    return BackendUnreachable("control call answered with error", execution=execution, status=answer.status)
 
 
 def retry_after_s(answer: HttpAnswer) -> float | None:
