--- a/passgate/caller_client.py
+++ b/passgate/caller_client.py
@@ -1,13 +1,13 @@
-"""Client of the callers' ports of several daemons; goes on to the next one when one is gone.
+"""Client of the callers' ports of several daemons, with failover between them.
 
 ::
 
     client = CallerClient(http, ["127.0.0.1:8100", "127.0.0.1:8110"], "trainer-a")
     result = await client.generate(request)
 
-It implements ``passgate.emulator.service.Service``, so emulated callers reach
-real daemons through it.  A request is sent to another daemon only when the first
-one certainly did not run it; all else is for the caller to repeat.
+It implements ``passgate.emulator.service.Service``, by which emulated callers use real daemons.  A request is
+sent to a further daemon only if the previous one certainly did not run it; any other error is raised, and the
+caller decides whether to repeat.
 """
 
 from __future__ import annotations
@@ -47,11 +47,11 @@
 from passgate.state.lot_types import LotInfo, LotRequest, SamplesPage
 
 CALL_TIMEOUT_S = 20.0
-"""Time for a call that carries no deadline of its own."""
-ANSWER_SLACK_S = 0.5
-"""A daemon answers at the deadline; the answer gets this much longer to arrive."""
-AVOID_S = 1.0
-"""A daemon that could not be reached or refused is left alone for this long."""
+"""Timeout of a call without a deadline."""
+ANSWER_MARGIN_S = 0.5
+"""Timeout of a call beyond its deadline, as a daemon may answer just at the deadline."""
+AVOID_DURATION_S = 1.0
+"""Time for which other daemons are preferred to one that was unreachable, stopping or not ready."""
 MS_PER_S = 1000
 FIRST_ERROR_STATUS = 400
 
@@ -59,7 +59,10 @@
 
 
 class CallerClient:
-    """Passgate as one caller sees it, over HTTP."""
+    """Sends one caller's requests to daemons over HTTP, in rotation.
+
+    Methods raise the errors of :mod:`passgate.errors` that the daemon returned, and those of the transfer.
+    """
 
     def __init__(
         self,
@@ -69,36 +72,38 @@
         credential: Credential | None = None,
         on_not_run: Callable[[str], None] | None = None,
     ) -> None:
-        """Prepare a client.
+        """Create a client.
 
         Args:
             http: shared HTTP client.
-            addresses: callers' addresses of daemons; calls go round them.
+            addresses: address of each daemon's callers' port; must not be empty.
             caller: the caller's name.
-            credential: the caller's credential, when daemons ask for one.
-            on_not_run: given the identifier, as back ends would know it, of each
-                request that a daemon declared as not run.
+            credential: the caller's credential, if daemons require one.
+            on_not_run: called for each request that a daemon reports as not run, with the identifier that
+                the daemon uses towards back ends.
         """
         self._http = http
         self._addresses = list(addresses)
         self._caller = caller
         self._credential = credential
         self._on_not_run = on_not_run
-        self._turn = 0
-        self._avoid_until_s: dict[str, float] = {}
+        self._next_index = 0
+        self._avoid_until_s_by_address: dict[str, float] = {}
 
     @property
     def daemon(self) -> str:
-        """Address of the daemon that the next call goes to."""
+        """Address of the daemon that gets the next call: the next in rotation that is not avoided."""
         now_s = monotonic_s()
         count = len(self._addresses)
-        order = [self._addresses[(self._turn + step) % count] for step in range(count)]
-        return min(order, key=lambda address: max(0.0, self._avoid_until_s.get(address, 0.0) - now_s))
+        rotation = [self._addresses[(self._next_index + step) % count] for step in range(count)]
+        return min(
+            rotation, key=lambda address: max(0.0, self._avoid_until_s_by_address.get(address, 0.0) - now_s)
+        )
 
     # --- requests --------------------------------------------------------------------
 
     async def generate(self, request: GenerateRequest, idempotency_key: str | None = None) -> GenerateResult:
-        """Return a whole answer; the pool is chosen by the request's model."""
+        """Return a complete output; the daemon selects the pool by the model and ignores ``request.pool``."""
         body = CompletionRequest(
             prompt=list(request.prompt),
             model=request.model,
@@ -111,7 +116,9 @@
         decoded = _decode(answer, CompletionAnswer)
         choice, provenance = decoded.choices[0], decoded.passgate
         if provenance is UNSET or choice.finish_reason is None:
-            raise IncompleteAnswer("the answer has no provenance", execution=ExecutionStatus.RAN)
+            raise IncompleteAnswer(
+                "answer lacks its finish reason or weight versions", execution=ExecutionStatus.RAN
+            )
         return GenerateResult(
             request_id=answer.headers.get("X-Request-Id", ""),
             tokens=choice.token_ids,
@@ -122,7 +129,7 @@
         )
 
     async def call_app(self, request: AppRequest, idempotency_key: str | None = None) -> AppResponse:
-        """Forward a call to the application pool of the request."""
+        """Call the application pool that the request names."""
         headers = _call_headers(request, idempotency_key)
         headers["Content-Type"] = request.content_type
         path = f"/v1/apps/{quote(request.pool, safe='')}{request.path}"
@@ -138,7 +145,7 @@
     # --- lots ------------------------------------------------------------------------
 
     async def open_lot(self, request: LotRequest, lot_id: str) -> None:
-        """Open a lot; opening it again changes nothing."""
+        """Open a lot; a repetition has no effect."""
         body = OpenLotRequest(
             lot_id=lot_id,
             model=request.model,
@@ -153,27 +160,27 @@
     async def read_lot(
         self, lot_id: str, cursor: int, limit: int, wait_s: float, trainer_version: int
     ) -> SamplesPage:
-        """Read samples from a cursor on."""
+        """Read samples from ``cursor`` on, waiting up to ``wait_s`` for one."""
         query = f"cursor={cursor}&limit={limit}&wait_s={wait_s}&trainer_version={trainer_version}"
         path = f"/v1/lots/{quote(lot_id, safe='')}/samples?{query}"
         return _decode(await self._send("GET", path), SamplesPage)
 
     async def acknowledge(self, lot_id: str, sample_ids: Sequence[str]) -> None:
-        """Confirm that samples have arrived."""
+        """Confirm that samples were received."""
         body = SampleIds(sample_ids=tuple(sample_ids))
         _decode(await self._send("POST", f"/v1/lots/{quote(lot_id, safe='')}/acknowledge", body), Done)
 
     async def replace(self, lot_id: str, sample_ids: Sequence[str], trainer_version: int) -> None:
-        """Have withdrawn samples that never arrived produced again."""
+        """Request that withdrawn samples, which were not received, are produced again."""
         body = ReplaceSamplesRequest(sample_ids=tuple(sample_ids), trainer_version=trainer_version)
         _decode(await self._send("POST", f"/v1/lots/{quote(lot_id, safe='')}/replace", body), SampleIds)
 
     async def cancel_lot(self, lot_id: str) -> None:
-        """Give a lot up."""
+        """Cancel a lot."""
         _decode(await self._send("DELETE", f"/v1/lots/{quote(lot_id, safe='')}"), Done)
 
     async def publish_version(self, model: str, version: int) -> None:
-        """Announce weights that are in the weight store."""
+        """Announce a weight version that is in the weight store."""
         body = PublishVersionRequest(version=version)
         path = f"/v1/models/{quote(model, safe='')}/versions"
         _decode(await self._send("POST", path, body), ChangeAnswer)
@@ -188,6 +195,11 @@
         headers: dict[str, str] | None = None,
         deadline_s: float | None = None,
     ) -> HttpAnswer:
+        """Send a request to daemons in turn until one is reached that is ready and not draining.
+
+        Makes at most as many attempts as there are addresses.  An error whose execution status is not
+        NOT_RUN is raised at once.
+        """
         data = body if isinstance(body, bytes) or body is None else msgspec.json.encode(body)
         if data is None and method != "GET":
             data = b"" if method != "DELETE" else None
@@ -209,7 +221,8 @@
         headers: dict[str, str],
         deadline_s: float | None,
     ) -> HttpAnswer:
-        self._turn = (self._addresses.index(address) + 1) % len(self._addresses)
+        """Send a request to one daemon; raises the error that it returns."""
+        self._next_index = (self._addresses.index(address) + 1) % len(self._addresses)
         left_s = remaining_s(deadline_s)
         call = HttpCall(
             method=method,
@@ -217,32 +230,32 @@
             body=body,
             headers=self._headers(headers, left_s),
             send=SendPolicy.REPEAT if method == "GET" else SendPolicy.ONCE,
-            timeout_s=CALL_TIMEOUT_S if left_s is None else left_s + ANSWER_SLACK_S,
+            timeout_s=CALL_TIMEOUT_S if left_s is None else left_s + ANSWER_MARGIN_S,
         )
         try:
             answer = await self._http.fetch(call)
             self._raise_error(answer)
         except (BackendUnreachable, Draining, NotReady):
-            self._avoid_until_s[address] = monotonic_s() + AVOID_S
+            self._avoid_until_s_by_address[address] = monotonic_s() + AVOID_DURATION_S
             raise
         return answer
 
     def _headers(self, headers: dict[str, str], left_s: float | None) -> dict[str, str]:
-        full = {"Content-Type": "application/json", "X-Passgate-Caller": self._caller, **headers}
+        all_headers = {"Content-Type": "application/json", "X-Passgate-Caller": self._caller, **headers}
         if self._credential is not None:
-            full["Authorization"] = f"Bearer {self._credential.reveal()}"
+            all_headers["Authorization"] = f"Bearer {self._credential.reveal()}"
         if left_s is not None:
-            full["X-Passgate-Deadline-Ms"] = str(max(1, int(left_s * MS_PER_S)))
-        return full
+            all_headers["X-Passgate-Deadline-Ms"] = str(max(1, int(left_s * MS_PER_S)))
+        return all_headers
 
     def _raise_error(self, answer: HttpAnswer) -> None:
-        """Raise the error that passgate itself answered; an application's own error is an answer."""
+        """Raise the error that the daemon returned; an error answer of an application is no such error."""
         if answer.status < FIRST_ERROR_STATUS or "X-Passgate-Error" not in answer.headers:
             return
         try:
             error = rebuild_error(msgspec.json.decode(answer.body, type=ErrorAnswer).error)
         except msgspec.MsgspecError:
-            raise PassgateError("the answer is not one of passgate", status=answer.status) from None
+            raise PassgateError("error answer is not in passgate's form", status=answer.status) from None
         if error.execution is ExecutionStatus.NOT_RUN and self._on_not_run is not None:
             self._on_not_run(answer.headers.get("X-Passgate-Request-Id", ""))
         raise error
@@ -259,8 +272,8 @@
 
 def _decode(answer: HttpAnswer, kind: type[T]) -> T:
     if answer.status >= FIRST_ERROR_STATUS:
-        raise PassgateError("the answer is not one of passgate", status=answer.status)
+        raise PassgateError("error answer is not in passgate's form", status=answer.status)
     try:
         return msgspec.json.decode(answer.body, type=kind)
     except msgspec.MsgspecError as error:
-        raise IncompleteAnswer(f"unreadable answer: {error}", execution=ExecutionStatus.RAN) from None
+        raise IncompleteAnswer(f"answer can not be decoded: {error}", execution=ExecutionStatus.RAN) from None
--- a/passgate/cli.py
+++ b/passgate/cli.py
@@ -1,4 +1,4 @@
-"""Command line of passgate; each command is imported only when it is used.
+"""Command line of passgate; a command's module is imported only when the command is run.
 
 ::
 
@@ -6,8 +6,8 @@
     passgate apply pools.yaml --operator 127.0.0.1:8101
     passgate get Pool --selector tier=gold
 
-Exit codes: 0 done; 1 a check failed, objects differ, or the service refused;
-2 bad input.
+Exit codes: 0 success; 1 a check failed, objects differ, or the service returned an error; 2 invalid input;
+130 interrupted.
 """
 
 from __future__ import annotations
@@ -34,21 +34,23 @@
 
 
 class Command(msgspec.Struct, frozen=True):
-    """Where a command or group of commands is found."""
+    """Module and attribute of a command or group of commands."""
 
     module: str
     attribute: str
+    """Dotted path within the module."""
     summary: str
+    """Line in the list of commands."""
 
 
 COMMANDS = {
     "serve": Command("passgate.cli", "serve", "run one daemon"),
     "apply": Command("passgate.operator_commands", "apply", "put the objects of a file"),
     "get": Command("passgate.operator_commands", "get", "show configuration objects"),
-    "diff": Command("passgate.operator_commands", "diff", "compare a file with what is in force"),
+    "diff": Command("passgate.operator_commands", "diff", "compare a file with the active objects"),
     "delete": Command("passgate.operator_commands", "delete", "delete one object"),
     "watch": Command("passgate.operator_commands", "watch", "show which daemon has which revision"),
-    "explain": Command("passgate.explain", "run", "the life of one request, job or item from logs"),
+    "explain": Command("passgate.explain", "run", "history of one request, job or item, from logs"),
     "demo": Command("passgate.demo", "demo", "run both example deployments on this machine"),
     "lab": Command("passgate.lab.cli", "LabCommands", "experiments in the emulator"),
     "check": Command("passgate.check.cli", "CheckCommands", "model and history checks"),
@@ -59,7 +61,7 @@
 
 @decorators.SetParseFn(str)
 def serve(settings: str = "", **overrides: str) -> None:
-    """Run one daemon until SIGTERM or SIGINT.
+    """Run one daemon until SIGTERM or SIGINT; exit code 1 if its graceful shutdown was not complete.
 
     Args:
         settings: path of the settings file.
@@ -74,26 +76,29 @@
     loaded = load_settings(settings, overrides)
     logger = configure_logging(loaded.log_level, loaded.daemon_id)
 
-    def on_stop_signal(ask: Callable[[], None]) -> None:
-        handle_signals({signal.SIGTERM: ask, signal.SIGINT: ask})
+    def on_stop_signal(request_stop: Callable[[], None]) -> None:
+        handle_signals({signal.SIGTERM: request_stop, signal.SIGINT: request_stop})
 
     raise_file_limit()
     with asyncio.Runner(loop_factory=DaemonEventLoop) as runner:
-        whole = runner.run(run_daemon(loaded, logger, on_stop_signal))
-        hold_signals()  # the loop's end would give them their default action back
-    if not whole:
+        stopped_completely = runner.run(run_daemon(loaded, logger, on_stop_signal))
+        hold_signals()  # closing the loop restores the default action, which would end the process
+    if not stopped_completely:
         raise SystemExit(EXIT_FAILED)
 
 
 def raise_file_limit() -> None:
-    """Let this process open as many files as its hard limit allows: each stream needs a socket."""
+    """Raise the limit of open files to the hard limit, as each stream needs a socket; best effort."""
     _, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     with contextlib.suppress(ValueError, OSError):
         resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))
 
 
 def find_command(name: str) -> Any:
-    """Return the function or group of a command; raises SettingsError."""
+    """Import a command and return its function or group.
+
+    Raises SettingsError if the command is unknown, is not in this build, or lacks an optional library.
+    """
     command = COMMANDS.get(name)
     if command is None:
         known = ", ".join(COMMANDS)
@@ -111,25 +116,25 @@
 
 
 def _find_attribute(module: ModuleType, path: str) -> Any:
-    """Return a function, or an instance of a group of commands, or one method of such an instance."""
-    found: Any = module
+    """Return the attribute at a dotted path; each class on the way is instantiated."""
+    value: Any = module
     for name in path.split("."):
-        found = getattr(found, name)
-        if isinstance(found, type):
-            found = found()
-    return found
+        value = getattr(value, name)
+        if isinstance(value, type):
+            value = value()
+    return value
 
 
 def usage() -> str:
-    """Return the list of commands."""
+    """Return the usage text, which lists all commands."""
     lines = [f"  {name:<9} {command.summary}" for name, command in COMMANDS.items()]
     return "\n".join(
-        ["usage: passgate COMMAND [FLAGS]", "", *lines, "", "passgate COMMAND --help tells more."]
+        ["usage: passgate COMMAND [FLAGS]", "", *lines, "", "passgate COMMAND --help shows its flags."]
     )
 
 
 def exit_code(error: PassgateError) -> int:
-    """Return the exit code that an error leads to.
+    """Return the exit code of an error.
 
     >>> exit_code(SettingsError("bad")), exit_code(RevisionConflict("lost")), exit_code(PassgateError())
     (2, 1, 1)
@@ -140,22 +145,25 @@
 
 
 def error_line(error: PassgateError) -> str:
-    """Return code, message and details of an error in one line."""
+    """Return one line with an error's code, message and those details that the message lacks."""
     message = " ".join(str(error).split())
     details = [f"{name}={value}" for name, value in error.details.items() if value and value not in message]
     shown = f" ({', '.join(details)})" if details else ""
     return f"{error.code}: {message}{shown}"
 
 
-def _help_for_fire(words: list[str]) -> list[str]:
-    """Move a help flag to where fire takes it for itself, also when the command takes any flag."""
+def _move_help_flag(words: list[str]) -> list[str]:
+    """Move a help flag behind ``--``, as Fire would pass it on to a command that accepts any flag."""
     if not {"-h", "--help"} & set(words):
         return words
     return [word for word in words if word not in ("-h", "--help", "--")] + ["--", "--help"]
 
 
 def main(arguments: Sequence[str] | None = None) -> None:
-    """Run one command; every failure is one typed line on standard error."""
+    """Run one command; a PassgateError is printed as one line to standard error.
+
+    Raises SystemExit for every outcome but the success of a command.
+    """
     words = list(sys.argv[1:] if arguments is None else arguments)
     if not words or words[0] in ("-h", "--help", "help"):
         print(usage())
@@ -167,7 +175,7 @@
         raise SystemExit(0)
     try:
         component = find_command(words[0])
-        fire.Fire(component, command=_help_for_fire(words[1:]), name=f"passgate {words[0]}")
+        fire.Fire(component, command=_move_help_flag(words[1:]), name=f"passgate {words[0]}")
     except PassgateError as error:
         print(f"passgate: {error_line(error)}", file=sys.stderr)
         raise SystemExit(exit_code(error)) from None
--- a/passgate/interfaces.py
+++ b/passgate/interfaces.py
@@ -1,6 +1,6 @@
-"""Seams to the outside systems: one adapter each, nothing else knows a protocol.
+"""Interfaces to external systems; only their implementations know the systems' protocols.
 
-Every implementation, over sockets or in virtual time, passes the same tests.
+All implementations of one interface, over sockets or in virtual time, pass the same tests.
 """
 
 from __future__ import annotations
@@ -35,14 +35,14 @@
 
     entries: tuple[LogEntry, ...]
     end_offset: int
-    """First offset not yet written, as the answering log replica knows it."""
+    """Offset of the next record, as far as the log replica that answered knows."""
 
 
 class LogClient(Protocol):
     """The platform's append-only log: named streams of records with offsets.
 
-    There is no conditional append.  A read may be answered by a replica that
-    lags behind, so ``end_offset`` may go back between two reads.
+    There is no conditional append.  A read may be answered by a log replica that lags behind, so
+    ``end_offset`` may decrease between two reads.
     """
 
     async def append(self, stream: str, payloads: Sequence[bytes], timeout_s: float) -> int:
@@ -50,14 +50,14 @@
 
         Raises:
             LogUnavailable: nothing was appended.
-            LogAppendUnknown: the answer was lost; all, some or none may be there.
+            LogAppendUnknown: no answer was received; all, some or none of the records may be appended.
         """
         ...
 
     async def read(self, stream: str, offset: int, limit: int, wait_s: float) -> LogBatch:
         """Return up to ``limit`` records from ``offset``, waiting up to ``wait_s`` for one.
 
-        A stream never written to reads as empty.
+        A stream that does not exist is empty.
 
         Raises:
             LogUnavailable: the log could not be read.
@@ -66,10 +66,10 @@
 
 
 class MachineList(Protocol):
-    """The platform's lagging list of live and leaving machines."""
+    """The platform's list of live and leaving machines; it lags behind the machines' true state."""
 
     async def machines(self) -> Sequence[MachineInfo]:
-        """Return the list; raises PlatformError when it can not be read."""
+        """Return the list; raises PlatformError if it can not be read."""
         ...
 
 
@@ -77,7 +77,7 @@
     """The platform's rate-limited store of weights."""
 
     async def size_bytes(self, model: str, version: int) -> int:
-        """Return the size of one version; raises PlatformError when absent."""
+        """Return the size of a version's weights; raises PlatformError if the store lacks it."""
         ...
 
 
@@ -90,15 +90,15 @@
         Closing the iterator cancels the request on the engine.
 
         Raises (while iterating):
-            BackendRefused: the engine refused it before running (``not_run``).
-            BackendUnreachable: ``execution`` is ``not_run`` only when no byte was sent.
-            IncompleteAnswer: the stream ended without its finish mark.
+            BackendRefused: the engine refused the request before running it (``not_run``).
+            BackendUnreachable: ``execution`` is ``not_run`` only if the request was not sent.
+            IncompleteAnswer: the stream ended without its end mark.
             AnswerMismatch: a chunk carries another request identifier.
         """
         ...
 
     async def cancel(self, address: str, request_id: str) -> None:
-        """Ask an engine to stop working on a request; failures are ignored."""
+        """Ask an engine to stop working on a request; best effort, failures are ignored."""
         ...
 
     async def load_report(self, address: str) -> LoadReport:
@@ -106,7 +106,7 @@
         ...
 
     async def cache_events(self, address: str, after_sequence: int) -> Sequence[CacheEvent]:
-        """Return later cache events, perhaps with gaps; raises BackendUnreachable."""
+        """Return the cache events after a sequence number, maybe with gaps; raises BackendUnreachable."""
         ...
 
     async def order(self, address: str, order: EngineOrder) -> OrderResult:
@@ -114,7 +114,8 @@
 
         Raises:
             OrderRefused: the engine refused it (old fence, unknown version, busy).
-            BackendUnreachable: the order may have taken effect when ``execution`` is unknown.
+            BackendUnreachable: the call failed; the order may have taken effect unless ``execution`` is
+                ``not_run``.
         """
         ...
 
@@ -123,7 +124,7 @@
     """Client of plain application services."""
 
     async def call(self, address: str, request: AppRequest) -> AppResponse:
-        """Forward one call and return the whole answer.
+        """Forward one call and return the complete answer.
 
         Raises:
             BackendRefused, BackendUnreachable, IncompleteAnswer, AnswerMismatch.
@@ -131,13 +132,12 @@
         ...
 
     async def load_report(self, address: str) -> LoadReport:
-        """Return the replica's latest report, taken some time before it is read.
+        """Return the replica's latest report, which may be some time old.
 
-        ``running`` and ``waiting`` count calls, ``leaving`` is the replica's own
-        word; token and KV fields are 0 and there are no versions.
+        ``running`` and ``waiting`` count calls; token and KV fields are 0, and there are no versions.
 
         Raises:
-            BackendUnreachable: nothing was read.
+            BackendUnreachable: the call failed.
             IncompleteAnswer: the answer is not a report.
         """
         ...
--- a/passgate/operator_client.py
+++ b/passgate/operator_client.py
@@ -1,4 +1,4 @@
-"""Client of a daemon's operators' port, used by the command line.
+"""Client of a daemon's operators' port, used by the operators' commands.
 
 ::
 
@@ -36,48 +36,51 @@
 
 
 class OperatorClient:
-    """Typed calls to ``/v1/config`` and ``/v1/watch`` of one daemon."""
+    """Client of ``/v1/config`` and ``/v1/watch`` of one daemon.
+
+    Methods raise the errors of :mod:`passgate.errors` that the daemon returned, and those of the transfer.
+    """
 
     def __init__(self, http: HttpClient, address: str, credential: Credential | None = None) -> None:
         self._http = http
-        self._base = f"http://{address}/v1"
+        self._base_url = f"http://{address}/v1"
         self._credential = credential or Credential("")
 
     async def list_objects(self, kind: str = "", selector: str = "") -> ConfigList:
-        """Return the objects of one kind, or of all, that a selector matches."""
+        """Return the objects, of one kind or of all, whose labels match a selector."""
         path = f"/config/{quote(kind, safe='')}" if kind else "/config"
         query = f"?{urlencode({'selector': selector})}" if selector else ""
         return await self._call("GET", path + query, None, ConfigList)
 
     async def get_object(self, kind: str, name: str) -> ConfigObjectView:
-        """Return one object; raises NotFound."""
+        """Return one object; raises NotFound if it does not exist."""
         return await self._call("GET", _object_path(kind, name), None, ConfigObjectView)
 
     async def apply(self, objects: tuple[ApplyObject, ...]) -> ApplyAnswer:
-        """Put objects in order; the answer names the first that failed."""
+        """Put objects in order up to the first that fails, whose error is in the answer and is not raised."""
         answer = await self._send("POST", "/config", msgspec.json.encode(ApplyRequest(objects=objects)))
         try:
             return msgspec.json.decode(answer.body, type=ApplyAnswer)
         except msgspec.MsgspecError:
-            raise _error_of(answer) from None
+            raise _answer_error(answer) from None
 
     async def delete(self, kind: str, name: str, expected_revision: int | None = None) -> ChangeAnswer:
-        """Delete one object."""
+        """Delete one object, if a revision is given only at that revision."""
         query = "" if expected_revision is None else f"?expected_revision={expected_revision}"
         return await self._call("DELETE", _object_path(kind, name) + query, None, ChangeAnswer)
 
     async def watch(self) -> WatchAnswer:
-        """Return which daemon has which revision."""
+        """Return the configuration revision of each daemon."""
         return await self._call("GET", "/watch", None, WatchAnswer)
 
-    async def _call(self, method: str, path: str, body: bytes | None, kind: type[T]) -> T:
+    async def _call(self, method: str, path: str, body: bytes | None, answer_type: type[T]) -> T:
         answer = await self._send(method, path, body)
         if answer.status >= FIRST_ERROR_STATUS:
-            raise _error_of(answer)
+            raise _answer_error(answer)
         try:
-            return msgspec.json.decode(answer.body, type=kind)
+            return msgspec.json.decode(answer.body, type=answer_type)
         except msgspec.MsgspecError:
-            raise PassgateError("the answer is not one of passgate", status=answer.status) from None
+            raise PassgateError("answer is not in passgate's form", status=answer.status) from None
 
     async def _send(self, method: str, path: str, body: bytes | None) -> HttpAnswer:
         headers = {"Content-Type": "application/json"}
@@ -85,7 +88,7 @@
             headers["Authorization"] = f"Bearer {self._credential.reveal()}"
         call = HttpCall(
             method=method,
-            url=self._base + path,
+            url=self._base_url + path,
             body=body,
             headers=headers,
             send=SendPolicy.REPEAT if method == "GET" else SendPolicy.ONCE,
@@ -98,23 +101,23 @@
     return f"/config/{quote(kind, safe='')}/{quote(name, safe='')}"
 
 
-def _error_of(answer: HttpAnswer) -> PassgateError:
+def _answer_error(answer: HttpAnswer) -> PassgateError:
     try:
         return rebuild_error(msgspec.json.decode(answer.body, type=ErrorAnswer).error)
     except msgspec.MsgspecError:
-        return PassgateError("the answer is not one of passgate", status=answer.status)
+        return PassgateError("error answer is not in passgate's form", status=answer.status)
 
 
 def rebuild_error(body: ErrorBody) -> PassgateError:
-    """Return the typed error that an answer carried.
+    """Return the error that an answer's body describes; of an unknown type, a plain PassgateError.
 
     >>> rebuild_error(errors.NotFound("no such pool", kind="Pool").body())
     NotFound('no such pool')
     """
-    kind = getattr(errors, body.type, PassgateError)
-    if not (isinstance(kind, type) and issubclass(kind, PassgateError)):
-        kind = PassgateError
-    error = PassgateError.__new__(kind)
+    error_class = getattr(errors, body.type, PassgateError)
+    if not (isinstance(error_class, type) and issubclass(error_class, PassgateError)):
+        error_class = PassgateError
+    error = PassgateError.__new__(error_class)  # constructors of subclasses differ
     PassgateError.__init__(
         error, body.message, execution=body.execution, retry_after_s=body.retry_after_s, **body.details
     )
--- a/passgate/operator_commands.py
+++ b/passgate/operator_commands.py
@@ -1,8 +1,8 @@
 """Operators' commands: ``passgate apply``, ``get``, ``diff``, ``delete`` and ``watch``.
 
-The daemon's operators' address comes from ``--operator`` or from the environment
-variable PASSGATE_OPERATOR; a credential comes from ``--credential_file`` or from
-PASSGATE_CREDENTIAL, never from a flag, which other users of the machine can read.
+The address of a daemon's operators' port is given by ``--operator`` or by the environment variable
+PASSGATE_OPERATOR.  The credential is given by ``--credential_file`` or by PASSGATE_CREDENTIAL; there is no
+flag for it, as other users of the machine could read it.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
 
 
 class FileObject(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """One object in a file of objects."""
+    """A configuration object as operators write it in YAML."""
 
     kind: str
     name: str
@@ -45,13 +45,13 @@
 
 
 class ObjectsFile(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """A file of configuration objects."""
+    """Content of a YAML file of configuration objects."""
 
     objects: tuple[FileObject, ...]
 
 
 def read_objects(path: str) -> tuple[ApplyObject, ...]:
-    """Return the checked objects of a YAML file; raises SettingsError naming file and key."""
+    """Return the validated objects of a YAML file; raises SettingsError with the file and key."""
     try:
         text = Path(path).read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
@@ -66,10 +66,10 @@
             key = f"{item.kind}/{item.name}"
             raise SettingsError(f"{path}: {key} is given twice", file=path, key=key, expected="each once")
         seen.add((item.kind, item.name))
-    return tuple(_checked(path, item) for item in parsed.objects)
+    return tuple(_validate_object(path, item) for item in parsed.objects)
 
 
-def _checked(path: str, item: FileObject) -> ApplyObject:
+def _validate_object(path: str, item: FileObject) -> ApplyObject:
     spec = msgspec.json.encode(item.spec)
     try:
         decode_spec(item.kind, spec, strict=True)
@@ -85,8 +85,13 @@
     )
 
 
-def run_with_client(operator: str, credential_file: str, work: Callable[[OperatorClient], Awaitable[T]]) -> T:
-    """Run ``work`` with a client of the daemon that flags and environment name; raises SettingsError."""
+def run_with_client(
+    operator: str, credential_file: str, use_client: Callable[[OperatorClient], Awaitable[T]]
+) -> T:
+    """Run a coroutine function with a client of the daemon that flags or the environment name.
+
+    Raises SettingsError if the address is invalid or the credential's file can not be read.
+    """
     address = str(operator or os.environ.get(OPERATOR_VARIABLE, ""))
     parse_address(address, "flags", "operator")
     credential = Credential(os.environ.get(CREDENTIAL_VARIABLE, ""))
@@ -101,7 +106,7 @@
     async def call() -> T:
         http = HttpClient()
         try:
-            return await work(OperatorClient(http, address, credential))
+            return await use_client(OperatorClient(http, address, credential))
         finally:
             http.close()
 
@@ -161,7 +166,7 @@
 
 
 def diff(file: str, operator: str = "", credential_file: str = "") -> None:
-    """Compare a file with what is in force; exit code 1 when they differ.
+    """Compare a file with the active objects; exit code 1 if they differ.
 
     Args:
         file: YAML as for ``passgate apply``.
@@ -182,8 +187,8 @@
     current = run_with_client(operator, credential_file, fetch)
     different = False
     for item, view in zip(objects, current, strict=True):
-        before = _lines(view.kind, view.labels, bytes(view.spec)) if view else []
-        after = _lines(item.kind, item.labels, bytes(item.spec))
+        before = _canonical_lines(view.kind, view.labels, bytes(view.spec)) if view else []
+        after = _canonical_lines(item.kind, item.labels, bytes(item.spec))
         title = f"{item.kind}/{item.name}"
         for line in difflib.unified_diff(before, after, f"{title} in force", f"{title} in file", lineterm=""):
             print(line)
@@ -192,11 +197,11 @@
         raise SystemExit(EXIT_DIFFERENT)
 
 
-def _lines(kind: str, labels: Labels, spec: bytes) -> list[str]:
-    """Return an object's text with all defaults filled in, so that only real differences show."""
-    filled = msgspec.json.encode(decode_spec(kind, spec, strict=False))
-    shown = msgspec.json.encode({"labels": labels, "spec": msgspec.Raw(filled)}, order="sorted")
-    return msgspec.json.format(shown, indent=2).decode().splitlines()
+def _canonical_lines(kind: str, labels: Labels, spec: bytes) -> list[str]:
+    """Return an object's text with all defaults filled in and labels sorted, for comparison."""
+    complete_spec = msgspec.json.encode(decode_spec(kind, spec, strict=False))
+    document = msgspec.json.encode({"labels": labels, "spec": msgspec.Raw(complete_spec)}, order="sorted")
+    return msgspec.json.format(document, indent=2).decode().splitlines()
 
 
 def delete(
@@ -224,11 +229,11 @@
     operator: str = "",
     credential_file: str = "",
 ) -> None:
-    """Show which daemon has which configuration revision, until interrupted.
+    """Show the configuration revision of each daemon repeatedly, until interrupted.
 
     Args:
-        once: show once only.
-        every_s: seconds between two looks.
+        once: show it only once.
+        every_s: pause between two reads, in seconds.
         json: print JSON lines instead of a table.
         operator: IP:port of any daemon's operators' port.
         credential_file: file with the operators' credential.
--- a/passgate/plan_commands.py
+++ b/passgate/plan_commands.py
@@ -1,4 +1,4 @@
-"""``passgate plan rollout|capacity``: plans shown before they are carried out.
+"""``passgate plan rollout|capacity``: show plans without carrying them out.
 
 ::
 
@@ -16,7 +16,7 @@
 
 
 class PlanCommands(RolloutPlanCommands):
-    """Plans shown before they are carried out."""
+    """Show plans without carrying them out."""
 
     def capacity(
         self,
@@ -28,7 +28,7 @@
         deployment: str = "olhar",
         json: bool = False,
     ) -> None:
-        """Show the replicas, KV memory and daemons that a load needs.
+        """Show the replicas, KV memory and daemons that a load requires.
 
         Args:
             requests_per_s: requests for generated tokens at the peak.
--- a/passgate/records.py
+++ b/passgate/records.py
@@ -1,9 +1,9 @@
-"""Records that passgate keeps on the platform's log, and their encoding.
+"""Records that passgate writes to the platform's log, and their encoding.
 
-Every record is an envelope around one body.  ``writer`` names one process run
-and ``sequence`` grows by one per record of that writer on a stream, so that a
-repeated append changes nothing.  ``epoch`` fences records of replaced leaders.
-A body kind from a newer version decodes to :class:`UnknownBody` and is passed over.
+A record is an envelope around one body.  ``writer`` names one run of a process, and ``sequence`` increases
+by one with each record of that writer on a stream, so that a repeated append has no effect.  ``epoch``
+fences off records of former lease holders.  A body kind of a newer release decodes to :class:`UnknownBody`
+and is ignored.
 
 >>> record = Record(writer="a/1", sequence=1, epoch=0, body=ClaimReleased(key="k"))
 >>> decode_record(encode_record(record)) == record
@@ -22,25 +22,25 @@
 
 _TOKEN_CODE = "I"
 TOKEN_BYTES = 4
-"""Size of one packed token."""
+"""Size of a packed token."""
 
 # --- configuration stream ----------------------------------------------------------
 
 
 class ObjectPut(msgspec.Struct, frozen=True, kw_only=True, tag="object_put"):
-    """Create or replace a configuration object."""
+    """Creates or replaces a configuration object."""
 
     object_kind: str
     name: str
     expected_revision: int | None
-    """Revision that the writer replaces; 0 means "must not exist"; None means any."""
+    """Revision to replace; 0 means that the object must not exist, None means any."""
     labels: Labels
     spec: msgspec.Raw
-    """JSON of the typed specification of ``object_kind``, see ``state.configuration``."""
+    """JSON of the specification, whose type depends on ``object_kind``; see ``state.specs``."""
 
 
 class ObjectDeleted(msgspec.Struct, frozen=True, kw_only=True, tag="object_deleted"):
-    """Delete a configuration object."""
+    """Deletes a configuration object."""
 
     object_kind: str
     name: str
@@ -51,14 +51,14 @@
 
 
 class LeaseTaken(msgspec.Struct, frozen=True, kw_only=True, tag="lease_taken"):
-    """Take a role; valid only when the envelope's epoch is the current one plus one."""
+    """Takes the lease of a role; valid only if the envelope's epoch is the current epoch plus one."""
 
     role: str
     holder: str
 
 
 class LeaseReleased(msgspec.Struct, frozen=True, kw_only=True, tag="lease_released"):
-    """Give a role up; the envelope's epoch names the held epoch."""
+    """Releases the lease of a role; the envelope's epoch is that of the released lease."""
 
     role: str
     holder: str
@@ -68,43 +68,43 @@
 
 
 class ClaimMade(msgspec.Struct, frozen=True, kw_only=True, tag="claim_made"):
-    """Claim the single run of a not-repeatable request."""
+    """Claims the only run of an at-most-once request."""
 
     key: str
     request_digest: str
-    """Digest of the request; a different digest under the same key is an error."""
+    """Digest of the request; another digest with the same key is an error."""
     holder: str
 
 
 class ClaimReleased(msgspec.Struct, frozen=True, kw_only=True, tag="claim_released"):
-    """The writer's claim never reached a back end; the next claim may run."""
+    """Releases a claim whose request was not run, so that the next claim may run it."""
 
     key: str
 
 
 class ClaimCompleted(msgspec.Struct, frozen=True, kw_only=True, tag="claim_completed"):
-    """Outcome of the claimed run, replayed to repeated calls."""
+    """Answer of the claimed run, which repetitions of the request get."""
 
     key: str
     status: int
     content_type: str
     body: str
-    """Base64 of the answer's bytes."""
+    """Base64 of the answer's body."""
 
 
 class ClaimUnresolved(msgspec.Struct, frozen=True, kw_only=True, tag="claim_unresolved"):
-    """The claimed run ended without a usable answer and may have run; it is never run again."""
+    """Ends a claim whose request may have run but has no usable answer; it is never run again."""
 
     key: str
     code: str
-    """Code of the error that the first caller got."""
+    """Code of the error that the first caller received."""
 
 
 # --- one stream per lot -------------------------------------------------------------------
 
 
 class PromptSpec(msgspec.Struct, frozen=True, kw_only=True):
-    """One prompt of a lot; ``prompt`` holds token identifiers."""
+    """One prompt of a lot, as token identifiers."""
 
     prompt: tuple[int, ...]
     max_tokens: int
@@ -112,7 +112,7 @@
 
 
 class PackedPrompt(msgspec.Struct, frozen=True, kw_only=True):
-    """A prompt with its tokens packed, see :func:`pack_tokens`; base64 on the log."""
+    """A prompt whose tokens are packed by :func:`pack_tokens`; base64 in JSON."""
 
     tokens: bytes
     max_tokens: int
@@ -122,10 +122,10 @@
 def pack_tokens(tokens: Sequence[int]) -> bytes:
     """Return token identifiers as little-endian 32-bit integers.
 
-    Packed tokens take a ninth of the memory of a tuple and decode faster.
+    Packed tokens take less memory than a tuple and are decoded faster.
 
     Raises:
-        OverflowError: an identifier does not fit.
+        OverflowError: an identifier is negative or does not fit into 32 bits.
 
     >>> unpack_tokens(pack_tokens([1, 70_000]))
     (1, 70000)
@@ -137,7 +137,7 @@
 
 
 def unpack_tokens(packed: bytes) -> tuple[int, ...]:
-    """Return the token identifiers of :func:`pack_tokens`; raises ValueError on a wrong length."""
+    """Return packed token identifiers; raises ValueError if the length is no multiple of TOKEN_BYTES."""
     tokens = array(_TOKEN_CODE, packed)
     if sys.byteorder == "big":
         tokens.byteswap()
@@ -145,7 +145,7 @@
 
 
 class LotOpened(msgspec.Struct, frozen=True, kw_only=True, tag="lot_opened"):
-    """A trainer opened a lot."""
+    """A trainer opened a lot: a set of prompts for which samples are produced."""
 
     lot_id: str
     caller: str
@@ -153,31 +153,35 @@
     model: str
     priority_class: str
     staleness_bound: int
-    """Most versions a sample may be behind the trainer's version at hand-over."""
+    """Most versions by which a sample may be behind the trainer's version when it is handed over."""
     trainer_version: int
     deadline_unix_s: float | None
     prompts: tuple[PromptSpec, ...] = ()
-    """Prompts with plain tokens; empty when they are packed."""
+    """Prompts with plain tokens; empty if they are packed."""
     packed_prompts: tuple[PackedPrompt, ...] = ()
 
 
 class KeeperTaken(msgspec.Struct, frozen=True, kw_only=True, tag="keeper_taken"):
-    """A daemon starts to produce a lot's samples; epoch must be current plus one."""
+    """A daemon becomes the keeper of a lot, the only one to produce its samples.
+
+    Valid only if the envelope's epoch is the current epoch plus one.
+    """
 
     holder: str
 
 
 class KeeperReleased(msgspec.Struct, frozen=True, kw_only=True, tag="keeper_released"):
-    """The keeper stops as planned; another daemon may take over at once."""
+    """The keeper gives the lot up, so that another daemon may take over at once."""
 
 
 class SampleCommitted(msgspec.Struct, frozen=True, kw_only=True, tag="sample_committed"):
-    """One produced sample; the first valid commit of a slot's attempt wins."""
+    """A produced sample; of several commits for one attempt at a slot, the first valid one counts."""
 
     index: int
+    """Index of the prompt in the lot, which is also that of its slot."""
     attempt: int
     tokens: tuple[int, ...] = ()
-    """Plain tokens; empty when they are packed."""
+    """Plain tokens; empty if they are packed."""
     packed_tokens: bytes = b""
     spans: tuple[VersionSpan, ...]
     finish_reason: FinishReason
@@ -185,7 +189,7 @@
 
 
 class SampleExpired(msgspec.Struct, frozen=True, kw_only=True, tag="sample_expired"):
-    """A committed, not handed-over sample went over the bound; the slot is open again."""
+    """A committed sample became stale before it was handed over; its slot is opened again."""
 
     index: int
     attempt: int
@@ -193,28 +197,28 @@
 
 
 class SamplesHandedOver(msgspec.Struct, frozen=True, kw_only=True, tag="samples_handed_over"):
-    """Samples are about to be given to the trainer; from here their bytes are fixed."""
+    """Samples are about to be sent to the trainer; from here on their content does not change."""
 
     indexes: tuple[int, ...]
     trainer_version: int
 
 
 class SamplesAcknowledged(msgspec.Struct, frozen=True, kw_only=True, tag="samples_acknowledged"):
-    """The trainer confirmed that it has the samples."""
+    """The trainer confirmed that it has received the samples."""
 
     indexes: tuple[int, ...]
 
 
 class SamplesReplaced(msgspec.Struct, frozen=True, kw_only=True, tag="samples_replaced"):
-    """The trainer lacks handed-over samples that went stale; their slots open again."""
+    """The trainer did not receive handed-over samples that became stale; their slots are opened again."""
 
     indexes: tuple[int, ...]
     attempts: tuple[int, ...]
-    """Attempt of each index that is replaced; a later attempt is left alone."""
+    """Attempt to replace, for each index; a later attempt is not replaced."""
 
 
 class SampleFailed(msgspec.Struct, frozen=True, kw_only=True, tag="sample_failed"):
-    """A slot can not be produced (for example the deadline passed)."""
+    """A slot's sample can not be produced, for example because the deadline has passed."""
 
     index: int
     code: str
@@ -228,14 +232,17 @@
 
 
 class ProposalWithdrawn(msgspec.Struct, frozen=True, kw_only=True, tag="proposal_withdrawn"):
-    """Takes the sequence of a proposal given up while in doubt; of the two, the first on the log counts."""
+    """Takes the sequence of an abandoned proposal whose append may still take effect.
+
+    Of the two records, the one that is first on the log counts, so the proposal has no effect after this one.
+    """
 
 
 # --- snapshots and unknown kinds --------------------------------------------------------------
 
 
 class SnapshotTaken(msgspec.Struct, frozen=True, kw_only=True, tag="snapshot_taken"):
-    """Fold state after the record at ``offset``; stands on ``<stream>.snapshots``."""
+    """State after the stream's record at ``offset`` was applied; written to ``<stream>.snapshots``."""
 
     offset: int
     schema_version: int
@@ -243,7 +250,7 @@
 
 
 class UnknownBody(msgspec.Struct, frozen=True, kw_only=True):
-    """A body kind this version does not know; kept as raw JSON and passed over."""
+    """A body of a kind that this release does not know, or that can not be decoded; ignored by readers."""
 
     kind: str
     raw: bytes
@@ -310,10 +317,9 @@
 
 
 def decode_record(payload: bytes) -> Record | None:
-    """Return the record, or None when the envelope itself is not readable.
+    """Return the record, or None if its envelope can not be decoded.
 
-    An unreadable envelope is skipped by every reader alike, so it can not make
-    two folds differ.
+    Every reader skips such a record, so the states of readers do not diverge.
     """
     try:
         raw = _raw_decoder.decode(payload)
--- a/passgate/schema.py
+++ b/passgate/schema.py
@@ -1,8 +1,7 @@
-"""Typed requests, results and reports shared by all parts of passgate.
+"""Requests, results and reports that several packages share.
 
-Times are seconds on the event loop's clock unless a name says otherwise;
-token positions count from zero.  Weight versions are positive integers that
-grow by publication order within one model.
+Times are seconds on the event loop's clock unless a name says otherwise.  Token positions are counted from
+0.  Weight versions are positive integers that increase with each publication for a model.
 """
 
 from __future__ import annotations
@@ -20,11 +19,11 @@
 
 
 Labels = dict[str, str]
-"""Label keys to values, as written by operators."""
+"""Label value by key, as written by operators."""
 
 
 class MachineRole(enum.Enum):
-    """What runs on a machine of the platform's list."""
+    """Kind of service that runs on a machine."""
 
     DAEMON = "daemon"
     ENGINE = "engine"
@@ -32,7 +31,7 @@
 
 
 class MachineState(enum.Enum):
-    """State of a machine; later members are more cautious and win a merge."""
+    """State of a machine; when views differ, the later member in this order is taken."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -40,7 +39,7 @@
 
 
 class MachineInfo(msgspec.Struct, frozen=True, kw_only=True):
-    """One entry of the platform's lagging machine list."""
+    """One entry of the platform's machine list."""
 
     machine_id: str
     role: MachineRole
@@ -50,11 +49,11 @@
     labels: Labels = {}
     state: MachineState = MachineState.LIVE
     generation: int = 0
-    """Grows when a machine is replaced under the same identifier."""
+    """Increases when a machine is replaced by another with the same identifier."""
 
 
 class VersionSpan(msgspec.Struct, frozen=True, order=True):
-    """Tokens ``[start, end)`` of an output were produced by ``version``."""
+    """Range ``[start, end)`` of an output's tokens that one weight version produced."""
 
     start: int
     end: int
@@ -62,20 +61,20 @@
 
 
 class FinishReason(enum.Enum):
-    """Why an engine ended its output; absent while the output goes on."""
+    """Why an engine ended an output: STOP if it was complete, LENGTH at ``max_tokens``."""
 
     STOP = "stop"
     LENGTH = "length"
 
 
 class GenerateRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """A request for generated tokens, after parsing and selection."""
+    """A validated request for generated tokens whose pool is selected."""
 
     request_id: str
     caller: str
-    """Identity that fairness and limits count against."""
+    """Identity to which fairness and limits apply."""
     pool: str
-    """Name of the chosen pool."""
+    """Name of the selected pool."""
     model: str
     prompt: tuple[int, ...]
     """Prompt token identifiers."""
@@ -83,34 +82,37 @@
     seed: int = 0
     priority_class: str = "default"
     deadline_s: float | None = None
-    """Absolute loop time after which the answer is worthless."""
+    """Loop time after which the answer is of no use; None means no deadline."""
     repeatable: bool = True
+    """Whether the request may run more than once."""
     minimum_version: int = 0
     """Oldest weight version acceptable for any token."""
     resume_tokens: tuple[int, ...] = ()
-    """Output tokens already received from an earlier attempt."""
+    """Output tokens received from an earlier attempt, which the next attempt continues."""
     resume_spans: tuple[VersionSpan, ...] = ()
+    """Weight versions of ``resume_tokens``."""
 
 
 class GenerateChunk(msgspec.Struct, frozen=True, kw_only=True):
-    """One piece of an engine's streamed output."""
+    """Consecutive tokens of an engine's streamed output."""
 
     request_id: str
     start: int
-    """Position of the first token of this piece in the whole output."""
+    """Position of the chunk's first token in the complete output."""
     tokens: tuple[int, ...]
     version: int | None
-    """Weight version that produced this piece, as reported by the engine."""
+    """Weight version that produced the tokens, as reported by the engine."""
     finish_reason: FinishReason | None = None
+    """Set in the last chunk only."""
 
 
 class GenerateResult(msgspec.Struct, frozen=True, kw_only=True):
-    """A whole, verified answer."""
+    """A complete, verified output."""
 
     request_id: str
     tokens: tuple[int, ...]
     spans: tuple[VersionSpan, ...]
-    """Covers every token exactly once, in order; adjacent equal versions merged."""
+    """Cover every token exactly once, in order; adjacent spans have different versions."""
     finish_reason: FinishReason
     replica_id: str
     """Replica that finished the output."""
@@ -122,7 +124,7 @@
 
 
 class AppRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """A call to be forwarded to an application service."""
+    """A call to forward to an application service."""
 
     request_id: str
     caller: str
@@ -134,15 +136,16 @@
     priority_class: str = "interactive"
     deadline_s: float | None = None
     outcome_grace_s: float = 0.0
-    """How long after the deadline the answer of a call that was sent is still awaited.
+    """Time after the deadline for which the answer of a sent call is still awaited.
 
-    For calls that may run only once: their answer is kept for the caller's next question.
+    Set for at-most-once calls, whose answer is stored for a repetition by the caller.
     """
     repeatable: bool = True
+    """Whether the call may run more than once."""
 
 
 class AppResponse(msgspec.Struct, frozen=True, kw_only=True):
-    """Whole answer of an application service."""
+    """Complete answer of an application service."""
 
     request_id: str
     status: int
@@ -152,26 +155,28 @@
 
 
 class LoadReport(msgspec.Struct, frozen=True, kw_only=True):
-    """A back end's own view of its load, taken some time before it is read.
+    """Load that a back end reports of itself; it may be some time old when it is read.
 
-    Application services count calls; their token and KV fields are 0.
+    Application services report calls; their token and KV fields are 0.
     """
 
     replica_id: str
     sequence: int
-    """Grows with each report of one process of the back end."""
+    """Increases with each report of one process of the back end."""
     running: int
-    """Sequences in the batch, or calls being executed."""
+    """Sequences in the batch, or calls in progress."""
     waiting: int
+    """Sequences or calls in the back end's queue."""
     outstanding_tokens: int
-    """Prefill plus expected decode tokens not yet processed."""
+    """Prefill tokens plus expected decode tokens that are not processed yet."""
     kv_used_tokens: int
     kv_capacity_tokens: int
     tokens_per_s: float
-    """Recent decode rate over all sequences."""
+    """Recent decode rate of all sequences together."""
     versions: Labels = {}
-    """Model name to loaded weight version, as decimal text."""
+    """Loaded weight version by model name, as decimal text."""
     leaving: bool = False
+    """Whether the back end accepts no new requests."""
 
 
 class CacheEventKind(enum.Enum):
@@ -183,7 +188,7 @@
 
 
 class CacheEvent(msgspec.Struct, frozen=True, kw_only=True):
-    """One cache event; a jump in ``sequence`` shows that events were lost."""
+    """One event of an engine's prefix cache; a gap in ``sequence`` means that events were lost."""
 
     replica_id: str
     sequence: int
@@ -193,12 +198,12 @@
 
 
 class OrderKind(enum.Enum):
-    """Control orders understood by engines."""
+    """Control orders that engines accept."""
 
     STAGE_VERSION = "stage_version"
     """Fetch weights into spare memory without using them."""
     ACTIVATE_VERSION = "activate_version"
-    """Use staged weights for all later tokens."""
+    """Use the staged weights for all later tokens."""
     LOAD_ADAPTER = "load_adapter"
     SET_ROLE = "set_role"
     DRAIN = "drain"
@@ -206,16 +211,16 @@
 
 
 class EngineOrder(msgspec.Struct, frozen=True, kw_only=True):
-    """A fenced control order."""
+    """A control order with a fence that keeps a former lease holder from sending orders."""
 
     order_id: str
     kind: OrderKind
     fence: int
-    """Epoch of the ordering lease holder; engines refuse a smaller one than seen."""
+    """Epoch of the sender's lease; engines refuse an epoch below the highest one received."""
     model: str = ""
     version: int = 0
     source: str = ""
-    """Where to fetch weights: ``store`` or the address of another engine."""
+    """Where to fetch weights from: ``store``, or the address of another engine."""
     argument: str = ""
 
 
@@ -224,5 +229,5 @@
 
     order_id: str
     done: bool
-    """False while the order is still being carried out."""
+    """Whether the order was carried out; False while it is in progress."""
     detail: str = ""
--- a/passgate/selectors.py
+++ b/passgate/selectors.py
@@ -1,8 +1,7 @@
-"""Label selectors: equality, set and existence terms joined by commas.
+"""Label selectors: equality, set and existence terms separated by commas.
 
-The grammar is that of label selectors as operators of label-based systems know
-them; a comma means "and".  A term with ``!=`` or ``notin`` also matches labels
-that lack the key.
+The grammar, given below, follows that of Kubernetes' label selectors.  A comma means "and".  A term with
+``!=`` or ``notin`` also matches labels without the key.
 
 >>> selector = Selector.parse("zone in (caruaru, campina), tier=gold, !canary")
 >>> selector.matches({"zone": "caruaru", "tier": "gold"})
@@ -32,11 +31,11 @@
 MAXIMUM_SELECTOR_CHARACTERS = 4096
 MAXIMUM_NAME_CHARACTERS = 253
 _NAME = re.compile(r"[A-Za-z0-9](?:[A-Za-z0-9_./-]*[A-Za-z0-9])?")
-_SPACE = re.compile(r"[ \t]*")
+_BLANKS = re.compile(r"[ \t]*")
 
 
 class Operator(enum.Enum):
-    """Relation between a label key and the values of a term."""
+    """Relation that a term requires between a label and its values."""
 
     EXISTS = "exists"
     ABSENT = "!"
@@ -47,12 +46,12 @@
 
 
 class Term(msgspec.Struct, frozen=True):
-    """One condition on one label key."""
+    """A condition on the label with one key."""
 
     key: str
     operator: Operator
     values: tuple[str, ...] = ()
-    """Sorted and without repetition; empty for the existence terms."""
+    """Sorted and unique; empty for EXISTS and ABSENT."""
 
     def matches(self, labels: Mapping[str, str]) -> bool:
         """Return whether ``labels`` satisfy this term."""
@@ -85,7 +84,7 @@
         """Parse a selector.
 
         Raises:
-            SelectorSyntaxError: details give ``selector`` and ``position`` (from zero).
+            SelectorSyntaxError: details give ``selector`` and ``position``, counted from 0.
         """
         return cls(_Parser(text).selector())
 
@@ -98,6 +97,8 @@
 
 
 class _Parser:
+    """Recursive-descent parser; each method parses one rule of the grammar, and blanks after it."""
+
     def __init__(self, text: str) -> None:
         self._text = text
         self._position = 0
@@ -105,14 +106,14 @@
     def selector(self) -> tuple[Term, ...]:
         if len(self._text) > MAXIMUM_SELECTOR_CHARACTERS:
             raise self._error(f"selector is longer than {MAXIMUM_SELECTOR_CHARACTERS} characters")
-        self._skip_space()
+        self._skip_blanks()
         if self._at_end():
             return ()
         terms = [self._term()]
         while self._take(","):
             terms.append(self._term())
         if not self._at_end():
-            raise self._error("expected ',' or the end")
+            raise self._error("expected ',' or the end of the selector")
         return tuple(terms)
 
     def _term(self) -> Term:
@@ -132,9 +133,9 @@
         match = _NAME.match(self._text, start)
         word = match.group() if match else ""
         if word not in (Operator.IN.value, Operator.NOT_IN.value):
-            raise self._error("expected '=', '==', '!=', 'in', 'notin', ',' or the end")
+            raise self._error("expected '=', '==', '!=', 'in', 'notin', ',' or the end of the selector")
         self._position = start + len(word)
-        self._skip_space()
+        self._skip_blanks()
         self._expect("(")
         values = {self._value()}
         while self._take(","):
@@ -152,26 +153,27 @@
         if len(match.group()) > MAXIMUM_NAME_CHARACTERS:
             raise self._error(f"{expected} is longer than {MAXIMUM_NAME_CHARACTERS} characters")
         self._position = match.end()
-        self._skip_space()
+        self._skip_blanks()
         return match.group()
 
     def _take(self, literal: str) -> bool:
+        """Consume ``literal`` if it comes next; return whether it did."""
         if not self._text.startswith(literal, self._position):
             return False
         self._position += len(literal)
-        self._skip_space()
+        self._skip_blanks()
         return True
 
     def _expect(self, literal: str) -> None:
         if not self._take(literal):
             raise self._error(f"expected '{literal}'")
 
-    def _skip_space(self) -> None:
-        self._position = _SPACE.match(self._text, self._position).end()
+    def _skip_blanks(self) -> None:
+        self._position = _BLANKS.match(self._text, self._position).end()
 
     def _at_end(self) -> bool:
         return self._position == len(self._text)
 
-    def _error(self, expected: str) -> SelectorSyntaxError:
-        message = f"{expected} at position {self._position} of selector {self._text[:200]!r}"
+    def _error(self, problem: str) -> SelectorSyntaxError:
+        message = f"{problem} at position {self._position} of selector {self._text[:200]!r}"
         return SelectorSyntaxError(message, selector=self._text[:200], position=self._position)
--- a/passgate/settings.py
+++ b/passgate/settings.py
@@ -1,6 +1,6 @@
 """Settings of one daemon: typed, read from a YAML file, overridden by flags.
 
-Settings are the only way in which a daemon learns its addresses and its zone.
+A daemon takes its addresses and its zone from its settings only.
 
 >>> settings = parse_settings(
 ...     "daemon_id: a1\\nzone: a\\nlog_address: 127.0.0.1:9000\\nmachine_list_address: 127.0.0.1:9001",
@@ -28,19 +28,19 @@
 from passgate.errors import SettingsError
 
 IDENTIFIER_PATTERN = r"^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$"
-"""Form of daemon ids, zones and caller names."""
+"""Pattern of daemon identifiers, zones and caller names."""
 
 LABEL_KEY_PATTERN = r"^[A-Za-z0-9]([A-Za-z0-9._/-]{0,61}[A-Za-z0-9])?$"
 LABEL_VALUE_PATTERN = r"^([A-Za-z0-9]([A-Za-z0-9._-]{0,61}[A-Za-z0-9])?)?$"
 
-FLAGS = "flags"
-"""Source of settings given on the command line."""
+FLAGS_SOURCE = "flags"
+"""Name that error messages use for settings given on the command line."""
 
 ADDRESS_FORM = "IP:port with a numeric IP and a port from 0 to 65535, for example 127.0.0.1:8100"
 
 
 class Credential:
-    """A secret whose text never appears in ``repr``, logs or error messages."""
+    """A secret whose text is never shown by ``repr``, in logs or in error messages."""
 
     __slots__ = ("_secret",)
 
@@ -48,7 +48,7 @@
         self._secret = secret
 
     def reveal(self) -> str:
-        """Return the secret text, for comparing or sending only."""
+        """Return the secret text; use it only to compare or send it."""
         return self._secret
 
     def __bool__(self) -> bool:
@@ -65,35 +65,35 @@
 
 
 class CredentialSettings(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Bearer credentials; an empty one leaves the port open."""
+    """Bearer credentials; a port whose credential is empty requires none."""
 
     operators: Credential = Credential("")
-    """Needed on the operators' port, except for ``/healthz`` and ``/readyz``."""
+    """Required on the operators' port, except for ``/healthz`` and ``/readyz``."""
     peers: Credential = Credential("")
-    """Needed between daemons; the same on all of them."""
+    """Required between daemons; the same on all of them."""
     platform: Credential = Credential("")
     """Sent to the log, the machine list and the weight store."""
     callers: dict[str, Credential] = {}
-    """Caller name to its credential; when given, the credential names the caller."""
+    """Credential by caller name; if set, a request's credential determines its caller."""
 
 
 class LimitSettings(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Bounds on what one request may ask of a daemon."""
+    """Limits on requests to the daemon."""
 
     max_body_bytes: int = 8_388_608
-    """Largest body of a request; a larger one is answered 413."""
+    """Largest body of a request; a larger one is answered with 413."""
     max_header_bytes: int = 16_384
-    """Largest sum of header names and values; a larger one is answered 431."""
+    """Largest total size of header names and values; a larger one is answered with 431."""
     max_headers: int = 100
-    """Most header lines; more are answered 431."""
+    """Most header lines; more are answered with 431."""
     body_timeout_s: float = 30.0
-    """Longest time for the whole body to arrive; then 408."""
+    """Time within which the complete body has to be received; otherwise the answer is 408."""
     write_timeout_s: float = 60.0
-    """A caller that reads nothing for this long while its answer waits is cut off."""
+    """The connection of a caller that reads nothing of its answer for this long is closed."""
     idle_connection_timeout_s: float = 300.0
-    """An idle kept-alive connection is closed after this time."""
+    """Time after which an idle keep-alive connection is closed."""
     max_in_flight: int = 10_000
-    """Most requests inside the daemon at once; more are refused as overloaded."""
+    """Most requests in progress; further ones are refused as overloaded."""
     max_prompt_tokens: int = 131_072
     """Longest prompt of one request."""
     max_output_tokens: int = 131_072
@@ -103,29 +103,29 @@
     max_samples_page: int = 1_024
     """Most samples in one page."""
     max_wait_s: float = 30.0
-    """Longest long poll for samples."""
+    """Longest time that a read of samples may wait."""
     default_deadline_s: float = 600.0
-    """Deadline of a request that names none."""
+    """Deadline of a request that has none, in seconds from its arrival."""
     max_deadline_s: float = 86_400.0
-    """Longest deadline a request may name."""
+    """Longest deadline that a request may set, in seconds from its arrival."""
     outcome_grace_s: float = 30.0
-    """How long after its deadline a call that may run only once, and was sent, is still awaited,
-    so that the caller's next question under the same key finds the answer."""
+    """Time after its deadline for which the answer of a sent at-most-once call is still awaited, so
+    that a repetition with the same key gets it."""
     durability_timeout_s: float = 5.0
-    """Longest wait for the log before a needed record counts as not made durable."""
+    """Time within which the log has to confirm a required record; otherwise it counts as not durable."""
 
 
 class StopSettings(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """How a planned stop goes; all times in seconds."""
+    """Steps of a graceful shutdown; all times in seconds."""
 
     notice_s: float = 5.0
-    """Time in which the daemon is not ready, and still serves what arrives."""
+    """Time for which the daemon reports that it is not ready, but still accepts requests."""
     drain_timeout_s: float = 3_600.0
-    """Longest wait for requests in flight, after the notice."""
+    """Longest wait for requests in progress, after the notice."""
     leave_timeout_s: float = 5.0
-    """Longest wait for peers to hear of the leave."""
+    """Timeout of each step of leaving: ending rollouts, releasing leases, notifying peers."""
     retry_after_s: float = 1.0
-    """``Retry-After`` of requests refused while stopping."""
+    """``Retry-After`` of requests that are refused because the daemon starts, stops or is overloaded."""
 
 
 class Settings(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
@@ -140,33 +140,33 @@
     machine_list_address: str
     """``IP:port`` of the platform's machine list."""
     weight_store_address: str = ""
-    """``IP:port`` of the platform's weight store; empty when no rollout is ordered by this daemon."""
+    """``IP:port`` of the platform's weight store; may be empty if this daemon orders no rollouts."""
     caller_address: str = "127.0.0.1:0"
-    """``IP:port`` to listen on for callers; port 0 takes a free one."""
+    """``IP:port`` to listen on for callers; port 0 picks a free one."""
     operator_address: str = "127.0.0.1:0"
     """``IP:port`` to listen on for operators and for metrics."""
     peer_address: str = "127.0.0.1:0"
     """``IP:port`` to listen on for other daemons."""
     seeds: tuple[str, ...] = ()
-    """Peer addresses of some other daemons, to join through."""
+    """Peer addresses of some other daemons, through which this one joins."""
     labels: dict[str, str] = {}
     """Labels of this daemon, shown by ``passgate watch``."""
     policy: str = "current"
     """Name of the routing policy, see ``routing.policies``."""
     random_seed: int | None = None
-    """Seed of the daemon's random source; none takes one from the system."""
+    """Seed of the daemon's random numbers; without one, the system provides it."""
     log_level: str = "INFO"
-    """Least level of log lines: DEBUG, INFO, WARNING or ERROR."""
+    """Lowest level of log lines: DEBUG, INFO, WARNING or ERROR."""
     limits: LimitSettings = LimitSettings()
-    """Bounds on requests."""
+    """Limits on requests."""
     stop: StopSettings = StopSettings()
-    """Planned stop."""
+    """Graceful shutdown."""
     credentials: CredentialSettings = CredentialSettings()
     """Bearer credentials."""
 
 
 class _UniqueKeyLoader(yaml.SafeLoader):
-    """YAML loader that refuses a key given twice in one mapping."""
+    """YAML loader that raises _DuplicateKey if a mapping repeats a key."""
 
 
 def _construct_unique_mapping(loader: _UniqueKeyLoader, node: yaml.MappingNode) -> dict[Any, Any]:
@@ -191,21 +191,23 @@
 
 
 def load_settings(path: str | Path, overrides: Mapping[str, str] | None = None) -> Settings:
-    """Read a settings file and apply flags over it.
+    """Read a settings file and override it by flags.
 
     Args:
-        path: YAML file; an empty path means that flags give everything.
-        overrides: dotted key to text, as from flags.
+        path: YAML file; empty if flags give all settings.
+        overrides: text of each flag by dotted key.
 
     Raises:
-        SettingsError: details name ``file``, ``key`` and ``expected``.
+        SettingsError: details give ``file``, ``key`` and ``expected``.
     """
     if not str(path):
-        return parse_settings("", overrides, source=FLAGS)
+        return parse_settings("", overrides, source=FLAGS_SOURCE)
     try:
         text = Path(path).read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
-        raise _problem(str(path), "", f"can not be read ({type(error).__name__})", "a YAML file") from error
+        raise _settings_error(
+            str(path), "", f"can not be read ({type(error).__name__})", "a YAML file"
+        ) from error
     return parse_settings(text, overrides, source=str(path))
 
 
@@ -219,31 +221,37 @@
         return yaml.load(text, Loader=_UniqueKeyLoader)  # noqa: S506 - a SafeLoader
     except _DuplicateKey as error:
         problem = f"given twice (line {error.line})"
-        raise _problem(source, error.key, problem, "each key once") from error
+        raise _settings_error(source, error.key, problem, "each key once") from error
     except (yaml.YAMLError, TypeError, ValueError, RecursionError) as error:
         mark = getattr(error, "problem_mark", None)
         where = f"line {mark.line + 1}" if mark else "the document"
-        raise _problem(source, "", f"{where} is not YAML", "a YAML mapping") from error
+        raise _settings_error(source, "", f"{where} is not YAML", "a YAML mapping") from error
 
 
 def parse_settings(
     text: str, overrides: Mapping[str, str] | None = None, source: str = "settings text"
 ) -> Settings:
-    """Return checked settings from YAML text and flags; raises SettingsError."""
+    """Return validated settings from YAML text, overridden by flags; raises SettingsError.
+
+    Types in YAML are checked strictly; flags are text and are converted.
+    """
     document = load_unique_yaml(text, source)
     if document is None:
         document = {}
     if not isinstance(document, dict):
-        raise _problem(source, "", f"is a {type(document).__name__}", "a YAML mapping of settings")
+        raise _settings_error(source, "", f"is a {type(document).__name__}", "a YAML mapping of settings")
     settings = _convert(document, source, strict=True, partial=bool(overrides))
     for key, value in (overrides or {}).items():
         _set_override(document, key, str(value))
     if overrides:
         settings = _convert(
-            document, source if source == FLAGS else f"{FLAGS} over {source}", strict=False, partial=False
+            document,
+            source if source == FLAGS_SOURCE else f"{FLAGS_SOURCE} over {source}",
+            strict=False,
+            partial=False,
         )
     assert settings is not None
-    _check(settings, source)
+    _validate(settings, source)
     return settings
 
 
@@ -268,22 +276,22 @@
     for part in filter(None, text.split(",")):
         key, separator, value = part.partition("=")
         if not separator:
-            raise _problem("flags", "labels", f"{part!r} has no '='", "key=value,key=value")
+            raise _settings_error("flags", "labels", f"{part!r} has no '='", "key=value,key=value")
         if key in labels:
-            raise _problem("flags", f"labels.{key}", "given twice", "each label once")
+            raise _settings_error("flags", f"labels.{key}", "given twice", "each label once")
         labels[key] = value
     return labels
 
 
 def _convert(document: dict[str, Any], source: str, *, strict: bool, partial: bool) -> Settings | None:
-    """Convert; with ``partial`` a missing key is left for the flags to give."""
+    """Convert a document to settings; with ``partial``, return None if a required key is missing."""
     try:
         return msgspec.convert(document, Settings, strict=strict, dec_hook=_decode_hook)
     except msgspec.ValidationError as error:
         message = str(error)
         if partial and "missing required field" in message:
             return None
-        raise _validation_problem(source, message) from None
+        raise _error_from_validation(source, message) from None
 
 
 def _decode_hook(expected: type, value: Any) -> Any:
@@ -292,21 +300,23 @@
     raise TypeError(f"Expected `str`, got `{type(value).__name__}`")
 
 
-def _validation_problem(source: str, message: str) -> SettingsError:
+def _error_from_validation(source: str, message: str) -> SettingsError:
+    """Return the error for a validation message of msgspec, whose key and expected type it parses."""
     head, _, path = message.partition(" - at `$")
     key = path.rstrip("`").lstrip(".")
     field = re.search(r"field `([^`]+)`", head)
     if field:
         full_key = ".".join(part for part in (key, field.group(1)) if part)
         if "unknown" in head:
-            return _problem(source, full_key, "unknown key", "one of: " + ", ".join(_known_keys(key)))
-        return _problem(source, full_key, "missing", "a value, this key is required")
+            return _settings_error(source, full_key, "unknown key", "one of: " + ", ".join(_known_keys(key)))
+        return _settings_error(source, full_key, "missing", "a value, this key is required")
     expected = re.search(r"Expected (.*?)(?:, got|$)", head)
-    wanted = expected.group(1) if expected else head
-    return _problem(source, key, "wrong type", wanted.replace("`", ""))
+    expected_type = expected.group(1) if expected else head
+    return _settings_error(source, key, "wrong type", expected_type.replace("`", ""))
 
 
 def _known_keys(path: str) -> list[str]:
+    """Return the keys of the settings struct at a dotted path; none if a mapping is there."""
     struct: Any = Settings
     for part in filter(None, path.split(".")):
         struct = get_type_hints(struct).get(part, struct)
@@ -315,44 +325,45 @@
     return list(struct.__struct_fields__)
 
 
-def _check(settings: Settings, source: str) -> None:
+def _validate(settings: Settings, source: str) -> None:
+    """Check what types do not express; raises SettingsError."""
     for key in ("daemon_id", "zone"):
-        _check_form(source, key, getattr(settings, key), IDENTIFIER_PATTERN)
+        _check_pattern(source, key, getattr(settings, key), IDENTIFIER_PATTERN)
     for key in ("caller_address", "operator_address", "peer_address"):
         parse_address(getattr(settings, key), source, key)
     for key in ("log_address", "machine_list_address", "weight_store_address"):
         value = getattr(settings, key)
         if value or key != "weight_store_address":
-            _check_target(value, source, key)
+            _check_connect_address(value, source, key)
     for index, seed in enumerate(settings.seeds):
-        _check_target(seed, source, f"seeds[{index}]")
+        _check_connect_address(seed, source, f"seeds[{index}]")
     for key, value in settings.labels.items():
-        _check_form(source, f"labels.{key}", key, LABEL_KEY_PATTERN)
-        _check_form(source, f"labels.{key}", value, LABEL_VALUE_PATTERN)
+        _check_pattern(source, f"labels.{key}", key, LABEL_KEY_PATTERN)
+        _check_pattern(source, f"labels.{key}", value, LABEL_VALUE_PATTERN)
     for name in settings.credentials.callers:
-        _check_form(source, f"credentials.callers.{name}", name, IDENTIFIER_PATTERN)
+        _check_pattern(source, f"credentials.callers.{name}", name, IDENTIFIER_PATTERN)
     if settings.log_level not in ("DEBUG", "INFO", "WARNING", "ERROR"):
-        raise _problem(source, "log_level", "unknown level", "DEBUG, INFO, WARNING or ERROR")
-    _check_positive(settings.limits, "limits", source, allow_zero=False)
-    _check_positive(settings.stop, "stop", source, allow_zero=True)
+        raise _settings_error(source, "log_level", "unknown level", "DEBUG, INFO, WARNING or ERROR")
+    _check_numbers(settings.limits, "limits", source, allow_zero=False)
+    _check_numbers(settings.stop, "stop", source, allow_zero=True)
 
 
-def _check_positive(struct: msgspec.Struct, prefix: str, source: str, *, allow_zero: bool) -> None:
+def _check_numbers(struct: msgspec.Struct, prefix: str, source: str, *, allow_zero: bool) -> None:
     for name in struct.__struct_fields__:
         value = getattr(struct, name)
         if value < 0 or value != value or (value == 0 and not allow_zero):
             expected = "a number of at least 0" if allow_zero else "a number above 0"
-            raise _problem(source, f"{prefix}.{name}", f"is {value}", expected)
+            raise _settings_error(source, f"{prefix}.{name}", f"is {value}", expected)
 
 
-def _check_form(source: str, key: str, value: str, pattern: str) -> None:
+def _check_pattern(source: str, key: str, value: str, pattern: str) -> None:
     if not re.match(pattern, value):
-        raise _problem(source, key, f"{value!r} has a wrong form", f"text matching {pattern}")
+        raise _settings_error(source, key, f"{value!r} has a wrong form", f"text matching {pattern}")
 
 
-def _check_target(value: str, source: str, key: str) -> None:
+def _check_connect_address(value: str, source: str, key: str) -> None:
     if parse_address(value, source, key)[1] == 0:
-        raise _problem(source, key, "port 0 can not be connected to", ADDRESS_FORM)
+        raise _settings_error(source, key, "port 0 can not be connected to", ADDRESS_FORM)
 
 
 def parse_address(text: str, source: str = "flags", key: str = "address") -> tuple[str, int]:
@@ -365,10 +376,12 @@
     except ValueError:
         number = -1
     if not separator or not 0 <= number <= 65_535:
-        raise _problem(source, key, f"bad address {text!r}", ADDRESS_FORM)
+        raise _settings_error(source, key, f"invalid address {text!r}", ADDRESS_FORM)
     return host, number
 
 
-def _problem(source: str, key: str, problem: str, expected: str) -> SettingsError:
-    place = f"{source}, key {key}" if key else source
-    return SettingsError(f"{place}: {problem}, expected {expected}", file=source, key=key, expected=expected)
+def _settings_error(source: str, key: str, problem: str, expected: str) -> SettingsError:
+    location = f"{source}, key {key}" if key else source
+    return SettingsError(
+        f"{location}: {problem}, expected {expected}", file=source, key=key, expected=expected
+    )
--- a/passgate/settings_page.py
+++ b/passgate/settings_page.py
@@ -1,6 +1,6 @@
-"""The operators' page of all settings, made from the typed settings and their docstrings.
+"""Generates the operators' page of all settings from the typed settings and their docstrings.
 
-Write it anew after a change::
+Regenerate it after a change::
 
     .venv/bin/python -m passgate.settings_page > docs/operators/settings.md
 """
@@ -20,76 +20,78 @@
 INTRODUCTION = """\
 # Settings
 
-A daemon reads one YAML file (`passgate serve --settings FILE`) and learns its
+A daemon reads one YAML file (`passgate serve --settings FILE`) and takes its
 addresses and zone from nothing else. Every key may also be given as a flag,
-which goes before the file: `--zone caruaru`, `--limits.max_body_bytes 1024`,
+which overrides the file: `--zone caruaru`, `--limits.max_body_bytes 1024`,
 `--seeds 127.0.0.1:8200,127.0.0.1:8210`, `--labels rack=r1,tier=gold`.
 
-A mistake (an unknown key, a key or label given twice, a wrong type, a bad
-address) ends the start with one line on standard error that names file, key and
-expected form, and exit code 2. Addresses are IP numbers with a port.
+After a mistake (an unknown key, a key or label given twice, a wrong type, an
+invalid address) the daemon does not start: it prints one line with the file, the
+key and the expected form to standard error, and exits with code 2. Addresses are
+IP addresses with a port.
 
 Give credentials in the file, not as flags: other users of a machine can read
 flags. They are never logged. Example files are in `settings/`.
 
-This page is generated from `passgate/settings.py`; a test keeps it true.
+This page is generated from `passgate/settings.py`; a test compares the two.
 """
 
 
-class Field(msgspec.Struct, frozen=True, kw_only=True):
-    """One documented setting."""
+class SettingRow(msgspec.Struct, frozen=True, kw_only=True):
+    """One setting in the page's table."""
 
     key: str
-    form: str
+    type_name: str
     default: str
-    text: str
+    description: str
 
 
 def field_docstrings(struct: type[msgspec.Struct]) -> dict[str, str]:
-    """Return the docstrings that stand under the fields of a struct's source."""
+    """Return the docstring below each field in a struct's source, by the field's name."""
     tree = ast.parse(textwrap.dedent(inspect.getsource(struct)))
     body = tree.body[0].body  # type: ignore[attr-defined]
-    found: dict[str, str] = {}
+    docstring_by_field: dict[str, str] = {}
     for field, following in zip(body, body[1:], strict=False):
-        is_text = isinstance(following, ast.Expr) and isinstance(following.value, ast.Constant)
-        if isinstance(field, ast.AnnAssign) and isinstance(field.target, ast.Name) and is_text:
-            found[field.target.id] = inspect.cleandoc(following.value.value)
-    return found
+        is_docstring = isinstance(following, ast.Expr) and isinstance(following.value, ast.Constant)
+        if isinstance(field, ast.AnnAssign) and isinstance(field.target, ast.Name) and is_docstring:
+            docstring_by_field[field.target.id] = inspect.cleandoc(following.value.value)
+    return docstring_by_field
 
 
-def sections() -> list[tuple[str, str, list[Field]]]:
-    """Return prefix, description and fields of each group of settings."""
+def sections() -> list[tuple[str, str, list[SettingRow]]]:
+    """Return the key prefix, description and settings of each section; that of the top level comes first."""
     groups = [("", Settings)]
     hints = get_type_hints(Settings)
     groups += [(name, kind) for name, kind in hints.items() if _is_struct(kind)]
-    return [(prefix, inspect.cleandoc(kind.__doc__ or ""), _fields(prefix, kind)) for prefix, kind in groups]
+    return [(prefix, inspect.cleandoc(kind.__doc__ or ""), _rows(prefix, kind)) for prefix, kind in groups]
 
 
 def _is_struct(kind: object) -> bool:
     return isinstance(kind, type) and issubclass(kind, msgspec.Struct)
 
 
-def _fields(prefix: str, struct: type[msgspec.Struct]) -> list[Field]:
-    texts = field_docstrings(struct)
+def _rows(prefix: str, struct: type[msgspec.Struct]) -> list[SettingRow]:
+    docstrings = field_docstrings(struct)
     hints = get_type_hints(struct)
     return [
-        Field(
+        SettingRow(
             key=f"{prefix}.{field.name}" if prefix else field.name,
-            form=_form(hints[field.name]),
+            type_name=_type_name(hints[field.name]),
             default=_default(field),
-            text=texts.get(field.name, "").replace("\n", " "),
+            description=docstrings.get(field.name, "").replace("\n", " "),
         )
         for field in msgspec.structs.fields(struct)
         if not _is_struct(hints[field.name])
     ]
 
 
-def _form(kind: object) -> str:
+def _type_name(kind: object) -> str:
     text = kind.__name__ if isinstance(kind, type) and not hasattr(kind, "__args__") else str(kind)
     return text.replace(f"{settings.__name__}.", "").replace("Credential", "secret").replace("|", "or")
 
 
 def _default(field: msgspec.structs.FieldInfo) -> str:
+    """Return a field's default as JSON; that of a credential is not shown."""
     if field.required:
         return "required"
     value = field.default_factory() if field.default is msgspec.NODEFAULT else field.default
@@ -99,13 +101,13 @@
 
 
 def render() -> str:
-    """Return the page."""
+    """Return the page as Markdown."""
     parts = [INTRODUCTION]
-    for prefix, description, fields in sections():
+    for prefix, description, rows in sections():
         parts.append(f"\n## {f'`{prefix}`' if prefix else 'Daemon'}\n\n{description}\n")
         parts.append("\n| key | form | default | meaning |\n|---|---|---|---|\n")
-        for field in fields:
-            parts.append(f"| `{field.key}` | {field.form} | `{field.default}` | {field.text} |\n")
+        for row in rows:
+            parts.append(f"| `{row.key}` | {row.type_name} | `{row.default}` | {row.description} |\n")
     return "".join(parts).replace("``", "`")
 
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures for tests of a whole daemon on the real loop, with scripted outside systems."""
+"""Fixtures for tests of complete daemons on a real event loop, with fakes of all external systems."""
 
 import asyncio
 import contextlib
@@ -32,7 +32,7 @@
 )
 
 
-class FakeMachines:
+class FakeMachineList:
     def __init__(self):
         self.listed = [ENGINE, APP]
 
@@ -41,25 +41,27 @@
 
 
 class FakeEngine:
-    """Produces ``max_tokens`` tokens in two pieces; ``hold`` makes it wait between them."""
+    """Generates ``max_tokens`` tokens in two chunks."""
 
     def __init__(self):
         self.requests = []
         self.cancelled = []
         self.version = 3
         self.hold = None
+        """Event for which the second chunk waits; None means that it doesn't wait."""
         self.failure = None
+        """Error that requests raise."""
 
     async def generate(self, address, request):
         self.requests.append(request)
         if self.failure is not None:
             raise self.failure
         tokens = tuple(65 + index % 26 for index in range(request.max_tokens))
-        done = len(request.resume_tokens)
-        half = max(done, len(tokens) // 2)
+        start = len(request.resume_tokens)
+        half = max(start, len(tokens) // 2)
         try:
-            if half > done:
-                yield self._chunk(request, done, tokens[done:half], None)
+            if half > start:
+                yield self._chunk(request, start, tokens[start:half], None)
             if self.hold is not None:
                 await self.hold.wait()
             yield self._chunk(request, half, tokens[half:], FinishReason.LENGTH)
@@ -95,7 +97,7 @@
         return ()
 
     async def order(self, address, order):
-        raise BackendRefused("no orders here")
+        raise BackendRefused("this engine accepts no orders")
 
 
 class FakeApp:
@@ -149,7 +151,7 @@
 
 
 class Cluster:
-    """Daemons that share a log and a network in memory."""
+    """Daemons that share a log and a network in memory, with clients for their ports."""
 
     def __init__(self):
         from passgate.peers.memory_transport import MemoryNetwork
@@ -157,7 +159,7 @@
 
         self.log = MemoryLog()
         self.network = MemoryNetwork(random=random.Random(1))
-        self.machines = FakeMachines()
+        self.machines = FakeMachineList()
         self.engine = FakeEngine()
         self.app = FakeApp()
         self.daemons = []
@@ -165,12 +167,13 @@
         self.log_clients = {}
 
     def client_of(self, name):
-        """Return a daemon's access to the log, for faults; also before the daemon is started."""
+        """Return a daemon's log client, in which faults are set; may be called before the daemon starts."""
         from passgate.state.memory_log import MemoryLogClient
 
         return self.log_clients.setdefault(name, MemoryLogClient(self.log))
 
     async def start(self, name="d1", wait=True, **settings):
+        """Start a daemon that joins the running ones; with ``wait``, wait until it is ready."""
         from passgate.server.daemon import Daemon
         from passgate.server.parts import Outside
         from passgate.settings import Settings, StopSettings
@@ -207,6 +210,7 @@
         return daemon
 
     async def configure(self, daemon):
+        """Put an engine pool, an application pool and a model version through the operators' port."""
         objects = [
             (
                 "Pool",
@@ -246,7 +250,7 @@
         return await self.call(daemon.caller_address, "GET", path, headers=headers)
 
     async def raw(self, address, data, eof=False):
-        """Send bytes and return all that comes back until the daemon closes."""
+        """Send bytes on a new connection and return all that is received until the daemon closes it."""
         host, port = address.split(":")
         reader, writer = await asyncio.open_connection(host, int(port))
         with contextlib.suppress(ConnectionError):
@@ -269,7 +273,7 @@
 
 @pytest.hookimpl(tryfirst=True)
 def pytest_pyfunc_call(pyfuncitem):
-    """Run a coroutine test on a real loop of its own."""
+    """Run a test that is a coroutine function on a new event loop."""
     if not inspect.iscoroutinefunction(pyfuncitem.obj):
         return None
     names = pyfuncitem._fixtureinfo.argnames
@@ -279,16 +283,16 @@
 
 @pytest.fixture
 def run_cluster():
-    """Run a scenario, a coroutine function of one cluster, on a real loop."""
+    """Return a function that runs a scenario, a coroutine function of a Cluster, on a new event loop."""
 
     def run(scenario):
-        async def whole():
+        async def run_and_close():
             cluster = Cluster()
             try:
                 await scenario(cluster)
             finally:
                 await cluster.close()
 
-        asyncio.run(whole())
+        asyncio.run(run_and_close())
 
     return run
--- a/tests/test_selectors.py
+++ b/tests/test_selectors.py
@@ -1,4 +1,4 @@
-"""Selectors: grammar, meaning, precise errors, and the round trip through text."""
+"""Selectors: parsing, matching, positions in errors, and the round trip through text."""
 
 import pytest
 from hypothesis import given
@@ -22,13 +22,13 @@
 
 
 @given(st.lists(terms(), max_size=5))
-def test_text_round_trip(drawn):
-    selector = Selector(tuple(drawn))
+def test_text_of_a_selector_parses_to_the_same_selector(drawn_terms):
+    selector = Selector(tuple(drawn_terms))
     assert Selector.parse(str(selector)) == selector
 
 
 @given(st.text(max_size=40))
-def test_any_text_parses_or_gives_a_typed_error(text):
+def test_arbitrary_text_raises_only_selector_syntax_error(text):
     try:
         parsed = Selector.parse(text)
     except SelectorSyntaxError as error:
@@ -57,7 +57,7 @@
         ("a=b,c", {"a": "b"}, False),
     ],
 )
-def test_meaning(text, labels, expected):
+def test_matching(text, labels, expected):
     assert Selector.parse(text).matches(labels) is expected
 
 
@@ -78,7 +78,7 @@
         ("a=" + "b" * 300, 2),
     ],
 )
-def test_errors_name_the_position(text, position):
+def test_syntax_error_gives_the_position(text, position):
     with pytest.raises(SelectorSyntaxError) as caught:
         Selector.parse(text)
     assert caught.value.details["position"] == str(position)
