--- a/passgate/cli.py
+++ b/passgate/cli.py
@@ -164,7 +164,7 @@
 
     Raises SystemExit for every outcome but the success of a command.
     """
-    words = list(sys.argv[1:] if arguments is None else arguments)
+    words = list(sys.argv[1:] if arguments is None else arguments)  # the command and its flags
     if not words or words[0] in ("-h", "--help", "help"):
         print(usage())
         raise SystemExit(0 if words else EXIT_BAD_INPUT)
--- a/passgate/clients/calls.py
+++ b/passgate/clients/calls.py
@@ -68,7 +68,7 @@
     not_sent_after_s: float | None = None
     """Loop time after which the request is no longer sent but fails with SendTooLate; None: no limit."""
     length_required: bool = True
-    """Whether an answer without a declared length is refused; else the connection's end completes it."""
+    """Whether an answer without a declared length is an error; if not, the connection's end completes it."""
     stall_timeout_s: int | None = None
     """Seconds without a received byte after which the transfer fails; None means no limit."""
 
--- a/passgate/clients/curl.py
+++ b/passgate/clients/curl.py
@@ -108,14 +108,14 @@
         transfers.add(transfer)
         self._client.set_max_connections(self.transfer_count + self.limits.max_idle_connections)
 
-        def end(response: HTTPResponse) -> None:
+        def handle_end(response: HTTPResponse) -> None:
             if transfer.claim_restart():
-                self._client.fetch_impl(self._request(call, transfer), end)
+                self._client.fetch_impl(self._build_request(call, transfer), handle_end)
                 return
             transfers.discard(transfer)
             transfer.record_end(response)
 
-        self._client.fetch_impl(self._request(call, transfer), end)
+        self._client.fetch_impl(self._build_request(call, transfer), handle_end)
         return transfer
 
     async def fetch(self, call: HttpCall) -> HttpAnswer:
@@ -142,7 +142,7 @@
             )
         return transfers
 
-    def _request(self, call: HttpCall, transfer: Transfer) -> HTTPRequest:
+    def _build_request(self, call: HttpCall, transfer: Transfer) -> HTTPRequest:
         return HTTPRequest(
             call.url,
             method=call.method,
--- a/passgate/clients/stream_verifier.py
+++ b/passgate/clients/stream_verifier.py
@@ -2,10 +2,10 @@
 
 >>> request = GenerateRequest(request_id="r", caller="c", pool="p", model="m", prompt=(1,), max_tokens=4)
 >>> verifier = StreamVerifier(request)
->>> piece = GenerateChunk(request_id="r", start=0, tokens=(5,), version=3, finish_reason=FinishReason.STOP)
->>> verifier.feed(wire.encode_chunk(piece)), verifier.done
+>>> chunk = GenerateChunk(request_id="r", start=0, tokens=(5,), version=3, finish_reason=FinishReason.STOP)
+>>> verifier.feed(wire.encode_chunk(chunk)), verifier.done
 ([], False)
->>> verifier.feed(wire.encode_event(wire.DONE_MARK)) == [piece], verifier.done
+>>> verifier.feed(wire.encode_event(wire.DONE_MARK)) == [chunk], verifier.done
 (True, True)
 """
 
@@ -60,7 +60,7 @@
         Raises:
             IncompleteAnswer: the stream ended early, is out of order, or can not be decoded.
             AnswerMismatch: an event carries another request identifier.
-            VersionNotReported: tokens came without a weight version.
+            VersionNotReported: an event has tokens but no weight version.
             BackendRefused: the engine refused the request before its first token.
         """
         if not data:
--- a/passgate/clients/transfer.py
+++ b/passgate/clients/transfer.py
@@ -123,9 +123,9 @@
         await self.head()
         parts = []
         size = 0
-        while piece := await self.read():
-            parts.append(piece)
-            size += len(piece)
+        while part := await self.read():
+            parts.append(part)
+            size += len(part)
             if size > self._limits.max_body_bytes:
                 self.abort()
                 raise IncompleteAnswer(
--- a/passgate/operator_commands.py
+++ b/passgate/operator_commands.py
@@ -154,12 +154,12 @@
         item = await client.get_object(kind, name)
         return ConfigList(revision=item.revision, objects=(item,))
 
-    found = run_with_client(operator, credential_file, fetch)
+    config_list = run_with_client(operator, credential_file, fetch)
     if json:
-        print(msgspec.json.encode(found).decode())
+        print(msgspec.json.encode(config_list).decode())
         return
     table = Table("kind", "name", "revision", "labels", "spec")
-    for item in found.objects:
+    for item in config_list.objects:
         labels = ",".join(f"{key}={value}" for key, value in sorted(item.labels.items()))
         table.add_row(item.kind, item.name, str(item.revision), labels, bytes(item.spec).decode())
     Console().print(table)
@@ -176,13 +176,13 @@
     objects = read_objects(file)
 
     async def fetch(client: OperatorClient) -> list[ConfigObjectView | None]:
-        found: list[ConfigObjectView | None] = []
+        views: list[ConfigObjectView | None] = []
         for item in objects:
             try:
-                found.append(await client.get_object(item.kind, item.name))
+                views.append(await client.get_object(item.kind, item.name))
             except NotFound:
-                found.append(None)
-        return found
+                views.append(None)
+        return views
 
     current = run_with_client(operator, credential_file, fetch)
     different = False
--- a/passgate/peers/memory_transport.py
+++ b/passgate/peers/memory_transport.py
@@ -111,7 +111,7 @@
         self._on_message: MessageHandler | None = None
         self._on_call: CallHandler | None = None
         self._tasks: set[asyncio.Task] = set()
-        self._connected: OrderedDict[str, None] = OrderedDict()
+        self._connected_addresses: OrderedDict[str, None] = OrderedDict()
         self._paused = False
         self._deferred_actions: list[Callable[[], None]] = []
 
@@ -142,7 +142,7 @@
         for task in list(self._tasks):
             task.cancel()
 
-    # --- pauses of the whole process ------------------------------------------------------
+    # --- pauses of the process --------------------------------------------------------------
 
     def pause(self) -> None:
         """Simulate a stopped process: defer received frames and timers set through :meth:`call_later`."""
@@ -180,16 +180,16 @@
 
     def _connect(self, address: str) -> None:
         """Count a new connection and its Hello unless the least-recently-used cache holds one."""
-        if address in self._connected:
-            self._connected.move_to_end(address)
+        if address in self._connected_addresses:
+            self._connected_addresses.move_to_end(address)
             return
         hello = encode_frame(Hello(PROTOCOL_VERSION, self.address))
         self.counters.bytes_sent += len(hello)
         self.counters.frames_sent += 1
         self.counters.connections_opened += 1
-        self._connected[address] = None
-        if len(self._connected) > MAX_CONNECTIONS:
-            self._connected.popitem(last=False)
+        self._connected_addresses[address] = None
+        if len(self._connected_addresses) > MAX_CONNECTIONS:
+            self._connected_addresses.popitem(last=False)
 
     def receive(self, sender: str, data: bytes) -> None:
         """Handle encoded frames that the network delivers; ignored after :meth:`close`."""
--- a/passgate/peers/peer_connection.py
+++ b/passgate/peers/peer_connection.py
@@ -210,7 +210,7 @@
         return PeerUnreachable("connection closed before the handshake was complete")
 
     def _fail(self, error: PeerError) -> None:
-        """Record and count an error, and tell the peer its code before the connection is closed."""
+        """Record and count an error, and send its code to the peer before the connection is closed."""
         self.error = error
         if isinstance(error, PeerCredentialRefused):
             self._counters.refused += 1
--- a/passgate/peers/peer_transport.py
+++ b/passgate/peers/peer_transport.py
@@ -237,11 +237,11 @@
             assert self._on_message is not None, "start() was not called"
             self._on_message(connection.peer_address, bytes(frame.body))
         elif isinstance(frame, CallRequest):
-            self._start_call(connection, frame)
+            self._start_incoming_call(connection, frame)
         elif isinstance(frame, CallReply | CallFailure):
             self._calls.resolve(frame)
 
-    def _start_call(self, connection: PeerConnection, request: CallRequest) -> None:
+    def _start_incoming_call(self, connection: PeerConnection, request: CallRequest) -> None:
         """Start to handle a peer's call, or answer at once that this daemon is overloaded."""
         if self._incoming_calls >= MAX_INCOMING_CALLS:
             failure = CallFailure(request.call_id, Overloaded.code, "too many calls in progress")
--- a/passgate/plan_commands.py
+++ b/passgate/plan_commands.py
@@ -16,7 +16,7 @@
 
 
 class PlanCommands(RolloutPlanCommands):
-    """Show plans without carrying them out."""
+    """Commands that show a plan without carrying it out."""
 
     def capacity(
         self,
--- a/passgate/platform/front.py
+++ b/passgate/platform/front.py
@@ -27,7 +27,7 @@
 MAX_WAIT_S = 1.0
 """Longest time for which the platform lets a read of results wait for new ones."""
 DEFAULT_DEADLINE_S = 4.0
-"""Deadline, counted from the request's arrival, of a job request that carries none."""
+"""Deadline, counted from the request's arrival, of a job request without a deadline header."""
 ANSWER_MARGIN_S = 0.1
 """Time before a caller's deadline that is reserved for sending the answer."""
 REPORT_TIMEOUT_S = 1.0
--- a/passgate/platform/program.py
+++ b/passgate/platform/program.py
@@ -62,7 +62,7 @@
 async def serve() -> None:
     """Run one daemon until SIGTERM or SIGINT; SIGHUP reloads its settings."""
     with contextlib.suppress(OSError):
-        os.set_blocking(sys.stdout.fileno(), False)  # a stalled reader of the log must not block the loop
+        os.set_blocking(sys.stdout.fileno(), False)  # a stalled reader of stdout must not block the loop
     settings = read_settings(settings_path())
     http = make_http_client()
     log = PlatformLog(http, settings.log_address)
--- a/passgate/platform/settings.py
+++ b/passgate/platform/settings.py
@@ -18,7 +18,7 @@
 logger = logging.getLogger("passgate.platform")
 
 CHECK_INTERVAL_S = 2.0
-"""Interval of the checks whether the settings file has changed; a change need not come with a signal."""
+"""Interval at which the settings file is checked for changes, as not every change comes with a signal."""
 
 RETENTION_MARGIN_S = 30.0
 """Time for which a job stays readable beyond the time that the platform requires."""
--- a/passgate/records.py
+++ b/passgate/records.py
@@ -20,7 +20,7 @@
 
 from passgate.schema import FinishReason, Labels, VersionSpan
 
-_TOKEN_CODE = "I"
+_TOKEN_TYPE_CODE = "I"
 TOKEN_BYTES = 4
 """Size of a packed token."""
 
@@ -130,7 +130,7 @@
     >>> unpack_tokens(pack_tokens([1, 70_000]))
     (1, 70000)
     """
-    packed = array(_TOKEN_CODE, tokens)
+    packed = array(_TOKEN_TYPE_CODE, tokens)
     if sys.byteorder == "big":
         packed.byteswap()
     return packed.tobytes()
@@ -138,7 +138,7 @@
 
 def unpack_tokens(packed: bytes) -> tuple[int, ...]:
     """Return packed token identifiers; raises ValueError if the length is no multiple of TOKEN_BYTES."""
-    tokens = array(_TOKEN_CODE, packed)
+    tokens = array(_TOKEN_TYPE_CODE, packed)
     if sys.byteorder == "big":
         tokens.byteswap()
     return tuple(tokens)
--- a/passgate/schema.py
+++ b/passgate/schema.py
@@ -31,7 +31,7 @@
 
 
 class MachineState(enum.Enum):
-    """State of a machine; when views differ, the later member in this order is taken."""
+    """State of a machine, from least to most cautious; of two reports the more cautious one is used."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -211,7 +211,7 @@
 
 
 class EngineOrder(msgspec.Struct, frozen=True, kw_only=True):
-    """A control order with a fence that keeps a former lease holder from sending orders."""
+    """A control order; its fence lets engines refuse orders of a former lease holder."""
 
     order_id: str
     kind: OrderKind
--- a/passgate/selectors.py
+++ b/passgate/selectors.py
@@ -30,8 +30,8 @@
 
 MAXIMUM_SELECTOR_CHARACTERS = 4096
 MAXIMUM_NAME_CHARACTERS = 253
-_NAME = re.compile(r"[A-Za-z0-9](?:[A-Za-z0-9_./-]*[A-Za-z0-9])?")
-_BLANKS = re.compile(r"[ \t]*")
+_NAME_PATTERN = re.compile(r"[A-Za-z0-9](?:[A-Za-z0-9_./-]*[A-Za-z0-9])?")
+_BLANKS_PATTERN = re.compile(r"[ \t]*")
 
 
 class Operator(enum.Enum):
@@ -110,19 +110,19 @@
         if self._at_end():
             return ()
         terms = [self._term()]
-        while self._take(","):
+        while self._consume(","):
             terms.append(self._term())
         if not self._at_end():
             raise self._error("expected ',' or the end of the selector")
         return tuple(terms)
 
     def _term(self) -> Term:
-        if self._take("!"):
+        if self._consume("!"):
             return Term(self._name("a label key"), Operator.ABSENT)
         key = self._name("a label key")
-        if self._take("!="):
+        if self._consume("!="):
             return Term(key, Operator.NOT_EQUAL, (self._value(),))
-        if self._take("==") or self._take("="):
+        if self._consume("==") or self._consume("="):
             return Term(key, Operator.EQUAL, (self._value(),))
         if self._at_end() or self._text[self._position] == ",":
             return Term(key, Operator.EXISTS)
@@ -130,7 +130,7 @@
 
     def _set_term(self, key: str) -> Term:
         start = self._position
-        match = _NAME.match(self._text, start)
+        match = _NAME_PATTERN.match(self._text, start)
         word = match.group() if match else ""
         if word not in (Operator.IN.value, Operator.NOT_IN.value):
             raise self._error("expected '=', '==', '!=', 'in', 'notin', ',' or the end of the selector")
@@ -138,7 +138,7 @@
         self._skip_blanks()
         self._expect("(")
         values = {self._value()}
-        while self._take(","):
+        while self._consume(","):
             values.add(self._value())
         self._expect(")")
         return Term(key, Operator(word), tuple(sorted(values)))
@@ -147,7 +147,7 @@
         return self._name("a label value")
 
     def _name(self, expected: str) -> str:
-        match = _NAME.match(self._text, self._position)
+        match = _NAME_PATTERN.match(self._text, self._position)
         if match is None:
             raise self._error(f"expected {expected}")
         if len(match.group()) > MAXIMUM_NAME_CHARACTERS:
@@ -156,8 +156,8 @@
         self._skip_blanks()
         return match.group()
 
-    def _take(self, literal: str) -> bool:
-        """Consume ``literal`` if it comes next; return whether it did."""
+    def _consume(self, literal: str) -> bool:
+        """Advance past ``literal`` if it is next; return whether it was."""
         if not self._text.startswith(literal, self._position):
             return False
         self._position += len(literal)
@@ -165,11 +165,11 @@
         return True
 
     def _expect(self, literal: str) -> None:
-        if not self._take(literal):
+        if not self._consume(literal):
             raise self._error(f"expected '{literal}'")
 
     def _skip_blanks(self) -> None:
-        self._position = _BLANKS.match(self._text, self._position).end()
+        self._position = _BLANKS_PATTERN.match(self._text, self._position).end()
 
     def _at_end(self) -> bool:
         return self._position == len(self._text)
--- a/passgate/settings.py
+++ b/passgate/settings.py
@@ -123,7 +123,7 @@
     drain_timeout_s: float = 3_600.0
     """Longest wait for requests in progress, after the notice."""
     leave_timeout_s: float = 5.0
-    """Timeout of each step of leaving: ending rollouts, releasing leases, notifying peers."""
+    """Timeout of each step of leaving: finishing rollout orders, releasing leases, notifying peers."""
     retry_after_s: float = 1.0
     """``Retry-After`` of requests that are refused because the daemon starts, stops or is overloaded."""
 
--- a/tests/test_clients_curl.py
+++ b/tests/test_clients_curl.py
@@ -221,10 +221,10 @@
 
 
 async def test_request_above_the_limit_is_refused_as_not_run_but_control_calls_are_not():
-    async def hold(connection_number, request_number, head, writer):
+    async def never_answer(connection_number, request_number, head, writer):
         await asyncio.Event().wait()
 
-    async with raw_server(hold, HttpLimits(max_transfers=1)) as (_, http, url):
+    async with raw_server(never_answer, HttpLimits(max_transfers=1)) as (_, http, url):
         first = http.start(post(url, SendPolicy.ONCE))
         with pytest.raises(BackendUnreachable) as caught:
             http.start(post(url, SendPolicy.ONCE))
@@ -256,10 +256,10 @@
 
 
 async def test_total_timeout_after_sending_has_an_unknown_outcome():
-    async def hold(connection_number, request_number, head, writer):
+    async def never_answer(connection_number, request_number, head, writer):
         await asyncio.Event().wait()
 
-    async with raw_server(hold) as (raw, http, url):
+    async with raw_server(never_answer) as (raw, http, url):
         call = HttpCall(method="POST", url=url, body=b"x", timeout_s=0.05)
         with pytest.raises(DeadlineExceeded) as caught:
             await http.fetch(call)
@@ -335,10 +335,10 @@
 
 
 async def test_abort_closes_the_connection_and_frees_the_handle():
-    async def hold(connection_number, request_number, head, writer):
+    async def send_incomplete_answer(connection_number, request_number, head, writer):
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nx")
 
-    async with raw_server(hold) as (raw, http, url):
+    async with raw_server(send_incomplete_answer) as (raw, http, url):
         transfer = http.start(post(url, SendPolicy.ONCE))
         assert await transfer.read() == b"x"
         transfer.abort()
@@ -416,7 +416,7 @@
         )
         assert (await http.fetch(call)).status == 200
         transfer = http.start(call)
-        time.sleep(2 * LAST_SEND_S)  # noqa: ASYNC251 - a freeze of the whole process
+        time.sleep(2 * LAST_SEND_S)  # noqa: ASYNC251 - blocks the event loop, like a process that is suspended
         with pytest.raises(SendTooLate) as caught:
             await transfer.head()
         assert caught.value.execution is ExecutionStatus.NOT_RUN
--- a/tests/test_clients_http_log.py
+++ b/tests/test_clients_http_log.py
@@ -16,13 +16,14 @@
 
 
 @contextlib.asynccontextmanager
-async def served_log(credential=None, given_credential=None):
+async def served_log(server_credential=None, client_credential=None):
+    """Run a log server and yield its log, the server and a client."""
     log = MemoryLog(LogParameters(append_s=0.0, read_s=0.0))
     network = Network(NetworkParameters(between_zones_s=0.0), Random(1))
-    server = LogServer("log", MemoryLogClient(log, network, SAME_PROCESS, Random(1)), credential)
+    server = LogServer("log", MemoryLogClient(log, network, SAME_PROCESS, Random(1)), server_credential)
     http = HttpClient()
     try:
-        yield log, server, HttpLogClient(http, server.start(), given_credential)
+        yield log, server, HttpLogClient(http, server.start(), client_credential)
     finally:
         server.crash()
         http.close()
