--- a/passgate/clients/transfer.py
+++ b/passgate/clients/transfer.py
@@ -61,9 +61,9 @@
 class Transfer:
     """One HTTP transfer, started by :meth:`HttpClient.start`.
 
-    Await :meth:`head` for the status and headers, then :meth:`read` the body until it returns ``b""``.  Both
-    raise the transfer's failure as a PassgateError with its execution status.  Call :meth:`abort` or
-    :meth:`finish_unread` if the body is not read to its end.
+    Await :meth:`head` for the status and headers, then :meth:`read` the body until it returns
+    ``b""``.  Both raise the transfer's failure as a PassgateError with its execution status.  Call
+    :meth:`abort` or :meth:`finish_unread` if the body is not read to its end.
     """
 
     def __init__(
