--- a/passgate/eligibility/evacuation.py
+++ b/passgate/eligibility/evacuation.py
@@ -114,8 +114,8 @@
             self._write_decision(ZoneEvacuated, zone, source)
         for zone in sorted(before - view.zones):
             self._write_decision(EvacuationEnded, zone, source)
-            for ended in self.on_ended:
-                ended(zone)
+            for callback in self.on_ended:
+                callback(zone)
 
     def _write_decision(
         self, event: type[ZoneEvacuated] | type[EvacuationEnded], zone: str, source: _ViewSource
--- a/passgate/eligibility/permits.py
+++ b/passgate/eligibility/permits.py
@@ -77,8 +77,8 @@
 
         It may get the rest of its fair share, or whatever the unmet fair shares of the others leave.
         """
-        left = limit - sum(grant.count for grant in self.grants)
-        if left <= 0:
+        available = limit - sum(grant.count for grant in self.grants)
+        if available <= 0:
             return 0  # the usual case with many requesters; skips the loops over all of them
         self.drop_expired_demands(now_s)
         granted: Counter[str] = Counter()
@@ -91,7 +91,7 @@
             for other, demand in demands.items()
             if other != requester
         )
-        return max(min(left, share - granted[requester]), left - reserved_for_others, 0)
+        return max(min(available, share - granted[requester]), available - reserved_for_others, 0)
 
 
 class PermitGrants:
@@ -178,12 +178,12 @@
     >>> fair_share(29, [40, 40]), fair_share(29, [1, 1, 40]), fair_share(2, [1] * 84)
     (14, 27, 1)
     """
-    left = limit
+    remaining = limit
     smallest_first = sorted(demands)
     for index, demand in enumerate(smallest_first):
-        share = max(left // (len(smallest_first) - index), 1)
-        left -= min(demand, share)
-        if demand > share or left <= 0:
+        share = max(remaining // (len(smallest_first) - index), 1)
+        remaining -= min(demand, share)
+        if demand > share or remaining <= 0:
             return share
     return limit
 
--- a/passgate/eligibility/rules.py
+++ b/passgate/eligibility/rules.py
@@ -51,7 +51,7 @@
     """Name of the rule in errors and metrics."""
 
     def allows(self, replica: ReplicaInfo, context: SendTerms, now_s: float) -> bool:
-        """Whether sending to a replica is allowed now; must not change any state."""
+        """Whether sending to a replica is allowed now; may be called any number of times before a send."""
         ...
 
     def record_send(self, replica: ReplicaInfo, context: SendTerms, now_s: float) -> float | None:
@@ -93,7 +93,7 @@
         self._rules.append(rule)
 
     def allows(self, replica: ReplicaInfo, context: SendTerms, now_s: float) -> bool:
-        """Whether all rules allow a send, asked while choosing a replica; counts an exclusion if not."""
+        """Whether all rules allow a send, checked while choosing a replica; counts an exclusion if not."""
         rule = self._first_forbidding_rule(replica, context, now_s)
         if rule is None:
             return True
--- a/passgate/quarantine/identity.py
+++ b/passgate/quarantine/identity.py
@@ -1,11 +1,11 @@
 """Identity of a request by its content, so that a repeated request is recognized.
 
-Each attempt of a caller has its own request ID, so the ID can not identify a request.  Headers are left out,
+Each attempt of a caller has its own request ID, so the ID cannot identify a request.  Headers are left out,
 as some of them, such as the remaining time, differ between attempts.
 
 >>> first = RequestIdentity(host="h", method="POST", path="/a?b=1", tenant="t", body=b"x")
->>> again = RequestIdentity(host="h", method="POST", path="/a?b=1", tenant="t", body=b"x")
->>> first.fingerprint() == again.fingerprint()
+>>> repeated = RequestIdentity(host="h", method="POST", path="/a?b=1", tenant="t", body=b"x")
+>>> first.fingerprint() == repeated.fingerprint()
 True
 >>> len(first.fingerprint())
 32
