--- a/passgate/eligibility/permits.py
+++ b/passgate/eligibility/permits.py
@@ -1,7 +1,7 @@
 """Permits, each for one request to a cold replica: their allocation, and the pool of one daemon.
 
 A permit expires PERMIT_LIFETIME_S after its permit request was sent, hence within that time after its
-grant.  The request leaves within MAX_SEND_DELAY_S of the permit's check.  So all requests of one second
+grant.  A request leaves at most MAX_SEND_DELAY_S after its permit's expiry.  So all requests of one second
 use permits of one GRANT_WINDOW_S, in which no more are granted than the replica's limit.
 
 >>> allocator = PermitGrants()
@@ -26,7 +26,7 @@
 """Time for which permits are valid after their request was sent.  A longer time widens GRANT_WINDOW_S and
 so lowers the usable rate."""
 MAX_SEND_DELAY_S = 0.1
-"""Longest time from the check of a permit until its request leaves the daemon."""
+"""Longest time after a permit's expiry at which a request that used it may still leave the daemon."""
 RATE_WINDOW_S = 1.0
 """Window to which a cold replica's limit applies."""
 GRANT_WINDOW_S = RATE_WINDOW_S + PERMIT_LIFETIME_S + MAX_SEND_DELAY_S
--- a/passgate/quarantine/guard.py
+++ b/passgate/quarantine/guard.py
@@ -1,8 +1,8 @@
 """Quarantines requests that crash replicas; every attempt is checked here before it is sent.
 
-A failed attempt makes its request a suspect, and its replica is probed.  If the replica has crashed, a
-crash report is published to all daemons.  A request with as many reports as its crash limit is
-quarantined.  A complete answer clears the request's reports, and a response clears its replica's reports.
+A failed attempt that may be due to a crash makes its request a suspect, and its replica is probed.  If the
+replica has crashed, a crash report is published to all daemons.  A request with as many reports as its
+crash limit is quarantined.  A complete answer clears its request's reports, a response its replica's.
 """
 
 from __future__ import annotations
--- a/passgate/quarantine/identity.py
+++ b/passgate/quarantine/identity.py
@@ -20,8 +20,7 @@
 FINGERPRINT_BYTES = 16
 """128 bits, so that collisions are infeasible, also for a caller who tries to cause one."""
 CRASH_LIMIT = 2
-"""Replica crashes after which a request is quarantined: the fewest that a crash for another reason cannot
-explain."""
+"""Replica crashes after which a request is quarantined; a single crash may well have another cause."""
 ITEM_CRASH_LIMIT = 3
 """Crash limit of job items and reward calls; higher, as many run concurrently at a replica and a wrong
 quarantine may delay a training step."""
--- a/passgate/quarantine/peers.py
+++ b/passgate/quarantine/peers.py
@@ -1,6 +1,6 @@
 """Exchanges crash reports between the daemons of a zone while the log is not available to them.
 
-A daemon whose view of the log is stale exchanges its newest reports with a few other daemons in turn, so
+A daemon whose view of the log is stale exchanges its newest reports with a few other daemons at a time, so
 that both know the reports of each other.  A daemon to which the log is available appends what it receives.
 """
 
--- a/tests/test_crash_guard.py
+++ b/tests/test_crash_guard.py
@@ -18,7 +18,7 @@
     RequestQuarantined,
 )
 from passgate.peers.memory_transport import MemoryNetwork
-from passgate.quarantine import ledger
+from passgate.quarantine import ledger as report_module
 from passgate.quarantine.channel import MAX_CURRENT_AGE_S, POLL_WAIT_S, CrashReportLog
 from passgate.quarantine.guard import (
     MAX_DISCOVERY_DELAY_S,
@@ -522,7 +522,7 @@
 
 
 def test_store_is_bounded_and_drops_oldest_reports_first(monkeypatch):
-    monkeypatch.setattr(ledger, "MAX_REPORTS", 3)
+    monkeypatch.setattr(report_module, "MAX_REPORTS", 3)
     reports = CrashReportStore()
     for number in range(5):
         report = CrashReport(
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -119,7 +119,7 @@
 
 
 @in_crashing_world
-async def test_a_request_that_may_run_once_ends_one_replica_a_try_and_is_then_refused(world):
+async def test_unrepeatable_request_crashes_one_replica_each_time_and_is_then_refused(world):
     for _ in range(3):
         world.add_replica()
     world.configure(1, stand_ins.safe_route(kind="unsafe"))
