--- a/passgate/quarantine/identity.py
+++ b/passgate/quarantine/identity.py
@@ -1,11 +1,11 @@
 """Identity of a request by its content, so that a repeated request is recognized.
 
-Each attempt of a caller has its own request ID, so the ID can not identify a request.  Headers are left out,
+Each attempt of a caller has its own request ID, so the ID cannot identify a request.  Headers are left out,
 as some of them, such as the remaining time, differ between attempts.
 
 >>> first = RequestIdentity(host="h", method="POST", path="/a?b=1", tenant="t", body=b"x")
->>> again = RequestIdentity(host="h", method="POST", path="/a?b=1", tenant="t", body=b"x")
->>> first.fingerprint() == again.fingerprint()
+>>> repeated = RequestIdentity(host="h", method="POST", path="/a?b=1", tenant="t", body=b"x")
+>>> first.fingerprint() == repeated.fingerprint()
 True
 >>> len(first.fingerprint())
 32
@@ -20,8 +20,7 @@
 FINGERPRINT_BYTES = 16
 """128 bits, so that collisions are infeasible, also for a caller who tries to cause one."""
 CRASH_LIMIT = 2
-"""Replica crashes after which a request is quarantined: the fewest that a crash for another reason cannot
-explain."""
+"""Replica crashes after which a request is quarantined; a single crash may well have another cause."""
 ITEM_CRASH_LIMIT = 3
 """Crash limit of job items and reward calls; higher, as many run concurrently at a replica and a wrong
 quarantine may delay a training step."""
