--- a/passgate/state/__init__.py
+++ b/passgate/state/__init__.py
@@ -1,1 +1,1 @@
-"""Replicated state: deterministic folds over the platform log and the services on them."""
+"""Replicated state: deterministic projections of the platform log, and services built on them."""
--- a/passgate/state/claims.py
+++ b/passgate/state/claims.py
@@ -1,12 +1,13 @@
-"""At most one run per idempotency key, over all daemons.
+"""Runs a request at most once per idempotency key, across all daemons.
 
 ::
 
     outcome = await claims.run_once(key, request_digest, run, timeout_s=2.0)
 
-A caller that repeats its key, through whichever daemon, gets the stored outcome
-of the first run, or learns that it goes on, or that its outcome is lost.  It
-never causes a second run.
+A call claims the key on the log before it runs the request.  A later call with the
+same key, on any daemon, never runs the request again: it gets the stored outcome, or
+an error that says that the run is in progress or that its outcome is unknown.  Only a
+run that certainly did not happen frees the key.
 """
 
 from __future__ import annotations
@@ -37,41 +38,42 @@
 from passgate.state.fold import Accepted, Decision
 from passgate.state.log_follower import LogFollower
 
-OUTCOME_TIMEOUT_S = 600.0
-"""How long the outcome of a run is offered to the log."""
-OUTCOME_WAIT_S = 2.0
-"""How long the first caller's answer waits for its outcome to be on the log."""
+OUTCOME_APPEND_TIMEOUT_S = 600.0
+"""How long appending the outcome of a run is retried."""
+RESPONSE_DELAY_LIMIT_S = 2.0
+"""Longest time that the response to the first caller is delayed until its outcome is on the log."""
 RETRY_AFTER_S = 1.0
-"""When a caller is told to come back while its request is running."""
-IDLE_CHECK_S = 1.0
-"""How often a finished attempt looks whether its records are decided."""
+"""Sent with errors after which the caller may call again."""
+UNDECIDED_POLL_INTERVAL_S = 1.0
+"""Interval of the checks for undecided records of a finished call."""
 
 SHORTEST_WAIT_S = 0.001
+"""Shorter remaining times count as zero."""
 
 Result = TypeVar("Result")
 
 
 class ClaimOutcome(msgspec.Struct, frozen=True):
-    """Answer of a not-repeatable request."""
+    """Response to a request that must not run twice."""
 
     status: int
     content_type: str
     body: bytes
 
 
-Run = Callable[[], Awaitable[ClaimOutcome]]
+SendRequest = Callable[[], Awaitable[ClaimOutcome]]
 
 
-def stream_of(key: str) -> str:
-    """Return the stream that decides on ``key``."""
+def claim_stream(key: str) -> str:
+    """Return the name of the stream that holds the claims of ``key``."""
     return f"claim.{xxhash.xxh3_128_hexdigest(key.encode())}"
 
 
 class ClaimService:
-    """Runs not-repeatable requests at most once.
+    """Runs requests that must not run twice.
 
-    ``daemon_id`` names this process run; ``is_alive`` tells whether membership
-    believes another process run to be alive.
+    ``daemon_id`` identifies this incarnation of the daemon.  ``is_alive`` returns
+    whether membership considers another incarnation alive.
     """
 
     def __init__(
@@ -81,40 +83,42 @@
         self._daemon_id = daemon_id
         self._is_alive = is_alive
         self._random = random or Random(daemon_id)
-        self._followers = 0
+        self._follower_count = 0
         self._tasks: set[asyncio.Task] = set()
 
-    async def run_once(self, key: str, request_digest: str, run: Run, timeout_s: float) -> ClaimOutcome:
-        """Claim ``key``, run, record the outcome and return it; or return an earlier run's outcome.
+    async def run_once(
+        self, key: str, request_digest: str, run: SendRequest, timeout_s: float
+    ) -> ClaimOutcome:
+        """Claim ``key``, call ``run`` and store its outcome; or return the outcome that is already stored.
 
-        ``timeout_s`` bounds the claim, not the run.  A run goes on when its
-        caller goes away, so that a repeated call finds the outcome.
+        ``timeout_s`` bounds the claim, not the run.  A started run continues when
+        this call is cancelled, so that a repeated call finds the outcome.
 
         Raises:
-            DurabilityUnavailable: the claim could not be made durable; not run.
-            RequestInProgress: an attempt is running; ``retry_after_s`` says when to ask again.
-            OutcomeUnknown: the only run may have run and its outcome is lost.
-            KeyReused: the key was used for a different request.
-            PassgateError: whatever ``run`` raised.
+            DurabilityUnavailable: the claim is not known to be on the log; ``run`` was not called.
+            RequestInProgress: another call holds the key; ``retry_after_s`` says when to call again.
+            OutcomeUnknown: the request may have run, and its outcome is not known and not expected.
+            KeyReused: the key was used for a request with another digest.
+            Exception: whatever ``run`` raised.
         """
-        attempt = _Attempt(self, key, request_digest)
+        call = _RunOnceCall(self, key, request_digest)
         try:
-            if not await attempt.claim(timeout_s):
-                return attempt.earlier_outcome()
-            return await asyncio.shield(attempt.start(run))
+            if not await call.claim(timeout_s):
+                return call.stored_outcome()
+            return await asyncio.shield(call.start_run(run))
         finally:
-            self._in_background(attempt.finish())
+            self._spawn(call.close_when_decided())
 
     async def drain(self, timeout_s: float) -> bool:
-        """Wait for running requests and their outcomes; return whether all are done."""
+        """Wait until all runs have ended and their outcomes are decided; return False after ``timeout_s``."""
         deadline_s = monotonic_s() + timeout_s
         while self._tasks and (remaining_s := deadline_s - monotonic_s()) > SHORTEST_WAIT_S:
             await asyncio.wait(self._tasks, timeout=remaining_s, return_when=asyncio.FIRST_COMPLETED)
         return not self._tasks
 
     async def close(self) -> None:
-        """Stop at once; outcomes that are not on the log are lost."""
-        # A call that is cancelled starts its own clean-up, which has to end too.
+        """Cancel all runs; outcomes that are not on the log are lost."""
+        # A cancelled call spawns close_when_decided, so the set may grow again.
         while self._tasks:
             tasks = list(self._tasks)
             for task in tasks:
@@ -122,133 +126,151 @@
             await asyncio.gather(*tasks, return_exceptions=True)
             await asyncio.sleep(0)
 
-    def _follow(
-        self, key: str, fold: ClaimFold, on_abandoned: Callable[[Record, Decision], None]
+    def _start_follower(
+        self, key: str, projection: ClaimFold, on_late_acceptance: Callable[[Record, Decision], None]
     ) -> LogFollower:
-        self._followers += 1
-        writer = f"{self._daemon_id}/claim-{self._followers}"
+        self._follower_count += 1
+        writer = f"{self._daemon_id}/claim-{self._follower_count}"
         follower = LogFollower(
             self._log,
-            stream_of(key),
-            fold,
+            claim_stream(key),
+            projection,
             writer,
             reads_on_demand=True,
-            on_abandoned=on_abandoned,
+            on_late_acceptance=on_late_acceptance,
             random=self._random,
         )
         follower.start()
         return follower
 
-    def _holder_is_alive(self, holder: str) -> bool:
+    def _is_holder_alive(self, holder: str) -> bool:
         return holder == self._daemon_id or self._is_alive(holder)
 
-    def _in_background(self, work: Coroutine[None, None, Result]) -> asyncio.Task[Result]:
-        task = asyncio.get_running_loop().create_task(work)
+    def _spawn(self, coroutine: Coroutine[None, None, Result]) -> asyncio.Task[Result]:
+        task = asyncio.get_running_loop().create_task(coroutine)
         self._tasks.add(task)
-        task.add_done_callback(self._forget)
+        task.add_done_callback(self._discard_task)
         return task
 
-    def _forget(self, task: asyncio.Task) -> None:
+    def _discard_task(self, task: asyncio.Task) -> None:
         self._tasks.discard(task)
         if not task.cancelled():
-            task.exception()  # A caller that went away does not look at it.
+            task.exception()  # Marks it as retrieved: a cancelled caller never awaits the task.
 
 
-class _Attempt:
+class _RunOnceCall:
     """One call of :meth:`ClaimService.run_once`."""
 
     def __init__(self, service: ClaimService, key: str, request_digest: str) -> None:
         self._service = service
         self._key = key
         self._request_digest = request_digest
-        self._fold = ClaimFold()
-        self._follower = service._follow(key, self._fold, self._accepted_late)
-        self._running: asyncio.Task[ClaimOutcome] | None = None
-        self._recording: asyncio.Task[None] | None = None
+        self._projection = ClaimFold()
+        self._follower = service._start_follower(key, self._projection, self._release_late_claim)
+        self._run_task: asyncio.Task[ClaimOutcome] | None = None
+        self._record_task: asyncio.Task[None] | None = None
 
     async def claim(self, timeout_s: float) -> bool:
-        """Return whether this attempt may run."""
+        """Claim the key; return whether this call may run the request.
+
+        Raises:
+            DurabilityUnavailable: the claim is not known to be on the log, and no outcome is stored.
+        """
         body = ClaimMade(key=self._key, request_digest=self._request_digest, holder=self._service._daemon_id)
         try:
             decision = await self._follower.propose(body, timeout_s=timeout_s)
         except (DurabilityUnavailable, DurabilityUnknown) as error:
-            if self._fold.state.status is ClaimStatus.COMPLETED:
+            if self._projection.state.status is ClaimStatus.COMPLETED:
                 return False
-            # A claim that lands later is released, so "not run" stays true.
+            # Telling the caller "not run" is safe: a claim that is accepted later is released without a run.
             raise DurabilityUnavailable(
-                "the claim could not be made durable", retry_after_s=RETRY_AFTER_S
+                "the claim could not be written to the log", retry_after_s=RETRY_AFTER_S
             ) from error
         return isinstance(decision, Accepted)
 
-    def earlier_outcome(self) -> ClaimOutcome:
-        """Return the outcome of the run that holds the key, or raise why there is none."""
-        state = self._fold.state
+    def stored_outcome(self) -> ClaimOutcome:
+        """Return the outcome that an earlier call stored.
+
+        Raises:
+            KeyReused, OutcomeUnknown, RequestInProgress: see :meth:`ClaimService.run_once`.
+        """
+        state = self._projection.state
         if state.request_digest != self._request_digest:
             raise KeyReused("the idempotency key was used for another request")
         if state.outcome is not None:
-            return _from_log(state.outcome)
+            return _to_outcome(state.outcome)
         if state.status is ClaimStatus.UNRESOLVED:
-            raise OutcomeUnknown("the only run ended without a usable answer", cause=state.failure_code)
-        if state.status is ClaimStatus.CLAIMED and not self._service._holder_is_alive(state.holder):
-            raise OutcomeUnknown("the holder of the only run is gone", holder=state.holder)
+            raise OutcomeUnknown("the only run ended without an outcome", cause=state.failure_code)
+        if state.status is ClaimStatus.CLAIMED and not self._service._is_holder_alive(state.holder):
+            raise OutcomeUnknown("the daemon that held the claim is no longer alive", holder=state.holder)
         raise RequestInProgress(
-            "another attempt is running", retry_after_s=RETRY_AFTER_S, holder=state.holder
+            "another call with this idempotency key is in progress",
+            retry_after_s=RETRY_AFTER_S,
+            holder=state.holder,
         )
 
-    def start(self, run: Run) -> asyncio.Task[ClaimOutcome]:
-        """Start the run, which does not depend on its caller."""
-        self._running = self._service._in_background(self._run(run))
-        return self._running
+    def start_run(self, run: SendRequest) -> asyncio.Task[ClaimOutcome]:
+        """Start the run as a task of the service, which outlives a cancelled caller."""
+        self._run_task = self._service._spawn(self._run(run))
+        return self._run_task
+
+    async def _run(self, run: SendRequest) -> ClaimOutcome:
+        """Call ``run`` and record how it ended.
 
-    async def _run(self, run: Run) -> ClaimOutcome:
-        """Run and record how it ended."""
+        The claim is released only when the error guarantees that the request has not run.
+        """
         try:
             outcome = await run()
         except PassgateError as error:
             if error.execution is ExecutionStatus.NOT_RUN:
-                await self._record(ClaimReleased(key=self._key))
+                await self._record_end(ClaimReleased(key=self._key))
             else:
-                await self._record(ClaimUnresolved(key=self._key, code=error.code))
+                await self._record_end(ClaimUnresolved(key=self._key, code=error.code))
             raise
         except Exception:
-            await self._record(ClaimUnresolved(key=self._key, code=PassgateError.code))
+            await self._record_end(ClaimUnresolved(key=self._key, code=PassgateError.code))
             raise
-        await self._record(_to_log(self._key, outcome))
+        await self._record_end(_to_record(self._key, outcome))
         return outcome
 
-    async def finish(self) -> None:
-        """Close the follower when nothing of this attempt is in doubt any more."""
+    async def close_when_decided(self) -> None:
+        """Close the follower once the run has ended and no record of this call is undecided."""
         try:
-            if self._running is not None:
-                await asyncio.wait({self._running})
-            deadline_s = monotonic_s() + OUTCOME_TIMEOUT_S
-            while self._in_doubt() and monotonic_s() < deadline_s:
-                await asyncio.sleep(IDLE_CHECK_S)
+            if self._run_task is not None:
+                await asyncio.wait({self._run_task})
+            deadline_s = monotonic_s() + OUTCOME_APPEND_TIMEOUT_S
+            while self._has_undecided_records() and monotonic_s() < deadline_s:
+                await asyncio.sleep(UNDECIDED_POLL_INTERVAL_S)
         finally:
             await self._follower.close()
 
-    def _in_doubt(self) -> bool:
-        is_recording = self._recording is not None and not self._recording.done()
-        return is_recording or not self._follower.idle
+    def _has_undecided_records(self) -> bool:
+        is_recording = self._record_task is not None and not self._record_task.done()
+        return is_recording or not self._follower.is_idle
 
-    async def _record(self, body: Body) -> None:
-        """Offer the end of the run to the log; the caller does not wait for long."""
-        self._recording = self._service._in_background(self._propose(body))
-        await asyncio.wait({self._recording}, timeout=OUTCOME_WAIT_S)
+    async def _record_end(self, body: Body) -> None:
+        """Append the end of the run; return after :data:`RESPONSE_DELAY_LIMIT_S` at the latest.
+
+        The append goes on in the background, so that an outage of the log does not
+        withhold the response from the caller.
+        """
+        self._record_task = self._service._spawn(self._propose(body))
+        await asyncio.wait({self._record_task}, timeout=RESPONSE_DELAY_LIMIT_S)
 
     async def _propose(self, body: Body) -> None:
         with contextlib.suppress(DurabilityUnavailable, DurabilityUnknown):
-            await self._follower.propose(body, timeout_s=OUTCOME_TIMEOUT_S)
+            await self._follower.propose(body, timeout_s=OUTCOME_APPEND_TIMEOUT_S)
 
-    def _accepted_late(self, record: Record, decision: Decision) -> None:
+    def _release_late_claim(self, record: Record, decision: Decision) -> None:
+        """Release a claim that was accepted after its caller got "not run"."""
         if isinstance(record.body, ClaimMade):
-            self._recording = self._service._in_background(self._propose(ClaimReleased(key=self._key)))
+            self._record_task = self._service._spawn(self._propose(ClaimReleased(key=self._key)))
 
 
-def _to_log(key: str, outcome: ClaimOutcome) -> ClaimCompleted:
+def _to_record(key: str, outcome: ClaimOutcome) -> ClaimCompleted:
     body = base64.b64encode(outcome.body).decode("ascii")
     return ClaimCompleted(key=key, status=outcome.status, content_type=outcome.content_type, body=body)
 
 
-def _from_log(outcome: StoredOutcome) -> ClaimOutcome:
+def _to_outcome(outcome: StoredOutcome) -> ClaimOutcome:
     return ClaimOutcome(outcome.status, outcome.content_type, base64.b64decode(outcome.body_base64))
--- a/passgate/state/fold.py
+++ b/passgate/state/fold.py
@@ -1,11 +1,12 @@
-"""Folds: deterministic state reached by applying records in offset order.
+"""Projections: state built by applying the records of one stream in offset order.
 
-Every reader of a stream applies the same records with the same pure function and
-so reaches the same state and the same decisions.  A record repeated by a retried
-append is recognised by its writer and sequence and changes nothing.
+``apply`` must be deterministic and must depend on the state and the record alone, so
+that all readers of a stream reach the same state and the same decisions.  A record
+that a retried append put on the log twice is recognised by its writer and sequence,
+and its second copy is rejected.
 
->>> table = WriterTable()
->>> table.admit("d1", 1), table.admit("d1", 1), table.admit("d1", 3), table.admit("d1", 2)
+>>> duplicates = DuplicateFilter()
+>>> duplicates.admit("d1", 1), duplicates.admit("d1", 1), duplicates.admit("d1", 3), duplicates.admit("d1", 2)
 (True, False, True, False)
 """
 
@@ -19,22 +20,22 @@
 from passgate.records import ProposalWithdrawn, Record, SnapshotTaken, UnknownBody, decode_record
 
 SNAPSHOT_SCHEMA_VERSION = 1
-"""Grows whenever a record kind or field is added that changes a fold's state."""
+"""Increased whenever a record kind or field is added that changes the state of a projection."""
 
-WRITER_TABLE_CAPACITY = 4096
-"""Writers remembered per stream; the longest silent one is forgotten first."""
+TRACKED_WRITERS_LIMIT = 4096
+"""Writers whose last sequence is kept per stream; the least recent writer is evicted first."""
 
 
 class Accepted(msgspec.Struct, frozen=True):
-    """The record took effect."""
+    """Decision on a record that took effect."""
 
     offset: int
     value: object = None
-    """What the fold made of the record, such as a revision or an epoch."""
+    """Result of applying the record, such as a revision or an epoch."""
 
 
 class Rejected(msgspec.Struct, frozen=True):
-    """The record is on the log and changed nothing, for all readers alike."""
+    """Decision on a record that is on the log and changed nothing, for every reader."""
 
     offset: int
     error: PassgateError
@@ -44,10 +45,14 @@
 
 
 class Fold(Protocol):
-    """State of one stream."""
+    """State of one stream, built from its records."""
 
     def apply(self, offset: int, record: Record) -> Decision:
-        """Apply the record at ``offset``; called once per offset, in order."""
+        """Apply the record at ``offset`` and return the decision on it.
+
+        Called at most once per offset, in increasing order of offsets; duplicates,
+        withdrawn proposals and records of unknown kinds are left out.
+        """
         ...
 
     def snapshot(self) -> bytes:
@@ -55,86 +60,106 @@
         ...
 
     def restore(self, state: bytes) -> None:
-        """Replace the state by a snapshot; raises ``msgspec.MsgspecError`` when unreadable."""
+        """Replace the state by one that ``snapshot`` returned.
+
+        Raises:
+            msgspec.MsgspecError: ``state`` is not readable.
+        """
         ...
 
 
-class WriterTable:
-    """Highest sequence seen of each writer, bounded deterministically.
+class DuplicateFilter:
+    """Rejects records whose writer has already had the same or a higher sequence on the stream.
 
-    Appends of one writer are serial, so a sequence at or below the highest one
-    seen is a copy of a record that is already decided.
+    A writer appends one batch at a time, so a sequence that is not higher than its
+    last one belongs to a copy, or to a record that a later one overtook.  At most
+    :data:`TRACKED_WRITERS_LIMIT` writers are remembered; eviction depends on the
+    records alone, so that all readers evict the same writers.
     """
 
-    def __init__(self, last_sequences: dict[str, int] | None = None) -> None:
-        self._last_sequences = dict(last_sequences or {})
+    def __init__(self, last_sequence_by_writer: dict[str, int] | None = None) -> None:
+        self._last_sequence_by_writer = dict(last_sequence_by_writer or {})
 
     def admit(self, writer: str, sequence: int) -> bool:
-        """Return whether the record is new, and remember it."""
-        last = self._last_sequences.pop(writer, 0)
-        # Re-inserting keeps the mapping ordered by last use; all readers do it alike.
-        self._last_sequences[writer] = max(last, sequence)
-        if len(self._last_sequences) > WRITER_TABLE_CAPACITY:
-            del self._last_sequences[next(iter(self._last_sequences))]
+        """Record the sequence; return whether it is higher than all before it of this writer."""
+        last = self._last_sequence_by_writer.pop(writer, 0)
+        # Removing and inserting the key moves it to the end, which keeps the mapping in order of last use.
+        self._last_sequence_by_writer[writer] = max(last, sequence)
+        if len(self._last_sequence_by_writer) > TRACKED_WRITERS_LIMIT:
+            del self._last_sequence_by_writer[next(iter(self._last_sequence_by_writer))]
         return sequence > last
 
-    def as_dict(self) -> dict[str, int]:
-        """Return writers to their highest sequence, longest silent first."""
-        return dict(self._last_sequences)
+    def last_sequence_by_writer(self) -> dict[str, int]:
+        """Return the highest sequence of each writer, least recent writer first."""
+        return dict(self._last_sequence_by_writer)
 
 
 class StreamState:
-    """A fold together with the removal of repeated records.
+    """Projection of one stream, with decoding, duplicate detection and snapshots.
 
-    Replaying a stream's payloads through one of these, in offset order from
-    zero or from a snapshot, gives what every daemon has.
+    Two instances that have applied the same payloads, from offset zero or from a
+    snapshot, are in the same state.
     """
 
-    def __init__(self, fold: Fold) -> None:
-        self.fold = fold
+    def __init__(self, projection: Fold) -> None:
+        self.fold = projection
         self.next_offset = 0
         """First offset not yet applied."""
-        self.unknown_records = 0
-        """Records of kinds that this version does not know, since the beginning."""
-        self._writers = WriterTable()
+        self.unknown_record_count = 0
+        """Records of kinds that this version does not know, since offset 0 or the last restored snapshot."""
+        self._duplicate_filter = DuplicateFilter()
 
     def apply(self, offset: int, payload: bytes) -> tuple[Record | None, Decision]:
-        """Apply the payload at ``offset``, which must be :attr:`next_offset`."""
-        assert offset == self.next_offset, "offsets are applied without gaps"
+        """Apply the payload at ``offset``, which must be :attr:`next_offset`.
+
+        Returns the decoded record, None when its envelope is not readable, and the
+        decision on it.  Never raises for the content of a record.
+        """
+        assert offset == self.next_offset, "offsets must be applied without gaps"
         self.next_offset = offset + 1
         record = decode_record(payload)
         if record is None:
-            return None, Rejected(offset, UnknownRecord("the envelope is not readable"))
+            return None, Rejected(offset, UnknownRecord("the record's envelope can not be decoded"))
         return record, self._decide(offset, record)
 
     def _decide(self, offset: int, record: Record) -> Decision:
-        if not self._writers.admit(record.writer, record.sequence):
-            error = DuplicateRecord("already decided", writer=record.writer, sequence=record.sequence)
+        if not self._duplicate_filter.admit(record.writer, record.sequence):
+            error = DuplicateRecord(
+                "the writer has already appended this or a higher sequence",
+                writer=record.writer,
+                sequence=record.sequence,
+            )
             return Rejected(offset, error)
         if isinstance(record.body, ProposalWithdrawn):
             return Accepted(offset)
         if isinstance(record.body, UnknownBody):
-            self.unknown_records += 1
-            return Rejected(offset, UnknownRecord("kind of a newer version", kind=record.body.kind))
+            self.unknown_record_count += 1
+            return Rejected(offset, UnknownRecord("the record kind is not known", kind=record.body.kind))
         try:
             return self.fold.apply(offset, record)
-        except Exception as error:  # noqa: BLE001  Pure, so every reader fails alike; a bad record must not stop them.
+        except Exception as error:  # noqa: BLE001  Deterministic: every reader fails alike and must skip the record.
             return Rejected(offset, PassgateError("the record can not be applied", cause=repr(error)))
 
     def snapshot(self) -> SnapshotTaken | None:
-        """Return the state after the last record, or None when it would be incomplete.
+        """Return a snapshot of the state after the last applied record.
 
-        A state that passed over unknown kinds lacks their effect, so that only a
-        version which knows them may write a snapshot of it.
+        Returns None when records of unknown kinds were skipped: their effect is
+        missing from the state, so a newer version must take the snapshot.
         """
-        if self.unknown_records:
+        if self.unknown_record_count:
             return None
-        content = _SnapshotContent(self._writers.as_dict(), msgspec.Raw(self.fold.snapshot()))
+        content = _SnapshotContent(
+            self._duplicate_filter.last_sequence_by_writer(), msgspec.Raw(self.fold.snapshot())
+        )
         state = msgspec.Raw(msgspec.json.encode(content))
         return SnapshotTaken(offset=self.next_offset - 1, schema_version=SNAPSHOT_SCHEMA_VERSION, state=state)
 
     def restore(self, snapshot: SnapshotTaken) -> bool:
-        """Adopt a snapshot; return False when it is not newer or not readable."""
+        """Replace the state by a snapshot; return False and keep the state when that is not possible.
+
+        A snapshot is refused when it contains no record after the last applied one,
+        has a newer schema version, or can not be decoded.
+        """
         if snapshot.offset < self.next_offset or snapshot.schema_version > SNAPSHOT_SCHEMA_VERSION:
             return False
         try:
@@ -142,9 +167,9 @@
             self.fold.restore(bytes(content.state))
         except msgspec.MsgspecError:
             return False
-        self._writers = WriterTable(content.writers)
+        self._duplicate_filter = DuplicateFilter(content.writers)
         self.next_offset = snapshot.offset + 1
-        self.unknown_records = 0
+        self.unknown_record_count = 0
         return True
 
 
--- a/passgate/state/leases.py
+++ b/passgate/state/leases.py
@@ -1,13 +1,15 @@
-"""Roles held by one daemon at a time, such as ordering the engines of a pool.
+"""Leases: roles that one daemon holds at a time, such as sending orders to the engines of a pool.
 
 ::
 
     epoch = await leases.take("pool/modelos", timeout_s=2.0)
     order = EngineOrder(..., fence=epoch)
 
-A lease is not renewed.  Its holder keeps it until it releases it or membership
-declares the holder dead; then the next candidate takes the following epoch.
-Whoever acts under an epoch must carry it as fence in everything it sends.
+A lease has no expiry time and is not renewed.  It ends when its holder releases it
+or another daemon takes the next epoch, which it may do once membership declares the
+holder dead.  A holder that was paused may still act under its old epoch, so every
+message that a holder sends must carry the epoch as a fence, and its receiver must
+refuse older fences.
 """
 
 from __future__ import annotations
@@ -30,17 +32,19 @@
 
 
 class LeaseHolder(msgspec.Struct, frozen=True):
-    """Who holds a role."""
+    """Daemon incarnation that holds a role, and its epoch."""
 
     holder: str
     epoch: int
 
 
 class LeaseService:
-    """Follows all leases, takes and releases them for one process run.
+    """Follows the leases of all roles; takes and releases them for this daemon.
 
-    ``live_members`` returns the identifiers of the process runs that membership
-    believes to be alive, this one included.
+    ``daemon_id`` identifies this incarnation of the daemon.  ``live_members`` returns
+    the identifiers of all incarnations that membership considers alive, this one
+    included.  ``on_change`` is called with a role and its holder, None when it is
+    free, after each accepted record about the role.
     """
 
     def __init__(
@@ -54,38 +58,40 @@
         self._daemon_id = daemon_id
         self._live_members = live_members
         self._on_change = on_change
-        self._fold = LeaseFold()
+        self._projection = LeaseFold()
         self.follower = LogFollower(
             log,
             STREAM,
-            self._fold,
+            self._projection,
             daemon_id,
             use_snapshots=True,
-            on_applied=self._applied,
+            on_applied=self._notify_change,
             random=random,
         )
 
     def start(self) -> None:
-        """Begin to follow the leases."""
+        """Start to follow the lease stream."""
         self.follower.start()
 
     async def close(self) -> None:
-        """Stop following; leases stay held until released or taken over."""
+        """Stop following.  Held leases are not released; other daemons see them as held."""
         await self.follower.close()
 
     async def take(self, role: str, timeout_s: float) -> int:
         """Take a role that is free or whose holder is dead; return the epoch.
 
-        A role already held by this process run is returned as it is.
+        Returns the current epoch when this daemon already holds the role.
 
         Raises:
-            SupersededEpoch: a live daemon holds it or another was first; details name it.
-            DurabilityUnavailable, DurabilityUnknown: as for every proposal.
+            SupersededEpoch: a live daemon holds the role, or another daemon took this
+                epoch first; details name ``epoch`` and ``holder``.
+            DurabilityUnavailable: the lease is not on the log and never will be.
+            DurabilityUnknown: ``timeout_s`` passed and the lease may be on the log.
         """
-        held = self.held_epoch(role)
-        if held is not None:
-            return held
-        current = self._fold.roles.get(role, NEVER_HELD)
+        held_epoch = self.held_epoch(role)
+        if held_epoch is not None:
+            return held_epoch
+        current = self._projection.roles.get(role, NEVER_HELD)
         if current.holder and current.holder in self._live_members():
             raise SupersededEpoch("a live daemon holds the role", epoch=current.epoch, holder=current.holder)
         body = LeaseTaken(role=role, holder=self._daemon_id)
@@ -95,7 +101,12 @@
         return current.epoch + 1
 
     async def release(self, role: str) -> None:
-        """Give a held role up; does nothing when it is not held any more."""
+        """Release a role; does nothing when this daemon does not hold it.
+
+        Raises:
+            DurabilityUnavailable: the release is not on the log and never will be.
+            DurabilityUnknown: the release may be on the log.
+        """
         epoch = self.held_epoch(role)
         if epoch is None:
             return
@@ -103,47 +114,54 @@
         await self.follower.propose(body, epoch=epoch, timeout_s=RELEASE_TIMEOUT_S)
 
     async def release_all(self) -> None:
-        """Give all held roles up, for a planned stop."""
-        for role in [name for name, state in self._fold.roles.items() if state.holder == self._daemon_id]:
+        """Release all held roles, for a graceful shutdown; stops at the first error of :meth:`release`."""
+        for role in [
+            name for name, state in self._projection.roles.items() if state.holder == self._daemon_id
+        ]:
             await self.release(role)
 
     def holder(self, role: str) -> LeaseHolder | None:
-        """Return who holds the role as far as this daemon has read."""
-        state = self._fold.roles.get(role, NEVER_HELD)
+        """Return the holder of the role in the records read so far; None when the role is free."""
+        state = self._projection.roles.get(role, NEVER_HELD)
         return LeaseHolder(state.holder, state.epoch) if state.holder else None
 
     def held_epoch(self, role: str) -> int | None:
-        """Return the epoch under which this process run holds the role."""
-        state = self._fold.roles.get(role, NEVER_HELD)
+        """Return the epoch under which this daemon holds the role; None when it does not."""
+        state = self._projection.roles.get(role, NEVER_HELD)
         return state.epoch if state.holder == self._daemon_id else None
 
     def check(self, role: str, epoch: int) -> None:
-        """Raise SupersededEpoch when ``epoch`` is known to be over.
+        """Raise SupersededEpoch unless this daemon is known to hold the role under ``epoch``.
 
-        This spares useless work; safety comes from the fence alone, since a
-        holder may be paused right after the check.
+        The check avoids useless work only.  Safety comes from the fence, because
+        another daemon may take the role right after the check.
         """
         if self.held_epoch(role) != epoch:
-            state = self._fold.roles.get(role, NEVER_HELD)
-            raise SupersededEpoch("the lease is over", role=role, epoch=state.epoch, holder=state.holder)
+            state = self._projection.roles.get(role, NEVER_HELD)
+            raise SupersededEpoch(
+                "this daemon does not hold the role under the given epoch",
+                role=role,
+                epoch=state.epoch,
+                holder=state.holder,
+            )
 
     def next_candidate(self, role: str) -> str | None:
-        """Return the live process run that should hold the role, by rendezvous hashing.
+        """Return the live member that should hold the role; None when there is no live member.
 
-        The holder keeps its role while it lives; among the others the highest
-        hash of role and member wins, so that roles spread evenly and few move.
+        A live holder keeps its role.  For other roles rendezvous hashing picks the
+        member, which spreads roles evenly and moves few when members come and go.
         """
         members = self._live_members()
-        current = self._fold.roles.get(role, NEVER_HELD)
+        current = self._projection.roles.get(role, NEVER_HELD)
         if current.holder in members:
             return current.holder
-        return max(members, key=lambda member: (_weight(role, member), member), default=None)
+        return max(members, key=lambda member: (_rendezvous_weight(role, member), member), default=None)
 
     def should_take(self, role: str) -> bool:
-        """Return whether this process run is the candidate and does not hold the role yet."""
+        """Return whether this daemon is the next candidate and does not hold the role yet."""
         return self.held_epoch(role) is None and self.next_candidate(role) == self._daemon_id
 
-    def _applied(self, offset: int, record: Record, decision: Decision) -> None:
+    def _notify_change(self, offset: int, record: Record, decision: Decision) -> None:
         body = record.body
         if self._on_change is None or not isinstance(decision, Accepted):
             return
@@ -151,5 +169,5 @@
             self._on_change(body.role, self.holder(body.role))
 
 
-def _weight(role: str, member: str) -> int:
+def _rendezvous_weight(role: str, member: str) -> int:
     return xxhash.xxh3_64_intdigest(f"{role}\0{member}".encode())
--- a/passgate/state/lot_opening.py
+++ b/passgate/state/lot_opening.py
@@ -1,4 +1,4 @@
-"""Checks a trainer's request for a lot and turns it into the record that opens the lot."""
+"""Validates a trainer's request for a lot and builds the record that opens the lot."""
 
 from __future__ import annotations
 
@@ -9,27 +9,37 @@
 
 LOT_LIMIT_PROMPTS = 8192
 LOT_LIMIT_PROMPT_TOKENS = 4_194_304
-"""A lot's prompts are one record; decoding it must not hold the loop up for long."""
+"""All prompts of a lot are in one record, whose decoding blocks the event loop."""
 
 
-def check_request(request: LotRequest) -> None:
-    """Raise MalformedBody or PayloadTooLarge, naming ``field``, unless the lot can be opened."""
+def validate_request(request: LotRequest) -> None:
+    """Raise an error unless the lot can be opened.
+
+    Raises:
+        MalformedBody: a value is out of range; details name ``field``.
+        PayloadTooLarge: there are too many prompts or prompt tokens; details name ``field``.
+    """
     if not request.prompts:
-        raise MalformedBody("a lot has at least one prompt", field="prompts")
+        raise MalformedBody("a lot must have at least one prompt", field="prompts")
     if len(request.prompts) > LOT_LIMIT_PROMPTS:
-        raise PayloadTooLarge(f"a lot has at most {LOT_LIMIT_PROMPTS} prompts", field="prompts")
+        raise PayloadTooLarge(f"a lot must have at most {LOT_LIMIT_PROMPTS} prompts", field="prompts")
     if sum(len(prompt.prompt) for prompt in request.prompts) > LOT_LIMIT_PROMPT_TOKENS:
-        raise PayloadTooLarge(f"a lot has at most {LOT_LIMIT_PROMPT_TOKENS} prompt tokens", field="prompts")
+        raise PayloadTooLarge(
+            f"a lot must have at most {LOT_LIMIT_PROMPT_TOKENS} prompt tokens", field="prompts"
+        )
     if request.staleness_bound < 0:
-        raise MalformedBody("the staleness bound is not negative", field="staleness_bound")
+        raise MalformedBody("the staleness bound must not be negative", field="staleness_bound")
     if any(prompt.max_tokens < 1 for prompt in request.prompts):
-        raise MalformedBody("max_tokens is at least 1", field="prompts.max_tokens")
+        raise MalformedBody("max_tokens must be at least 1", field="prompts.max_tokens")
+
 
+def make_opening_record(request: LotRequest, lot_id: str, newest_version: int) -> LotOpened:
+    """Return the record that opens the lot.
 
-def make_opening(request: LotRequest, lot_id: str, newest_version: int) -> LotOpened:
-    """Return the opening record; raises MalformedBody for tokens that do not fit.
+    ``newest_version`` is the newest version of the model in this daemon's configuration.
 
-    ``newest_version`` is the newest one of the model that is in force here.
+    Raises:
+        MalformedBody: a token identifier does not fit into 32 bits.
     """
     return LotOpened(
         lot_id=lot_id,
@@ -40,13 +50,15 @@
         staleness_bound=request.staleness_bound,
         trainer_version=max(request.trainer_version, newest_version),
         deadline_unix_s=None if request.deadline_s is None else unix_s() + request.deadline_s,
-        packed_prompts=tuple(_pack(prompt) for prompt in request.prompts),
+        packed_prompts=tuple(_pack_prompt(prompt) for prompt in request.prompts),
     )
 
 
-def _pack(prompt: PromptSpec) -> PackedPrompt:
+def _pack_prompt(prompt: PromptSpec) -> PackedPrompt:
     try:
         tokens = pack_tokens(prompt.prompt)
     except OverflowError:
-        raise MalformedBody("token identifiers are 32-bit integers", field="prompts.prompt") from None
+        raise MalformedBody(
+            "token identifiers must be unsigned 32-bit integers", field="prompts.prompt"
+        ) from None
     return PackedPrompt(tokens=tokens, max_tokens=prompt.max_tokens, seed=prompt.seed)
--- a/passgate/state/lot_state.py
+++ b/passgate/state/lot_state.py
@@ -1,10 +1,13 @@
-"""Fold of one lot's stream: which sample fills each slot, and what the trainer has.
+"""Projection of one lot's stream: the status and sample of each slot, and the delivery order.
 
-A slot goes ``open -> committed -> handed over -> acknowledged``.  The first valid
-commit of a slot's attempt wins.  A committed sample over the staleness bound is
-expired, a handed-over one that the trainer lacks is replaced: both open the slot
-again under the next attempt.  The order of hand-overs on the log is the order in
-which trainers read, so every daemon serves the same page at the same cursor.
+A slot goes ``open -> committed -> handed over -> acknowledged``, or from open to
+failed.  The first valid commit of a slot's attempt wins.  Two records open a slot
+again under the next attempt: one expires a committed sample that exceeds the staleness
+bound, the other replaces a handed-over sample that the trainer has not received.
+
+Trainers read in the order of hand-overs and failures on the log, so every daemon serves
+the same samples from the same cursor.  Records of a keeper carry its epoch and are
+rejected once another daemon has taken the lot over.
 """
 
 from __future__ import annotations
@@ -66,13 +69,13 @@
 def decide(
     header: LotHeader, slots: Sequence[SlotState], offset: int, record: Record
 ) -> tuple[LotChange, Decision]:
-    """Return the effect of ``record`` on a lot and the decision; pure."""
+    """Return the effect of ``record`` on a lot and the decision on the record; pure."""
     body = record.body
     unchanged = LotChange(header)
     if isinstance(body, LotOpened):
         return _open(header, offset, body)
     if header.opened is None:
-        return unchanged, Rejected(offset, NotFound("the lot was never opened"))
+        return unchanged, Rejected(offset, NotFound("the lot has not been opened"))
     if isinstance(body, SamplesAcknowledged):
         return _acknowledge(header, slots, offset, body)
     if header.cancelled:
@@ -87,15 +90,15 @@
         return _hand_over(header, slots, offset, body)
     if isinstance(body, SamplesReplaced):
         return _replace(header, slots, offset, body)
-    return unchanged, Rejected(offset, UnknownRecord("not a lot record"))
+    return unchanged, Rejected(offset, UnknownRecord("the record is not a lot record"))
 
 
 def _open(header: LotHeader, offset: int, body: LotOpened) -> tuple[LotChange, Decision]:
     try:
-        body = _packed(body)
+        body = _pack_prompts(body)
     except (OverflowError, ValueError):
         return LotChange(header), Rejected(
-            offset, MalformedBody("tokens are 32-bit integers", field="prompts")
+            offset, MalformedBody("token identifiers must be unsigned 32-bit integers", field="prompts")
         )
     if header.opened is None:
         opened = msgspec.structs.replace(header, opened=body, trainer_version=body.trainer_version)
@@ -103,19 +106,23 @@
         return LotChange(opened, slots), Accepted(offset)
     if _is_same_lot(header.opened, body):
         return LotChange(header), Accepted(offset)
-    return LotChange(header), Rejected(offset, KeyReused("the lot identifier names another lot"))
+    return LotChange(header), Rejected(
+        offset, KeyReused("the lot identifier was used for a different request")
+    )
 
 
-def _checked(packed_tokens: bytes) -> bytes:
+def _check_token_bytes(packed_tokens: bytes) -> bytes:
+    """Return ``packed_tokens``; raise ValueError when they end within a token."""
     if len(packed_tokens) % TOKEN_BYTES:
-        raise ValueError("packed tokens are cut off")
+        raise ValueError("the packed tokens end within a token")
     return packed_tokens
 
 
-def _packed(body: LotOpened) -> LotOpened:
+def _pack_prompts(body: LotOpened) -> LotOpened:
+    """Return the record with packed prompts; raises OverflowError or ValueError for wrong tokens."""
     if not body.prompts:
         for prompt in body.packed_prompts:
-            _checked(prompt.tokens)
+            _check_token_bytes(prompt.tokens)
         return body
     packed = tuple(
         PackedPrompt(tokens=pack_tokens(spec.prompt), max_tokens=spec.max_tokens, seed=spec.seed)
@@ -125,7 +132,7 @@
 
 
 def _is_same_lot(first: LotOpened, second: LotOpened) -> bool:
-    """Compare two openings; a repeated call computes another deadline and newer versions."""
+    """Compare two openings except for deadline and trainer version, which a repeated call computes anew."""
     second = msgspec.structs.replace(
         second, deadline_unix_s=first.deadline_unix_s, trainer_version=first.trainer_version
     )
@@ -139,11 +146,13 @@
         return LotChange(taken), Accepted(offset, record.epoch)
     if isinstance(body, KeeperReleased) and record.epoch == header.epoch:
         return LotChange(msgspec.structs.replace(header, keeper="")), Accepted(offset)
-    return LotChange(header), Rejected(offset, _superseded(header))
+    return LotChange(header), Rejected(offset, _superseded_error(header))
 
 
-def _superseded(header: LotHeader) -> SupersededEpoch:
-    return SupersededEpoch("the lot is under another epoch", epoch=header.epoch, keeper=header.keeper)
+def _superseded_error(header: LotHeader) -> SupersededEpoch:
+    return SupersededEpoch(
+        "the record's epoch does not match the epoch of the lot", epoch=header.epoch, keeper=header.keeper
+    )
 
 
 def _change_slot(
@@ -151,7 +160,7 @@
 ) -> tuple[LotChange, Decision]:
     body = record.body
     if record.epoch != header.epoch:
-        return LotChange(header), Rejected(offset, _superseded(header))
+        return LotChange(header), Rejected(offset, _superseded_error(header))
     if not 0 <= body.index < len(slots):
         return LotChange(header), Rejected(offset, NotFound("the lot has no such slot", index=body.index))
     slot = slots[body.index]
@@ -160,28 +169,32 @@
     if isinstance(body, SampleExpired):
         return _expire(header, slot, offset, body)
     if slot.status is not SlotStatus.OPEN:
-        return LotChange(header), Rejected(offset, _slot_moved_on(slot))
+        return LotChange(header), Rejected(offset, _slot_changed_error(slot))
     failed = SlotState(SlotStatus.FAILED, slot.attempt, failure_code=body.code)
     position = HandOver(body.index, slot.attempt)
     return LotChange(header, ((body.index, failed),), (position,)), Accepted(offset)
 
 
-def _slot_moved_on(slot: SlotState) -> PassgateError:
-    return SupersededEpoch("the slot has moved on", status=slot.status.value, attempt=slot.attempt)
+def _slot_changed_error(slot: SlotState) -> PassgateError:
+    return SupersededEpoch(
+        "the record does not match the status or the attempt of the slot",
+        status=slot.status.value,
+        attempt=slot.attempt,
+    )
 
 
 def _commit(
     header: LotHeader, slot: SlotState, offset: int, body: SampleCommitted
 ) -> tuple[LotChange, Decision]:
     if slot.status is not SlotStatus.OPEN or slot.attempt != body.attempt:
-        return LotChange(header), Rejected(offset, _slot_moved_on(slot))
+        return LotChange(header), Rejected(offset, _slot_changed_error(slot))
     if not body.spans:
-        return LotChange(header), Rejected(offset, VersionNotReported("no version made the sample"))
+        return LotChange(header), Rejected(offset, VersionNotReported("the sample names no weight version"))
     try:
-        packed_tokens = _checked(body.packed_tokens or pack_tokens(body.tokens))
+        packed_tokens = _check_token_bytes(body.packed_tokens or pack_tokens(body.tokens))
     except (OverflowError, ValueError):
         return LotChange(header), Rejected(
-            offset, MalformedBody("tokens are 32-bit integers", field="tokens")
+            offset, MalformedBody("token identifiers must be unsigned 32-bit integers", field="tokens")
         )
     sample = StoredSample(packed_tokens, body.spans, body.finish_reason, body.replica_id)
     committed = SlotState(SlotStatus.COMMITTED, slot.attempt, sample)
@@ -193,23 +206,23 @@
 ) -> tuple[LotChange, Decision]:
     is_current = slot.status is SlotStatus.COMMITTED and slot.attempt == body.attempt
     if not is_current or not header.is_stale(slot.sample, body.trainer_version):
-        return LotChange(header), Rejected(offset, _slot_moved_on(slot))
-    seen = _with_version(header, body.trainer_version)
-    return LotChange(seen, ((body.index, _opened_again(slot)),)), Accepted(offset)
+        return LotChange(header), Rejected(offset, _slot_changed_error(slot))
+    updated = _with_trainer_version(header, body.trainer_version)
+    return LotChange(updated, ((body.index, _reopened_slot(slot)),)), Accepted(offset)
 
 
 def _hand_over(
     header: LotHeader, slots: Sequence[SlotState], offset: int, body: SamplesHandedOver
 ) -> tuple[LotChange, Decision]:
-    """Hand over those of the named samples that are committed and within the bound."""
-    seen = _with_version(header, body.trainer_version)
+    """Hand over the named samples, except those that are not committed or exceed the staleness bound."""
+    updated = _with_trainer_version(header, body.trainer_version)
     changed: dict[int, SlotState] = {}
     for index in body.indexes:
         slot = slots[index] if 0 <= index < len(slots) else SlotState()
-        if slot.status is SlotStatus.COMMITTED and not seen.is_stale(slot.sample, 0):
+        if slot.status is SlotStatus.COMMITTED and not updated.is_stale(slot.sample, 0):
             changed[index] = msgspec.structs.replace(slot, status=SlotStatus.HANDED_OVER)
     positions = tuple(HandOver(index, slot.attempt) for index, slot in changed.items())
-    return LotChange(seen, tuple(changed.items()), positions), Accepted(offset, tuple(changed))
+    return LotChange(updated, tuple(changed.items()), positions), Accepted(offset, tuple(changed))
 
 
 def _acknowledge(
@@ -230,29 +243,29 @@
     for index, attempt in zip(body.indexes, body.attempts, strict=False):
         slot = slots[index] if 0 <= index < len(slots) else SlotState()
         if slot.status is SlotStatus.HANDED_OVER and slot.attempt == attempt:
-            changed[index] = _opened_again(slot)
+            changed[index] = _reopened_slot(slot)
     return LotChange(header, tuple(changed.items())), Accepted(offset, tuple(changed))
 
 
-def _opened_again(slot: SlotState) -> SlotState:
+def _reopened_slot(slot: SlotState) -> SlotState:
     return SlotState(SlotStatus.OPEN, slot.attempt + 1)
 
 
-def _with_version(header: LotHeader, version: int) -> LotHeader:
+def _with_trainer_version(header: LotHeader, version: int) -> LotHeader:
     if version <= header.trainer_version:
         return header
     return msgspec.structs.replace(header, trainer_version=version)
 
 
 def transition(state: LotState, offset: int, record: Record) -> tuple[LotState, Decision]:
-    """Return the lot after ``record`` and the decision; pure, copies all slots."""
+    """Return the lot after ``record`` and the decision on it; pure, and copies all slots."""
     change, decision = decide(state.header, state.slots, offset, record)
     slots = list(state.slots)
-    _place(slots, change)
+    _update_slots(slots, change)
     return LotState(change.header, tuple(slots), state.order + change.positions), decision
 
 
-def _place(slots: list[SlotState], change: LotChange) -> None:
+def _update_slots(slots: list[SlotState], change: LotChange) -> None:
     for index, slot in change.slots:
         if index == len(slots):
             slots.append(slot)
@@ -261,65 +274,65 @@
 
 
 class LotFold:
-    """Mutable holder of a lot for a log follower; changes only the slots that a record names."""
+    """State of a lot, as a projection for a log follower; changes only the slots that a record names."""
 
     def __init__(self) -> None:
         self.header = LotHeader()
         self.slots: list[SlotState] = []
         self.order: list[HandOver] = []
-        self.committed: dict[int, None] = {}
-        """Indexes of committed, not handed-over slots in the order of their commits."""
-        self.counts = dict.fromkeys(SlotStatus, 0)
-        """Number of slots in each status."""
-        self.reopenings = 0
-        """How often slots were opened again."""
-        self._statuses: dict[int, SlotStatus] = {}
+        self.committed_indexes: dict[int, None] = {}
+        """Indexes of slots whose status is COMMITTED as keys, in the order of their commits."""
+        self.count_by_status = dict.fromkeys(SlotStatus, 0)
+        self.reopen_count = 0
+        """Number of times that a slot was opened again."""
+        self._status_by_index: dict[int, SlotStatus] = {}
 
     def apply(self, offset: int, record: Record) -> Decision:
         """Apply one record of the lot's stream."""
         change, decision = decide(self.header, self.slots, offset, record)
         self.header = change.header
-        _place(self.slots, change)
+        _update_slots(self.slots, change)
         self.order.extend(change.positions)
         for index, slot in change.slots:
             self._count(index, slot)
         return decision
 
-    def has_work_left(self) -> bool:
-        """Return whether a slot still has to be produced."""
-        return not self.header.cancelled and self.counts[SlotStatus.OPEN] > 0
+    def has_open_slots(self) -> bool:
+        """Return whether the lot is not cancelled and a slot is open."""
+        return not self.header.cancelled and self.count_by_status[SlotStatus.OPEN] > 0
 
     def is_settled(self) -> bool:
-        """Return whether the trainer has everything that can be had."""
-        settled = self.counts[SlotStatus.ACKNOWLEDGED] + self.counts[SlotStatus.FAILED]
+        """Return whether every slot is acknowledged or failed, or the lot is cancelled."""
+        settled = self.count_by_status[SlotStatus.ACKNOWLEDGED] + self.count_by_status[SlotStatus.FAILED]
         return self.header.cancelled or (self.header.opened is not None and settled == len(self.slots))
 
-    def is_whole(self) -> bool:
-        """Return whether every slot was handed over or has failed, or the lot is cancelled."""
-        waiting = self.counts[SlotStatus.OPEN] + self.counts[SlotStatus.COMMITTED]
-        return self.header.cancelled or waiting == 0
+    def is_finished(self) -> bool:
+        """Return whether no slot is open or committed, or the lot is cancelled."""
+        undelivered = self.count_by_status[SlotStatus.OPEN] + self.count_by_status[SlotStatus.COMMITTED]
+        return self.header.cancelled or undelivered == 0
 
     def _count(self, index: int, slot: SlotState) -> None:
-        previous = self._statuses.get(index)
-        if previous is not None:
-            self.counts[previous] -= 1
-        self._statuses[index] = slot.status
-        self.counts[slot.status] += 1
-        self.reopenings += slot.status is SlotStatus.OPEN and slot.attempt > 0
-        self.committed.pop(index, None)
+        """Update the counts and ``committed_indexes`` for the new state of a slot."""
+        previous_status = self._status_by_index.get(index)
+        if previous_status is not None:
+            self.count_by_status[previous_status] -= 1
+        self._status_by_index[index] = slot.status
+        self.count_by_status[slot.status] += 1
+        self.reopen_count += slot.status is SlotStatus.OPEN and slot.attempt > 0
+        self.committed_indexes.pop(index, None)
         if slot.status is SlotStatus.COMMITTED:
-            self.committed[index] = None
+            self.committed_indexes[index] = None
 
     def snapshot(self) -> bytes:
         """Return the lot as JSON."""
         return msgspec.json.encode(LotState(self.header, tuple(self.slots), tuple(self.order)))
 
     def restore(self, state: bytes) -> None:
-        """Replace the lot by a snapshot."""
+        """Replace the lot by a snapshot; raises ``msgspec.MsgspecError`` when it is not readable."""
         lot = msgspec.json.decode(state, type=LotState)
         self.header, self.slots, self.order = lot.header, list(lot.slots), list(lot.order)
-        self.committed = {}
-        self.counts = dict.fromkeys(SlotStatus, 0)
-        self._statuses = {}
+        self.committed_indexes = {}
+        self.count_by_status = dict.fromkeys(SlotStatus, 0)
+        self._status_by_index = {}
         for index, slot in enumerate(self.slots):
             self._count(index, slot)
--- a/passgate/state/lot_types.py
+++ b/passgate/state/lot_types.py
@@ -1,4 +1,8 @@
-"""Requests and answers of the lot interface."""
+"""Requests and responses of the interface for trainers.
+
+A lot is a batch of prompts for which a trainer gets one sample each.  Every prompt has
+a slot, numbered from 0, that holds its sample.
+"""
 
 from __future__ import annotations
 
@@ -10,23 +14,23 @@
 
 
 class LotRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """What a trainer asks for."""
+    """A trainer's request to open a lot."""
 
     caller: str
     pool: str
     model: str
     priority_class: str = "training"
     staleness_bound: int = 0
-    """Most versions that a sample may be behind the trainer's version at hand-over."""
+    """Largest number of versions that a sample may be behind the trainer's version at hand-over."""
     trainer_version: int = 0
-    """Version that the trainer is at; 0 means the newest one configured."""
+    """Weight version of the trainer; the newest configured version is used when it is higher."""
     deadline_s: float | None = None
-    """Seconds from now after which samples that are still missing fail."""
+    """Seconds from the request on, after which slots without a sample fail; None for no deadline."""
     prompts: tuple[PromptSpec, ...]
 
 
 class LotInfo(msgspec.Struct, frozen=True, kw_only=True):
-    """State of a lot in numbers of slots."""
+    """Counts of a lot's slots by status, and its keeper: the daemon that produces its samples."""
 
     lot_id: str
     caller: str
@@ -35,26 +39,30 @@
     staleness_bound: int
     slots: int
     open: int
-    """Still to be produced."""
+    """Slots whose sample is not produced yet."""
     committed: int
-    """Produced and not yet given to the trainer."""
+    """Slots with a stored sample that is not handed over yet."""
     handed_over: int
+    """Slots whose sample was handed over and is not acknowledged yet."""
     acknowledged: int
     failed: int
     cancelled: bool
     finished: bool
-    """Nothing is left to be produced or handed over."""
+    """Whether no slot is open or committed, or the lot is cancelled."""
     keeper: str
+    """Daemon incarnation that produces the samples; empty when there is none."""
     epoch: int
+    """Number of times that a daemon became the keeper."""
 
 
 class DeliveredSample(msgspec.Struct, frozen=True, kw_only=True):
-    """One sample as the trainer gets it; the same bytes each time that it is read."""
+    """One sample as the trainer gets it; repeated reads return the same content."""
 
     sample_id: str
-    """``<lot>/<index>``; a trainer that sees it twice drops the second one."""
+    """``<lot>/<index>``; a trainer must ignore a sample whose identifier it already has."""
     index: int
     attempt: int
+    """Number of times that the slot was opened again before this sample was produced."""
     tokens: tuple[int, ...]
     spans: tuple[VersionSpan, ...]
     finish_reason: FinishReason
@@ -62,7 +70,7 @@
 
 
 class SampleFailure(msgspec.Struct, frozen=True, kw_only=True):
-    """A slot that can not be produced."""
+    """A slot for which no sample could be produced."""
 
     sample_id: str
     index: int
@@ -71,14 +79,17 @@
 
 
 class SamplesPage(msgspec.Struct, frozen=True, kw_only=True):
-    """Samples from one cursor on, in the order of their hand-over."""
+    """Samples from a cursor on, in the order of their hand-over."""
 
     samples: tuple[DeliveredSample, ...] = ()
     next_cursor: int
     finished: bool = False
-    """No sample follows ``next_cursor`` unless one is replaced."""
+    """Whether no sample follows ``next_cursor``, unless a withdrawn one is replaced."""
     withdrawn: tuple[str, ...] = ()
-    """Handed over before and now over the bound; a trainer that lacks one has it replaced."""
+    """Samples that were handed over and now exceed the staleness bound.
+
+    A trainer that has not received one asks for a new sample with ``LotService.replace``.
+    """
     failed: tuple[SampleFailure, ...] = ()
 
 
@@ -92,7 +103,11 @@
 
 
 def index_of(lot_id: str, identifier: str) -> int:
-    """Return the slot of a sample identifier of ``lot_id``; raises InvalidRequest."""
+    """Return the slot index in a sample identifier.
+
+    Raises:
+        InvalidRequest: ``identifier`` does not name a sample of ``lot_id``.
+    """
     prefix, _, index = identifier.rpartition("/")
     if prefix != lot_id or not index.isascii() or not index.isdigit():
         raise InvalidRequest(f"{identifier!r} is not a sample of lot {lot_id!r}", field="sample_ids")
--- a/passgate/state/specs.py
+++ b/passgate/state/specs.py
@@ -1,4 +1,4 @@
-"""Typed specifications of configuration objects and their validation.
+"""Typed specifications of configuration objects, and the validation of objects.
 
 >>> decode_spec("PriorityClass", b'{"interactive": true, "weight": 4}', strict=True).weight
 4.0
@@ -25,34 +25,34 @@
 
 
 class RolloutSpec(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """How new weights, adapters and roles reach the engines of a pool."""
+    """How the engines of a pool are moved to new weights, adapters and roles."""
 
     adapters: tuple[str, ...] = ()
     """Adapters that each engine loads after its weights, in this order."""
     engine_role: str = ""
-    """Role that each engine takes, such as ``prefill``; empty leaves it as it is."""
+    """Role that each engine takes, such as ``prefill``; empty leaves it unchanged."""
     by_zone: bool = False
-    """One daemon per zone orders the zone's engines, instead of one for all."""
+    """Whether one daemon per zone sends orders to the zone's engines, instead of one daemon to all."""
     capacity_floor: Share = 0.75
-    """Share of the healthy engines that keep serving during a rollout."""
+    """Least share of the healthy engines that keeps serving during a rollout."""
     zone_capacity_floor: Share = 0.5
-    """The same within each zone."""
+    """Least share of the healthy engines of each zone that keeps serving."""
 
 
 class PoolSpec(msgspec.Struct, frozen=True, kw_only=True):
     """A set of replicas that serve one model or one application service."""
 
     selector: str
-    """Selector over the labels of machines."""
+    """Selects machines by their labels."""
     role: MachineRole
     model: str = ""
     """Model served by an engine pool; empty for application services."""
     maximum_in_flight: AtLeastOne = 256
-    """Most requests that one daemon keeps running on one replica."""
+    """Largest number of requests that one daemon runs on one replica at a time."""
     maximum_queued: Count = 4096
-    """Most requests of this pool that wait in one daemon."""
+    """Largest number of requests of this pool that wait in one daemon."""
     default_deadline_s: Positive = 600.0
-    """Deadline of requests that name none, seconds after arrival."""
+    """Deadline of requests that name none, in seconds after their arrival."""
     rollout: RolloutSpec = RolloutSpec()
 
 
@@ -63,21 +63,22 @@
     version: AtLeastOne
     uri: str = ""
     withdrawn: bool = False
-    """Known bad: engines are moved off it."""
+    """Whether the version must not be used any more; engines are moved to another version."""
 
 
 class PriorityClassSpec(msgspec.Struct, frozen=True, kw_only=True):
     """How requests of one class are queued and refused."""
 
     interactive: bool = False
-    """A person waits for the answer."""
+    """Whether a person waits for the response."""
     weight: Positive = 1.0
-    """Share of tokens relative to the other classes."""
+    """Weight of the class in the fair queue of tokens, relative to other classes."""
     max_queued: Count = 1024
-    """Most waiting requests of the class in one daemon."""
+    """Largest number of requests of the class that wait in one daemon."""
     max_wait_s: Positive = 60.0
-    """A longer projected wait is refused."""
+    """A request is refused when its projected wait, or its time in the queue, is longer."""
     max_queued_per_caller: Count = 1024
+    """Largest number of requests of the class, of one caller and one pool, that wait in one daemon."""
 
 
 Spec = PoolSpec | ModelVersionSpec | PriorityClassSpec
@@ -93,17 +94,18 @@
         weight=1.0, max_queued=16_384, max_wait_s=600.0, max_queued_per_caller=16_384
     ),
 }
-"""In force until an operator puts an object of the same name."""
+"""Priority classes by name; a configured object of the same name replaces one of these."""
 
 
 def decode_spec(kind: str, spec: bytes, *, strict: bool) -> Spec:
-    """Return the typed specification of an object.
+    """Return the typed specification of an object from its JSON.
 
-    Folds decode leniently, so that a field of a newer version is passed over;
-    what an operator sends is decoded strictly.
+    ``strict`` refuses unknown fields and is for what operators send.  Projections must
+    decode records with ``strict=False``, which ignores fields of a newer version.
 
     Raises:
-        MalformedBody: details name ``field``.
+        MalformedBody: the kind is not known or the specification is not valid; details
+            name ``field``.
     """
     spec_type = SPEC_TYPES.get(kind)
     if spec_type is None:
@@ -111,9 +113,9 @@
     try:
         decoded = msgspec.json.decode(spec, type=spec_type)
     except msgspec.MsgspecError as error:
-        raise MalformedBody(f"{kind}: {error}", field=_field_of(error), kind=kind) from None
+        raise MalformedBody(f"{kind}: {error}", field=_field_path(error), kind=kind) from None
     if strict:
-        _refuse_unknown_fields(kind, spec_type, spec)
+        _reject_unknown_fields(kind, spec_type, spec)
     if isinstance(decoded, PoolSpec):
         _check_pool(decoded)
     return decoded
@@ -122,15 +124,17 @@
 def check_name(name: str) -> None:
     """Raise MalformedBody unless ``name`` is usable as an object's name."""
     if len(name) > MAXIMUM_NAME_CHARACTERS or not _NAME.fullmatch(name):
-        raise MalformedBody("names are letters, digits and inner '-', '_', '.', '/'", field="name")
+        raise MalformedBody("a name consists of letters, digits and inner '-', '_', '.', '/'", field="name")
 
 
 def check_labels(labels: Labels) -> None:
-    """Raise MalformedBody unless selectors can express all keys and values."""
+    """Raise MalformedBody unless a selector can express every key and value."""
     for key, value in labels.items():
-        for part in (key, value):
-            if len(part) > MAXIMUM_NAME_CHARACTERS or not _NAME.fullmatch(part):
-                raise MalformedBody(f"label {key!r} can not be selected", field=f"labels.{key}")
+        for text in (key, value):
+            if len(text) > MAXIMUM_NAME_CHARACTERS or not _NAME.fullmatch(text):
+                raise MalformedBody(
+                    f"label {key!r} can not be expressed in a selector", field=f"labels.{key}"
+                )
 
 
 def _check_pool(spec: PoolSpec) -> None:
@@ -139,18 +143,21 @@
     except SelectorSyntaxError as error:
         raise MalformedBody(str(error), field="spec.selector", position=error.details["position"]) from None
     if spec.role is MachineRole.ENGINE and not spec.model:
-        raise MalformedBody("an engine pool names its model", field="spec.model")
+        raise MalformedBody("a pool with role 'engine' must name its model", field="spec.model")
 
 
-def _refuse_unknown_fields(kind: str, spec_type: type[Spec], spec: bytes) -> None:
-    given = msgspec.json.decode(spec, type=dict[str, msgspec.Raw])
-    for name in given:
+def _reject_unknown_fields(kind: str, spec_type: type[Spec], spec: bytes) -> None:
+    raw_fields = msgspec.json.decode(spec, type=dict[str, msgspec.Raw])
+    for name in raw_fields:
         if name not in spec_type.__struct_fields__:
             raise MalformedBody(f"{kind} has no field {name!r}", field=f"spec.{name}", kind=kind)
 
 
-def _field_of(error: msgspec.MsgspecError) -> str:
-    """Return the field that a decoding error names; msgspec writes paths as ``$.name``."""
+def _field_path(error: msgspec.MsgspecError) -> str:
+    """Return the dotted path of the field that a decoding error names, from ``spec`` on.
+
+    msgspec has no attribute for it and writes the path into the message as ``$.name``.
+    """
     text = str(error)
     path = re.search(r"at `\$\.?([^`]*)`", text)
     missing = re.search(r"required field `([^`]+)`", text)
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -1,4 +1,4 @@
-"""Claims: at most one run per key, and truthful answers to every repeat."""
+"""Claims: a key runs at most once, and repeated calls get the stored outcome or the right error."""
 
 import asyncio
 from random import Random
@@ -18,15 +18,15 @@
 )
 from passgate.records import ClaimCompleted, ClaimMade, ClaimReleased, ClaimUnresolved, Record
 from passgate.state.claim_state import ClaimState, transition
-from passgate.state.claims import OUTCOME_TIMEOUT_S, ClaimOutcome, ClaimService, stream_of
+from passgate.state.claims import OUTCOME_APPEND_TIMEOUT_S, ClaimOutcome, ClaimService, claim_stream
 from passgate.state.fold import Accepted
 from passgate.state.memory_log import AppendFault, MemoryLog, MemoryLogClient
 
 OUTCOME = ClaimOutcome(200, "application/json", b'{"cartons": 1}\xff')
 
 
-class World:
-    """Daemons that share a log and one back end that counts its runs."""
+class Cluster:
+    """Daemons that share a log and one backend that counts its runs."""
 
     def __init__(self):
         self.log = MemoryLog()
@@ -61,189 +61,189 @@
         return daemon.run_once("key", digest, self.run, timeout_s)
 
 
-def test_repeats_through_any_daemon_get_the_stored_outcome():
+def test_repeated_call_on_any_daemon_returns_the_stored_outcome():
     async def scenario():
-        world = World()
-        first, second = world.daemon("d1"), world.daemon("d2")
-        assert await world.call(first) == OUTCOME
-        assert [await world.call(daemon) for daemon in (first, second)] == [OUTCOME] * 2
+        cluster = Cluster()
+        first, second = cluster.daemon("d1"), cluster.daemon("d2")
+        assert await cluster.call(first) == OUTCOME
+        assert [await cluster.call(daemon) for daemon in (first, second)] == [OUTCOME] * 2
         with pytest.raises(KeyReused):
-            await world.call(second, digest="other")
-        assert world.runs == 1
+            await cluster.call(second, digest="other")
+        assert cluster.runs == 1
 
     run_virtual(scenario())
 
 
 @pytest.mark.parametrize("first", list(AppendFault))
 @pytest.mark.parametrize("second", list(AppendFault))
-def test_racing_calls_run_once_whatever_the_appends_do(first, second):
+def test_concurrent_calls_run_once_for_any_append_faults(first, second):
     async def scenario():
-        world = World()
-        daemons = [world.daemon("d1"), world.daemon("d2"), world.daemon("d3")]
-        daemons[0].client.script(first, second)
-        daemons[1].client.script(second, first)
-        answers = await asyncio.gather(*(world.call(daemon) for daemon in daemons), return_exceptions=True)
-        world.log.land_late()
-        assert world.runs == 1
-        assert answers.count(OUTCOME) == 1
-        refused = [answer for answer in answers if answer != OUTCOME]
-        assert all(isinstance(answer, RequestInProgress) for answer in refused)
-        assert all(answer.retry_after_s for answer in refused)
-        assert await world.call(daemons[1]) == OUTCOME
+        cluster = Cluster()
+        daemons = [cluster.daemon("d1"), cluster.daemon("d2"), cluster.daemon("d3")]
+        daemons[0].client.script_faults(first, second)
+        daemons[1].client.script_faults(second, first)
+        results = await asyncio.gather(*(cluster.call(daemon) for daemon in daemons), return_exceptions=True)
+        cluster.log.append_delayed()
+        assert cluster.runs == 1
+        assert results.count(OUTCOME) == 1
+        errors = [result for result in results if result != OUTCOME]
+        assert all(isinstance(error, RequestInProgress) for error in errors)
+        assert all(error.retry_after_s for error in errors)
+        assert await cluster.call(daemons[1]) == OUTCOME
 
     run_virtual(scenario())
 
 
-def test_claim_that_is_not_durable_does_not_run():
+def test_request_does_not_run_without_a_durable_claim():
     async def scenario():
-        world = World()
-        daemon = world.daemon("d1")
+        cluster = Cluster()
+        daemon = cluster.daemon("d1")
         daemon.client.down = True
         with pytest.raises(DurabilityUnavailable) as caught:
-            await world.call(daemon)
+            await cluster.call(daemon)
         assert caught.value.execution is ExecutionStatus.NOT_RUN
         daemon.client.down = False
-        assert await world.call(daemon) == OUTCOME
-        assert world.runs == 1
+        assert await cluster.call(daemon) == OUTCOME
+        assert cluster.runs == 1
 
     run_virtual(scenario())
 
 
-@pytest.mark.parametrize("fault", [AppendFault.ANSWER_LOST, AppendFault.LATE, AppendFault.HANGS])
-def test_claim_that_lands_after_its_caller_was_refused_is_given_back(fault):
+@pytest.mark.parametrize("fault", [AppendFault.RESPONSE_LOST, AppendFault.DELAYED, AppendFault.HANGING])
+def test_claim_accepted_after_its_caller_was_refused_is_released(fault):
     async def scenario():
-        world = World()
-        daemon, other = world.daemon("d1"), world.daemon("d2")
-        daemon.client.script(fault, *[AppendFault.REQUEST_LOST] * 9)
+        cluster = Cluster()
+        daemon, other = cluster.daemon("d1"), cluster.daemon("d2")
+        daemon.client.script_faults(fault, *[AppendFault.REQUEST_LOST] * 9)
         daemon.client.reads_down = True
         with pytest.raises(DurabilityUnavailable):
-            await world.call(daemon, timeout_s=0.5)
-        world.log.land_late()
+            await cluster.call(daemon, timeout_s=0.5)
+        cluster.log.append_delayed()
         daemon.client.reads_down = False
         await asyncio.sleep(30)
-        assert await world.call(other) == OUTCOME
-        assert world.runs == 1
+        assert await cluster.call(other) == OUTCOME
+        assert cluster.runs == 1
 
     run_virtual(scenario())
 
 
-def test_run_that_surely_did_not_happen_may_be_repeated():
+def test_request_that_certainly_did_not_run_may_run_again():
     async def scenario():
-        world = World()
-        first, second = world.daemon("d1"), world.daemon("d2")
-        world.failure = BackendRefused("full")
+        cluster = Cluster()
+        first, second = cluster.daemon("d1"), cluster.daemon("d2")
+        cluster.failure = BackendRefused("full")
         with pytest.raises(BackendRefused):
-            await world.call(first)
-        world.failure = None
-        assert await world.call(second) == OUTCOME
-        assert world.runs == 1
+            await cluster.call(first)
+        cluster.failure = None
+        assert await cluster.call(second) == OUTCOME
+        assert cluster.runs == 1
 
     run_virtual(scenario())
 
 
 @pytest.mark.parametrize("failure", [IncompleteAnswer("cut off"), ValueError("a bug")])
-def test_run_that_may_have_happened_is_never_repeated(failure):
+def test_request_that_may_have_run_never_runs_again(failure):
     async def scenario():
-        world = World()
-        first, second = world.daemon("d1"), world.daemon("d2")
+        cluster = Cluster()
+        first, second = cluster.daemon("d1"), cluster.daemon("d2")
         if isinstance(failure, PassgateError):
-            world.failure = failure
+            cluster.failure = failure
         else:
-            world.run = raise_after_running(world, failure)
+            cluster.run = raise_after_running(cluster, failure)
         with pytest.raises(type(failure)):
-            await world.call(first)
+            await cluster.call(first)
         for daemon in (first, second):
             with pytest.raises(OutcomeUnknown):
-                await world.call(daemon)
-        assert world.runs == 1
+                await cluster.call(daemon)
+        assert cluster.runs == 1
 
     run_virtual(scenario())
 
 
-def raise_after_running(world, failure):
+def raise_after_running(cluster, failure):
     async def run():
-        world.runs += 1
+        cluster.runs += 1
         raise failure
 
     return run
 
 
 @pytest.mark.parametrize("killed_at_s", [0.0, 0.0005, 0.0015, 0.0025, 0.5, 1.0005, 1.0015, 1.0045, 1.5])
-def test_holder_killed_at_any_time_never_causes_a_second_run(killed_at_s):
+def test_crash_of_the_holder_at_any_time_never_causes_a_second_run(killed_at_s):
     async def scenario():
-        world = World()
-        holder, other = world.daemon("d1"), world.daemon("d2")
-        call = asyncio.ensure_future(world.call(holder))
+        cluster = Cluster()
+        holder, other = cluster.daemon("d1"), cluster.daemon("d2")
+        call = asyncio.ensure_future(cluster.call(holder))
         await asyncio.sleep(killed_at_s)
-        await world.kill(holder)
+        await cluster.kill(holder)
         call.cancel()
         outcomes = []
         for _ in range(3):
             try:
-                outcomes.append(await world.call(other))
+                outcomes.append(await cluster.call(other))
             except OutcomeUnknown as error:
                 outcomes.append(type(error))
-        assert world.runs <= 1
+        assert cluster.runs <= 1
         assert len(set(outcomes)) == 1
 
     run_virtual(scenario())
 
 
-def test_holder_that_is_alive_is_asked_again_later():
+def test_call_while_the_holder_runs_raises_request_in_progress():
     async def scenario():
-        world = World()
-        holder, other = world.daemon("d1"), world.daemon("d2")
-        world.duration_s = 60.0
-        call = asyncio.ensure_future(world.call(holder))
+        cluster = Cluster()
+        holder, other = cluster.daemon("d1"), cluster.daemon("d2")
+        cluster.duration_s = 60.0
+        call = asyncio.ensure_future(cluster.call(holder))
         await asyncio.sleep(30)
         with pytest.raises(RequestInProgress) as caught:
-            await world.call(other)
+            await cluster.call(other)
         assert caught.value.retry_after_s > 0
         assert await call == OUTCOME
 
     run_virtual(scenario())
 
 
-def test_caller_that_goes_away_finds_the_outcome_later():
+def test_cancelled_caller_gets_the_outcome_by_a_repeated_call():
     async def scenario():
-        world = World()
-        daemon = world.daemon("d1")
-        call = asyncio.ensure_future(world.call(daemon))
+        cluster = Cluster()
+        daemon = cluster.daemon("d1")
+        call = asyncio.ensure_future(cluster.call(daemon))
         await asyncio.sleep(0.5)
         call.cancel()
         assert await daemon.drain(10.0)
-        assert await world.call(daemon) == OUTCOME
-        assert world.runs == 1
+        assert await cluster.call(daemon) == OUTCOME
+        assert cluster.runs == 1
 
     run_virtual(scenario())
 
 
-def test_outcome_is_given_in_an_outage_and_recorded_after_it():
+def test_outcome_is_returned_during_a_log_outage_and_recorded_after_it():
     async def scenario():
-        world = World()
-        holder, other = world.daemon("d1"), world.daemon("d2")
-        call = asyncio.ensure_future(world.call(holder))
+        cluster = Cluster()
+        holder, other = cluster.daemon("d1"), cluster.daemon("d2")
+        call = asyncio.ensure_future(cluster.call(holder))
         await asyncio.sleep(0.5)
         holder.client.down = True
         assert await call == OUTCOME
         with pytest.raises(RequestInProgress):
-            await world.call(other)
-        await asyncio.sleep(OUTCOME_TIMEOUT_S / 2)
+            await cluster.call(other)
+        await asyncio.sleep(OUTCOME_APPEND_TIMEOUT_S / 2)
         holder.client.down = False
         await asyncio.sleep(10)
-        assert await world.call(other) == OUTCOME
-        assert world.runs == 1
+        assert await cluster.call(other) == OUTCOME
+        assert cluster.runs == 1
 
     run_virtual(scenario())
 
 
-def test_stored_outcome_is_given_while_the_log_takes_no_records():
+def test_stored_outcome_is_returned_while_appends_fail():
     async def scenario():
-        world = World()
-        first, second = world.daemon("d1"), world.daemon("d2")
-        await world.call(first)
+        cluster = Cluster()
+        first, second = cluster.daemon("d1"), cluster.daemon("d2")
+        await cluster.call(first)
         second.client.appends_down = True
-        assert await world.call(second) == OUTCOME
+        assert await cluster.call(second) == OUTCOME
 
     run_virtual(scenario())
 
@@ -260,7 +260,7 @@
         ClaimCompleted(key="key", status=200, content_type="", body=""),
     ],
 )
-def test_only_the_writer_of_a_claim_ends_it(body):
+def test_only_the_writer_of_a_claim_can_end_it(body):
     claim = ClaimMade(key="key", request_digest="digest", holder="d1")
     state, _ = transition(ClaimState(), 0, record("d1/claim-1", claim))
     for writer in ("d1/claim-2", "d2/claim-1"):
@@ -272,13 +272,13 @@
     assert isinstance(transition(ended, 2, record("d2/claim-1", other))[1].error, KeyReused)
 
 
-def test_finished_attempts_leave_no_reader_behind():
+def test_finished_call_leaves_no_follower_running():
     async def scenario():
-        world = World()
-        daemon = world.daemon("d1")
-        await world.call(daemon)
+        cluster = Cluster()
+        daemon = cluster.daemon("d1")
+        await cluster.call(daemon)
         assert await daemon.drain(10.0)
-        assert len(world.log.streams[stream_of("key")]) == 2
+        assert len(cluster.log.streams[claim_stream("key")]) == 2
         assert daemon.client.read_calls == 0
         assert len(asyncio.all_tasks()) == 1
 
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -1,4 +1,4 @@
-"""Configuration: racing operators, no reverts, starting daemons, and validation."""
+"""Configuration: concurrent changes, starting daemons, snapshots, peers and validation."""
 
 import asyncio
 from random import Random
@@ -32,7 +32,7 @@
 POOL = PoolSpec(selector="kind=engine", role=MachineRole.ENGINE, model="m")
 
 
-def daemon(log, name="d1", start=True):
+def start_service(log, name="d1", start=True):
     client = MemoryLogClient(log)
     service = ConfigurationService(client, name, Random(name))
     service.client = client
@@ -41,7 +41,7 @@
     return service
 
 
-def version(number, **options):
+def version_spec(number, **options):
     return ModelVersionSpec(model="m", version=number, **options)
 
 
@@ -49,14 +49,14 @@
     return await service.put(kind, name, labels or {}, spec, expected, timeout_s)
 
 
-def test_accepted_change_is_on_the_log_and_in_force():
+def test_accepted_change_is_on_the_log_and_applied():
     async def scenario():
         log = MemoryLog()
-        service = daemon(log)
-        seen = []
-        service.subscribe(lambda state: seen.append(state.revision))
+        service = start_service(log)
+        notified_revisions = []
+        service.subscribe(lambda state: notified_revisions.append(state.revision))
         assert await put(service, labels={"tier": "gold"}, expected=0) == 1
-        assert seen == [1] and len(log.streams["config"]) == 1
+        assert notified_revisions == [1] and len(log.streams["config"]) == 1
         pool = service.state.select_pool(Selector.parse("tier in (gold)"), MachineRole.ENGINE)
         assert (pool.name, pool.revision, pool.spec) == ("modelos", 1, POOL)
         with pytest.raises(NoMatchingPool):
@@ -66,11 +66,11 @@
 
 
 @pytest.mark.parametrize("fault", list(AppendFault))
-def test_of_racing_operators_one_wins_and_the_others_learn_the_revision(fault):
+def test_one_of_concurrent_changes_wins_and_the_others_get_its_revision(fault):
     async def scenario():
         log = MemoryLog()
-        services = [daemon(log, f"d{number}") for number in range(4)]
-        services[1].client.script(fault)
+        services = [start_service(log, f"d{number}") for number in range(4)]
+        services[1].client.script_faults(fault)
         outcomes = await asyncio.gather(
             *(
                 put(service, expected=0, labels={"by": service.client and f"d{index}"})
@@ -78,7 +78,7 @@
             ),
             return_exceptions=True,
         )
-        log.land_late()
+        log.append_delayed()
         accepted = [outcome for outcome in outcomes if isinstance(outcome, int)]
         conflicts = [outcome for outcome in outcomes if isinstance(outcome, RevisionConflict)]
         assert (len(accepted), len(conflicts)) == (1, 3)
@@ -90,9 +90,9 @@
     run_virtual(scenario())
 
 
-def test_deleted_object_is_gone_and_its_name_usable():
+def test_deleted_object_is_gone_and_can_be_created_again():
     async def scenario():
-        service = daemon(MemoryLog())
+        service = start_service(MemoryLog())
         revision = await put(service)
         with pytest.raises(RevisionConflict):
             await service.delete("Pool", "modelos", revision + 1, 5.0)
@@ -105,16 +105,16 @@
     run_virtual(scenario())
 
 
-def test_refused_change_never_comes_later():
+def test_refused_change_never_takes_effect_later():
     async def scenario():
         log = MemoryLog()
-        service, other = daemon(log), daemon(log, "d2")
+        service, other = start_service(log), start_service(log, "d2")
         service.client.down = True
         with pytest.raises(DurabilityUnavailable):
             await put(service, labels={"by": "refused"}, timeout_s=2.0)
         await put(other, labels={"by": "other"})
         service.client.down = False
-        await service.follower.catch_up(1, 10.0)
+        await service.follower.wait_applied(1, 10.0)
         await asyncio.sleep(60)
         assert service.state.get("Pool", "modelos").labels == {"by": "other"}
         assert service.state.revision == other.state.revision == 1
@@ -122,111 +122,117 @@
     run_virtual(scenario())
 
 
-def test_starting_daemon_is_ready_only_at_the_revision_that_peers_have():
+def test_starting_daemon_is_ready_only_at_the_minimum_revision():
     async def scenario():
         log = MemoryLog()
-        first = daemon(log)
+        first = start_service(log)
         for number in range(5):
             await put(first, expected=number)
-        late = daemon(log, "d2", start=False)
-        late.client.hidden_records = 3
-        late.start()
+        starting = start_service(log, "d2", start=False)
+        starting.client.hidden_records = 3
+        starting.start()
         await asyncio.sleep(5)
-        assert late.state.revision == 2
-        assert not late.ready_at(first.state.revision)
+        assert starting.state.revision == 2
+        assert not starting.ready_at(first.state.revision)
         with pytest.raises(DeadlineExceeded):
-            await late.wait_ready(first.state.revision, 2.0)
-        late.client.hidden_records = 0
-        await late.wait_ready(first.state.revision, 30.0)
-        assert late.state.revision == 5
+            await starting.wait_ready(first.state.revision, 2.0)
+        starting.client.hidden_records = 0
+        await starting.wait_ready(first.state.revision, 30.0)
+        assert starting.state.revision == 5
 
     run_virtual(scenario())
 
 
-def test_starting_daemon_without_peers_is_not_ready_behind_a_slow_replica():
+def test_starting_daemon_without_peers_is_not_ready_while_its_reads_lag():
     async def scenario():
         log = MemoryLog()
-        first = daemon(log)
+        first = start_service(log)
         for number in range(5):
             revision = await put(first, expected=number)
-        late = daemon(log, "d2", start=False)
-        late.client.hidden_records = 3
-        late.start()
+        starting = start_service(log, "d2", start=False)
+        starting.client.hidden_records = 3
+        starting.start()
         for _ in range(60):
-            assert not late.ready_at(0)
+            assert not starting.ready_at(0)
             await asyncio.sleep(1)
-        late.client.hidden_records = 0
-        await late.wait_ready(0, 10.0)
-        assert late.state.revision == revision
+        starting.client.hidden_records = 0
+        await starting.wait_ready(0, 10.0)
+        assert starting.state.revision == revision
 
     run_virtual(scenario())
 
 
-def test_starting_daemon_serves_what_it_could_read_while_the_log_takes_nothing():
+def test_starting_daemon_is_ready_with_what_it_has_read_while_appends_fail():
     async def scenario():
         log = MemoryLog()
-        revision = await put(daemon(log))
-        late = daemon(log, "d2")
-        late.client.appends_down = True
-        assert not late.ready_at(0)
-        await late.wait_ready(0, 10.0)
-        assert late.state.revision == revision
+        revision = await put(start_service(log))
+        starting = start_service(log, "d2")
+        starting.client.appends_down = True
+        assert not starting.ready_at(0)
+        await starting.wait_ready(0, 10.0)
+        assert starting.state.revision == revision
 
     run_virtual(scenario())
 
 
-def test_old_snapshot_does_not_revert_a_daemon(monkeypatch):
+def test_older_snapshot_does_not_revert_the_configuration(monkeypatch):
     monkeypatch.setattr(snapshots, "SNAPSHOT_EVERY_RECORDS", 2)
 
     async def scenario():
         log = MemoryLog()
-        first = daemon(log)
+        first = start_service(log)
         for number in range(5):
             await put(first, expected=number)
         await asyncio.sleep(1)
-        newest = decode_record(log.streams["config.snapshots"][-1]).body
-        late = daemon(log, "d2")
-        await late.wait_ready(5, 5.0)
-        assert newest.offset == 3
-        assert late.follower.counters.applied == late.follower.next_offset - (newest.offset + 1)
-        old = first.follower.snapshot()
+        latest_snapshot = decode_record(log.streams["config.snapshots"][-1]).body
+        starting = start_service(log, "d2")
+        await starting.wait_ready(5, 5.0)
+        assert latest_snapshot.offset == 3
+        assert starting.follower.counters.applied_records == starting.follower.next_offset - (
+            latest_snapshot.offset + 1
+        )
+        older_snapshot = first.follower.snapshot()
         revision = await put(first, expected=5)
-        await late.wait_ready(revision, 5.0)
-        assert not late.adopt_snapshot(old)
-        assert late.state.revision == revision
+        await starting.wait_ready(revision, 5.0)
+        assert not starting.adopt_snapshot(older_snapshot)
+        assert starting.state.revision == revision
 
     run_virtual(scenario())
 
 
-def test_daemons_without_the_log_learn_from_peers():
+def test_daemons_cut_off_from_the_log_apply_changes_from_peers():
     async def scenario():
         log = MemoryLog()
-        first, cut_off, starting = daemon(log), daemon(log, "d2"), daemon(log, "d3", start=False)
+        first, cut_off, starting = (
+            start_service(log),
+            start_service(log, "d2"),
+            start_service(log, "d3", start=False),
+        )
         await put(first, expected=0)
         await cut_off.wait_ready(1, 5.0)
         cut_off.client.down = starting.client.down = True
         starting.start()
         revision = await put(first, expected=1)
-        seen = []
-        starting.subscribe(lambda state: seen.append(state.revision))
+        notified_revisions = []
+        starting.subscribe(lambda state: notified_revisions.append(state.revision))
         assert starting.adopt(first.records_since(1)) == 0, "not contiguous"
         assert starting.adopt_snapshot(first.snapshot())
         assert cut_off.adopt(first.records_since(cut_off.follower.next_offset)) == 1
         assert cut_off.state.revision == starting.state.revision == revision
-        assert seen == [revision]
+        assert notified_revisions == [revision]
         await starting.wait_ready(revision, 10.0)
         assert starting.ready_at(revision) and not starting.ready_at(revision + 1)
 
     run_virtual(scenario())
 
 
-def test_newest_version_passes_over_withdrawn_ones():
+def test_newest_version_ignores_withdrawn_and_deleted_versions():
     async def scenario():
-        service = daemon(MemoryLog())
+        service = start_service(MemoryLog())
         for number in (1, 2, 3):
-            await put(service, f"m-{number}", version(number), kind="ModelVersion")
+            await put(service, f"m-{number}", version_spec(number), kind="ModelVersion")
         assert service.state.newest_version("m") == 3
-        await put(service, "m-3", version(3, withdrawn=True), kind="ModelVersion")
+        await put(service, "m-3", version_spec(3, withdrawn=True), kind="ModelVersion")
         assert service.state.newest_version("m") == 2
         await service.delete("ModelVersion", "m-2", None, 5.0)
         assert (service.state.newest_version("m"), service.state.newest_version("x")) == (1, 0)
@@ -236,7 +242,7 @@
 
 def test_priority_classes_have_defaults():
     async def scenario():
-        service = daemon(MemoryLog())
+        service = start_service(MemoryLog())
         assert service.state.priority_class("interactive").interactive
         await put(service, "interactive", PriorityClassSpec(interactive=True, weight=3), kind="PriorityClass")
         assert service.state.priority_class("interactive").weight == 3
@@ -264,7 +270,7 @@
     async def scenario():
         log = MemoryLog()
         with pytest.raises(MalformedBody) as caught:
-            await put(daemon(log), spec=spec, kind=kind)
+            await put(start_service(log), spec=spec, kind=kind)
         assert caught.value.details["field"] == field
         assert not log.streams.get("config")
 
@@ -275,7 +281,7 @@
 def test_names_and_labels_must_be_selectable(name, labels, field):
     async def scenario():
         with pytest.raises(MalformedBody) as caught:
-            await put(daemon(MemoryLog()), name, labels=labels)
+            await put(start_service(MemoryLog()), name, labels=labels)
         assert caught.value.details["field"] == field
 
     run_virtual(scenario())
@@ -289,7 +295,7 @@
     )
 )
 @settings(max_examples=40, deadline=None)
-def test_any_specification_on_the_log_is_survived_by_all_readers(spec):
+def test_readers_survive_any_specification_on_the_log(spec):
     async def scenario():
         log = MemoryLog()
         body = ObjectPut(
@@ -300,13 +306,13 @@
             spec=msgspec.Raw(msgspec.json.encode(spec)),
         )
         log.put("config", [encode_record(Record(writer="x", sequence=1, epoch=0, body=body))])
-        service = daemon(log)
+        service = start_service(log)
         assert await put(service) == 2
 
     run_virtual(scenario())
 
 
-def test_fields_and_kinds_of_a_newer_version_pass_through_a_snapshot():
+def test_snapshot_keeps_fields_and_kinds_of_a_newer_version():
     async def scenario():
         log = MemoryLog()
         bodies = [
@@ -317,7 +323,7 @@
             Record(writer="x", sequence=number, epoch=0, body=body) for number, body in enumerate(bodies, 1)
         ]
         log.put("config", [encode_record(record) for record in records])
-        service = daemon(log)
+        service = start_service(log)
         await service.wait_ready(2, 5.0)
         assert service.state.priority_class("n").weight == 2
         snapshot = bytes(service.snapshot().state)
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -1,4 +1,4 @@
-"""Leases: one holder per epoch in log order, paused holders, and the choice of candidates."""
+"""Leases: one holder per epoch, paused holders, and the choice of the next holder."""
 
 import asyncio
 from collections import Counter
@@ -15,7 +15,9 @@
 ROLE = "pool/modelos"
 
 
-class World:
+class Cluster:
+    """Daemons that share a log and a list of live members."""
+
     def __init__(self):
         self.log = MemoryLog()
         self.alive = []
@@ -29,22 +31,23 @@
         return daemon
 
 
-async def settle(*daemons):
-    end = max(daemon.follower.next_offset for daemon in daemons)
+async def wait_for_same_records(*daemons):
+    """Wait until all daemons have applied the records that one of them has applied."""
+    end_offset = max(daemon.follower.next_offset for daemon in daemons)
     for daemon in daemons:
-        await daemon.follower.catch_up(end, 60.0)
+        await daemon.follower.wait_applied(end_offset, 60.0)
 
 
 @pytest.mark.parametrize("fault", list(AppendFault))
-def test_one_of_several_takers_wins_and_all_agree(fault):
+def test_one_of_concurrent_takers_wins_and_all_daemons_agree(fault):
     async def scenario():
-        world = World()
-        daemons = [world.daemon(f"d{number}") for number in range(5)]
-        daemons[0].client.script(fault)
+        cluster = Cluster()
+        daemons = [cluster.daemon(f"d{number}") for number in range(5)]
+        daemons[0].client.script_faults(fault)
         takes = [daemon.take(ROLE, 10.0) for daemon in daemons]
         outcomes = await asyncio.gather(*takes, return_exceptions=True)
-        world.log.land_late()
-        await settle(*daemons)
+        cluster.log.append_delayed()
+        await wait_for_same_records(*daemons)
         assert outcomes.count(1) == 1
         losers = [outcome for outcome in outcomes if outcome != 1]
         assert all(isinstance(outcome, SupersededEpoch) for outcome in losers)
@@ -54,31 +57,31 @@
     run_virtual(scenario())
 
 
-def test_role_of_a_live_holder_is_not_taken_and_of_a_dead_one_is():
+def test_role_can_be_taken_from_a_dead_holder_only():
     async def scenario():
-        world = World()
-        first, second = world.daemon("d1"), world.daemon("d2")
+        cluster = Cluster()
+        first, second = cluster.daemon("d1"), cluster.daemon("d2")
         assert await first.take(ROLE, 2.0) == await first.take(ROLE, 2.0) == 1
-        await settle(first, second)
+        await wait_for_same_records(first, second)
         with pytest.raises(SupersededEpoch) as caught:
             await second.take(ROLE, 2.0)
         assert caught.value.details == {"epoch": "1", "holder": "d1"}
-        world.alive.remove("d1")
+        cluster.alive.remove("d1")
         assert await second.take(ROLE, 2.0) == 2
 
     run_virtual(scenario())
 
 
-def test_paused_holder_finds_its_epoch_superseded_and_undoes_nothing():
+def test_paused_holder_does_not_release_the_lease_of_its_successor():
     async def scenario():
-        world = World()
-        paused, other = world.daemon("d1"), world.daemon("d2")
+        cluster = Cluster()
+        paused, other = cluster.daemon("d1"), cluster.daemon("d2")
         epoch = await paused.take(ROLE, 2.0)
-        await settle(paused, other)
+        await wait_for_same_records(paused, other)
         paused.client.down = True
-        world.alive.remove("d1")
+        cluster.alive.remove("d1")
         assert await other.take(ROLE, 2.0) == 2
-        assert paused.held_epoch(ROLE) == epoch, "it still believes in its lease"
+        assert paused.held_epoch(ROLE) == epoch, "it has not read that it lost the lease"
         releasing = asyncio.ensure_future(paused.release(ROLE))
         await asyncio.sleep(0.1)
         paused.client.down = False
@@ -92,63 +95,63 @@
     run_virtual(scenario())
 
 
-def test_reader_behind_can_not_take_an_epoch_again():
+def test_daemon_that_reads_late_can_not_take_an_epoch_again():
     async def scenario():
-        world = World()
-        behind, other = world.daemon("d1"), world.daemon("d2")
-        behind.client.reads_down = True
+        cluster = Cluster()
+        lagging, other = cluster.daemon("d1"), cluster.daemon("d2")
+        lagging.client.reads_down = True
         await other.take(ROLE, 2.0)
-        world.alive.remove("d2")
-        taking = asyncio.ensure_future(behind.take(ROLE, 20.0))
+        cluster.alive.remove("d2")
+        taking = asyncio.ensure_future(lagging.take(ROLE, 20.0))
         await asyncio.sleep(1)
-        behind.client.reads_down = False
+        lagging.client.reads_down = False
         with pytest.raises(SupersededEpoch):
             await taking
-        assert await behind.take(ROLE, 2.0) == 2
+        assert await lagging.take(ROLE, 2.0) == 2
 
     run_virtual(scenario())
 
 
-def test_released_roles_are_free_for_the_next_epoch():
+def test_released_role_can_be_taken_under_the_next_epoch():
     async def scenario():
-        world = World()
-        first, second = world.daemon("d1"), world.daemon("d2")
+        cluster = Cluster()
+        first, second = cluster.daemon("d1"), cluster.daemon("d2")
         for role in ("a", "b"):
             await first.take(role, 2.0)
         await first.release_all()
-        await settle(first, second)
+        await wait_for_same_records(first, second)
         assert second.holder("a") is second.holder("b") is None
         assert await second.take("a", 2.0) == 2
 
     run_virtual(scenario())
 
 
-def test_state_survives_a_snapshot(monkeypatch):
+def test_snapshot_restores_all_leases(monkeypatch):
     monkeypatch.setattr(snapshots, "SNAPSHOT_EVERY_RECORDS", 4)
 
     async def scenario():
-        world = World()
-        first = world.daemon("d1")
+        cluster = Cluster()
+        first = cluster.daemon("d1")
         for role in "abcd":
             await first.take(role, 2.0)
         await asyncio.sleep(1)
-        late = world.daemon("d2")
-        await late.follower.synchronise(2.0)
-        assert late.follower.counters.applied == 0
-        assert [late.holder(role).holder for role in "abcd"] == ["d1"] * 4
+        starting = cluster.daemon("d2")
+        await starting.follower.wait_synchronised(2.0)
+        assert starting.follower.counters.applied_records == 0
+        assert [starting.holder(role).holder for role in "abcd"] == ["d1"] * 4
 
     run_virtual(scenario())
 
 
-def test_candidates_are_spread_and_few_move_when_a_member_leaves():
+def test_candidates_are_spread_and_only_those_of_a_leaving_member_move():
     async def scenario():
-        world = World()
-        daemon = world.daemon("d0")
-        world.alive = [f"d{number}" for number in range(10)]
+        cluster = Cluster()
+        daemon = cluster.daemon("d0")
+        cluster.alive = [f"d{number}" for number in range(10)]
         roles = [f"pool/{number}" for number in range(400)]
         before = {role: daemon.next_candidate(role) for role in roles}
         assert min(Counter(before.values()).values()) > 20
-        world.alive.remove("d7")
+        cluster.alive.remove("d7")
         moved = [role for role in roles if daemon.next_candidate(role) != before[role]]
         assert {before[role] for role in moved} == {"d7"}
         await daemon.take(roles[0], 2.0)
--- a/tests/test_lot_state.py
+++ b/tests/test_lot_state.py
@@ -1,4 +1,4 @@
-"""Pure transitions of a lot: any sequence of records keeps the promises."""
+"""Lot projection: invariants that hold after any sequence of records, and rejected records."""
 
 import msgspec
 from hypothesis import given, settings
@@ -39,10 +39,10 @@
 indexes = st.integers(0, SLOTS)
 attempts = st.integers(0, 2)
 versions = st.integers(4, 9)
-several = st.lists(indexes, max_size=3).map(tuple)
+index_tuples = st.lists(indexes, max_size=3).map(tuple)
 
 
-def committed(index, attempt, version, token):
+def commit_record(index, attempt, version, token):
     return SampleCommitted(
         index=index,
         attempt=attempt,
@@ -56,18 +56,20 @@
 bodies = st.one_of(
     st.builds(KeeperTaken, holder=st.sampled_from(["d1", "d2"])),
     st.just(KeeperReleased()),
-    st.builds(committed, indexes, attempts, versions, st.integers(0, 9)),
+    st.builds(commit_record, indexes, attempts, versions, st.integers(0, 9)),
     st.builds(SampleExpired, index=indexes, attempt=attempts, trainer_version=versions),
-    st.builds(SamplesHandedOver, indexes=several, trainer_version=versions),
-    st.builds(SamplesAcknowledged, indexes=several),
-    st.builds(SamplesReplaced, indexes=several, attempts=st.lists(attempts, max_size=3).map(tuple)),
+    st.builds(SamplesHandedOver, indexes=index_tuples, trainer_version=versions),
+    st.builds(SamplesAcknowledged, indexes=index_tuples),
+    st.builds(SamplesReplaced, indexes=index_tuples, attempts=st.lists(attempts, max_size=3).map(tuple)),
     st.builds(SampleFailed, index=indexes, code=st.just("deadline_exceeded")),
 )
-rare = st.one_of(*[bodies] * 12, st.just(LotCancelled()))
-records = st.builds(Record, writer=st.just("w"), sequence=st.just(1), epoch=st.integers(0, 3), body=rare)
+bodies_or_rare_cancel = st.one_of(*[bodies] * 12, st.just(LotCancelled()))
+records = st.builds(
+    Record, writer=st.just("w"), sequence=st.just(1), epoch=st.integers(0, 3), body=bodies_or_rare_cancel
+)
 
 
-def opened():
+def opened_lot():
     return transition(LotState(), 0, Record(writer="w", sequence=1, epoch=0, body=OPENED))[0]
 
 
@@ -80,24 +82,33 @@
 
 @given(st.lists(records, max_size=30))
 @settings(max_examples=300, deadline=None)
-def test_any_sequence_of_records(drawn):
-    state, fold = opened(), LotFold()
-    fold.apply(0, Record(writer="w", sequence=1, epoch=0, body=OPENED))
+def test_any_sequence_of_records_keeps_the_invariants(drawn):
+    state, projection = opened_lot(), LotFold()
+    projection.apply(0, Record(writer="w", sequence=1, epoch=0, body=OPENED))
     for offset, record in enumerate(drawn, 1):
         before = state
         state, decision = transition(before, offset, record)
-        assert type(fold.apply(offset, record)) is type(decision)
+        assert type(projection.apply(offset, record)) is type(decision)
         check_step(before, state, record)
         if not isinstance(decision, Accepted):
             assert state == before
-    assert (fold.header, tuple(fold.slots), tuple(fold.order)) == (state.header, state.slots, state.order)
-    assert sum(fold.counts.values()) == SLOTS
+    assert (projection.header, tuple(projection.slots), tuple(projection.order)) == (
+        state.header,
+        state.slots,
+        state.order,
+    )
+    assert sum(projection.count_by_status.values()) == SLOTS
     restored = LotFold()
-    restored.restore(fold.snapshot())
-    assert (restored.slots, restored.order, restored.counts) == (fold.slots, fold.order, fold.counts)
+    restored.restore(projection.snapshot())
+    assert (restored.slots, restored.order, restored.count_by_status) == (
+        projection.slots,
+        projection.order,
+        projection.count_by_status,
+    )
 
 
 def check_step(before, after, record):
+    """Check the effect of one record on the lot."""
     assert after.header.epoch in (before.header.epoch, before.header.epoch + 1)
     assert after.header.trainer_version >= before.header.trainer_version
     assert after.order[: len(before.order)] == before.order
@@ -108,7 +119,7 @@
 
 
 def check_slot(old, new, header, record):
-    """Judge one changed slot against what may happen to it."""
+    """Check that the change of one slot is allowed for the record."""
     assert (old.status, new.status) in {
         (SlotStatus.OPEN, SlotStatus.COMMITTED),
         (SlotStatus.OPEN, SlotStatus.FAILED),
@@ -128,48 +139,51 @@
         assert old.attempt in record.body.attempts
 
 
-def test_commit_of_an_earlier_attempt_or_epoch_changes_nothing():
-    taken = apply(opened(), (1, KeeperTaken(holder="d1")))
+def test_commit_of_an_earlier_attempt_or_epoch_is_rejected():
+    taken = apply(opened_lot(), (1, KeeperTaken(holder="d1")))
     reopened = apply(
         taken,
-        (1, committed(0, 0, 5, 1)),
+        (1, commit_record(0, 0, 5, 1)),
         (1, SampleExpired(index=0, attempt=0, trainer_version=7)),
     )
     assert reopened.slots[0] == SlotState(SlotStatus.OPEN, 1)
-    assert apply(reopened, (1, committed(0, 0, 7, 2))) == reopened
+    assert apply(reopened, (1, commit_record(0, 0, 7, 2))) == reopened
     superseded = apply(reopened, (2, KeeperTaken(holder="d2")))
-    assert apply(superseded, (1, committed(0, 1, 7, 2))) == superseded
-    assert apply(superseded, (2, committed(0, 1, 7, 2))).slots[0].status is SlotStatus.COMMITTED
+    assert apply(superseded, (1, commit_record(0, 1, 7, 2))) == superseded
+    assert apply(superseded, (2, commit_record(0, 1, 7, 2))).slots[0].status is SlotStatus.COMMITTED
 
 
-def test_first_commit_wins_and_its_bytes_stay():
-    once = apply(opened(), (1, KeeperTaken(holder="d1")), (1, committed(0, 0, 5, 1)))
-    assert apply(once, (1, committed(0, 0, 5, 2))) == once
-    assert once.slots[0].sample.tokens == (1,)
+def test_first_commit_of_a_slot_wins():
+    committed_once = apply(opened_lot(), (1, KeeperTaken(holder="d1")), (1, commit_record(0, 0, 5, 1)))
+    assert apply(committed_once, (1, commit_record(0, 0, 5, 2))) == committed_once
+    assert committed_once.slots[0].sample.tokens == (1,)
 
 
-def test_versions_named_by_earlier_hand_overs_count():
+def test_hand_over_uses_the_highest_version_of_earlier_records():
     lot = apply(
-        opened(), (1, KeeperTaken(holder="d1")), (1, committed(0, 0, 5, 1)), (1, committed(1, 0, 7, 1))
+        opened_lot(),
+        (1, KeeperTaken(holder="d1")),
+        (1, commit_record(0, 0, 5, 1)),
+        (1, commit_record(1, 0, 7, 1)),
     )
     lot = apply(lot, (0, SamplesHandedOver(indexes=(1,), trainer_version=8)))
     lot = apply(lot, (0, SamplesHandedOver(indexes=(0,), trainer_version=5)))
     assert [slot.status for slot in lot.slots[:2]] == [SlotStatus.COMMITTED, SlotStatus.HANDED_OVER]
 
 
-def test_commit_without_versions_or_with_odd_tokens_is_rejected():
-    taken = apply(opened(), (1, KeeperTaken(holder="d1")))
-    good = committed(0, 0, 5, 1)
-    odd = ({"spans": ()}, {"tokens": (-1,)}, {"tokens": (2**40,)}, {"packed_tokens": b"123"})
-    for bad in (msgspec.structs.replace(good, **changes) for changes in odd):
-        assert apply(taken, (1, bad)) == taken
+def test_commit_without_versions_or_with_invalid_tokens_is_rejected():
+    taken = apply(opened_lot(), (1, KeeperTaken(holder="d1")))
+    valid = commit_record(0, 0, 5, 1)
+    invalid_changes = ({"spans": ()}, {"tokens": (-1,)}, {"tokens": (2**40,)}, {"packed_tokens": b"123"})
+    for invalid in (msgspec.structs.replace(valid, **changes) for changes in invalid_changes):
+        assert apply(taken, (1, invalid)) == taken
 
 
-def test_replacement_names_its_attempt():
-    lot = apply(opened(), (1, KeeperTaken(holder="d1")), (1, committed(0, 0, 5, 1)))
+def test_replacement_of_an_earlier_attempt_changes_nothing():
+    lot = apply(opened_lot(), (1, KeeperTaken(holder="d1")), (1, commit_record(0, 0, 5, 1)))
     lot = apply(lot, (0, SamplesHandedOver(indexes=(0,), trainer_version=5)))
     replace_first = (0, SamplesReplaced(indexes=(0,), attempts=(0,)))
-    lot = apply(lot, replace_first, (1, committed(0, 1, 6, 1)))
+    lot = apply(lot, replace_first, (1, commit_record(0, 1, 6, 1)))
     lot = apply(lot, (0, SamplesHandedOver(indexes=(0,), trainer_version=6)))
     assert lot.slots[0].status is SlotStatus.HANDED_OVER
     assert apply(lot, replace_first) == lot
--- a/tests/test_lots.py
+++ b/tests/test_lots.py
@@ -1,4 +1,4 @@
-"""Lots: exactly once, staleness, races of daemons, and death at every step."""
+"""Lots: exactly-once delivery, staleness, concurrent daemons, and crashes at every append."""
 
 import asyncio
 from random import Random
@@ -28,31 +28,33 @@
 BOUND = 1
 
 
-class MortalClient(MemoryLogClient):
-    """Dies at its n-th append, before or after the records land."""
+class CrashingClient(MemoryLogClient):
+    """Log client of a daemon that crashes at its n-th append, before or after the records are appended."""
 
     def __init__(self, log):
         super().__init__(log)
-        self.dies_at = 0
-        self.lands = False
-        self.died = asyncio.Event()
-        self._appends = 0
+        self.crash_at_append = 0
+        """Number of the append, from 1; 0 for no crash."""
+        self.appends_before_crash = False
+        """Whether the records of that append reach the log."""
+        self.crashed = asyncio.Event()
+        self._append_count = 0
 
     async def append(self, stream, payloads, timeout_s):
-        self._appends += 1
-        if self._appends == self.dies_at:
-            if self.lands:
+        self._append_count += 1
+        if self._append_count == self.crash_at_append:
+            if self.appends_before_crash:
                 self.log.put(stream, payloads)
             self.down = True
-            self.died.set()
-            self.on_death()
+            self.crashed.set()
+            self.on_crash()
         if self.down:
-            raise LogUnavailable("dead")
+            raise LogUnavailable("the daemon has crashed")
         return await super().append(stream, payloads, timeout_s)
 
 
-class World:
-    """Daemons that share a log, a model version and a membership view."""
+class Cluster:
+    """Daemons that share a log, a newest model version and a set of live members."""
 
     def __init__(self):
         self.log = MemoryLog()
@@ -65,13 +67,13 @@
 
     def daemon(self, name):
         self.alive.add(name)
-        client = MortalClient(self.log)
+        client = CrashingClient(self.log)
         daemon = LotService(
             client, self.produce, lambda model: self.version, name, self.alive.__contains__, Random(name)
         )
         daemon.client = client
         daemon.name = name
-        client.on_death = lambda: self.alive.discard(name)
+        client.on_crash = lambda: self.alive.discard(name)
         return daemon
 
     async def kill(self, daemon):
@@ -81,14 +83,14 @@
 
     async def produce(self, request):
         self.requests.append(request)
-        number, version = len(self.requests), self.version
+        request_number, version = len(self.requests), self.version
         await asyncio.sleep(self.production_s + self.stagger_s * request.prompt[0])
         failure = self.failures.get(request.request_id)
         if failure is not None:
             raise failure
         return GenerateResult(
             request_id=request.request_id,
-            tokens=(request.prompt[0], number),
+            tokens=(request.prompt[0], request_number),
             spans=(VersionSpan(0, 2, version),),
             finish_reason=FinishReason.STOP,
             replica_id="e1",
@@ -96,10 +98,10 @@
 
 
 class Trainer:
-    """Reads a lot to its end and judges the promises on the way."""
+    """Reads a lot to its end, acknowledges and replaces samples, and checks each page."""
 
-    def __init__(self, world, lot_id="lot"):
-        self.world = world
+    def __init__(self, cluster, lot_id="lot"):
+        self.cluster = cluster
         self.lot_id = lot_id
         self.cursor = 0
         self.samples = {}
@@ -108,24 +110,24 @@
 
     async def step(self, daemon, limit=3, wait_s=2.0):
         page = await daemon.read(self.lot_id, self.cursor, limit, wait_s, None)
-        self.judge(page)
-        lacking = [identifier for identifier in page.withdrawn if identifier not in self.samples]
-        if lacking:
-            await daemon.replace(self.lot_id, lacking)
+        self.check_page(page)
+        not_received = [identifier for identifier in page.withdrawn if identifier not in self.samples]
+        if not_received:
+            await daemon.replace(self.lot_id, not_received)
         self.cursor = page.next_cursor
-        self.finished = page.finished and not lacking
+        self.finished = page.finished and not not_received
         await daemon.acknowledge(self.lot_id, [sample.sample_id for sample in page.samples])
 
-    def judge(self, page):
+    def check_page(self, page):
         for sample in page.samples:
-            known = self.samples.setdefault(sample.sample_id, sample)
-            assert known == sample, "one sample came with two contents"
+            received = self.samples.setdefault(sample.sample_id, sample)
+            assert received == sample, "a sample was delivered with two contents"
             oldest = min(span.version for span in sample.spans)
-            assert self.world.version - oldest <= BOUND, "a sample over the bound was given"
+            assert self.cluster.version - oldest <= BOUND, "a sample over the staleness bound was delivered"
         self.failed.update((failure.index, failure.code) for failure in page.failed)
 
     async def read_all(self, *daemons):
-        """Read through each daemon in turn, until it dies or refuses, then through the next."""
+        """Read from the daemons in turn until the lot is finished."""
         for turn in range(500):
             if self.finished:
                 return
@@ -133,17 +135,18 @@
             if daemon.client.down:
                 await asyncio.sleep(0.1)
                 continue
-            await self.step_or_death(daemon)
-        raise AssertionError("the lot does not end")
+            await self.step_or_crash(daemon)
+        raise AssertionError("the lot is not finished after 500 reads")
 
-    async def step_or_death(self, daemon):
+    async def step_or_crash(self, daemon):
+        """Read once; when the daemon crashes meanwhile, cancel the read and close the daemon."""
         step = asyncio.ensure_future(self.step(daemon))
-        died = asyncio.ensure_future(daemon.client.died.wait())
-        await asyncio.wait({step, died}, return_when=asyncio.FIRST_COMPLETED)
-        died.cancel()
-        if daemon.client.died.is_set():
+        crashed = asyncio.ensure_future(daemon.client.crashed.wait())
+        await asyncio.wait({step, crashed}, return_when=asyncio.FIRST_COMPLETED)
+        crashed.cancel()
+        if daemon.client.crashed.is_set():
             step.cancel()
-            await self.world.kill(daemon)
+            await self.cluster.kill(daemon)
         try:
             await step
         except (PassgateError, asyncio.CancelledError):
@@ -161,84 +164,87 @@
     )
 
 
-def whole(prompts):
+def all_sample_ids(prompts):
     return [f"lot/{index}" for index in range(prompts)]
 
 
 def test_trainer_gets_each_sample_once():
     async def scenario():
-        world = World()
-        daemon = world.daemon("d1")
+        cluster = Cluster()
+        daemon = cluster.daemon("d1")
         await daemon.open(request(7), "lot")
-        trainer = Trainer(world)
+        trainer = Trainer(cluster)
         await trainer.read_all(daemon)
-        assert sorted(trainer.samples) == whole(7)
-        assert len(world.requests) == 7
-        assert {made.minimum_version for made in world.requests} == {4}
+        assert sorted(trainer.samples) == all_sample_ids(7)
+        assert len(cluster.requests) == 7
+        assert {sent.minimum_version for sent in cluster.requests} == {4}
         info = await daemon.info("lot")
         assert (info.acknowledged, info.finished) == (7, True)
 
     run_virtual(scenario())
 
 
-@pytest.mark.parametrize("lands", [False, True])
+@pytest.mark.parametrize("appends_before_crash", [False, True])
 @pytest.mark.parametrize("append", range(1, 10))
-def test_daemon_killed_at_each_of_its_appends_loses_and_doubles_nothing(append, lands):
+def test_daemon_that_crashes_at_any_append_loses_and_duplicates_no_sample(append, appends_before_crash):
     async def scenario():
-        world = World()
-        world.stagger_s = 0.5
-        first, second = world.daemon("d1"), world.daemon("d2")
-        first.client.dies_at, first.client.lands = append, lands
+        cluster = Cluster()
+        cluster.stagger_s = 0.5
+        first, second = cluster.daemon("d1"), cluster.daemon("d2")
+        first.client.crash_at_append, first.client.appends_before_crash = append, appends_before_crash
         try:
             await first.open(request(5), "lot")
         except DurabilityUnavailable:
-            await world.kill(first)
+            await cluster.kill(first)
             await second.open(request(5), "lot")
-        trainer = Trainer(world)
+        trainer = Trainer(cluster)
         await trainer.read_all(first, first, first, second)
-        assert sorted(trainer.samples) == whole(5)
-        assert first.client.died.is_set()
+        assert sorted(trainer.samples) == all_sample_ids(5)
+        assert first.client.crashed.is_set()
 
     run_virtual(scenario())
 
 
-async def random_faults(seed):
-    """Two readers, four daemons of which three die, lost answers, and new versions."""
-    world, random = World(), Random(seed)
-    daemons = [world.daemon(f"d{number}") for number in range(4)]
+async def run_with_random_faults(seed):
+    """Two readers, four daemons of which three crash, random append faults, and new versions."""
+    cluster, random = Cluster(), Random(seed)
+    daemons = [cluster.daemon(f"d{number}") for number in range(4)]
     await daemons[0].open(request(8), "lot")
     for daemon in daemons[:3]:
-        daemon.client.dies_at, daemon.client.lands = random.randint(2, 30), random.random() < 0.5
+        daemon.client.crash_at_append, daemon.client.appends_before_crash = (
+            random.randint(2, 30),
+            random.random() < 0.5,
+        )
     for daemon in daemons:
-        daemon.client.script(*random.choices(list(AppendFault), k=6))
+        daemon.client.script_faults(*random.choices(list(AppendFault), k=6))
 
     async def publish():
         for _ in range(4):
             await asyncio.sleep(random.expovariate(0.5))
-            world.version += 1
-            world.log.land_late()
+            cluster.version += 1
+            cluster.log.append_delayed()
 
-    publishing = asyncio.ensure_future(publish())
-    trainers = [Trainer(world), Trainer(world)]
+    publish_task = asyncio.ensure_future(publish())
+    trainers = [Trainer(cluster), Trainer(cluster)]
     trainers[1].samples = trainers[0].samples
     await asyncio.gather(*(trainer.read_all(*daemons) for trainer in trainers))
-    publishing.cancel()
-    assert sorted(trainers[0].samples) == whole(8)
+    publish_task.cancel()
+    assert sorted(trainers[0].samples) == all_sample_ids(8)
 
 
 @given(seed=st.integers(0, 2**32))
 @settings(max_examples=60, deadline=None)
-def test_random_deaths_lost_answers_and_new_versions_keep_the_promises(seed):
-    run_virtual(random_faults(seed))
+def test_each_sample_is_delivered_once_under_random_faults(seed):
+    run_virtual(run_with_random_faults(seed))
 
 
-def test_repeated_read_gives_the_same_through_any_daemon():
+def test_repeated_read_returns_the_same_samples_on_any_daemon():
     async def scenario():
-        world = World()
-        first, second = world.daemon("d1"), world.daemon("d2")
+        cluster = Cluster()
+        first, second = cluster.daemon("d1"), cluster.daemon("d2")
         await first.open(request(6), "lot")
         await asyncio.sleep(2)
-        first.client.script(AppendFault.ANSWER_LOST)
+        first.client.script_faults(AppendFault.RESPONSE_LOST)
         pages = await asyncio.gather(
             first.read("lot", 0, 4, 1.0), second.read("lot", 0, 3, 1.0), second.read("lot", 0, 4, 1.0)
         )
@@ -251,26 +257,26 @@
     run_virtual(scenario())
 
 
-def test_sample_that_went_stale_while_it_waited_is_produced_again():
+def test_sample_that_became_stale_before_the_hand_over_is_produced_again():
     async def scenario():
-        world = World()
-        daemon = world.daemon("d1")
+        cluster = Cluster()
+        daemon = cluster.daemon("d1")
         await daemon.open(request(3), "lot")
         await asyncio.sleep(1.5)
         assert (await daemon.info("lot")).committed == 3
-        world.version = 7
-        trainer = Trainer(world)
+        cluster.version = 7
+        trainer = Trainer(cluster)
         await trainer.read_all(daemon)
         assert {sample.attempt for sample in trainer.samples.values()} == {1}
-        assert len(world.requests) == 6
+        assert len(cluster.requests) == 6
 
     run_virtual(scenario())
 
 
-def test_version_told_by_the_trainer_counts_too():
+def test_staleness_counts_from_the_version_that_the_trainer_sends():
     async def scenario():
-        world = World()
-        daemon = world.daemon("d1")
+        cluster = Cluster()
+        daemon = cluster.daemon("d1")
         await daemon.open(request(1), "lot")
         await asyncio.sleep(1.5)
         page = await daemon.read("lot", 0, 1, 0.0, trainer_version=7)
@@ -280,38 +286,38 @@
     run_virtual(scenario())
 
 
-def test_version_published_during_the_hand_over_withholds_the_sample():
+def test_sample_that_becomes_stale_during_the_hand_over_is_not_delivered():
     async def scenario():
-        world = World()
-        daemon = world.daemon("d1")
+        cluster = Cluster()
+        daemon = cluster.daemon("d1")
         await daemon.open(request(1), "lot")
         await asyncio.sleep(1.5)
         daemon.client.latency_s = 0.2
-        reading = asyncio.ensure_future(daemon.read("lot", 0, 1, 1.0))
+        read_task = asyncio.ensure_future(daemon.read("lot", 0, 1, 1.0))
         await asyncio.sleep(0.1)
-        world.version = 7
-        page = await reading
+        cluster.version = 7
+        page = await read_task
         assert (page.samples, page.withdrawn, page.finished) == ((), ("lot/0",), False)
 
     run_virtual(scenario())
 
 
-def test_withdrawn_sample_is_replaced_once_however_often_that_is_asked():
+def test_withdrawn_sample_is_replaced_once_by_repeated_calls():
     async def scenario():
-        world = World()
-        first, second = world.daemon("d1"), world.daemon("d2")
+        cluster = Cluster()
+        first, second = cluster.daemon("d1"), cluster.daemon("d2")
         await first.open(request(2), "lot")
-        given_page = await first.read("lot", 0, 2, 5.0)
-        assert len(given_page.samples) == 2
-        world.version = 7
+        first_page = await first.read("lot", 0, 2, 5.0)
+        assert len(first_page.samples) == 2
+        cluster.version = 7
         again = await second.read("lot", 0, 2, 1.0)
         assert (again.samples, again.withdrawn) == ((), ("lot/0", "lot/1"))
-        answers = await asyncio.gather(first.replace("lot", ["lot/1"]), second.replace("lot", ["lot/1"]))
-        assert sorted(answers) == [(), ("lot/1",)]
+        results = await asyncio.gather(first.replace("lot", ["lot/1"]), second.replace("lot", ["lot/1"]))
+        assert sorted(results) == [(), ("lot/1",)]
         page = await second.read("lot", again.next_cursor, 2, 5.0)
         assert [(sample.index, sample.attempt) for sample in page.samples] == [(1, 1)]
         assert await first.replace("lot", ["lot/1"]) == ()
-        assert len(world.requests) == 3
+        assert len(cluster.requests) == 3
         again = await first.read("lot", 0, 1 + again.next_cursor, 0.0)
         assert [(sample.index, sample.attempt) for sample in again.samples] == [(1, 1)]
         assert again.withdrawn == ("lot/0",)
@@ -319,74 +325,74 @@
     run_virtual(scenario())
 
 
-def test_keeper_wrongly_believed_dead_does_no_harm():
+def test_keeper_wrongly_considered_dead_commits_nothing():
     async def scenario():
-        world = World()
-        paused, other = world.daemon("d1"), world.daemon("d2")
+        cluster = Cluster()
+        paused, other = cluster.daemon("d1"), cluster.daemon("d2")
         await paused.open(request(4), "lot")
-        world.alive.discard("d1")
-        trainer = Trainer(world)
+        cluster.alive.discard("d1")
+        trainer = Trainer(cluster)
         await trainer.read_all(other, paused)
-        assert sorted(trainer.samples) == whole(4)
+        assert sorted(trainer.samples) == all_sample_ids(4)
         assert (await other.info("lot")).keeper == "d2"
-        assert b'"epoch":1,"body":{"type":"sample_committed"' not in b"".join(world.log.streams["lot.lot"])
+        assert b'"epoch":1,"body":{"type":"sample_committed"' not in b"".join(cluster.log.streams["lot.lot"])
 
     run_virtual(scenario())
 
 
-def test_daemons_that_believe_each_other_dead_still_finish_the_lot():
+def test_daemons_that_consider_each_other_dead_still_finish_the_lot():
     async def scenario():
-        world = World()
-        world.production_s = 20.0
-        first, second = world.daemon("d1"), world.daemon("d2")
-        world.alive.clear()
+        cluster = Cluster()
+        cluster.production_s = 20.0
+        first, second = cluster.daemon("d1"), cluster.daemon("d2")
+        cluster.alive.clear()
         await first.open(request(4), "lot")
-        trainer = Trainer(world)
+        trainer = Trainer(cluster)
         await trainer.read_all(first, second)
-        assert sorted(trainer.samples) == whole(4)
+        assert sorted(trainer.samples) == all_sample_ids(4)
         assert (await first.info("lot")).epoch < 12
 
     run_virtual(scenario())
 
 
-def test_samples_of_a_silent_trainer_are_not_renewed_for_ever():
+def test_stale_samples_of_an_inactive_trainer_are_not_produced_again():
     async def scenario():
-        world = World()
-        daemon = world.daemon("d1")
+        cluster = Cluster()
+        daemon = cluster.daemon("d1")
         await daemon.open(request(2), "lot")
         for _ in range(20):
             await asyncio.sleep(360)
-            world.version += 2
-        assert len(world.requests) == 2
-        await Trainer(world).read_all(daemon)
-        assert len(world.requests) == 4
+            cluster.version += 2
+        assert len(cluster.requests) == 2
+        await Trainer(cluster).read_all(daemon)
+        assert len(cluster.requests) == 4
 
     run_virtual(scenario())
 
 
-def test_planned_stop_commits_what_is_under_way_and_another_takes_over():
+def test_drain_commits_samples_in_progress_and_releases_the_lot():
     async def scenario():
-        world = World()
-        leaving, other = world.daemon("d1"), world.daemon("d2")
-        await leaving.open(request(4), "lot")
+        cluster = Cluster()
+        draining, other = cluster.daemon("d1"), cluster.daemon("d2")
+        await draining.open(request(4), "lot")
         await asyncio.sleep(0.5)
-        await leaving.drain(timeout_s=30.0)
+        await draining.drain(timeout_s=30.0)
         info = await other.info("lot")
         assert (info.committed, info.open, info.keeper) == (4, 0, "")
-        trainer = Trainer(world)
-        world.version = 7
-        await trainer.step(leaving)
+        trainer = Trainer(cluster)
+        cluster.version = 7
+        await trainer.step(draining)
         await trainer.read_all(other)
-        assert sorted(trainer.samples) == whole(4)
+        assert sorted(trainer.samples) == all_sample_ids(4)
         assert (await other.info("lot")).keeper == "d2"
 
     run_virtual(scenario())
 
 
-def test_production_goes_on_in_an_outage_and_reads_are_refused():
+def test_production_continues_and_reads_fail_during_a_log_outage():
     async def scenario():
-        world = World()
-        daemon = world.daemon("d1")
+        cluster = Cluster()
+        daemon = cluster.daemon("d1")
         await daemon.open(request(4), "lot")
         await asyncio.sleep(1.5)
         daemon.client.down = True
@@ -394,18 +400,18 @@
             await daemon.read("lot", 0, 2, 1.0)
         await asyncio.sleep(300)
         daemon.client.down = False
-        trainer = Trainer(world)
+        trainer = Trainer(cluster)
         await trainer.read_all(daemon)
-        assert sorted(trainer.samples) == whole(4)
-        assert len(world.requests) == 4
+        assert sorted(trainer.samples) == all_sample_ids(4)
+        assert len(cluster.requests) == 4
 
     run_virtual(scenario())
 
 
-def test_pinned_samples_are_given_also_in_an_outage():
+def test_samples_already_handed_over_are_served_during_a_log_outage():
     async def scenario():
-        world = World()
-        daemon = world.daemon("d1")
+        cluster = Cluster()
+        daemon = cluster.daemon("d1")
         await daemon.open(request(4), "lot")
         page = await daemon.read("lot", 0, 2, 5.0)
         daemon.client.down = True
@@ -414,44 +420,44 @@
     run_virtual(scenario())
 
 
-def test_slot_that_can_not_be_produced_fails_with_its_type():
+def test_slot_that_can_not_be_produced_fails_with_the_code_of_its_error():
     async def scenario():
-        world = World()
-        daemon = world.daemon("d1")
-        world.failures = {f"lot/0/0/1/{tries}": Overloaded("full", retry_after_s=3.0) for tries in range(9)}
-        world.failures["lot/1/0/1/1"] = InvalidRequest("bad prompt")
-        world.failures["lot/2/0/1/1"] = Overloaded("full", retry_after_s=3.0)
-        world.failures["lot/2/0/1/2"] = ValueError("a bug")
+        cluster = Cluster()
+        daemon = cluster.daemon("d1")
+        cluster.failures = {f"lot/0/0/1/{tries}": Overloaded("full", retry_after_s=3.0) for tries in range(9)}
+        cluster.failures["lot/1/0/1/1"] = InvalidRequest("bad prompt")
+        cluster.failures["lot/2/0/1/1"] = Overloaded("full", retry_after_s=3.0)
+        cluster.failures["lot/2/0/1/2"] = ValueError("a bug")
         await daemon.open(request(3, deadline_s=20.0), "lot")
-        trainer = Trainer(world)
+        trainer = Trainer(cluster)
         await trainer.read_all(daemon)
         assert trainer.failed == {0: "deadline_exceeded", 1: "invalid_request"}
         assert sorted(trainer.samples) == ["lot/2"]
         assert monotonic_s() < 22.0
-        assert len(world.requests) < 20
+        assert len(cluster.requests) < 20
 
     run_virtual(scenario())
 
 
-def test_open_is_idempotent_and_a_reused_identifier_is_refused():
+def test_open_is_idempotent_and_refuses_an_identifier_of_another_request():
     async def scenario():
-        world = World()
-        first, second = world.daemon("d1"), world.daemon("d2")
+        cluster = Cluster()
+        first, second = cluster.daemon("d1"), cluster.daemon("d2")
         infos = await asyncio.gather(
             first.open(request(3, deadline_s=9.0), "lot"), second.open(request(3, deadline_s=8.0), "lot")
         )
         assert infos[0].lot_id == infos[1].lot_id
         with pytest.raises(KeyReused):
             await second.open(request(4), "lot")
-        trainer = Trainer(world)
+        trainer = Trainer(cluster)
         await trainer.read_all(first, second)
-        assert len(world.requests) == 3
+        assert len(cluster.requests) == 3
 
     run_virtual(scenario())
 
 
 @pytest.mark.parametrize(
-    ("wrong", "field"),
+    ("invalid_request", "field"),
     [
         (request(0), "prompts"),
         (request(1, staleness_bound=-1), "staleness_bound"),
@@ -460,21 +466,21 @@
         (replace(request(1), prompts=(PromptSpec(prompt=(1,), max_tokens=0),)), "prompts.max_tokens"),
     ],
 )
-def test_wrong_lot_is_refused_before_anything_is_written(wrong, field):
+def test_invalid_request_is_refused_before_anything_is_written(invalid_request, field):
     async def scenario():
-        world = World()
+        cluster = Cluster()
         with pytest.raises(InvalidRequest) as caught:
-            await world.daemon("d1").open(wrong, "lot")
+            await cluster.daemon("d1").open(invalid_request, "lot")
         assert caught.value.details["field"] == field
-        assert not world.log.streams
+        assert not cluster.log.streams
 
     run_virtual(scenario())
 
 
-def test_cancelled_lot_ends_for_all():
+def test_cancelled_lot_is_finished_on_all_daemons():
     async def scenario():
-        world = World()
-        first, second = world.daemon("d1"), world.daemon("d2")
+        cluster = Cluster()
+        first, second = cluster.daemon("d1"), cluster.daemon("d2")
         await first.open(request(3), "lot")
         await second.cancel("lot")
         page = await first.read("lot", 0, 3, 5.0)
@@ -485,10 +491,10 @@
     run_virtual(scenario())
 
 
-def test_close_ends_at_once_while_samples_are_under_way():
+def test_close_returns_at_once_while_samples_are_in_progress():
     async def scenario():
-        world = World()
-        daemon = world.daemon("d1")
+        cluster = Cluster()
+        daemon = cluster.daemon("d1")
         await daemon.open(request(4), "lot")
         async with asyncio.timeout(0.5):
             await daemon.close()
@@ -496,18 +502,18 @@
     run_virtual(scenario())
 
 
-def test_unknown_and_idle_lots_are_not_followed_for_ever():
+def test_unknown_and_idle_lots_are_no_longer_followed():
     async def scenario():
-        world = World()
-        daemon = world.daemon("d1")
+        cluster = Cluster()
+        daemon = cluster.daemon("d1")
         for number in range(50):
             with pytest.raises(NotFound):
                 await daemon.info(f"none-{number}")
         await daemon.open(request(1), "lot")
-        await Trainer(world).read_all(daemon)
-        await asyncio.sleep(lots_module.IDLE_LOT_S + 1)
+        await Trainer(cluster).read_all(daemon)
+        await asyncio.sleep(lots_module.IDLE_LOT_TIMEOUT_S + 1)
         with pytest.raises(NotFound):
             await daemon.info("none")
-        assert set(daemon._handles) == {"none"}
+        assert set(daemon._handle_by_lot) == {"none"}
 
     run_virtual(scenario())
