--- a/passgate/state/append_queue.py
+++ b/passgate/state/append_queue.py
@@ -1,16 +1,12 @@
 """Queue of one writer's proposals for one stream: batched appends with retries and deadlines.
 
-One append is in flight at a time and carries a batch of proposals, limited by
-:data:`BATCH_LIMIT_RECORDS` and :data:`BATCH_LIMIT_BYTES`.  An append whose outcome is
-unknown is repeated with the same sequences until one is confirmed or its records are
-decided, so that every reader recognises the copies.  The next batch must wait for
-that: when a record of a higher sequence comes first on the log, all copies of the
-lower one are rejected.
-
-A proposal whose deadline passes is dropped when it was certainly never appended.  When
-it may have been appended, the retries carry
-:class:`~passgate.records.ProposalWithdrawn` under its sequence instead.  The first of
-the two on the log counts, so an abandoned proposal can not take effect later.
+One append is in flight at a time.  While its outcome is unknown it is repeated with
+the same sequences, so that readers recognise the copies.  The next batch must wait:
+once a higher sequence is on the log, readers reject all lower ones of the writer.
+
+A proposal that is given up is dropped when it was certainly never appended.  Otherwise
+further retries carry :class:`~passgate.records.ProposalWithdrawn` under its sequence,
+and the first of the two on the log counts.
 """
 
 from __future__ import annotations
@@ -198,6 +194,7 @@
         return batch
 
     async def _append_until_resolved(self, batch: list[Proposal]) -> None:
+        """Repeat the append until it is confirmed or every proposal of the batch is settled."""
         while batch := [proposal for proposal in batch if not proposal.settled]:
             if await self._append_once(batch):
                 self._backoff.reset()
@@ -251,6 +248,7 @@
             raise DurabilityUnknown("the append did not return in time")
 
     def _record_settled(self, sequence: int) -> None:
+        """Record that a sequence is decided; resolve ``_batch_settled`` after the last one in flight."""
         self._undecided_in_flight.discard(sequence)
         if (
             not self._undecided_in_flight
@@ -260,7 +258,7 @@
             self._batch_settled.set_result(None)
 
     def _mark_not_appended(self, proposals: list[Proposal]) -> None:
-        """Note that no append of these has had an effect; an abandoned one needs no withdrawal then."""
+        """Record that no append of these proposals had an effect; settle the abandoned ones."""
         for proposal in proposals:
             proposal.maybe_appended = False
             if proposal.abandoned:
@@ -281,6 +279,7 @@
         self._record_settled(proposal.sequence)
 
     def _move_deadline_timer(self, proposal: Proposal) -> None:
+        """Replace the timer of the proposal's predecessor by one for the proposal, at the same time."""
         previous = proposal.deadline_timer
         assert previous is not None
         loop = asyncio.get_running_loop()
--- a/passgate/state/claims.py
+++ b/passgate/state/claims.py
@@ -4,10 +4,9 @@
 
     outcome = await claims.run_once(key, request_digest, run, timeout_s=2.0)
 
-A call claims the key on the log before it runs the request.  A later call with the
-same key, on any daemon, never runs the request again: it gets the stored outcome, or
-an error that says that the run is in progress or that its outcome is unknown.  Only a
-run that certainly did not happen frees the key.
+A call claims the key on the log before it runs the request.  Later calls with the key
+get the stored outcome, or an error when the run is in progress or its outcome is
+unknown.  The key is released only when the request certainly did not run.
 """
 
 from __future__ import annotations
--- a/passgate/state/leases.py
+++ b/passgate/state/leases.py
@@ -5,11 +5,10 @@
     epoch = await leases.take("pool/modelos", timeout_s=2.0)
     order = EngineOrder(..., fence=epoch)
 
-A lease has no expiry time and is not renewed.  It ends when its holder releases it
-or another daemon takes the next epoch, which it may do once membership declares the
-holder dead.  A holder that was paused may still act under its old epoch, so every
-message that a holder sends must carry the epoch as a fence, and its receiver must
-refuse older fences.
+A lease has no expiry time.  It ends when its holder releases it, or when another
+daemon takes the next epoch after membership declared the holder dead.  A paused holder
+may still act under its old epoch, so everything that it sends must carry the epoch as
+a fence, and receivers must refuse older fences.
 """
 
 from __future__ import annotations
--- a/passgate/state/lot_keeper.py
+++ b/passgate/state/lot_keeper.py
@@ -40,7 +40,7 @@
 PRODUCTION_LIMIT_SAMPLES = 512
 """Largest number of samples of a lot that one keeper produces at a time."""
 IN_PROGRESS_LIMIT_SAMPLES = 1024
-"""Largest number of samples that are being produced or wait for the log; bounds memory in an outage."""
+"""Largest number of samples that are being produced or wait for the log; production pauses at it."""
 COMMIT_TIMEOUT_S = 60.0
 EXPIRE_TIMEOUT_S = 5.0
 RELEASE_TIMEOUT_S = 5.0
@@ -182,8 +182,7 @@
 
         Raises:
             DeadlineExceeded: the lot's deadline passed.
-            InvalidRequest: the request can not succeed; NotFound is retried, because
-                pools and models may be configured later.
+            InvalidRequest: the request can not succeed; its subclass NotFound is retried.
         """
         backoff_s = RETRY_INITIAL_S
         for request_number in itertools.count(1):
--- a/passgate/state/lot_state.py
+++ b/passgate/state/lot_state.py
@@ -132,7 +132,7 @@
 
 
 def _is_same_lot(first: LotOpened, second: LotOpened) -> bool:
-    """Compare two openings except for deadline and trainer version, which a repeated call computes anew."""
+    """Compare two openings, except for deadline and trainer version, which differ between repeated calls."""
     second = msgspec.structs.replace(
         second, deadline_unix_s=first.deadline_unix_s, trainer_version=first.trainer_version
     )
--- a/passgate/state/lot_values.py
+++ b/passgate/state/lot_values.py
@@ -11,7 +11,7 @@
 
 
 class SlotStatus(enum.Enum):
-    """Status of one slot."""
+    """How far a slot has come from its prompt to an acknowledged sample."""
 
     OPEN = "open"
     """Its sample is to be produced."""
--- a/passgate/state/lots.py
+++ b/passgate/state/lots.py
@@ -6,10 +6,10 @@
     page = await lots.read(info.lot_id, cursor=0, limit=64, wait_s=10.0, trainer_version=None)
     await lots.acknowledge(info.lot_id, [sample.sample_id for sample in page.samples])
 
-Every daemon serves every lot from the records on the log.  One of them, the keeper of
-the lot, produces its samples; a daemon that serves a call for a lot whose keeper is
-dead or has released it takes the lot over.  A trainer may read a sample more than once,
-always with the same content, and recognises it by its ``sample_id``.
+Every daemon serves every lot.  One of them, the keeper of the lot, produces its
+samples; when it is dead or has released the lot, the next daemon that gets a call for
+the lot takes it over.  Repeated reads return a sample with the same content and the
+same ``sample_id``, by which a trainer must recognise duplicates.
 """
 
 from __future__ import annotations
@@ -143,9 +143,9 @@
         lot_id = lot_id or f"{self._random.getrandbits(64):016x}"
         handle = self._get_or_create_handle(lot_id)
         body = make_opening_record(request, lot_id, self._newest_version(request.model))
-        opening = handle.propose(body, timeout_s=PROPOSE_TIMEOUT_S)
-        taking = self._take_over(handle, 1) if handle.projection.header.epoch == 0 else asyncio.sleep(0)
-        decision, _ = await asyncio.gather(opening, taking)
+        open_proposal = handle.propose(body, timeout_s=PROPOSE_TIMEOUT_S)
+        takeover = self._take_over(handle, 1) if handle.projection.header.epoch == 0 else asyncio.sleep(0)
+        decision, _ = await asyncio.gather(open_proposal, takeover)
         if isinstance(decision, Rejected):
             raise decision.error
         await self._ensure_keeper(handle)
