--- a/passgate/state/configuration_state.py
+++ b/passgate/state/configuration_state.py
@@ -1,8 +1,9 @@
 """Projection of the configuration stream: pools, model versions and priority classes.
 
-Optimistic concurrency: a change names the revision of the object that it replaces.  Of
-several changes to one revision the first on the log is accepted and every reader
-rejects the others, so no change overwrites one that its operator has not seen.
+Optimistic concurrency: a change may name the revision of the object that it replaces.
+Of several changes to one revision the first on the log is accepted and every reader
+rejects the others.  Only a change that names no revision can overwrite one that its
+operator has not seen.
 """
 
 from __future__ import annotations
@@ -160,7 +161,7 @@
     # --- projection ------------------------------------------------------------------
 
     def apply(self, offset: int, record: Record) -> Decision:
-        """Apply one record of the configuration stream."""
+        """Apply one record of the configuration stream; reject it when its specification is not valid."""
         body = record.body
         if not isinstance(body, ObjectPut | ObjectDeleted):
             return Rejected(offset, UnknownRecord("the record is not a configuration record"))
--- a/passgate/state/fold.py
+++ b/passgate/state/fold.py
@@ -72,22 +72,22 @@
     """Rejects records whose writer has already had the same or a higher sequence on the stream.
 
     A writer appends one batch at a time, so a sequence that is not higher than its
-    last one belongs to a copy, or to a record that a later one overtook.  At most
-    :data:`TRACKED_WRITERS_LIMIT` writers are remembered; eviction depends on the
-    records alone, so that all readers evict the same writers.
+    last one belongs to a copy, or to a record that reached the log after a later one.
+    At most :data:`TRACKED_WRITERS_LIMIT` writers are remembered.  Eviction depends on
+    the records alone, so that all readers evict the same writers.
     """
 
     def __init__(self, last_sequence_by_writer: dict[str, int] | None = None) -> None:
         self._last_sequence_by_writer = dict(last_sequence_by_writer or {})
 
     def admit(self, writer: str, sequence: int) -> bool:
-        """Record the sequence; return whether it is higher than all before it of this writer."""
-        last = self._last_sequence_by_writer.pop(writer, 0)
+        """Record the sequence; return whether it is higher than every earlier one of this writer."""
+        last_sequence = self._last_sequence_by_writer.pop(writer, 0)
         # Removing and inserting the key moves it to the end, which keeps the mapping in order of last use.
-        self._last_sequence_by_writer[writer] = max(last, sequence)
+        self._last_sequence_by_writer[writer] = max(last_sequence, sequence)
         if len(self._last_sequence_by_writer) > TRACKED_WRITERS_LIMIT:
             del self._last_sequence_by_writer[next(iter(self._last_sequence_by_writer))]
-        return sequence > last
+        return sequence > last_sequence
 
     def last_sequence_by_writer(self) -> dict[str, int]:
         """Return the highest sequence of each writer, least recent writer first."""
@@ -158,7 +158,8 @@
         """Replace the state by a snapshot; return False and keep the state when that is not possible.
 
         A snapshot is refused when it contains no record after the last applied one,
-        has a newer schema version, or can not be decoded.
+        has a newer schema version, or can not be decoded.  Errors of the projection
+        other than ``msgspec.MsgspecError`` are raised.
         """
         if snapshot.offset < self.next_offset or snapshot.schema_version > SNAPSHOT_SCHEMA_VERSION:
             return False
--- a/passgate/state/lot_types.py
+++ b/passgate/state/lot_types.py
@@ -23,7 +23,7 @@
     staleness_bound: int = 0
     """Largest number of versions that a sample may be behind the trainer's version at hand-over."""
     trainer_version: int = 0
-    """Weight version of the trainer; the newest configured version is used when it is higher."""
+    """Weight version of the trainer; the newest configured version counts instead when it is higher."""
     deadline_s: float | None = None
     """Seconds from the request on, after which slots without a sample fail; None for no deadline."""
     prompts: tuple[PromptSpec, ...]
