--- a/passgate/charts/__init__.py
+++ b/passgate/charts/__init__.py
@@ -1,1 +1,4 @@
-"""State charts as YAML files; interpreted by :mod:`passgate.statecharts`."""
+"""State charts as YAML files, and tools to compile, document and measure them.
+
+:mod:`passgate.statecharts` runs the compiled charts.
+"""
--- a/passgate/charts/document.py
+++ b/passgate/charts/document.py
@@ -1,11 +1,11 @@
-"""Pages with pictures of the state charts, generated from the files that the code interprets.
+"""Generates the Markdown pages of the state charts, with diagrams, from the chart files.
 
 ::
 
     python -m passgate.charts.document            # write docs/charts/*.md
-    python -m passgate.charts.document --check    # exit 1 when a page is not up to date
+    python -m passgate.charts.document --check    # exit 1 if a page is outdated
 
->>> page("lease").splitlines()[0]
+>>> render_page("lease").splitlines()[0]
 '# State chart: lease'
 """
 
@@ -26,8 +26,8 @@
 _INDENT = "    "
 
 
-def page(name: str) -> str:
-    """Return the Markdown page of one chart, with its picture in mermaid's form."""
+def render_page(name: str) -> str:
+    """Return the Markdown page of one chart, with a Mermaid diagram and a transition table."""
     statechart = read_statechart(name)
     lines = [
         f"# State chart: {name}",
@@ -38,28 +38,28 @@
         "",
         "```mermaid",
         "stateDiagram-v2",
-        *picture(statechart, statechart.root, _INDENT),
+        *render_states(statechart, statechart.root, _INDENT),
         "```",
         "",
         "| state | event | next state |",
         "|---|---|---|",
-        *_rows(name),
+        *_render_table_rows(name),
     ]
     return "\n".join(lines) + "\n"
 
 
-def picture(statechart: Statechart, parent: str, indent: str) -> list[str]:
-    """Return the mermaid lines of the states inside ``parent``, nested states included."""
+def render_states(statechart: Statechart, parent: str, indent: str) -> list[str]:
+    """Return the Mermaid lines of the states inside ``parent``, including nested ones."""
     lines = [f"{indent}[*] --> {statechart.state_for(parent).initial}"]
     children = sorted(statechart.children_for(parent))
     for child in children:
-        lines += _state_lines(statechart, child, indent)
+        lines += _render_state(statechart, child, indent)
     for child in children:
-        lines += _transition_lines(statechart, child, indent)
+        lines += _render_transitions(statechart, child, indent)
     return lines
 
 
-def index() -> str:
+def render_index() -> str:
     """Return the page that lists all charts."""
     lines = ["# State charts", "", "The code interprets these files; see `passgate/statecharts.py`.", ""]
     for name in chart_names():
@@ -69,48 +69,48 @@
     return "\n".join(lines) + "\n"
 
 
-def pages() -> dict[str, str]:
+def render_pages() -> dict[str, str]:
     """Return all pages by file name."""
-    return {"README.md": index(), **{f"{name}.md": page(name) for name in chart_names()}}
+    return {"README.md": render_index(), **{f"{name}.md": render_page(name) for name in chart_names()}}
 
 
 def stale_pages(directory: Path) -> list[str]:
-    """Return the names of pages that differ from what the charts say, or have no chart."""
-    wanted = pages()
+    """Return the names of pages that are missing, differ from the charts, or have no chart."""
+    expected = render_pages()
     found = {file.name: file.read_text(encoding="utf-8") for file in directory.glob("*.md")}
-    return sorted(name for name in wanted.keys() | found.keys() if wanted.get(name) != found.get(name))
+    return sorted(name for name in expected.keys() | found.keys() if expected.get(name) != found.get(name))
 
 
 def write(directory: str = str(DIRECTORY), check: bool = False) -> None:
-    """Write all pages, or with --check compare them and exit 1 on a difference."""
-    target = Path(directory)
+    """Write all pages, or with ``check`` raise VerificationFailed when any is outdated."""
+    directory_path = Path(directory)
     if check:
-        stale = stale_pages(target)
+        stale = stale_pages(directory_path)
         if stale:
             raise VerificationFailed(f"not up to date: {', '.join(stale)}; run {COMMAND}")
         return
-    target.mkdir(parents=True, exist_ok=True)
-    for name, text in pages().items():
-        (target / name).write_text(text, encoding="utf-8")
+    directory_path.mkdir(parents=True, exist_ok=True)
+    for name, text in render_pages().items():
+        (directory_path / name).write_text(text, encoding="utf-8")
 
 
-def _state_lines(statechart: Statechart, name: str, indent: str) -> list[str]:
+def _render_state(statechart: Statechart, name: str, indent: str) -> list[str]:
     state = statechart.state_for(name)
     if isinstance(state, CompoundState):
-        return [f"{indent}state {name} {{", *picture(statechart, name, indent + _INDENT), f"{indent}}}"]
+        return [f"{indent}state {name} {{", *render_states(statechart, name, indent + _INDENT), f"{indent}}}"]
     if isinstance(state, FinalState):
         return [f"{indent}{name} --> [*]"]
     return []
 
 
-def _transition_lines(statechart: Statechart, name: str, indent: str) -> list[str]:
+def _render_transitions(statechart: Statechart, name: str, indent: str) -> list[str]:
     return [
         f"{indent}{name} --> {transition.target or name} : {transition.event}"
         for transition in statechart.transitions_from(name)
     ]
 
 
-def _rows(name: str) -> list[str]:
+def _render_table_rows(name: str) -> list[str]:
     table = load_chart(name).table
     return [
         f"| `{state}` | `{event}` | `{target}` |"
@@ -120,7 +120,7 @@
 
 
 def main() -> None:
-    """Run the command line; exit code 1 when a page is not up to date."""
+    """Run the command line; exits with status 1 when ``--check`` finds an outdated page."""
     try:
         fire.Fire(write)
     except VerificationFailed as error:
--- a/passgate/charts/measure.py
+++ b/passgate/charts/measure.py
@@ -1,10 +1,10 @@
-"""Cost of one event of a state chart: sismic's interpreter against the compiled table.
+"""Measures the cost per event of a state chart, with sismic's interpreter and with the compiled table.
 
 ::
 
     python -m passgate.charts.measure --out measurements/statecharts.jsonl
 
-The walk is one whole request (admit, dispatch, four pieces of output, complete).
+The measured events are those of one request: admit, dispatch, four chunks of output, complete.
 """
 
 from __future__ import annotations
@@ -23,101 +23,104 @@
 from passgate.statecharts import Machine, chart_names
 
 CHART = "request"
-WALK = ("admit", "dispatch", "chunk", "chunk", "chunk", "chunk", "complete")
+REQUEST_EVENTS = ("admit", "dispatch", "chunk", "chunk", "chunk", "chunk", "complete")
 REQUESTS_PER_S = 5_200
+"""Requests per second over all daemons, for which the cost is projected."""
 DAEMONS = 420
 ROUNDS = 7
-CONTROL_SHARE_OF_CORE = 0.011
-"""What a daemon may spend on control at the size aimed at."""
+CONTROL_BUDGET_CORES = 0.011
+"""Processor time per second that a daemon may spend on control at that load."""
 
 
 class ChartCost(msgspec.Struct, frozen=True, kw_only=True):
-    """Cost of one way to interpret a chart; times are processor time."""
+    """Cost of running a chart with one interpreter; times are processor time."""
 
     interpreter: str
     microseconds_per_event: float
-    """Median over the rounds, start of the machine included."""
+    """Median over the rounds, including the start of the machine."""
     least_microseconds: float
     events_per_request: int
     core_share_per_daemon: float
-    """At 5,200 requests/s over 420 daemons."""
+    """Share of a core per daemon, at ``REQUESTS_PER_S`` over ``DAEMONS``."""
     core_share_whole: float
-    """Cores over all daemons together."""
+    """Cores of all daemons together."""
     share_of_control_budget: float
     microseconds_to_start: float
     bytes_per_machine: int
 
 
-def walk_with_sismic() -> None:
-    """Run one request through sismic's interpreter."""
+def run_request_with_sismic() -> None:
+    """Send the events of one request to a new sismic interpreter."""
     interpreter = Interpreter(read_statechart(CHART))
     interpreter.execute()
-    for event in WALK:
+    for event in REQUEST_EVENTS:
         interpreter.queue(event)
         interpreter.execute()
 
 
-def walk_with_table() -> None:
-    """Run one request through the compiled table."""
+def run_request_with_table() -> None:
+    """Send the events of one request to a new machine with the compiled table."""
     machine = Machine(CHART)
-    for event in WALK:
+    for event in REQUEST_EVENTS:
         machine.send(event)
 
 
-def start_sismic() -> Interpreter:
-    """Return a machine of sismic in its initial state."""
+def start_sismic_machine() -> Interpreter:
+    """Return a sismic interpreter in the chart's initial state."""
     interpreter = Interpreter(read_statechart(CHART))
     interpreter.execute()
     return interpreter
 
 
-def microseconds(call: Callable[[], object], count: int) -> float:
-    """Return the processor time of one call."""
-    begun = time.process_time()
+def processor_microseconds(call: Callable[[], object], count: int) -> float:
+    """Return the mean processor time of a call, in microseconds."""
+    started_s = time.process_time()
     for _ in range(count):
         call()
-    return (time.process_time() - begun) / count * 1e6
+    return (time.process_time() - started_s) / count * 1e6
 
 
-def bytes_per(make: Callable[[], object], count: int) -> int:
-    """Return the traced memory per object, by keeping ``count`` of them."""
+def traced_bytes_per_object(make: Callable[[], object], count: int) -> int:
+    """Return the traced memory per object, in bytes, of ``count`` objects."""
     make()
     tracemalloc.start()
-    kept = [make() for _ in range(count)]
+    objects = [make() for _ in range(count)]
     traced_bytes, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    return traced_bytes // len(kept)
+    return traced_bytes // len(objects)
 
 
-def measure(name: str, walk: Callable[[], None], start: Callable[[], object], count: int) -> ChartCost:
-    """Measure one way to interpret the chart."""
-    rounds = [microseconds(walk, count) / len(WALK) for _ in range(ROUNDS)]
-    per_event = statistics.median(rounds)
-    events_per_s = REQUESTS_PER_S * len(WALK)
-    whole = per_event * 1e-6 * events_per_s
+def measure_interpreter(
+    name: str, run_request: Callable[[], None], start_machine: Callable[[], object], count: int
+) -> ChartCost:
+    """Measure the chart with one interpreter, ``count`` times per round."""
+    rounds_us = [processor_microseconds(run_request, count) / len(REQUEST_EVENTS) for _ in range(ROUNDS)]
+    per_event_us = statistics.median(rounds_us)
+    events_per_s = REQUESTS_PER_S * len(REQUEST_EVENTS)
+    total_cores = per_event_us * 1e-6 * events_per_s
     return ChartCost(
         interpreter=name,
-        microseconds_per_event=round(per_event, 3),
-        least_microseconds=round(min(rounds), 3),
-        events_per_request=len(WALK),
-        core_share_per_daemon=round(whole / DAEMONS, 6),
-        core_share_whole=round(whole, 4),
-        share_of_control_budget=round(whole / DAEMONS / CONTROL_SHARE_OF_CORE, 4),
-        microseconds_to_start=round(microseconds(start, count), 3),
-        bytes_per_machine=bytes_per(start, count),
+        microseconds_per_event=round(per_event_us, 3),
+        least_microseconds=round(min(rounds_us), 3),
+        events_per_request=len(REQUEST_EVENTS),
+        core_share_per_daemon=round(total_cores / DAEMONS, 6),
+        core_share_whole=round(total_cores, 4),
+        share_of_control_budget=round(total_cores / DAEMONS / CONTROL_BUDGET_CORES, 4),
+        microseconds_to_start=round(processor_microseconds(start_machine, count), 3),
+        bytes_per_machine=traced_bytes_per_object(start_machine, count),
     )
 
 
-def load_milliseconds() -> float:
-    """Return the time to read and compile all charts, as when the tables are made."""
+def compile_milliseconds() -> float:
+    """Return the time to read and compile all chart files, in milliseconds."""
     read_statechart.cache_clear()
-    begun = time.perf_counter()
+    started_s = time.perf_counter()
     for name in chart_names():
         compile_chart(read_statechart(name))
-    return (time.perf_counter() - begun) * 1e3
+    return (time.perf_counter() - started_s) * 1e3
 
 
-class LoadCost(msgspec.Struct, frozen=True, kw_only=True):
+class CompileCost(msgspec.Struct, frozen=True, kw_only=True):
     """Time to read and compile all charts once."""
 
     charts: int
@@ -125,11 +128,14 @@
 
 
 def run(out: str = "") -> None:
-    """Measure all ways, print them and append nothing: ``out`` is written anew."""
-    results: list[ChartCost | LoadCost] = [
-        measure("table", walk_with_table, lambda: Machine(CHART), 20_000),
-        measure("sismic", walk_with_sismic, start_sismic, 300),
-        LoadCost(charts=len(chart_names()), milliseconds=round(load_milliseconds(), 1)),
+    """Measure both interpreters and the compilation, print the results, and write them to ``out``.
+
+    ``out`` is overwritten; nothing is written when it is empty.
+    """
+    results: list[ChartCost | CompileCost] = [
+        measure_interpreter("table", run_request_with_table, lambda: Machine(CHART), 20_000),
+        measure_interpreter("sismic", run_request_with_sismic, start_sismic_machine, 300),
+        CompileCost(charts=len(chart_names()), milliseconds=round(compile_milliseconds(), 1)),
     ]
     lines = [msgspec.json.encode(result).decode() for result in results]
     print("\n".join(lines))
