--- a/passgate/routing/admission.py
+++ b/passgate/routing/admission.py
@@ -1,12 +1,12 @@
-"""Admission: refuse at once what would wait too long, with an honest time to come back.
+"""Admission control: rejects a request on arrival when a queue is full or its projected wait is too long.
 
-The projected wait is the work queued ahead divided by the measured rate at which
-this daemon's queue is served.  The rate is measured only while something waits,
-because an unloaded queue says nothing about the capacity behind it.
+The projected wait is the cost of the requests queued ahead, divided by the rate at
+which this daemon serves the queue of the pool.  The rate is computed only over time in
+which requests wait, because an empty queue does not show the capacity behind it.
 
 >>> rate = ServiceRate()
 >>> for second in range(10):
-...     rate.served(cost=100.0, waiting=True, now_s=float(second))
+...     rate.record_service(cost=100.0, has_waiting=True, now_s=float(second))
 >>> round(rate.tokens_per_s(now_s=9.0))
 100
 """
@@ -20,47 +20,54 @@
 from passgate.errors import Overloaded
 from passgate.routing.work import WorkItem
 
-RATE_HALF_LIFE_S = 10.0
-MIN_OBSERVED_S = 2.0
-"""Busy time needed before the rate is believed."""
+SERVICE_RATE_HALF_LIFE_S = 10.0
+"""Busy time after which an observation has half its weight in the service rate."""
+MIN_BUSY_TIME_S = 2.0
+"""Observed busy time below which the service rate is unknown."""
 
 
 class ServiceRate:
-    """Tokens per second taken from a queue while it is not empty, with forgetting."""
+    """Exponentially weighted rate, in tokens per second, at which a queue is served while it is not empty."""
 
     def __init__(self) -> None:
         self._tokens = 0.0
         self._busy_s = 0.0
-        self._last_s: float | None = None
+        self._accounted_until_s: float | None = None
 
-    def served(self, cost: float, waiting: bool, now_s: float) -> None:
-        """A request was taken; ``waiting`` tells whether others are queued still."""
-        if self._last_s is not None:
-            elapsed_s = now_s - self._last_s
-            decay = 0.5 ** (elapsed_s / RATE_HALF_LIFE_S)
+    def record_service(self, cost: float, has_waiting: bool, now_s: float) -> None:
+        """Record that a request was taken from the queue.
+
+        ``has_waiting`` is whether other requests remain queued; if not, busy time ends.
+        """
+        if self._accounted_until_s is not None:
+            elapsed_s = now_s - self._accounted_until_s
+            decay = 0.5 ** (elapsed_s / SERVICE_RATE_HALF_LIFE_S)
             self._tokens = self._tokens * decay + cost
             self._busy_s = self._busy_s * decay + elapsed_s
-        self._last_s = now_s if waiting else None
+        self._accounted_until_s = now_s if has_waiting else None
 
-    def waiting(self, now_s: float) -> None:
-        """A request could not be served at once; busy time starts if it was not running."""
-        if self._last_s is None:
-            self._last_s = now_s
+    def record_waiting(self, now_s: float) -> None:
+        """Record that a request has to wait: busy time starts, unless it has started already."""
+        if self._accounted_until_s is None:
+            self._accounted_until_s = now_s
 
-    def idle(self) -> None:
-        """Nothing waits any more although nothing was served: busy time ends."""
-        self._last_s = None
+    def record_idle(self) -> None:
+        """Record that the queue is empty without a request being served: busy time ends."""
+        self._accounted_until_s = None
 
     def tokens_per_s(self, now_s: float) -> float | None:
-        """Return the rate, or None while it is not known."""
-        if self._busy_s < MIN_OBSERVED_S:
+        """Return the rate, or None until ``MIN_BUSY_TIME_S`` of busy time has been observed.
+
+        Time since the last served request counts as busy, so the rate falls while nothing is served.
+        """
+        if self._busy_s < MIN_BUSY_TIME_S:
             return None
-        stalled_s = now_s - self._last_s if self._last_s is not None else 0.0
-        return self._tokens / (self._busy_s + stalled_s)
+        since_last_s = now_s - self._accounted_until_s if self._accounted_until_s is not None else 0.0
+        return self._tokens / (self._busy_s + since_last_s)
 
 
 class QueueCounts(Protocol):
-    """What admission asks of a queue."""
+    """Counts and costs of a queue that admission needs."""
 
     def __len__(self) -> int:
         """Return the number of queued requests."""
@@ -69,20 +76,20 @@
         """Return the number of queued requests of a pool."""
 
     def class_count(self, priority_class: str) -> int:
-        """Return the number of queued requests of a class."""
+        """Return the number of queued requests of a priority class."""
 
     def caller_count(self, priority_class: str, pool: str, caller: str) -> int:
-        """Return the number of queued requests of a caller."""
+        """Return the number of queued requests of a caller in a pool and priority class."""
 
     def cost_ahead(self, item: WorkItem) -> float:
-        """Return the tokens that are served before a new request."""
+        """Return the cost, in tokens, of the requests that are served before a new one."""
 
 
 class QueueLimits(msgspec.Struct, frozen=True, kw_only=True):
-    """Limits that a new request must keep."""
+    """Limits on queued requests, and on the wait of a new one."""
 
     max_queued: int
-    """Over all classes and pools."""
+    """Over all priority classes and pools."""
     max_queued_pool: int
     max_queued_class: int
     max_queued_caller: int
@@ -90,67 +97,71 @@
 
 
 class AdmissionController:
-    """Decides whether a request may be queued; measures the service rate per pool."""
+    """Decides whether a request may be queued; tracks the service rate of each pool."""
 
     def __init__(self, reject_by_projection: bool, minimum_retry_after_s: float) -> None:
         self._reject_by_projection = reject_by_projection
         self._minimum_retry_after_s = minimum_retry_after_s
-        self._rates: dict[str, ServiceRate] = {}
+        self._service_rate_by_pool: dict[str, ServiceRate] = {}
 
-    def served(self, item: WorkItem, waiting: bool, now_s: float) -> None:
-        """A request of the pool was taken from the queue to run."""
-        self._rate(item.pool).served(item.cost, waiting, now_s)
+    def record_service(self, item: WorkItem, has_waiting: bool, now_s: float) -> None:
+        """Record that a request was taken from its pool's queue to run."""
+        self._service_rate(item.pool).record_service(item.cost, has_waiting, now_s)
 
-    def waiting(self, item: WorkItem, now_s: float) -> None:
-        """A request of the pool stays queued."""
-        self._rate(item.pool).waiting(now_s)
+    def record_waiting(self, item: WorkItem, now_s: float) -> None:
+        """Record that a request stays in its pool's queue."""
+        self._service_rate(item.pool).record_waiting(now_s)
 
-    def idle(self, pool: str) -> None:
-        """The last queued request of a pool was withdrawn."""
-        self._rate(pool).idle()
+    def record_idle(self, pool: str) -> None:
+        """Record that the last queued request of a pool was withdrawn."""
+        self._service_rate(pool).record_idle()
 
     def projected_wait_s(self, item: WorkItem, queue: QueueCounts, now_s: float) -> float | None:
-        """Return the projected wait of a new request, None while the rate is not known."""
-        ahead = queue.cost_ahead(item)
-        if ahead <= 0.0:
+        """Return the projected wait of a new request, or None while the pool's service rate is unknown."""
+        cost_ahead = queue.cost_ahead(item)
+        if cost_ahead <= 0.0:
             return 0.0
-        rate = self._rate(item.pool).tokens_per_s(now_s)
-        return None if not rate else ahead / rate
+        rate = self._service_rate(item.pool).tokens_per_s(now_s)
+        return None if not rate else cost_ahead / rate
 
     def admit(
-        self, item: WorkItem, queue: QueueCounts, limits: QueueLimits, service_s: float, now_s: float
+        self, item: WorkItem, queue: QueueCounts, limits: QueueLimits, expected_service_s: float, now_s: float
     ) -> None:
-        """Raise Overloaded when the request must not be queued.
+        """Check that a request may be queued; ``expected_service_s`` is its expected time from start to end.
 
-        ``service_s`` is the expected time from its start to its end.
+        Raises:
+            Overloaded: a queue limit is reached, or the projected wait exceeds the class's
+                longest wait or would make the request miss its deadline.
         """
         wait_s = self.projected_wait_s(item, queue, now_s)
-        full = self._full(item, queue, limits)
-        if full:
-            raise self.refusal(f"{full} is full", (wait_s or 0.0) / 2.0)
-        allowed_s = limits.max_wait_s
+        full_queue = self._find_full_queue(item, queue, limits)
+        if full_queue:
+            raise self.make_overloaded(f"{full_queue} is full", (wait_s or 0.0) / 2.0)
+        allowed_wait_s = limits.max_wait_s
         if item.deadline_s is not None:
-            allowed_s = min(allowed_s, item.deadline_s - now_s - service_s)
-        if self._reject_by_projection and wait_s is not None and wait_s > max(allowed_s, 0.0):
-            raise self.refusal("the projected wait is too long", wait_s - max(allowed_s, 0.0))
-
-    def refusal(self, message: str, retry_after_s: float) -> Overloaded:
-        """Return the typed refusal that tells when to come back."""
+            allowed_wait_s = min(allowed_wait_s, item.deadline_s - now_s - expected_service_s)
+        if self._reject_by_projection and wait_s is not None and wait_s > max(allowed_wait_s, 0.0):
+            raise self.make_overloaded(
+                "the projected wait exceeds the allowed wait", wait_s - max(allowed_wait_s, 0.0)
+            )
+
+    def make_overloaded(self, message: str, retry_after_s: float) -> Overloaded:
+        """Return an Overloaded error with a retry time of at least the configured minimum."""
         return Overloaded(message, retry_after_s=max(self._minimum_retry_after_s, round(retry_after_s, 3)))
 
-    def _full(self, item: WorkItem, queue: QueueCounts, limits: QueueLimits) -> str:
+    def _find_full_queue(self, item: WorkItem, queue: QueueCounts, limits: QueueLimits) -> str:
         if len(queue) >= limits.max_queued:
             return "the queue"
         if queue.pool_count(item.pool) >= limits.max_queued_pool:
-            return "the queue of the pool"
+            return "the pool's queue"
         if queue.class_count(item.priority_class) >= limits.max_queued_class:
-            return "the queue of the class"
+            return "the priority class's queue"
         if queue.caller_count(item.priority_class, item.pool, item.caller) >= limits.max_queued_caller:
             return "the caller's queue"
         return ""
 
-    def _rate(self, pool: str) -> ServiceRate:
-        rate = self._rates.get(pool)
+    def _service_rate(self, pool: str) -> ServiceRate:
+        rate = self._service_rate_by_pool.get(pool)
         if rate is None:
-            rate = self._rates[pool] = ServiceRate()
+            rate = self._service_rate_by_pool[pool] = ServiceRate()
         return rate
--- a/passgate/routing/app_call.py
+++ b/passgate/routing/app_call.py
@@ -1,4 +1,4 @@
-"""One call to an application service: place, forward, retry only what may be repeated."""
+"""One call to an application service: queues it, forwards it, and retries it on other replicas."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from passgate.clock import monotonic_s
 from passgate.errors import AnswerMismatch, BackendUnreachable, ExecutionStatus, PassgateError
-from passgate.routing.attempt_failure import Verdict, judge_failure
+from passgate.routing.attempt_failure import RetryDecision, handle_failure
 from passgate.routing.context import RoutingContext
 from passgate.routing.execution import ExecutionLedger
 from passgate.routing.replica_directory import ReplicaInfo
@@ -14,63 +14,68 @@
 from passgate.schema import AppRequest, AppResponse
 
 CALL_COST = 1.0
-"""Application calls are alike for fair queueing: one unit each."""
+"""Cost of an application call in the fair queue; all calls cost the same."""
 
 
 class AppCall:
-    """One forwarded call with its attempts."""
+    """One application call and its attempts.
 
-    def __init__(self, context: RoutingContext, request: AppRequest, ledger: ExecutionLedger) -> None:
+    A call that is not repeatable is retried only while no attempt can have run.
+    """
+
+    def __init__(self, context: RoutingContext, request: AppRequest, execution: ExecutionLedger) -> None:
         self._context = context
         self._request = request
-        self._ledger = ledger
-        self._class = context.priority_class(request.priority_class)
-        self._avoid: set[str] = set()
+        self._execution = execution
+        self._priority_class = context.priority_class(request.priority_class)
+        self._replicas_to_avoid: set[str] = set()
 
     @property
-    def last_answer_s(self) -> float | None:
-        """Loop time until which an answer of a call that was sent is awaited."""
+    def response_deadline_s(self) -> float | None:
+        """Loop time until which the response to a forwarded call is awaited; None for no limit."""
         deadline_s = self._request.deadline_s
         return None if deadline_s is None else deadline_s + self._request.outcome_grace_s
 
     async def run(self) -> AppResponse:
-        """Return the whole answer.
+        """Run attempts until one succeeds, and return the complete response.
 
         Raises:
-            PassgateError: of the last attempt; the ledger knows what may have run.
+            PassgateError: error of the last attempt or of queueing it; ``execution`` covers only it.
         """
         while True:
-            item = self._item()
-            replica = await self._context.gate.acquire(item, self._class, again=self._ledger.attempts > 0)
+            item = self._make_work_item()
+            replica = await self._context.slots.acquire(
+                item, self._priority_class, is_retry=self._execution.attempt_count > 0
+            )
             try:
-                return await self._attempt(replica)
+                return await self._run_attempt(replica)
             except PassgateError as error:
                 if not self._may_retry(error, replica):
                     raise
             finally:
-                self._context.gate.release(item, replica.replica_id, 1)
+                self._context.slots.release(item, replica.replica_id, 1)
 
-    async def _attempt(self, replica: ReplicaInfo) -> AppResponse:
-        number = self._ledger.open_attempt()
+    async def _run_attempt(self, replica: ReplicaInfo) -> AppResponse:
+        attempt_number = self._execution.open_attempt()
         self._context.counters.attempts += 1
-        began_s = monotonic_s()
+        started_s = monotonic_s()
         try:
-            sent = msgspec.structs.replace(self._request, deadline_s=self.last_answer_s)
-            response = await self._context.app.call(replica.address, sent)
+            forwarded = msgspec.structs.replace(self._request, deadline_s=self.response_deadline_s)
+            response = await self._context.app_client.call(replica.address, forwarded)
         except PassgateError as error:
-            self._ledger.settle(number, error.execution)
+            self._execution.record_end(attempt_number, error.execution)
             raise
         except Exception as error:
             raise BackendUnreachable(f"client failed: {type(error).__name__}") from error
         finally:
-            # A call that is given up took at least this long.
-            calls = self._context.gate.scheduler.tracker.calls
-            calls.observe(replica.replica_id, monotonic_s() - began_s, monotonic_s())
-        self._ledger.settle(number, ExecutionStatus.RAN)
+            # Failed and cancelled calls count too: they took at least this long.
+            call_latencies = self._context.slots.scheduler.load_tracker.call_latencies
+            call_latencies.record_call(replica.replica_id, monotonic_s() - started_s, monotonic_s())
+        self._execution.record_end(attempt_number, ExecutionStatus.RAN)
         if response.request_id != self._request.request_id:
             raise AnswerMismatch(execution=ExecutionStatus.RAN, received=response.request_id)
-        self._context.gate.scheduler.health.succeeded(replica.replica_id)
-        self._context.retry_budget.deposit()
+        self._context.slots.scheduler.health.succeeded(replica.replica_id)
+        self._context.retry_budget.record_success()
         return AppResponse(
             request_id=response.request_id,
             status=response.status,
@@ -82,12 +87,12 @@
     def _may_retry(self, error: PassgateError, replica: ReplicaInfo) -> bool:
         context = self._context
         context.counters.attempt_failures += 1
-        self._avoid.add(replica.replica_id)
-        scheduler = context.gate.scheduler
-        verdict = judge_failure(error, replica.replica_id, "", scheduler, monotonic_s())
-        if verdict is Verdict.FINAL or self._ledger.attempts >= context.policy.max_attempts:
+        self._replicas_to_avoid.add(replica.replica_id)
+        scheduler = context.slots.scheduler
+        decision = handle_failure(error, replica.replica_id, "", scheduler, monotonic_s())
+        if decision is RetryDecision.GIVE_UP or self._execution.attempt_count >= context.policy.max_attempts:
             return False
-        if not self._request.repeatable and self._ledger.status is not ExecutionStatus.NOT_RUN:
+        if not self._request.repeatable and self._execution.status is not ExecutionStatus.NOT_RUN:
             return False
         if not context.retry_budget.take():
             context.counters.retries_denied += 1
@@ -95,18 +100,18 @@
         context.counters.retries += 1
         return True
 
-    def _item(self) -> WorkItem:
+    def _make_work_item(self) -> WorkItem:
         request = self._request
         return WorkItem(
             key=self._context.next_key(),
             caller=request.caller,
             pool=request.pool,
             priority_class=request.priority_class,
-            interactive=self._class.interactive,
+            interactive=self._priority_class.interactive,
             prompt_tokens=0,
             expected_tokens=1,
             cost=CALL_COST,
             enqueued_s=monotonic_s(),
             deadline_s=request.deadline_s,
-            avoid=frozenset(self._avoid),
+            replicas_to_avoid=frozenset(self._replicas_to_avoid),
         )
--- a/passgate/routing/context.py
+++ b/passgate/routing/context.py
@@ -1,4 +1,4 @@
-"""What the running calls of one dispatcher share."""
+"""State shared by the calls of one dispatcher."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from passgate.errors import NoMatchingPool
 from passgate.interfaces import AppClient, EngineClient
 from passgate.routing.counters import RoutingCounters
-from passgate.routing.gate import Gate
+from passgate.routing.gate import ReplicaSlots
 from passgate.routing.policies import RoutingPolicy
 from passgate.routing.retry_budget import RetryBudget
 from passgate.state.specs import PoolSpec, PriorityClassSpec
@@ -18,42 +18,45 @@
 
 
 class RoutingContext:
-    """Clients, configuration, gate, budget and counters."""
+    """Back-end clients, pool configuration, replica slots, retry budget and counters of one dispatcher.
+
+    The dispatcher sets ``slots`` after it has created the context.
+    """
 
     def __init__(
         self,
-        engine: EngineClient,
-        app: AppClient,
+        engine_client: EngineClient,
+        app_client: AppClient,
         configuration: ConfigurationState,
         policy: RoutingPolicy,
         counters: RoutingCounters,
     ) -> None:
-        self.engine = engine
-        self.app = app
+        self.engine_client = engine_client
+        self.app_client = app_client
         self.policy = policy
         self.counters = counters
         self.retry_budget = RetryBudget(policy.retry_ratio, policy.retry_burst)
-        self.gate: Gate
+        self.slots: ReplicaSlots
         self._configuration = configuration
-        self._keys = itertools.count(1)
+        self._key_counter = itertools.count(1)
 
     def next_key(self) -> int:
-        """Return a number that no other queued or running request has."""
-        return next(self._keys)
+        """Return a key that is unique within this daemon's process."""
+        return next(self._key_counter)
 
     def pool(self, name: str) -> PoolSpec:
-        """Return a pool's specification; raises NoMatchingPool."""
-        found = self._configuration.get("Pool", name)
-        if found is None:
+        """Return a pool's specification; raises NoMatchingPool when no pool has that name."""
+        stored_pool = self._configuration.get("Pool", name)
+        if stored_pool is None:
             raise NoMatchingPool(f"no pool {name!r}", pool=name)
-        return found.spec
+        return stored_pool.spec
 
     def pools(self) -> list[PoolSpec]:
         """Return the specifications of all pools."""
-        return [found.spec for found in self._configuration.objects("Pool")]
+        return [stored_pool.spec for stored_pool in self._configuration.objects("Pool")]
 
-    def sharing_models(self, pool: PoolSpec) -> list[str]:
-        """Return the models of all pools with the same replicas."""
+    def models_sharing_replicas(self, pool: PoolSpec) -> list[str]:
+        """Return the models of all pools whose selector and role are those of ``pool``."""
         return [
             other.model
             for other in self.pools()
@@ -61,5 +64,5 @@
         ]
 
     def priority_class(self, name: str) -> PriorityClassSpec:
-        """Return a priority class; raises NotFound."""
+        """Return a priority class; raises NotFound when there is none of that name."""
         return self._configuration.priority_class(name)
--- a/passgate/routing/dispatcher.py
+++ b/passgate/routing/dispatcher.py
@@ -1,8 +1,8 @@
-"""Routes requests to replicas and hands back whole, verified answers.
+"""Routes the requests of one daemon to replicas and returns complete, verified responses.
 
-The dispatcher owns one daemon's queue, load view and attempts.  Everything it
-decides is decided by plain objects (``work_scheduler``, ``hedging``,
-``execution`` …); the coroutines here only connect them to the clients.
+The coroutines here connect the back-end clients to synchronous objects that decide:
+``work_scheduler`` chooses replicas, ``hedging`` chooses attempts to duplicate, and
+``execution`` keeps the execution status of each request.
 """
 
 from __future__ import annotations
@@ -27,9 +27,9 @@
 from passgate.routing.context import RoutingContext
 from passgate.routing.counters import RoutingCounters
 from passgate.routing.execution import ExecutionLedger
-from passgate.routing.gate import Gate
+from passgate.routing.gate import ReplicaSlots
 from passgate.routing.generate_call import ChunkCallback, GenerateCall
-from passgate.routing.hedge_scan import HedgeScan
+from passgate.routing.hedge_scanner import HedgeScanner
 from passgate.routing.load_poller import LoadPoller
 from passgate.routing.policies import RoutingPolicy
 from passgate.routing.replica_directory import ReplicaDirectory
@@ -39,14 +39,17 @@
 if TYPE_CHECKING:
     from passgate.state.configuration import ConfigurationState
 
-DRAINING_RETRY_S = 1.0
-"""Another daemon can take the request at once; the caller only has to find it."""
+DRAINING_RETRY_AFTER_S = 1.0
+"""Retry time of a request that is refused while draining; other daemons accept it at once."""
 
-Answer = TypeVar("Answer")
+Response = TypeVar("Response")
 
 
 class Dispatcher:
-    """Queues, places, retries, hedges and verifies the requests of one daemon."""
+    """Queues requests, sends them to replicas, retries and hedges them, and verifies the responses.
+
+    ``in_flight`` is the number of accepted requests that have not ended, queued ones included.
+    """
 
     def __init__(
         self,
@@ -59,91 +62,97 @@
         random: Random,
         owner: str = "",
     ) -> None:
-        """``owner`` names the daemon; its subset of replicas depends on it (default: random)."""
+        """Create a dispatcher; nothing runs until :meth:`start`.
+
+        ``owner`` is the daemon's identifier, which determines its subset of replicas; if it
+        is empty, a random one is used.
+        """
         self.counters = RoutingCounters()
         self._context = RoutingContext(engine, app, configuration, policy, self.counters)
         owner = owner or f"{random.getrandbits(64):016x}"
         self._scheduler = WorkScheduler(
-            directory, self._context.pool, policy, zone, owner, random, self._context.sharing_models
+            directory, self._context.pool, policy, zone, owner, random, self._context.models_sharing_replicas
         )
-        self._context.gate = Gate(self._scheduler)
+        self._context.slots = ReplicaSlots(self._scheduler)
         self._poller = LoadPoller(self._context)
-        self._calls: dict[int, GenerateCall] = {}
-        self._hedge_scan = HedgeScan(self._context, self._calls)
-        self._idle = asyncio.Event()
-        self._idle.set()
+        self._call_by_key: dict[int, GenerateCall] = {}
+        self._hedge_scanner = HedgeScanner(self._context, self._call_by_key)
+        self._no_requests_in_flight = asyncio.Event()
+        self._no_requests_in_flight.set()
         self._draining = False
         self.in_flight = 0
 
     @property
     def queued(self) -> int:
-        """Requests that wait for a replica."""
-        return self._scheduler.queued
+        """Number of requests that wait for a replica."""
+        return self._scheduler.queued_count
 
     @property
     def scheduler(self) -> WorkScheduler:
-        """The plain core, for metrics and tests."""
+        """The synchronous scheduler, for tests."""
         return self._scheduler
 
     def start(self) -> None:
-        """Start reading load reports and looking for stalled streams; needs a running loop."""
+        """Start reading load reports and scanning for streams to hedge; needs a running loop."""
         self._poller.start()
-        self._hedge_scan.start()
+        self._hedge_scanner.start()
 
     async def generate(
         self, request: GenerateRequest, on_chunk: Callable[[Any], None] | None = None
     ) -> GenerateResult:
-        """Produce one whole answer; verified pieces also go to ``on_chunk``.
+        """Generate one complete output; verified chunks also go to ``on_chunk`` as they arrive.
+
+        An error that ``on_chunk`` raises ends the request and is raised here.
 
         Raises:
-            Refused: not run; ``retry_after_s`` tells when to come back.
-            ExecutionFailed, InvalidRequest: see :mod:`passgate.errors`; ``execution``
-                is true over all attempts.
+            Refused: no attempt ran; ``retry_after_s`` is when to retry.
+            PassgateError: other errors (see :mod:`passgate.errors`); ``execution`` is the
+                status over all attempts.
         """
-        ledger = ExecutionLedger()
-        return await self._answer(self._generate(request, on_chunk, ledger), ledger)
+        execution = ExecutionLedger()
+        return await self._track(self._generate(request, on_chunk, execution), execution)
 
     async def call_app(self, request: AppRequest) -> AppResponse:
-        """Forward one call to an application service; raises as :meth:`generate` does."""
-        ledger = ExecutionLedger()
-        return await self._answer(self._call_app(request, ledger), ledger)
+        """Forward one call to an application service; raises the errors of :meth:`generate`."""
+        execution = ExecutionLedger()
+        return await self._track(self._call_app(request, execution), execution)
 
     async def drain(self, timeout_s: float) -> bool:
-        """Refuse what is new, wait for what is in flight; return whether all of it ended."""
+        """Refuse new requests and wait for those in flight; return whether all ended within ``timeout_s``."""
         self._draining = True
         try:
             async with asyncio.timeout(timeout_s):
-                await self._idle.wait()
+                await self._no_requests_in_flight.wait()
         except TimeoutError:
             return False
         return True
 
     async def close(self) -> None:
-        """Stop background work and refuse what is still queued."""
+        """Stop the background tasks, refuse new requests and fail those that are still queued."""
         self._draining = True
-        self._context.gate.close()
-        await self._hedge_scan.close()
+        self._context.slots.close()
+        await self._hedge_scanner.close()
         await self._poller.close()
 
     # --- internals ---------------------------------------------------------------------
 
     async def _generate(
-        self, request: GenerateRequest, on_chunk: ChunkCallback | None, ledger: ExecutionLedger
+        self, request: GenerateRequest, on_chunk: ChunkCallback | None, execution: ExecutionLedger
     ) -> GenerateResult:
-        _check_resume(request)
+        _check_resume_spans(request)
         request = msgspec.structs.replace(request, deadline_s=self._deadline_s(request))
-        call = GenerateCall(self._context, request, on_chunk, ledger)
-        self._calls[call.key] = call
+        call = GenerateCall(self._context, request, on_chunk, execution)
+        self._call_by_key[call.key] = call
         try:
             async with asyncio.timeout_at(request.deadline_s):
                 return await call.run()
         finally:
-            del self._calls[call.key]
+            del self._call_by_key[call.key]
 
-    async def _call_app(self, request: AppRequest, ledger: ExecutionLedger) -> AppResponse:
+    async def _call_app(self, request: AppRequest, execution: ExecutionLedger) -> AppResponse:
         request = msgspec.structs.replace(request, deadline_s=self._deadline_s(request))
-        call = AppCall(self._context, request, ledger)
-        async with asyncio.timeout_at(call.last_answer_s):
+        call = AppCall(self._context, request, execution)
+        async with asyncio.timeout_at(call.response_deadline_s):
             return await call.run()
 
     def _deadline_s(self, request: GenerateRequest | AppRequest) -> float:
@@ -152,33 +161,33 @@
             return request.deadline_s
         return monotonic_s() + pool.default_deadline_s
 
-    async def _answer(self, work: Coroutine[Any, Any, Answer], ledger: ExecutionLedger) -> Answer:
+    async def _track(self, call: Coroutine[Any, Any, Response], execution: ExecutionLedger) -> Response:
         if self._draining:
-            work.close()
+            call.close()
             self.counters.refused += 1
-            raise Draining(retry_after_s=DRAINING_RETRY_S)
+            raise Draining(retry_after_s=DRAINING_RETRY_AFTER_S)
         self.counters.requests += 1
         self.in_flight += 1
-        self._idle.clear()
+        self._no_requests_in_flight.clear()
         try:
-            answer = await work
+            response = await call
         except TimeoutError:
             self.counters.deadline_exceeded += 1
-            raise DeadlineExceeded("the deadline passed", execution=ledger.status) from None
+            raise DeadlineExceeded("the deadline passed", execution=execution.status) from None
         except PassgateError as error:
-            raise self._final(error, ledger) from error.__cause__
+            raise self._finalize_error(error, execution) from error.__cause__
         except asyncio.CancelledError:
             self.counters.cancelled += 1
             raise
         finally:
             self.in_flight -= 1
             if not self.in_flight:
-                self._idle.set()
+                self._no_requests_in_flight.set()
         self.counters.succeeded += 1
-        return answer
+        return response
 
-    def _final(self, error: PassgateError, ledger: ExecutionLedger) -> PassgateError:
-        final = ledger.stamp(error)
+    def _finalize_error(self, error: PassgateError, execution: ExecutionLedger) -> PassgateError:
+        final = execution.stamp(error)
         if isinstance(final, Refused):
             self.counters.refused += 1
         else:
@@ -186,8 +195,13 @@
         return final
 
 
-def _check_resume(request: GenerateRequest) -> None:
-    """Raise InvalidRequest unless the caller's spans cover its tokens exactly once, in order."""
+def _check_resume_spans(request: GenerateRequest) -> None:
+    """Check the tokens that a caller resumes from.
+
+    Raises:
+        InvalidRequest: the version spans do not cover them exactly once and in order, a
+            version is not positive, or no token is left to generate.
+    """
     position = 0
     for span in request.resume_spans:
         if span.start != position or span.end <= span.start or span.version <= 0:
--- a/passgate/routing/execution.py
+++ b/passgate/routing/execution.py
@@ -1,13 +1,13 @@
-"""Truthful "did it run?" over all attempts of one request.
+"""Execution status of a request: whether any of its attempts ran on a back end.
 
->>> ledger = ExecutionLedger()
->>> ledger.status
+>>> execution = ExecutionLedger()
+>>> execution.status
 <ExecutionStatus.NOT_RUN: 'not_run'>
->>> first = ledger.open_attempt()
->>> ledger.status
+>>> first = execution.open_attempt()
+>>> execution.status
 <ExecutionStatus.UNKNOWN: 'unknown'>
->>> ledger.settle(first, ExecutionStatus.NOT_RUN)
->>> ledger.status
+>>> execution.record_end(first, ExecutionStatus.NOT_RUN)
+>>> execution.status
 <ExecutionStatus.NOT_RUN: 'not_run'>
 """
 
@@ -15,45 +15,49 @@
 
 from passgate.errors import ExecutionFailed, ExecutionStatus, PassgateError, Refused
 
-_STRENGTH = {ExecutionStatus.NOT_RUN: 0, ExecutionStatus.UNKNOWN: 1, ExecutionStatus.RAN: 2}
+_PRECEDENCE = {ExecutionStatus.NOT_RUN: 0, ExecutionStatus.UNKNOWN: 1, ExecutionStatus.RAN: 2}
 
 
 class ExecutionLedger:
-    """Execution status of every attempt; an open attempt counts as unknown.
+    """Execution status of each attempt of one request; an open attempt counts as ``unknown``.
 
-    The status of the request is the strongest of its attempts: it is
-    ``not_run`` only when every attempt certainly did not run.
+    The request's status is ``ran`` when any attempt ran, else ``unknown`` when any may have
+    run.  It is ``not_run`` only when no attempt can have run.
     """
 
     def __init__(self) -> None:
-        self._attempts: list[ExecutionStatus] = []
+        self._status_by_attempt: list[ExecutionStatus] = []
 
     @property
     def status(self) -> ExecutionStatus:
-        """Status over all attempts so far."""
-        return max(self._attempts, key=_STRENGTH.__getitem__, default=ExecutionStatus.NOT_RUN)
+        """Execution status of the request over all attempts so far."""
+        return max(self._status_by_attempt, key=_PRECEDENCE.__getitem__, default=ExecutionStatus.NOT_RUN)
 
     @property
-    def attempts(self) -> int:
-        """Number of attempts opened."""
-        return len(self._attempts)
+    def attempt_count(self) -> int:
+        """Number of attempts opened so far."""
+        return len(self._status_by_attempt)
 
     def open_attempt(self) -> int:
-        """Count a new attempt and return its number; call before any byte is sent."""
-        self._attempts.append(ExecutionStatus.UNKNOWN)
-        return len(self._attempts) - 1
+        """Add an attempt and return its number; must be called before any byte of it is sent."""
+        self._status_by_attempt.append(ExecutionStatus.UNKNOWN)
+        return len(self._status_by_attempt) - 1
 
-    def mark_ran(self, attempt: int) -> None:
-        """Record that the back end produced output for this attempt."""
-        self._attempts[attempt] = ExecutionStatus.RAN
+    def record_output(self, attempt_number: int) -> None:
+        """Record that the back end produced output for an attempt."""
+        self._status_by_attempt[attempt_number] = ExecutionStatus.RAN
 
-    def settle(self, attempt: int, status: ExecutionStatus) -> None:
-        """Record how an attempt ended; output that was seen is never forgotten."""
-        if self._attempts[attempt] is not ExecutionStatus.RAN:
-            self._attempts[attempt] = status
+    def record_end(self, attempt_number: int, status: ExecutionStatus) -> None:
+        """Record the status with which an attempt ended; an attempt that produced output stays ``ran``."""
+        if self._status_by_attempt[attempt_number] is not ExecutionStatus.RAN:
+            self._status_by_attempt[attempt_number] = status
 
     def stamp(self, error: PassgateError) -> PassgateError:
-        """Return ``error`` with the request's status; a refusal only when nothing ran."""
+        """Return ``error`` with the request's execution status set on it.
+
+        A refusal guarantees that nothing ran, so it is replaced by ExecutionFailed unless the
+        status is ``not_run``.
+        """
         status = self.status
         if isinstance(error, Refused) and status is not ExecutionStatus.NOT_RUN:
             error = ExecutionFailed(f"gave up after an earlier attempt: {error}", cause=type(error).__name__)
--- a/passgate/routing/hedging.py
+++ b/passgate/routing/hedging.py
@@ -1,15 +1,15 @@
-"""Decides which running attempts are re-issued on another replica.
-
-Two reasons: a stream that has stalled, and a stream that another replica,
-starting from the tokens received so far, is projected to finish much sooner.
-The few longest outputs hold up a trainer's whole lot, so these are looked at
-first.  The number of hedges at once is bounded, a request that may run only once
-is never hedged, and slow streams are hedged only while nothing is queued.
-
->>> planner = HedgePlanner(RoutingPolicy(hedge_gain=2.0))
->>> slow = AttemptProgress(key=1, replica_id="e1", last_piece_s=9.9, received=10, left=100, token_s=0.2,
-...                        prompt_tokens=50)
->>> [order.reason.value for order in planner.plan([slow], {"e1": 0.2, "e2": 0.02}, queued=False, now_s=10.0)]
+"""Decides which running attempts are hedged, that is, run a second time on another replica.
+
+An attempt is hedged when its stream has stalled, or when another replica that resumes from
+the tokens received so far is projected to finish much sooner.  The largest saving goes
+first, because a training batch waits for its longest outputs.  The number of concurrent
+hedges is limited, and slow streams are hedged only while no request is queued.
+
+>>> planner = HedgePlanner(RoutingPolicy(min_hedge_speedup=2.0))
+>>> slow = AttemptProgress(key=1, replica_id="e1", last_chunk_s=9.9, received_tokens=10,
+...                        remaining_tokens=100, time_per_token_s=0.2, prompt_tokens=50)
+>>> orders = planner.plan([slow], {"e1": 0.2, "e2": 0.02}, has_queued_requests=False, now_s=10.0)
+>>> [order.reason.value for order in orders]
 ['slow']
 """
 
@@ -23,48 +23,49 @@
 from passgate.routing.policies import RoutingPolicy
 
 MIN_SAVING_S = 1.0
-"""A hedge that saves less is not worth its prefill."""
-FIRST_PIECE_FACTOR = 3.0
-"""Patience for the first piece, as a multiple of the patience between pieces."""
+"""Smallest projected saving for which a slow attempt is hedged; a hedge costs another prefill."""
+FIRST_CHUNK_TIMEOUT_FACTOR = 3.0
+"""Timeout for the first chunk of a batch attempt, as a multiple of that between chunks."""
 
 
 class HedgeReason(enum.Enum):
-    """Why an attempt is re-issued."""
+    """Why an attempt is hedged."""
 
     STALLED = "stalled"
     SLOW = "slow"
 
 
 class AttemptProgress(msgspec.Struct, frozen=True, kw_only=True):
-    """One running attempt that may be hedged."""
+    """Progress of one running attempt that may be hedged."""
 
     key: int
+    """Key of the call, as in :class:`HedgeOrder`."""
     replica_id: str
-    last_piece_s: float
-    """Time of the last piece, or of the start."""
-    received: int
-    """Output tokens in hand, with those resumed from."""
-    left: int
-    """Expected tokens still to come."""
-    token_s: float
-    """Observed time per token of this stream."""
+    last_chunk_s: float
+    """Time of the last chunk, or of the start before the first one."""
+    received_tokens: int
+    """Output tokens received, including those that the attempt resumed from."""
+    remaining_tokens: int
+    """Output tokens that are expected still."""
+    time_per_token_s: float
+    """Expected time per output token on its replica."""
     prompt_tokens: int
     interactive: bool = False
-    started: bool = True
-    """Whether a piece has arrived."""
-    replica_waiting: bool = False
-    """Whether requests wait inside the replica; an unstarted attempt may be among them."""
+    has_output: bool = True
+    """Whether a chunk has arrived."""
+    replica_has_waiting: bool = False
+    """Whether the replica reports waiting requests; an attempt without output may be one of them."""
 
 
 class HedgeOrder(msgspec.Struct, frozen=True):
-    """Re-issue this attempt."""
+    """Request to hedge the running attempt of the call with this key."""
 
     key: int
     reason: HedgeReason
 
 
 class HedgePlanner:
-    """Chooses attempts to hedge; holds no state between scans."""
+    """Chooses attempts to hedge; keeps no state between calls."""
 
     def __init__(self, policy: RoutingPolicy) -> None:
         self._policy = policy
@@ -72,54 +73,71 @@
     def plan(
         self,
         attempts: Sequence[AttemptProgress],
-        token_s: Mapping[str, float],
+        time_per_token_by_replica_s: Mapping[str, float],
         *,
-        queued: bool,
+        has_queued_requests: bool,
         now_s: float,
         running_hedges: int = 0,
     ) -> list[HedgeOrder]:
-        """Return the attempts to re-issue now, stalled ones and then the longest first.
+        """Return the attempts to hedge now: stalled ones, then slow ones by falling saving.
 
-        ``token_s`` gives the time per token on each usable replica with room.
+        ``time_per_token_by_replica_s`` has the expected time per output token of each usable
+        replica.  Slow attempts are not hedged when ``has_queued_requests``.
         """
         if not self._policy.hedge:
             return []
-        allowed = max(1, int(self._policy.hedge_share * len(attempts))) - running_hedges
+        free_hedges = max(1, int(self._policy.max_hedge_share * len(attempts))) - running_hedges
         orders = [
             HedgeOrder(attempt.key, HedgeReason.STALLED)
             for attempt in attempts
             if self.is_stalled(attempt, now_s)
         ]
-        if not queued and len(orders) < allowed:
-            orders += self._slow(attempts, token_s, now_s)
-        return orders[: max(allowed, 0)]
+        if not has_queued_requests and len(orders) < free_hedges:
+            orders += self._order_slow(attempts, time_per_token_by_replica_s, now_s)
+        return orders[: max(free_hedges, 0)]
 
     def is_stalled(self, attempt: AttemptProgress, now_s: float) -> bool:
-        """Whether an attempt has been without a piece for too long."""
-        silent_s = now_s - attempt.last_piece_s
-        if attempt.interactive:
-            return silent_s > self._policy.stall_interactive_s
-        if attempt.started:
-            return silent_s > self._policy.stall_s
-        return not attempt.replica_waiting and silent_s > self._policy.stall_s * FIRST_PIECE_FACTOR
+        """Whether an attempt has received no chunk for longer than its timeout.
 
-    def _slow(
-        self, attempts: Sequence[AttemptProgress], token_s: Mapping[str, float], now_s: float
+        Before its first chunk, a batch attempt does not stall while its replica reports waiting requests.
+        """
+        silent_s = now_s - attempt.last_chunk_s
+        if attempt.interactive:
+            return silent_s > self._policy.interactive_stall_timeout_s
+        if attempt.has_output:
+            return silent_s > self._policy.stall_timeout_s
+        return (
+            not attempt.replica_has_waiting
+            and silent_s > self._policy.stall_timeout_s * FIRST_CHUNK_TIMEOUT_FACTOR
+        )
+
+    def _order_slow(
+        self,
+        attempts: Sequence[AttemptProgress],
+        time_per_token_by_replica_s: Mapping[str, float],
+        now_s: float,
     ) -> list[HedgeOrder]:
-        gains = []
+        savings = []
         for attempt in attempts:
-            saving_s = self._saving_s(attempt, token_s)
-            if attempt.started and saving_s >= MIN_SAVING_S:
-                gains.append((saving_s, attempt.key))
-        gains.sort(reverse=True)
-        return [HedgeOrder(key, HedgeReason.SLOW) for _, key in gains]
-
-    def _saving_s(self, attempt: AttemptProgress, token_s: Mapping[str, float]) -> float:
-        """Return how much sooner another replica finishes; 0 when below the policy's gain."""
-        others = [value for replica_id, value in token_s.items() if replica_id != attempt.replica_id]
-        if not others:
+            saving_s = self._saving_s(attempt, time_per_token_by_replica_s)
+            if attempt.has_output and saving_s >= MIN_SAVING_S:
+                savings.append((saving_s, attempt.key))
+        savings.sort(reverse=True)
+        return [HedgeOrder(key, HedgeReason.SLOW) for _, key in savings]
+
+    def _saving_s(self, attempt: AttemptProgress, time_per_token_by_replica_s: Mapping[str, float]) -> float:
+        """Return how much sooner the fastest other replica would finish.
+
+        Returns 0 without another replica, or when its speedup is below the policy's minimum.
+        """
+        other_times_s = [
+            value
+            for replica_id, value in time_per_token_by_replica_s.items()
+            if replica_id != attempt.replica_id
+        ]
+        if not other_times_s:
             return 0.0
-        here_s = attempt.left * attempt.token_s
-        prefill_s = (attempt.prompt_tokens + attempt.received) / self._policy.prefill_tokens_per_s
-        there_s = prefill_s + attempt.left * min(others)
-        return here_s - there_s if here_s >= self._policy.hedge_gain * there_s else 0.0
+        current_s = attempt.remaining_tokens * attempt.time_per_token_s
+        prefill_s = (attempt.prompt_tokens + attempt.received_tokens) / self._policy.prefill_tokens_per_s
+        hedged_s = prefill_s + attempt.remaining_tokens * min(other_times_s)
+        return current_s - hedged_s if current_s >= self._policy.min_hedge_speedup * hedged_s else 0.0
--- a/passgate/routing/home_models.py
+++ b/passgate/routing/home_models.py
@@ -1,14 +1,13 @@
-"""Which model each replica prefers when several models share the same replicas.
+"""Preferred model of each replica when several models share the same replicas.
 
-An engine that decodes two models in one batch runs two forward passes per step,
-so each stream takes almost twice as long.  Every daemon therefore prefers the
-same replicas for a model, without any message: replicas in order of identifier
-are dealt out to the models in order of name.  The preference is soft: a replica
-whose own model is idle takes others.
+An engine that decodes two models in one batch runs two forward passes per step, which
+almost doubles the time per token.  All daemons therefore assign models to replicas in the
+same way, without communication: round robin, in order of replica identifier and model
+name.  A preference does not exclude other models; see ``replica_chooser``.
 
->>> homes = HomeModels()
->>> homes.assign(["e0", "e1", "e2"], ["grades", "notes"])
->>> [homes.is_home(name, "grades") for name in ("e0", "e1", "e2")]
+>>> preferred_models = PreferredModels()
+>>> preferred_models.assign(["e0", "e1", "e2"], ["grades", "notes"])
+>>> [preferred_models.is_preferred(name, "grades") for name in ("e0", "e1", "e2")]
 [True, False, True]
 """
 
@@ -17,21 +16,21 @@
 from collections.abc import Sequence
 
 
-class HomeModels:
-    """Preferred model per replica; a replica without one is at home for all."""
+class PreferredModels:
+    """Preferred model per replica; a replica without an assignment prefers every model."""
 
     def __init__(self) -> None:
-        self._homes: dict[str, str] = {}
+        self._model_by_replica: dict[str, str] = {}
 
     def assign(self, replica_ids: Sequence[str], models: Sequence[str]) -> None:
-        """Deal the replicas out to the models that share them."""
-        ordered = sorted(set(models))
+        """Assign the replicas round robin to the models; a single model clears their assignments."""
+        ordered_models = sorted(set(models))
         for index, replica_id in enumerate(sorted(replica_ids)):
-            if len(ordered) > 1:
-                self._homes[replica_id] = ordered[index % len(ordered)]
+            if len(ordered_models) > 1:
+                self._model_by_replica[replica_id] = ordered_models[index % len(ordered_models)]
             else:
-                self._homes.pop(replica_id, None)
+                self._model_by_replica.pop(replica_id, None)
 
-    def is_home(self, replica_id: str, model: str) -> bool:
-        """Whether a model is preferred on a replica."""
-        return self._homes.get(replica_id, model) == model
+    def is_preferred(self, replica_id: str, model: str) -> bool:
+        """Whether a replica prefers a model."""
+        return self._model_by_replica.get(replica_id, model) == model
--- a/passgate/routing/load_tracker.py
+++ b/passgate/routing/load_tracker.py
@@ -1,16 +1,14 @@
-"""Load per replica: own work in flight, reconciled with lagging load reports.
+"""Load of each replica: requests of this daemon, and those of others according to load reports.
 
-The unit of load is the token, not the request.  What this daemon has in flight
-is known exactly and at once; what others have there is derived from the latest
-report, which is only older knowledge: the part of it that was our own at the
-time it describes is taken off, so nothing is counted twice and nothing that was
-sent since is forgotten.
+This daemon knows its own requests in flight exactly.  The load of others is the latest
+report less the share of this daemon's requests at the time that the report describes, so
+that nothing is counted twice and nothing sent since then is missed.
 
 >>> tracker = LoadTracker(report_lag_s=0.0)
->>> tracker.begin("e1", key=1, prompt_tokens=100, expected_tokens=50, model="m", now_s=0.0)
+>>> tracker.record_start("e1", key=1, prompt_tokens=100, expected_tokens=50, model="m", now_s=0.0)
 >>> tracker.load("e1").outstanding_tokens
 150
->>> tracker.progress("e1", key=1, tokens=10, now_s=1.0)
+>>> tracker.record_output("e1", key=1, new_tokens=10, now_s=1.0)
 >>> tracker.load("e1").outstanding_tokens
 40
 """
@@ -21,44 +19,48 @@
 
 import msgspec
 
-from passgate.routing.call_latency import CallLatency
-from passgate.routing.output_length import OVERRUN_FACTOR
+from passgate.routing.call_latency import CallLatencyEstimator
+from passgate.routing.output_length import OVERRUN_GROWTH_FACTOR
 from passgate.schema import LoadReport
 
-HISTORY_STEP_S = 0.05
-"""Own counts are remembered at most this often."""
-HISTORY_S = 3.0
-STEP_SMOOTHING = 0.05
-"""Weight of a new observation in a replica's time per token."""
+HISTORY_RESOLUTION_S = 0.05
+"""Smallest time between two entries of a replica's history of own requests."""
+HISTORY_LENGTH_S = 3.0
+"""Time for which the history of own requests is kept."""
+REPLICA_SMOOTHING = 0.05
+"""Weight of a new observation in a replica's time per output token."""
 MEAN_SMOOTHING = 0.01
-"""Weight of a new observation in the mean over all replicas."""
+"""Weight of a new observation in the mean time per output token over all replicas."""
 SAME_SPEED_RATIO = 1.3
-"""Replicas whose time per token differs less from the mean of all count as equally fast."""
-REPORT_KEPT_S = 15.0
-"""A report older than this says nothing about others' load any more."""
+"""Replicas whose time per token differs from the mean by less than this ratio count as equally fast."""
+MAX_REPORT_AGE_S = 15.0
+"""Age after which a load report is discarded."""
 OTHERS_CALLS_SMOOTHING = 0.1
-"""Weight of a new report in the mean of others' calls on an application replica."""
-ASSUMED_TOKEN_S = 0.03
-"""Time per output token of a stream while nothing has been observed anywhere."""
+"""Weight of a new report in the mean number of others' calls on an application replica."""
+INITIAL_TIME_PER_TOKEN_S = 0.03
+"""Mean time per output token that is assumed before the first observation."""
 
 
-class _Request(msgspec.Struct):
-    prompt_left: int
-    prefill_left: int
-    expected_left: int
-    received: int
+class _RequestLoad(msgspec.Struct):
+    remaining_prompt_tokens: int
+    remaining_prefill_tokens: int
+    expected_remaining_tokens: int
+    received_tokens: int
     kv_tokens: int
     model: str
-    last_piece_s: float | None = None
+    last_chunk_s: float | None = None
 
 
 class ReplicaLoad:
-    """What is known of one replica's load; token counts are estimates."""
+    """Load of one replica; token counts are estimates.
+
+    ``own_...`` counts requests of this daemon, ``others_...`` those of all other clients.
+    """
 
     __slots__ = (
-        "history",
+        "own_requests_history",
         "kv_capacity_tokens",
-        "models",
+        "own_requests_by_model",
         "others_calls",
         "others_kv_tokens",
         "others_requests",
@@ -67,50 +69,51 @@
         "own_prefill_tokens",
         "own_requests",
         "own_tokens",
-        "report_read_s",
-        "report_sequence",
+        "last_report_s",
+        "last_report_sequence",
         "reported_waiting",
-        "requests",
+        "request_by_key",
         "running_limit",
-        "token_s",
-        "token_s_requests",
-        "versions",
-        "waited_before",
+        "time_per_token_s",
+        "time_per_token_requests",
+        "version_by_model",
+        "had_waiting_requests",
     )
 
     def __init__(self) -> None:
-        self.requests: dict[int, _Request] = {}
+        self.request_by_key: dict[int, _RequestLoad] = {}
         self.own_tokens = 0
         self.own_kv_tokens = 0
         self.own_requests = 0
         self.own_prefill_tokens = 0
-        """Uncached prompt tokens of own requests that have brought no output yet."""
-        self.models: dict[str, int] = {}
+        """Uncached prompt tokens of own requests without output so far."""
+        self.own_requests_by_model: dict[str, int] = {}
         """Own requests in flight per model."""
-        self.history: deque[tuple[float, int]] = deque()
+        self.own_requests_history: deque[tuple[float, int]] = deque()
+        """Times and the number of own requests from then on, oldest first."""
         self.others_tokens = 0
         self.others_kv_tokens = 0
         self.others_requests = 0
         self.others_calls = 0.0
-        """Mean of others' calls on an application replica over its latest reports."""
+        """Smoothed number of others' calls on an application replica."""
         self.reported_waiting = 0
         self.kv_capacity_tokens = 0
-        """0 while no report was read."""
+        """0 until a report has been read."""
         self.running_limit = 0
-        """Batch size at which the engine last let requests wait; 0 while never seen."""
-        self.report_read_s = float("-inf")
-        self.report_sequence = 0
-        self.waited_before = False
-        """Whether requests waited inside the engine in the previous report."""
-        self.versions: dict[str, int] = {}
-        self.token_s = 0.0
-        """Smoothed time per output token of one stream; 0 while never observed."""
-        self.token_s_requests = 0.0
-        """Smoothed number of requests there when ``token_s`` was observed."""
+        """Estimated largest batch of the engine; 0 while unknown."""
+        self.last_report_s = float("-inf")
+        self.last_report_sequence = 0
+        self.had_waiting_requests = False
+        """Whether the previous report counted requests that wait inside the engine."""
+        self.version_by_model: dict[str, int] = {}
+        self.time_per_token_s = 0.0
+        """Smoothed time per output token of one stream; 0 until observed."""
+        self.time_per_token_requests = 0.0
+        """Smoothed number of requests on the replica during those observations."""
 
     @property
     def outstanding_tokens(self) -> int:
-        """Tokens still to be processed, own and others'."""
+        """Expected tokens that remain to be processed, own and others'."""
         return self.own_tokens + self.others_tokens
 
     @property
@@ -120,13 +123,13 @@
 
     @property
     def kv_tokens(self) -> int:
-        """KV memory committed: what the running requests will hold at their end."""
+        """Tokens of KV memory that the requests there are expected to hold, own and others'."""
         return self.own_kv_tokens + self.others_kv_tokens
 
-    def own_count_at(self, at_s: float) -> int:
-        """Return how many own requests were in flight at an earlier time."""
-        count = self.history[0][1] if self.history else self.own_requests
-        for time_s, value in self.history:
+    def own_requests_at(self, at_s: float) -> int:
+        """Return the number of own requests at an earlier time; before the history, the oldest entry."""
+        count = self.own_requests_history[0][1] if self.own_requests_history else self.own_requests
+        for time_s, value in self.own_requests_history:
             if time_s > at_s:
                 break
             count = value
@@ -134,47 +137,49 @@
 
 
 class LoadTracker:
-    """Loads of all replicas that this daemon uses."""
+    """Load of each replica that this daemon uses."""
 
-    def __init__(self, report_lag_s: float, batch_slope: float = 0.0) -> None:
-        self.calls = CallLatency()
-        self._batch_slope = batch_slope
+    def __init__(self, report_lag_s: float, slowdown_per_request: float = 0.0) -> None:
+        self.call_latencies = CallLatencyEstimator()
+        self._slowdown_per_request = slowdown_per_request
         self._report_lag_s = report_lag_s
-        self._loads: dict[str, ReplicaLoad] = {}
-        self._mean_token_s = ASSUMED_TOKEN_S
+        self._load_by_replica: dict[str, ReplicaLoad] = {}
+        self._mean_time_per_token_s = INITIAL_TIME_PER_TOKEN_S
 
     def load(self, replica_id: str) -> ReplicaLoad:
-        """Return the load of a replica, empty when nothing is known."""
-        load = self._loads.get(replica_id)
+        """Return the load of a replica; a new, empty one when it is not known."""
+        load = self._load_by_replica.get(replica_id)
         if load is None:
-            load = self._loads[replica_id] = ReplicaLoad()
+            load = self._load_by_replica[replica_id] = ReplicaLoad()
         return load
 
-    def token_s(self, replica_id: str) -> float:
+    def time_per_token_s(self, replica_id: str) -> float:
         """Return the expected time per output token of one stream on a replica."""
-        load = self._loads.get(replica_id)
+        load = self._load_by_replica.get(replica_id)
         if load is None:
-            return self._mean_token_s
-        return self._alone_token_s(load) * (1.0 + self._batch_slope * load.request_count)
-
-    def _alone_token_s(self, load: ReplicaLoad) -> float:
-        """Return the time per token without other requests; small differences are noise."""
-        if load.token_s <= 0.0:
-            return self._mean_token_s
-        alone_s = load.token_s / (1.0 + self._batch_slope * load.token_s_requests)
-        ratio = alone_s / self._mean_token_s
-        return self._mean_token_s if 1.0 / SAME_SPEED_RATIO < ratio < SAME_SPEED_RATIO else alone_s
+            return self._mean_time_per_token_s
+        return self._unloaded_time_per_token_s(load) * (1.0 + self._slowdown_per_request * load.request_count)
+
+    def _unloaded_time_per_token_s(self, load: ReplicaLoad) -> float:
+        """Return the time per token on an idle replica; the mean if it differs only slightly from it."""
+        if load.time_per_token_s <= 0.0:
+            return self._mean_time_per_token_s
+        unloaded_s = load.time_per_token_s / (1.0 + self._slowdown_per_request * load.time_per_token_requests)
+        ratio = unloaded_s / self._mean_time_per_token_s
+        return (
+            self._mean_time_per_token_s if 1.0 / SAME_SPEED_RATIO < ratio < SAME_SPEED_RATIO else unloaded_s
+        )
 
     def retain(self, replica_ids: set[str]) -> None:
-        """Forget replicas that no longer exist and have nothing of ours in flight."""
-        for replica_id in self._loads.keys() - replica_ids:
-            if not self._loads[replica_id].own_requests:
-                del self._loads[replica_id]
-        self.calls.retain(replica_ids)
+        """Discard replicas that are not in ``replica_ids`` and have no own requests."""
+        for replica_id in self._load_by_replica.keys() - replica_ids:
+            if not self._load_by_replica[replica_id].own_requests:
+                del self._load_by_replica[replica_id]
+        self.call_latencies.retain(replica_ids)
 
-    # --- own work -------------------------------------------------------------------
+    # --- own requests -------------------------------------------------------------------
 
-    def begin(
+    def record_start(
         self,
         replica_id: str,
         key: int,
@@ -184,110 +189,121 @@
         now_s: float,
         cached_tokens: int = 0,
     ) -> None:
-        """A request is sent to a replica that probably caches the first ``cached_tokens``."""
+        """Record that a request is sent; the replica probably caches its first ``cached_tokens``."""
         load = self.load(replica_id)
         kv_tokens = prompt_tokens + expected_tokens
-        prefill = max(0, prompt_tokens - cached_tokens)
-        load.requests[key] = _Request(prompt_tokens, prefill, expected_tokens, 0, kv_tokens, model)
-        load.own_prefill_tokens += prefill
+        prefill_tokens = max(0, prompt_tokens - cached_tokens)
+        load.request_by_key[key] = _RequestLoad(
+            prompt_tokens, prefill_tokens, expected_tokens, 0, kv_tokens, model
+        )
+        load.own_prefill_tokens += prefill_tokens
         load.own_tokens += kv_tokens
         load.own_kv_tokens += kv_tokens
-        load.models[model] = load.models.get(model, 0) + 1
-        self._count(load, 1, now_s)
+        load.own_requests_by_model[model] = load.own_requests_by_model.get(model, 0) + 1
+        self._change_own_requests(load, 1, now_s)
 
     def has_output(self, replica_id: str, key: int) -> bool:
-        """Whether a piece of the request has arrived already."""
-        request = self.load(replica_id).requests.get(key)
-        return request is not None and request.received > 0
+        """Whether output tokens of the request have been recorded."""
+        request = self.load(replica_id).request_by_key.get(key)
+        return request is not None and request.received_tokens > 0
 
-    def progress(self, replica_id: str, key: int, tokens: int, now_s: float) -> None:
-        """A piece of output arrived."""
+    def record_output(self, replica_id: str, key: int, new_tokens: int, now_s: float) -> None:
+        """Record ``new_tokens`` more output tokens; ignored for an unknown request."""
         load = self.load(replica_id)
-        request = load.requests.get(key)
+        request = load.request_by_key.get(key)
         if request is None:
             return
-        self._observe_rate(load, request, tokens, now_s)
-        request.received += tokens
-        left = request.expected_left - tokens
-        if left <= 0:
-            grown = max(1, round(request.received * (OVERRUN_FACTOR - 1.0)))
-            load.own_kv_tokens += grown - left
-            request.kv_tokens += grown - left
-            left = grown
-        load.own_tokens += left - request.expected_left - request.prompt_left
-        request.expected_left = left
-        request.prompt_left = 0
-        load.own_prefill_tokens -= request.prefill_left
-        request.prefill_left = 0
-
-    def end(self, replica_id: str, key: int, now_s: float) -> None:
-        """A request ended or was cancelled; unknown keys are ignored."""
+        self._record_time_per_token(load, request, new_tokens, now_s)
+        request.received_tokens += new_tokens
+        remaining_tokens = request.expected_remaining_tokens - new_tokens
+        if remaining_tokens <= 0:
+            growth = max(1, round(request.received_tokens * (OVERRUN_GROWTH_FACTOR - 1.0)))
+            load.own_kv_tokens += growth - remaining_tokens
+            request.kv_tokens += growth - remaining_tokens
+            remaining_tokens = growth
+        load.own_tokens += (
+            remaining_tokens - request.expected_remaining_tokens - request.remaining_prompt_tokens
+        )
+        request.expected_remaining_tokens = remaining_tokens
+        request.remaining_prompt_tokens = 0
+        load.own_prefill_tokens -= request.remaining_prefill_tokens
+        request.remaining_prefill_tokens = 0
+
+    def record_end(self, replica_id: str, key: int, now_s: float) -> None:
+        """Record that a request ended or was cancelled; ignored for an unknown request."""
         load = self.load(replica_id)
-        request = load.requests.pop(key, None)
+        request = load.request_by_key.pop(key, None)
         if request is None:
             return
-        load.own_tokens -= request.prompt_left + request.expected_left
+        load.own_tokens -= request.remaining_prompt_tokens + request.expected_remaining_tokens
         load.own_kv_tokens -= request.kv_tokens
-        load.own_prefill_tokens -= request.prefill_left
-        load.models[request.model] -= 1
-        if not load.models[request.model]:
-            del load.models[request.model]
-        self._count(load, -1, now_s)
+        load.own_prefill_tokens -= request.remaining_prefill_tokens
+        load.own_requests_by_model[request.model] -= 1
+        if not load.own_requests_by_model[request.model]:
+            del load.own_requests_by_model[request.model]
+        self._change_own_requests(load, -1, now_s)
 
     # --- reports ------------------------------------------------------------------------
 
     def apply_report(self, report: LoadReport, now_s: float) -> None:
-        """Take a load report read at ``now_s``; it describes an earlier moment."""
+        """Apply an engine's load report read at ``now_s``, which describes a time ``report_lag_s`` earlier.
+
+        A report with the sequence of the last one is ignored.
+        """
         load = self.load(report.replica_id)
-        if report.sequence == load.report_sequence:
+        if report.sequence == load.last_report_sequence:
             return
-        load.report_sequence = report.sequence
-        load.report_read_s = now_s
+        load.last_report_sequence = report.sequence
+        load.last_report_s = now_s
         load.reported_waiting = report.waiting
         load.kv_capacity_tokens = report.kv_capacity_tokens
-        load.versions = _versions(report)
-        self._learn_limit(load, report)
-        self._learn_others(load, report, now_s - self._report_lag_s)
-        if report.running and report.tokens_per_s > 0.0 and not load.requests:
-            self._smooth(load, report.running / report.tokens_per_s)
+        load.version_by_model = _numeric_version_by_model(report)
+        self._update_running_limit(load, report)
+        self._update_others_load(load, report, now_s - self._report_lag_s)
+        if report.running and report.tokens_per_s > 0.0 and not load.request_by_key:
+            self._update_time_per_token(load, report.running / report.tokens_per_s)
 
     def apply_call_report(self, report: LoadReport, now_s: float) -> None:
-        """Take an application's report read at ``now_s``.
+        """Apply an application's load report read at ``now_s``; ignored if it has the last one's sequence.
 
-        The calls that it counts are over by now; only the mean over many reports
-        tells of others' calls that last, such as those of callers past passgate.
+        Calls are short, so one report shows little about the present.  The mean over many
+        reports shows lasting load of other clients, such as callers that bypass passgate.
         """
         load = self.load(report.replica_id)
-        if report.sequence == load.report_sequence:
+        if report.sequence == load.last_report_sequence:
             return
-        load.report_sequence = report.sequence
-        load.report_read_s = now_s
-        others = report.running + report.waiting - load.own_count_at(now_s - self._report_lag_s)
+        load.last_report_sequence = report.sequence
+        load.last_report_s = now_s
+        others = report.running + report.waiting - load.own_requests_at(now_s - self._report_lag_s)
         load.others_calls += OTHERS_CALLS_SMOOTHING * (others - load.others_calls)
 
-    def observe_version(self, replica_id: str, model: str, version: int) -> None:
-        """A piece of output named the version that the replica uses now."""
-        self.load(replica_id).versions[model] = version
+    def record_version(self, replica_id: str, model: str, version: int) -> None:
+        """Record the weight version that a chunk of the replica's output stated."""
+        self.load(replica_id).version_by_model[model] = version
 
-    def expire_reports(self, now_s: float) -> None:
-        """Forget others' load where no report could be read for long."""
-        for load in self._loads.values():
-            if now_s - load.report_read_s > REPORT_KEPT_S:
+    def discard_old_reports(self, now_s: float) -> None:
+        """Reset others' load where no report has been read for ``MAX_REPORT_AGE_S``."""
+        for load in self._load_by_replica.values():
+            if now_s - load.last_report_s > MAX_REPORT_AGE_S:
                 load.others_tokens = load.others_kv_tokens = load.others_requests = 0
                 load.reported_waiting = 0
                 load.others_calls = 0.0
 
-    def _learn_limit(self, load: ReplicaLoad, report: LoadReport) -> None:
-        """A batch is full when requests wait over two reports; one may show just arrived ones."""
-        if report.waiting > 0 and load.waited_before and report.running > 0:
+    def _update_running_limit(self, load: ReplicaLoad, report: LoadReport) -> None:
+        """Update the estimate of the engine's largest batch.
+
+        Requests that wait in two successive reports show a full batch; in only one report,
+        they may have just arrived.
+        """
+        if report.waiting > 0 and load.had_waiting_requests and report.running > 0:
             load.running_limit = report.running
         elif load.running_limit and report.running >= load.running_limit:
             load.running_limit = report.running + 1
-        load.waited_before = report.waiting > 0
+        load.had_waiting_requests = report.waiting > 0
 
-    def _learn_others(self, load: ReplicaLoad, report: LoadReport, taken_s: float) -> None:
+    def _update_others_load(self, load: ReplicaLoad, report: LoadReport, described_s: float) -> None:
         total = report.running + report.waiting
-        others = max(0, total - load.own_count_at(taken_s))
+        others = max(0, total - load.own_requests_at(described_s))
         share = others / total if total else 0.0
         load.others_requests = others
         load.others_tokens = round(report.outstanding_tokens * share)
@@ -295,31 +311,35 @@
 
     # --- internals ------------------------------------------------------------------------
 
-    def _count(self, load: ReplicaLoad, change: int, now_s: float) -> None:
+    def _change_own_requests(self, load: ReplicaLoad, change: int, now_s: float) -> None:
         load.own_requests += change
-        history = load.history
-        if history and now_s - history[-1][0] < HISTORY_STEP_S:
+        history = load.own_requests_history
+        if history and now_s - history[-1][0] < HISTORY_RESOLUTION_S:
             history[-1] = (history[-1][0], load.own_requests)
         else:
             history.append((now_s, load.own_requests))
-        while len(history) > 1 and history[1][0] < now_s - HISTORY_S:
+        while len(history) > 1 and history[1][0] < now_s - HISTORY_LENGTH_S:
             history.popleft()
 
-    def _observe_rate(self, load: ReplicaLoad, request: _Request, tokens: int, now_s: float) -> None:
-        if request.last_piece_s is not None and tokens > 0:
-            self._smooth(load, (now_s - request.last_piece_s) / tokens)
-        request.last_piece_s = now_s
-
-    def _smooth(self, load: ReplicaLoad, token_s: float) -> None:
-        if load.token_s <= 0.0:
-            load.token_s = token_s
-            load.token_s_requests = load.request_count
+    def _record_time_per_token(
+        self, load: ReplicaLoad, request: _RequestLoad, tokens: int, now_s: float
+    ) -> None:
+        if request.last_chunk_s is not None and tokens > 0:
+            self._update_time_per_token(load, (now_s - request.last_chunk_s) / tokens)
+        request.last_chunk_s = now_s
+
+    def _update_time_per_token(self, load: ReplicaLoad, time_per_token_s: float) -> None:
+        if load.time_per_token_s <= 0.0:
+            load.time_per_token_s = time_per_token_s
+            load.time_per_token_requests = load.request_count
         else:
-            load.token_s += STEP_SMOOTHING * (token_s - load.token_s)
-            load.token_s_requests += STEP_SMOOTHING * (load.request_count - load.token_s_requests)
-        alone_s = token_s / (1.0 + self._batch_slope * load.request_count)
-        self._mean_token_s += MEAN_SMOOTHING * (alone_s - self._mean_token_s)
+            load.time_per_token_s += REPLICA_SMOOTHING * (time_per_token_s - load.time_per_token_s)
+            load.time_per_token_requests += REPLICA_SMOOTHING * (
+                load.request_count - load.time_per_token_requests
+            )
+        unloaded_s = time_per_token_s / (1.0 + self._slowdown_per_request * load.request_count)
+        self._mean_time_per_token_s += MEAN_SMOOTHING * (unloaded_s - self._mean_time_per_token_s)
 
 
-def _versions(report: LoadReport) -> dict[str, int]:
+def _numeric_version_by_model(report: LoadReport) -> dict[str, int]:
     return {model: int(text) for model, text in report.versions.items() if text.isdigit()}
--- a/passgate/routing/prefix.py
+++ b/passgate/routing/prefix.py
@@ -1,8 +1,8 @@
-"""Block hashes of token prefixes, shared by engines' caches and by routing.
+"""Hashes of token blocks, by which routing and engines' caches identify prompt prefixes.
 
-A block's hash covers the whole prefix up to and including the block, so two
-prompts share their first ``n`` hashes exactly when they share their first
-``n`` blocks (up to hash collisions of 64 bits).
+A block's hash covers the prefix up to the end of the block, so two prompts have the same
+``n``-th hash exactly when they share their first ``n`` blocks, apart from collisions of
+64-bit hashes.
 
 >>> first = block_hashes(range(40), 16)
 >>> second = block_hashes([*range(32), 7, 7], 16)
@@ -18,11 +18,11 @@
 import xxhash
 
 BLOCK_TOKENS = 16
-"""Tokens in one block unless a deployment says otherwise."""
+"""Block size that routing uses."""
 
 
 def block_hashes(tokens: Iterable[int], block_size: int) -> list[int]:
-    """Return one 64-bit chained hash per whole block of ``tokens``; a partial last block has none."""
+    """Return one 64-bit chained hash per full block of ``tokens``; a partial last block has none."""
     words = array("Q", tokens)
     hashes: list[int] = []
     previous = 0
--- a/passgate/routing/prefix_index.py
+++ b/passgate/routing/prefix_index.py
@@ -1,17 +1,17 @@
-"""Which replica probably holds which prompt prefix in its cache.
+"""Index of the prompt prefixes that replicas probably have in their caches.
 
-The index learns from the daemon's own routing and, when they are read, from
-cache events, which come late and with gaps.  After a gap nothing that was known
-of the replica is believed any more.  An entry is only a hint: a wrong one costs
-some prefill time, never a wrong answer.
+It is fed with the prompts of requests that produced output and, if the policy says so,
+with engines' cache events.  Events may be lost, so a gap in their sequence discards what
+is known of the replica.  An entry is only a hint: a wrong one costs prefill time, but
+never affects an output.
 
-Replicas are bits of an integer, so one walk along a prompt's block hashes finds
-the matches of all replicas at once.
+Each replica is one bit of an integer, so one pass over a prompt's block hashes finds the
+matches of all replicas.
 
 >>> index = PrefixIndex(max_entries=100)
->>> index.add("e1", [11, 12, 13])
->>> index.add("e2", [11])
->>> dict(sorted(index.matches([11, 12, 99]).items()))
+>>> index.add_blocks("e1", [11, 12, 13])
+>>> index.add_blocks("e2", [11])
+>>> dict(sorted(index.matched_blocks([11, 12, 99]).items()))
 {'e1': 2, 'e2': 1}
 """
 
@@ -23,115 +23,128 @@
 from passgate.schema import CacheEvent, CacheEventKind
 
 COMPACT_FACTOR = 4
-"""Retired bits are removed when there are this many times more bits than replicas."""
-MIN_BITS = 64
+"""Bits per known replica above which the bits of discarded replicas are removed."""
+MIN_BITS_TO_COMPACT = 64
+"""Number of bits up to which none are removed."""
 
 
 class PrefixIndex:
-    """Bounded map from block hash to the replicas believed to cache it."""
+    """Map from block hash to the replicas that probably cache the block.
+
+    Beyond ``max_entries``, the blocks that were added longest ago are discarded.
+    """
 
     def __init__(self, max_entries: int) -> None:
         self._max_entries = max_entries
-        self._masks: OrderedDict[int, int] = OrderedDict()
-        self._bits: dict[str, int] = {}
-        self._names: dict[int, str] = {}
-        self._live_mask = 0
+        self._replica_mask_by_block: OrderedDict[int, int] = OrderedDict()
+        self._bit_by_replica: dict[str, int] = {}
+        self._replica_by_bit: dict[int, str] = {}
+        self._all_replicas_mask = 0
         self._next_bit = 0
-        self._sequences: dict[str, int] = {}
+        self._last_sequence_by_replica: dict[str, int] = {}
 
     def __len__(self) -> int:
-        return len(self._masks)
+        return len(self._replica_mask_by_block)
 
-    def add(self, replica_id: str, hashes: Sequence[int]) -> None:
-        """Believe that a replica caches the blocks."""
-        bit = self._bit(replica_id)
-        masks = self._masks
+    def add_blocks(self, replica_id: str, hashes: Sequence[int]) -> None:
+        """Record that a replica probably caches the blocks."""
+        bit = self._get_or_assign_bit(replica_id)
+        masks = self._replica_mask_by_block
         for block in hashes:
             masks[block] = masks.get(block, 0) | bit
             masks.move_to_end(block)
         while len(masks) > self._max_entries:
             masks.popitem(last=False)
 
-    def matches(self, hashes: Sequence[int]) -> dict[str, int]:
-        """Return the number of leading blocks per replica that has at least one."""
-        result: dict[str, int] = {}
-        mask = self._live_mask
+    def matched_blocks(self, hashes: Sequence[int]) -> dict[str, int]:
+        """Return the number of leading blocks that each replica probably caches.
+
+        ``hashes`` must not be empty.  Replicas without the first block are left out.
+        """
+        length_by_replica: dict[str, int] = {}
+        mask = self._all_replicas_mask
         for length, block in enumerate(hashes):
-            kept = mask & self._masks.get(block, 0)
+            remaining_mask = mask & self._replica_mask_by_block.get(block, 0)
             if length:
-                self._note(result, mask & ~kept, length)
-            mask = kept
+                self._record_match_length(length_by_replica, mask & ~remaining_mask, length)
+            mask = remaining_mask
             if not mask:
-                return result
-        self._note(result, mask, len(hashes))
-        return result
+                return length_by_replica
+        self._record_match_length(length_by_replica, mask, len(hashes))
+        return length_by_replica
 
-    def forget(self, replica_id: str) -> None:
-        """Believe nothing of a replica any more."""
-        bit = self._bits.pop(replica_id, None)
+    def discard_replica(self, replica_id: str) -> None:
+        """Discard all entries of a replica."""
+        bit = self._bit_by_replica.pop(replica_id, None)
         if bit is None:
             return
-        del self._names[bit]
-        self._live_mask &= ~bit
-        if self._next_bit > max(MIN_BITS, COMPACT_FACTOR * len(self._bits)):
+        del self._replica_by_bit[bit]
+        self._all_replicas_mask &= ~bit
+        if self._next_bit > max(MIN_BITS_TO_COMPACT, COMPACT_FACTOR * len(self._bit_by_replica)):
             self._compact()
 
-    def apply(self, replica_id: str, events: Sequence[CacheEvent]) -> None:
-        """Take cache events in order of sequence; a gap forgets the replica first."""
+    def apply_events(self, replica_id: str, events: Sequence[CacheEvent]) -> None:
+        """Apply an engine's cache events, ordered by sequence.
+
+        Events that were applied before are skipped.  A gap in the sequence discards the
+        replica's entries first.
+        """
         for event in events:
-            last = self._sequences.get(replica_id, 0)
+            last = self._last_sequence_by_replica.get(replica_id, 0)
             if event.sequence <= last:
                 continue
             if event.sequence != last + 1:
-                self.forget(replica_id)
-            self._sequences[replica_id] = event.sequence
-            self._apply_one(replica_id, event)
+                self.discard_replica(replica_id)
+            self._last_sequence_by_replica[replica_id] = event.sequence
+            self._apply_event(replica_id, event)
 
     def last_sequence(self, replica_id: str) -> int:
-        """Return the sequence of the newest event taken from a replica."""
-        return self._sequences.get(replica_id, 0)
+        """Return the sequence of the newest event applied for a replica, 0 without one."""
+        return self._last_sequence_by_replica.get(replica_id, 0)
 
     def retain(self, replica_ids: set[str]) -> None:
-        """Drop all state of replicas that are gone."""
-        for replica_id in (self._bits.keys() | self._sequences.keys()) - replica_ids:
-            self.forget(replica_id)
-            self._sequences.pop(replica_id, None)
+        """Discard all state of replicas that are not in ``replica_ids``."""
+        for replica_id in (self._bit_by_replica.keys() | self._last_sequence_by_replica.keys()) - replica_ids:
+            self.discard_replica(replica_id)
+            self._last_sequence_by_replica.pop(replica_id, None)
 
-    def _apply_one(self, replica_id: str, event: CacheEvent) -> None:
+    def _apply_event(self, replica_id: str, event: CacheEvent) -> None:
         if event.kind is CacheEventKind.CLEARED:
-            self.forget(replica_id)
+            self.discard_replica(replica_id)
         elif event.kind is CacheEventKind.STORED:
-            self.add(replica_id, (event.block_hash,))
+            self.add_blocks(replica_id, (event.block_hash,))
         else:
-            mask = self._masks.get(event.block_hash)
+            mask = self._replica_mask_by_block.get(event.block_hash)
             if mask is not None:
-                self._masks[event.block_hash] = mask & ~self._bits.get(replica_id, 0)
+                self._replica_mask_by_block[event.block_hash] = mask & ~self._bit_by_replica.get(
+                    replica_id, 0
+                )
 
-    def _bit(self, replica_id: str) -> int:
-        bit = self._bits.get(replica_id)
+    def _get_or_assign_bit(self, replica_id: str) -> int:
+        bit = self._bit_by_replica.get(replica_id)
         if bit is None:
             bit = 1 << self._next_bit
             self._next_bit += 1
-            self._bits[replica_id] = bit
-            self._names[bit] = replica_id
-            self._live_mask |= bit
+            self._bit_by_replica[replica_id] = bit
+            self._replica_by_bit[bit] = replica_id
+            self._all_replicas_mask |= bit
         return bit
 
-    def _note(self, result: dict[str, int], mask: int, length: int) -> None:
+    def _record_match_length(self, length_by_replica: dict[str, int], mask: int, length: int) -> None:
         while mask:
             bit = mask & -mask
-            result[self._names[bit]] = length
+            length_by_replica[self._replica_by_bit[bit]] = length
             mask ^= bit
 
     def _compact(self) -> None:
-        renamed = {bit: 1 << position for position, bit in enumerate(self._names)}
-        live = OrderedDict()
-        for block, mask in self._masks.items():
-            moved = sum(new for old, new in renamed.items() if mask & old)
-            if moved:
-                live[block] = moved
-        self._masks = live
-        self._names = {renamed[bit]: name for bit, name in self._names.items()}
-        self._bits = {name: bit for bit, name in self._names.items()}
-        self._next_bit = len(self._names)
-        self._live_mask = (1 << self._next_bit) - 1
+        new_bit_by_old = {bit: 1 << position for position, bit in enumerate(self._replica_by_bit)}
+        new_mask_by_block = OrderedDict()
+        for block, mask in self._replica_mask_by_block.items():
+            new_mask = sum(new for old, new in new_bit_by_old.items() if mask & old)
+            if new_mask:
+                new_mask_by_block[block] = new_mask
+        self._replica_mask_by_block = new_mask_by_block
+        self._replica_by_bit = {new_bit_by_old[bit]: name for bit, name in self._replica_by_bit.items()}
+        self._bit_by_replica = {name: bit for bit, name in self._replica_by_bit.items()}
+        self._next_bit = len(self._replica_by_bit)
+        self._all_replicas_mask = (1 << self._next_bit) - 1
--- a/passgate/routing/replica_directory.py
+++ b/passgate/routing/replica_directory.py
@@ -1,11 +1,10 @@
-"""Merged view of the replicas: platform list, engines' own word and orders.
+"""Directory of replicas, merged from the platform's machine list, load reports, refusals and marks.
 
-Three sources can say that a replica leaves: the platform's machine list, the
-replica itself (load reports, refusals) and an explicit mark.  The most
-cautious word wins.  Words of the list and marks hold for the rest of a
-machine's generation, so an older list never takes "leaving" back; only a
-higher generation starts afresh.  The replica's own word may be taken back by
-its own later reports, because an engine can be drained and resumed by orders.
+A replica is leaving when any of three sources says so: the machine list, the replica itself
+(in load reports or refusals), or an explicit mark.  The list and marks can not be revoked
+within a machine's generation, so a list that is read late never makes a replica live again;
+a higher generation starts with a new entry.  The replica itself can revoke what it has
+reported, because an engine may be drained and then resumed.
 
 >>> from passgate.schema import MachineInfo, MachineRole, MachineState
 >>> directory = ReplicaDirectory()
@@ -28,23 +27,24 @@
 from passgate.schema import Labels, LoadReport, MachineInfo, MachineRole, MachineState
 from passgate.selectors import Selector
 
-MISSING_GONE_S = 30.0
-"""A machine absent from all believed lists for this long is gone."""
-FORGET_S = 3600.0
-"""A gone machine is remembered this long, so that an old list can not revive it."""
-BELIEVED_SHARE = 0.5
-"""A list that lacks more than this share of the present machines proves no absence."""
-OWN_WORD_HOLD_S = 5.0
-"""Reports read sooner than this after a refusal may be older than the refusal."""
-REFUSAL_EXPIRES_S = 30.0
-"""A refusal by a replica whose reports are never read is believed this long."""
+GONE_AFTER_ABSENCE_S = 30.0
+"""Time after which a machine that no plausible list has included is gone."""
+GONE_RETENTION_S = 3600.0
+"""Time for which a gone machine is kept, so that a list read late does not revoke what is known of it."""
+MAX_ABSENT_SHARE = 0.5
+"""Share of the present machines; a list that lacks more is implausible, and absences are ignored."""
+REFUSAL_HOLD_S = 5.0
+"""Time after a refusal in which reports can not revoke it, because they may be older."""
+REFUSAL_EXPIRY_S = 30.0
+"""Time after which a refusal by a replica without load reports is revoked."""
 SELECTOR_CACHE_SIZE = 256
+"""Number of parsed selectors at which the cache is cleared."""
 
-_CAUTION = {MachineState.LIVE: 0, MachineState.LEAVING: 1, MachineState.GONE: 2}
+_STATE_ORDER = {MachineState.LIVE: 0, MachineState.LEAVING: 1, MachineState.GONE: 2}
 
 
-class PoolLike(Protocol):
-    """The part of a pool's specification that chooses replicas."""
+class ReplicaCriteria(Protocol):
+    """The part of a pool's specification that selects its replicas."""
 
     @property
     def selector(self) -> str:
@@ -52,11 +52,11 @@
 
     @property
     def role(self) -> MachineRole:
-        """Role of the machines in the pool."""
+        """Role of the pool's machines."""
 
 
 class ReplicaInfo(msgspec.Struct, frozen=True, kw_only=True):
-    """One replica as seen after the merge of all sources."""
+    """One replica, merged from all sources."""
 
     replica_id: str
     address: str
@@ -70,182 +70,189 @@
 class _Entry(msgspec.Struct, kw_only=True):
     machine: MachineInfo
     listed_state: MachineState
-    marked: str = ""
-    """Reason of an explicit mark; empty when unmarked."""
-    own_leaving: bool = False
-    refused_at_s: float = float("-inf")
-    last_sequence: int = 0
-    lower_sequence: int = 0
-    """Sequence of a report below ``last_sequence``: an old report or a new process."""
+    leaving_mark_reason: str = ""
+    """Reason of an explicit mark as leaving; empty without one."""
+    reported_leaving: bool = False
+    """Whether the replica's own report or refusal says that it leaves."""
+    last_refusal_s: float = float("-inf")
+    last_report_sequence: int = 0
+    lower_report_sequence: int = 0
+    """Sequence of the last report if it was below ``last_report_sequence``, else 0.
+
+    Such a report is either an old one or from a restarted process.
+    """
     last_listed_s: float = 0.0
     gone_since_s: float | None = None
 
 
-def most_cautious(first: MachineState, second: MachineState) -> MachineState:
-    """Return the more cautious of two states."""
-    return first if _CAUTION[first] >= _CAUTION[second] else second
+def later_state(first: MachineState, second: MachineState) -> MachineState:
+    """Return the state that comes later in a machine's life: live, leaving, gone."""
+    return first if _STATE_ORDER[first] >= _STATE_ORDER[second] else second
 
 
 class ReplicaDirectory:
-    """All known replicas; fed with lists, reports, refusals and marks."""
+    """All known replicas by identifier, with their merged states."""
 
     def __init__(self) -> None:
-        self._entries: dict[str, _Entry] = {}
-        self._selectors: dict[str, Selector] = {}
-        self._infos: dict[str, ReplicaInfo] = {}
-        self._pools: dict[tuple[str, MachineRole], list[ReplicaInfo]] = {}
+        self._entry_by_id: dict[str, _Entry] = {}
+        self._selector_by_text: dict[str, Selector] = {}
+        self._replica_by_id: dict[str, ReplicaInfo] = {}
+        self._replicas_by_criteria: dict[tuple[str, MachineRole], list[ReplicaInfo]] = {}
         self.version = 0
-        """Grows whenever some replica's merged view changes."""
+        """Increases whenever the merged entry of a replica changes."""
 
     # --- sources ---------------------------------------------------------------
 
     def apply_machines(self, machines: Sequence[MachineInfo], now_s: float) -> None:
-        """Merge one reading of the platform's list, which may be old or empty."""
+        """Merge the platform's machine list, which may be old, incomplete or empty; daemons are skipped."""
         listed = [machine for machine in machines if machine.role is not MachineRole.DAEMON]
         for machine in listed:
             self._apply_machine(machine, now_s)
         self._apply_absences({machine.machine_id for machine in listed}, now_s)
         self._expire_refusals(now_s)
-        self._forget(now_s)
+        self._discard_gone(now_s)
 
     def mark_leaving(self, replica_id: str, reason: str) -> None:
-        """Take a replica out for the rest of its generation; unknown ones are ignored."""
-        entry = self._entries.get(replica_id)
-        if entry is not None and not entry.marked:
-            entry.marked = reason or "marked"
+        """Mark a replica as leaving for the rest of its generation; ignored for an unknown replica."""
+        entry = self._entry_by_id.get(replica_id)
+        if entry is not None and not entry.leaving_mark_reason:
+            entry.leaving_mark_reason = reason or "marked"
             self._refresh(replica_id)
 
-    def observe_report(self, report: LoadReport, now_s: float) -> None:
-        """Take the replica's own word from a load report read at ``now_s``."""
-        entry = self._entries.get(report.replica_id)
-        if entry is None or not _is_news(entry, report.sequence):
+    def record_report(self, report: LoadReport, now_s: float) -> None:
+        """Merge whether the replica leaves according to its load report read at ``now_s``.
+
+        Old reports, and reports of unknown replicas, are ignored.
+        """
+        entry = self._entry_by_id.get(report.replica_id)
+        if entry is None or not _accept_sequence(entry, report.sequence):
             return
-        held = now_s - entry.refused_at_s < OWN_WORD_HOLD_S
-        own_leaving = report.leaving or (held and entry.own_leaving)
-        if own_leaving != entry.own_leaving:
-            entry.own_leaving = own_leaving
+        is_held = now_s - entry.last_refusal_s < REFUSAL_HOLD_S
+        is_leaving = report.leaving or (is_held and entry.reported_leaving)
+        if is_leaving != entry.reported_leaving:
+            entry.reported_leaving = is_leaving
             self._refresh(report.replica_id)
 
-    def observe_refusal(self, replica_id: str, now_s: float) -> None:
-        """The replica refused work because it leaves; later reports may take it back."""
-        entry = self._entries.get(replica_id)
+    def record_refusal(self, replica_id: str, now_s: float) -> None:
+        """Record that the replica refused a request because it leaves; later reports may revoke it."""
+        entry = self._entry_by_id.get(replica_id)
         if entry is not None:
-            entry.own_leaving = True
-            entry.refused_at_s = now_s
+            entry.reported_leaving = True
+            entry.last_refusal_s = now_s
             self._refresh(replica_id)
 
     # --- queries -----------------------------------------------------------------
 
-    def may_return(self, replica_id: str) -> bool:
-        """Whether only the replica's own word, which it may take back, says that it leaves."""
-        entry = self._entries.get(replica_id)
-        if entry is None or not entry.own_leaving:
+    def is_leaving_revocable(self, replica_id: str) -> bool:
+        """Whether a replica is leaving only according to its own reports or refusals."""
+        entry = self._entry_by_id.get(replica_id)
+        if entry is None or not entry.reported_leaving:
             return False
-        is_listed = entry.listed_state is MachineState.LIVE and entry.gone_since_s is None
-        return is_listed and not entry.marked
+        is_listed_live = entry.listed_state is MachineState.LIVE and entry.gone_since_s is None
+        return is_listed_live and not entry.leaving_mark_reason
 
     def get(self, replica_id: str) -> ReplicaInfo | None:
-        """Return one replica's merged view, also when it is gone."""
-        return self._infos.get(replica_id)
+        """Return a replica, also a gone one, or None when it is unknown."""
+        return self._replica_by_id.get(replica_id)
 
     def known_ids(self) -> set[str]:
         """Return the identifiers of all replicas that are not gone."""
-        return {name for name, info in self._infos.items() if info.state is not MachineState.GONE}
+        return {name for name, info in self._replica_by_id.items() if info.state is not MachineState.GONE}
 
-    def replicas(self, pool: PoolLike) -> list[ReplicaInfo]:
+    def replicas(self, pool: ReplicaCriteria) -> list[ReplicaInfo]:
         """Return the pool's live and leaving replicas, ordered by identifier.
 
-        The list is shared between calls: do not change it.
+        The list is cached, so callers must not change it.
         """
         key = (pool.selector, pool.role)
-        cached = self._pools.get(key)
+        cached = self._replicas_by_criteria.get(key)
         if cached is None:
             cached = self._select(pool)
-            self._pools[key] = cached
+            self._replicas_by_criteria[key] = cached
         return cached
 
-    def available(self, pool: PoolLike) -> list[ReplicaInfo]:
-        """Return the pool's replicas that may get new work."""
+    def available(self, pool: ReplicaCriteria) -> list[ReplicaInfo]:
+        """Return the pool's live replicas, which may receive new requests."""
         return [replica for replica in self.replicas(pool) if replica.state is MachineState.LIVE]
 
     # --- internals -----------------------------------------------------------------
 
     def _apply_machine(self, machine: MachineInfo, now_s: float) -> None:
-        entry = self._entries.get(machine.machine_id)
+        entry = self._entry_by_id.get(machine.machine_id)
         if entry is not None and entry.machine == machine and entry.gone_since_s is None:
             entry.last_listed_s = now_s
             return
         if entry is None or machine.generation > entry.machine.generation:
             entry = _Entry(machine=machine, listed_state=machine.state, last_listed_s=now_s)
-            self._entries[machine.machine_id] = entry
+            self._entry_by_id[machine.machine_id] = entry
         elif machine.generation < entry.machine.generation:
             return
-        entry.listed_state = most_cautious(entry.listed_state, machine.state)
+        entry.listed_state = later_state(entry.listed_state, machine.state)
         entry.machine = machine
         entry.last_listed_s = now_s
         entry.gone_since_s = now_s if entry.listed_state is MachineState.GONE else None
         self._refresh(machine.machine_id)
 
     def _apply_absences(self, listed_ids: set[str], now_s: float) -> None:
-        present = [entry for entry in self._entries.values() if entry.gone_since_s is None]
+        present = [entry for entry in self._entry_by_id.values() if entry.gone_since_s is None]
         absent = [entry for entry in present if entry.machine.machine_id not in listed_ids]
-        if len(absent) > BELIEVED_SHARE * len(present):
+        if len(absent) > MAX_ABSENT_SHARE * len(present):
             return
         for entry in absent:
-            if now_s - entry.last_listed_s >= MISSING_GONE_S:
+            if now_s - entry.last_listed_s >= GONE_AFTER_ABSENCE_S:
                 entry.gone_since_s = now_s
                 self._refresh(entry.machine.machine_id)
 
     def _expire_refusals(self, now_s: float) -> None:
-        for replica_id, entry in self._entries.items():
-            unread = entry.last_sequence == 0
-            if entry.own_leaving and unread and now_s - entry.refused_at_s >= REFUSAL_EXPIRES_S:
-                entry.own_leaving = False
+        for replica_id, entry in self._entry_by_id.items():
+            has_no_reports = entry.last_report_sequence == 0
+            if entry.reported_leaving and has_no_reports and now_s - entry.last_refusal_s >= REFUSAL_EXPIRY_S:
+                entry.reported_leaving = False
                 self._refresh(replica_id)
 
-    def _forget(self, now_s: float) -> None:
-        for replica_id, entry in list(self._entries.items()):
-            if entry.gone_since_s is not None and now_s - entry.gone_since_s >= FORGET_S:
-                del self._entries[replica_id]
+    def _discard_gone(self, now_s: float) -> None:
+        for replica_id, entry in list(self._entry_by_id.items()):
+            if entry.gone_since_s is not None and now_s - entry.gone_since_s >= GONE_RETENTION_S:
+                del self._entry_by_id[replica_id]
                 self._refresh(replica_id)
 
     def _refresh(self, replica_id: str) -> None:
-        entry = self._entries.get(replica_id)
-        info = None if entry is None else _merge(entry)
-        if info == self._infos.get(replica_id):
+        entry = self._entry_by_id.get(replica_id)
+        info = None if entry is None else _merge_sources(entry)
+        if info == self._replica_by_id.get(replica_id):
             return
         if info is None:
-            del self._infos[replica_id]
+            del self._replica_by_id[replica_id]
         else:
-            self._infos[replica_id] = info
-        self._pools.clear()
+            self._replica_by_id[replica_id] = info
+        self._replicas_by_criteria.clear()
         self.version += 1
 
-    def _select(self, pool: PoolLike) -> list[ReplicaInfo]:
-        selector = self._selector(pool.selector)
+    def _select(self, pool: ReplicaCriteria) -> list[ReplicaInfo]:
+        selector = self._parse_selector(pool.selector)
         chosen = [
             info
-            for info in self._infos.values()
+            for info in self._replica_by_id.values()
             if info.role is pool.role
             and info.state is not MachineState.GONE
             and selector.matches(info.labels)
         ]
         return sorted(chosen, key=lambda info: info.replica_id)
 
-    def _selector(self, text: str) -> Selector:
-        selector = self._selectors.get(text)
+    def _parse_selector(self, text: str) -> Selector:
+        selector = self._selector_by_text.get(text)
         if selector is None:
-            if len(self._selectors) >= SELECTOR_CACHE_SIZE:
-                self._selectors.clear()
+            if len(self._selector_by_text) >= SELECTOR_CACHE_SIZE:
+                self._selector_by_text.clear()
             selector = Selector.parse(text)
-            self._selectors[text] = selector
+            self._selector_by_text[text] = selector
         return selector
 
 
-def _merge(entry: _Entry) -> ReplicaInfo:
+def _merge_sources(entry: _Entry) -> ReplicaInfo:
     state = entry.listed_state
-    if entry.marked or entry.own_leaving:
-        state = most_cautious(state, MachineState.LEAVING)
+    if entry.leaving_mark_reason or entry.reported_leaving:
+        state = later_state(state, MachineState.LEAVING)
     if entry.gone_since_s is not None:
         state = MachineState.GONE
     machine = entry.machine
@@ -260,15 +267,19 @@
     )
 
 
-def _is_news(entry: _Entry, sequence: int) -> bool:
-    """Whether a report is newer; two growing ones below the last mean a new process."""
-    if sequence > entry.last_sequence:
-        entry.last_sequence = sequence
-        entry.lower_sequence = 0
+def _accept_sequence(entry: _Entry, sequence: int) -> bool:
+    """Return whether a report is new, and record its sequence.
+
+    Two reports with rising sequences below the last one show a restarted process, so the
+    second is new.
+    """
+    if sequence > entry.last_report_sequence:
+        entry.last_report_sequence = sequence
+        entry.lower_report_sequence = 0
         return True
-    if 0 < entry.lower_sequence < sequence < entry.last_sequence:
-        entry.last_sequence = sequence
-        entry.lower_sequence = 0
+    if 0 < entry.lower_report_sequence < sequence < entry.last_report_sequence:
+        entry.last_report_sequence = sequence
+        entry.lower_report_sequence = 0
         return True
-    entry.lower_sequence = sequence if sequence < entry.last_sequence else 0
+    entry.lower_report_sequence = sequence if sequence < entry.last_report_sequence else 0
     return False
--- a/passgate/routing/retry_budget.py
+++ b/passgate/routing/retry_budget.py
@@ -1,9 +1,9 @@
-"""Bounds retries to a share of the work that succeeds, so that they can not multiply a failure.
+"""Limits retries to a share of the successful requests, so that they do not multiply the load of a failure.
 
 >>> budget = RetryBudget(ratio=0.5, burst=2.0)
 >>> budget.take(), budget.take(), budget.take()
 (True, True, False)
->>> budget.deposit(); budget.deposit()
+>>> budget.record_success(); budget.record_success()
 >>> budget.take(), budget.take()
 (True, False)
 """
@@ -12,7 +12,7 @@
 
 
 class RetryBudget:
-    """Token bucket filled by successes and emptied by retries; starts full."""
+    """Token bucket that successful requests fill and retries empty; starts full."""
 
     def __init__(self, ratio: float, burst: float) -> None:
         self._ratio = ratio
@@ -20,16 +20,16 @@
         self._tokens = burst
 
     @property
-    def tokens(self) -> float:
-        """Retries that may start now."""
+    def available_retries(self) -> float:
+        """Number of retries that may start now."""
         return self._tokens
 
-    def deposit(self) -> None:
-        """Count one request that succeeded."""
+    def record_success(self) -> None:
+        """Add ``ratio`` retries for a request that succeeded, up to ``burst``."""
         self._tokens = min(self._burst, self._tokens + self._ratio)
 
     def take(self) -> bool:
-        """Take one retry; return False when the budget is spent."""
+        """Take one retry from the budget; return False when less than one is left."""
         if self._tokens < 1.0:
             return False
         self._tokens -= 1.0
--- a/passgate/routing/subset.py
+++ b/passgate/routing/subset.py
@@ -1,9 +1,8 @@
-"""Deterministic choice of the replicas that one daemon works with.
+"""Deterministic choice of the replicas that one daemon uses.
 
-With 420 daemons and 1,100 replicas, each daemon asking each replica for its
-load would cost far more than the control budget.  Rendezvous hashing gives each
-daemon a stable subset: when a replica comes or goes, only the daemons that had
-or get it change.
+With hundreds of daemons and replicas, polling every replica from every daemon would be too
+expensive.  Rendezvous hashing gives each daemon a stable subset: when a replica is added or
+removed, only the subsets that include it change.
 
 >>> replicas = [ReplicaKey(replica_id=f"e{index}", zone="ab"[index % 2]) for index in range(10)]
 >>> chosen = choose_subset("daemon-1", "a", replicas, size=4, local_share=0.5)
@@ -22,8 +21,8 @@
 import xxhash
 
 
-class HasZone(Protocol):
-    """What the subset needs of a replica."""
+class ZonedReplica(Protocol):
+    """A replica with an identifier and a zone."""
 
     replica_id: str
     zone: str
@@ -36,27 +35,30 @@
     zone: str
 
 
-Replica = TypeVar("Replica", bound=HasZone)
+Replica = TypeVar("Replica", bound=ZonedReplica)
 
 
-def rendezvous_score(owner: str, replica_id: str) -> int:
-    """Return the pseudo-random rank of a replica for an owner; the highest are taken."""
-    return xxhash.xxh64_intdigest(f"{owner}\0{replica_id}".encode())
+def rendezvous_score(daemon_id: str, replica_id: str) -> int:
+    """Return the pseudo-random score of a replica for a daemon; the highest scores are chosen."""
+    return xxhash.xxh64_intdigest(f"{daemon_id}\0{replica_id}".encode())
 
 
 def choose_subset(
-    owner: str, zone: str, replicas: Sequence[Replica], size: int, local_share: float
+    daemon_id: str, zone: str, replicas: Sequence[Replica], size: int, local_share: float
 ) -> list[Replica]:
-    """Return at most ``size`` replicas, a share of them from ``zone``, in order of identifier."""
+    """Return at most ``size`` replicas, ordered by identifier.
+
+    ``local_share`` of them are taken from ``zone`` first, as far as it has enough.
+    """
     if len(replicas) <= size:
         return sorted(replicas, key=lambda replica: replica.replica_id)
     ranked = sorted(
         replicas,
-        key=lambda replica: (rendezvous_score(owner, replica.replica_id), replica.replica_id),
+        key=lambda replica: (rendezvous_score(daemon_id, replica.replica_id), replica.replica_id),
         reverse=True,
     )
     local_size = round(size * local_share)
     local = [replica for replica in ranked if replica.zone == zone][:local_size]
-    taken = {replica.replica_id for replica in local}
-    rest = [replica for replica in ranked if replica.replica_id not in taken]
+    local_ids = {replica.replica_id for replica in local}
+    rest = [replica for replica in ranked if replica.replica_id not in local_ids]
     return sorted(local + rest[: size - len(local)], key=lambda replica: replica.replica_id)
--- a/passgate/routing/work.py
+++ b/passgate/routing/work.py
@@ -1,4 +1,4 @@
-"""What routing needs to know of one request, without its content."""
+"""Attributes of one request that queues, admission and schedulers use."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class WorkItem(msgspec.Struct, kw_only=True, eq=False):
-    """One request as queues, admission and schedulers see it."""
+    """One attempt of a request to be queued or placed, without its content."""
 
     key: int
     """Unique within the daemon."""
@@ -16,24 +16,24 @@
     pool: str
     priority_class: str
     interactive: bool
-    """A person waits for the answer; other classes are batch classes."""
+    """Whether the priority class is interactive; the others are batch classes."""
     prompt_tokens: int
     expected_tokens: int
-    """Output tokens expected to be generated from here on."""
+    """Output tokens that are expected still."""
     cost: float
-    """Tokens charged by fair queueing: weighted prompt plus expected output."""
+    """Estimated charge of fair queueing in tokens: weighted prompt plus expected output."""
     enqueued_s: float
     deadline_s: float | None = None
-    expires_s: float = float("inf")
-    """When it must have been served: its deadline, or its class's longest wait if earlier."""
+    queue_deadline_s: float = float("inf")
+    """Time at which its class's longest wait ends; set when it is queued."""
     model: str = ""
     minimum_version: int = 0
-    prefix: Sequence[int] = ()
-    """Block hashes of the prompt."""
-    avoid: frozenset[str] = frozenset()
-    """Replicas that failed this request; used only when no other is left."""
+    prompt_block_hashes: Sequence[int] = ()
+    """See :func:`passgate.routing.prefix.block_hashes`; empty without prefix affinity."""
+    replicas_to_avoid: frozenset[str] = frozenset()
+    """Replicas on which an attempt of the request failed; chosen only when no other has capacity."""
 
     @property
     def kv_tokens(self) -> int:
-        """KV memory that the request is expected to hold at its end."""
+        """Tokens of KV memory that the request is expected to hold at its end."""
         return self.prompt_tokens + self.expected_tokens
