--- a/passgate/routing/hedge_scanner.py
+++ b/passgate/routing/hedge_scanner.py
@@ -1,4 +1,4 @@
-"""Background task that periodically requests hedges for running candidates."""
+"""Background task that periodically requests hedges for running attempts."""
 
 from __future__ import annotations
 
--- a/passgate/routing/home_models.py
+++ b/passgate/routing/home_models.py
@@ -1,9 +1,10 @@
 """Preferred model of each replica when several models share the same replicas.
 
 An engine that decodes two models in one batch runs two forward passes per step, which
-almost doubles the time per token.  All daemons therefore assign models to replicas in the
-same way, without communication: round robin, in order of replica identifier and model
-name.  A preference does not exclude other models; see ``replica_chooser``.
+almost doubles the time per token.  Each daemon therefore assigns models to its replicas
+round robin, in order of replica identifier and model name, so that daemons with the same
+replicas agree without communication.  A preference does not exclude other models; see
+:mod:`passgate.routing.replica_chooser`.
 
 >>> preferred_models = PreferredModels()
 >>> preferred_models.assign(["e0", "e1", "e2"], ["grades", "notes"])
--- a/passgate/routing/subset.py
+++ b/passgate/routing/subset.py
@@ -48,7 +48,8 @@
 ) -> list[Replica]:
     """Return at most ``size`` replicas, ordered by identifier.
 
-    ``local_share`` of them are taken from ``zone`` first, as far as it has enough.
+    ``local_share`` of them are taken from ``zone`` first, as far as it has enough.  The rest
+    are those with the highest scores, whatever their zone.
     """
     if len(replicas) <= size:
         return sorted(replicas, key=lambda replica: replica.replica_id)
