--- a/passgate/rollout/__init__.py
+++ b/passgate/rollout/__init__.py
@@ -1,1 +1,1 @@
-"""Weight rollouts: plans, waves, fenced orders to engines."""
+"""Weight rollouts: planning, staging and activating model versions under fencing tokens."""
--- a/passgate/rollout/cli.py
+++ b/passgate/rollout/cli.py
@@ -1,4 +1,4 @@
-"""``passgate plan``: plans shown before they are carried out.
+"""The command ``passgate plan``, which shows a rollout's plan and changes nothing.
 
 ::
 
@@ -20,7 +20,7 @@
     PlanRequest,
     PlatformRates,
     RolloutPlan,
-    best_distribution,
+    fastest_plan,
     make_plan,
     make_views,
 )
@@ -28,13 +28,13 @@
 from passgate.rollout.types import DistributionSettings, RolloutSettings, RolloutTarget
 
 GIGABYTE = 1e9
-WAVES_SHOWN = 40
+MAXIMUM_WAVES_SHOWN = 40
 
 Number = TypeVar("Number", int, float)
 
 
 class PlanCommands:
-    """Plans shown before they are carried out."""
+    """Show plans without carrying them out."""
 
     def rollout(
         self,
@@ -64,8 +64,8 @@
         """Show waves, expected time, store traffic and capacity kept of one rollout.
 
         Replicas come from a running service (--pool with --operator and --machine_list),
-        from an example deployment (--deployment), or are made up (--replicas, --zones).
-        The rates are assumptions unless --weight_store tells the size.
+        from an example deployment (--deployment), or are generated (--replicas, --zones).
+        The rates are assumptions unless --weight_store gives the size of the weights.
 
         Args:
             pool: name of the pool to roll out on.
@@ -73,38 +73,38 @@
             machine_list: address of the platform's machine list.
             weight_store: address of the weight store, to read the size of the version.
             deployment: name or file of an example deployment.
-            replicas: number of made-up replicas.
-            zones: number of made-up zones.
+            replicas: number of generated replicas.
+            zones: number of generated zones.
             version: version to roll out; 0 takes the newest that is not withdrawn.
             swap_mode: swap_running, drain, pause or full_drain.
-            capacity_floor: share of the replicas that keep serving.
+            capacity_floor: minimum share of the replicas that keep serving.
             zone_capacity_floor: the same within each zone.
-            fan_out: most engines that fetch from one engine at once.
-            cut_through: engines pass weights on while they still fetch.
-            store_copies: most fetches from the store.
+            fan_out: maximum number of engines that fetch from one engine at once.
+            cut_through: engines serve as sources while they are still fetching.
+            store_copies: maximum number of fetches from the store.
             weight_bytes: size of the weights.
             store_bytes_per_s: rate limit of the store.
             engine_link_bytes_per_s: rate at which one engine sends.
-            swap_pause_s: time that an engine stands still for a swap.
+            swap_pause_s: time for which a swap pauses an engine.
             drain_s: expected time until a draining engine is idle.
             best: try several fan-outs and numbers of store copies and show the fastest.
             json: print the plan as JSON.
             credential_file: file with the operators' credential.
         """
         settings = RolloutSettings(
-            capacity_floor=_share(capacity_floor, "capacity_floor"),
-            zone_capacity_floor=_share(zone_capacity_floor, "zone_capacity_floor"),
-            swap_mode=_mode(swap_mode),
+            capacity_floor=_checked_share(capacity_floor, "capacity_floor"),
+            zone_capacity_floor=_checked_share(zone_capacity_floor, "zone_capacity_floor"),
+            swap_mode=_checked_mode(swap_mode),
             distribution=DistributionSettings(
-                fan_out=_at_least(fan_out, 1, "fan_out"),
+                fan_out=_checked_minimum(fan_out, 1, "fan_out"),
                 cut_through=cut_through,
-                max_store_copies=_at_least(store_copies, 1, "store_copies"),
+                max_store_copies=_checked_minimum(store_copies, 1, "store_copies"),
             ),
         )
         rates = PlatformRates(
-            weight_bytes=_at_least(int(weight_bytes), 1, "weight_bytes"),
-            store_bytes_per_s=_at_least(store_bytes_per_s, 1, "store_bytes_per_s"),
-            engine_link_bytes_per_s=_at_least(engine_link_bytes_per_s, 1, "engine_link_bytes_per_s"),
+            weight_bytes=_checked_minimum(int(weight_bytes), 1, "weight_bytes"),
+            store_bytes_per_s=_checked_minimum(store_bytes_per_s, 1, "store_bytes_per_s"),
+            engine_link_bytes_per_s=_checked_minimum(engine_link_bytes_per_s, 1, "engine_link_bytes_per_s"),
             swap_pause_s=swap_pause_s,
             drain_s=drain_s,
         )
@@ -115,12 +115,12 @@
         elif deployment:
             request = _deployment_request(deployment, settings, rates)
         else:
-            request = _made_up_request(replicas, zones, settings, rates)
-        plan = best_distribution(request, store_copies) if best else make_plan(request)
-        show(plan, json)
+            request = _synthetic_request(replicas, zones, settings, rates)
+        plan = fastest_plan(request, store_copies) if best else make_plan(request)
+        print_plan(plan, json)
 
 
-def show(plan: RolloutPlan, as_json: bool) -> None:
+def print_plan(plan: RolloutPlan, as_json: bool) -> None:
     """Print a plan, as JSON or as a table with a summary."""
     if as_json:
         print(msgspec.json.encode(plan).decode())
@@ -132,19 +132,19 @@
 
 
 def wave_table(plan: RolloutPlan) -> Table:
-    """Return the waves as a table; long plans are cut."""
+    """Return the first ``MAXIMUM_WAVES_SHOWN`` waves as a table."""
     table = Table(title=f"{plan.target.model} version {plan.target.version}, {plan.swap_mode}")
     for column in ("order", "begins s", "ends s", "replicas", "from store", "from another zone"):
         table.add_column(column, justify="left" if column == "order" else "right")
-    for wave in plan.waves[:WAVES_SHOWN]:
+    for wave in plan.waves[:MAXIMUM_WAVES_SHOWN]:
         counts = (len(wave.replicas), wave.from_store, wave.from_other_zone)
         table.add_row(wave.kind, f"{wave.begin_s:.2f}", f"{wave.end_s:.2f}", *map(str, counts))
     return table
 
 
 def summary(plan: RolloutPlan) -> list[str]:
-    """Return the plan's figures as lines of text."""
-    hidden = len(plan.waves) - WAVES_SHOWN
+    """Return the plan's totals as lines of text."""
+    hidden = len(plan.waves) - MAXIMUM_WAVES_SHOWN
     lines = [f"{hidden} more waves are not shown"] if hidden > 0 else []
     reached = f"{plan.seconds_to_all:.1f} s" if plan.finished else "not within the longest planned time"
     kept = f"{plan.least_serving} of {plan.replicas} (floor {plan.replicas_to_keep})"
@@ -212,25 +212,25 @@
     return PlanRequest(views=named, target=target, settings=settings, rates=rates)
 
 
-def _made_up_request(
+def _synthetic_request(
     replicas: int, zones: int, settings: RolloutSettings, rates: PlatformRates
 ) -> PlanRequest:
-    views = make_views(_at_least(replicas, 1, "replicas"), _at_least(zones, 1, "zones"))
+    views = make_views(_checked_minimum(replicas, 1, "replicas"), _checked_minimum(zones, 1, "zones"))
     target = RolloutTarget(model="model", version=2)
     return PlanRequest(views=tuple(views), target=target, settings=settings, rates=rates)
 
 
-def _share(value: float, name: str) -> float:
+def _checked_share(value: float, name: str) -> float:
     if not isinstance(value, int | float) or not 0 <= value <= 1:
         raise InvalidRequest(f"--{name} must be from 0 to 1", field=name, got=value)
     return float(value)
 
 
-def _at_least(value: Number, least: float, name: str) -> Number:
+def _checked_minimum(value: Number, least: float, name: str) -> Number:
     if not isinstance(value, int | float) or value < least:
         raise InvalidRequest(f"--{name} must be at least {least}", field=name, got=value)
     return value
 
 
-def _mode(name: str) -> str:
+def _checked_mode(name: str) -> str:
     return swap_mode(name).name
--- a/passgate/rollout/due_times.py
+++ b/passgate/rollout/due_times.py
@@ -1,8 +1,8 @@
-"""When something falls due, per key; the earliest time asked for a key counts.
+"""Queue of due times with one time per key; the earliest time scheduled for a key applies.
 
->>> due = DueTimes()
->>> due.plan("r1", 5.0); due.plan("r2", 3.0); due.plan("r1", 4.0); due.plan("r1", 9.0)
->>> due.next_s(), due.take(4.0), due.next_s()
+>>> due = TimerQueue()
+>>> due.schedule("r1", 5.0); due.schedule("r2", 3.0); due.schedule("r1", 4.0); due.schedule("r1", 9.0)
+>>> due.next_due_s(), due.pop_due(4.0), due.next_due_s()
 (3.0, ['r2', 'r1'], None)
 """
 
@@ -14,42 +14,42 @@
 Key = TypeVar("Key")
 
 
-class DueTimes(Generic[Key]):
-    """One due time per key, in order of time."""
+class TimerQueue(Generic[Key]):
+    """Due time of each key, ordered by time."""
 
     def __init__(self) -> None:
-        self._due_s: dict[Key, float] = {}
+        self._due_s_by_key: dict[Key, float] = {}
         self._heap: list[tuple[float, int, Key]] = []
-        self._count = 0
+        self._entry_count = 0
 
     def __contains__(self, key: object) -> bool:
-        return key in self._due_s
+        return key in self._due_s_by_key
 
-    def plan(self, key: Key, due_s: float) -> None:
-        """Let a key fall due at ``due_s`` unless it does so earlier."""
-        planned = self._due_s.get(key)
+    def schedule(self, key: Key, due_s: float) -> None:
+        """Make a key due at ``due_s``; an earlier due time of the key stays."""
+        planned = self._due_s_by_key.get(key)
         if planned is not None and planned <= due_s:
             return
-        self._due_s[key] = due_s
-        self._count += 1
-        heapq.heappush(self._heap, (due_s, self._count, key))
+        self._due_s_by_key[key] = due_s
+        self._entry_count += 1
+        heapq.heappush(self._heap, (due_s, self._entry_count, key))
 
     def cancel(self, key: Key) -> None:
-        """Forget a key."""
-        self._due_s.pop(key, None)
+        """Remove a key; without effect when it has no due time."""
+        self._due_s_by_key.pop(key, None)
 
-    def take(self, now_s: float) -> list[Key]:
-        """Return and forget the keys that are due."""
+    def pop_due(self, now_s: float) -> list[Key]:
+        """Remove and return the keys that are due at ``now_s``, earliest first."""
         taken = []
         while self._heap and self._heap[0][0] <= now_s:
             due_s, _, key = heapq.heappop(self._heap)
-            if self._due_s.get(key) == due_s:
-                del self._due_s[key]
+            if self._due_s_by_key.get(key) == due_s:
+                del self._due_s_by_key[key]
                 taken.append(key)
         return taken
 
-    def next_s(self) -> float | None:
-        """Return when the next key falls due, None when nothing is planned."""
-        while self._heap and self._due_s.get(self._heap[0][2]) != self._heap[0][0]:
+    def next_due_s(self) -> float | None:
+        """Return the earliest due time, None when no key has one."""
+        while self._heap and self._due_s_by_key.get(self._heap[0][2]) != self._heap[0][0]:
             heapq.heappop(self._heap)
         return self._heap[0][0] if self._heap else None
--- a/passgate/rollout/live_inputs.py
+++ b/passgate/rollout/live_inputs.py
@@ -1,6 +1,8 @@
-"""What a plan needs of a running service: the pool, its engines, their versions and the store.
+"""Reads the inputs of a plan from a running service, without changing anything there.
 
-Everything is only read; no daemon has to be changed for a plan.
+The pool and its model versions come from the operators' port, the engines from the
+machine list, running versions and load from the engines' load reports, and the size
+of the weights from the weight store.
 """
 
 from __future__ import annotations
@@ -21,12 +23,12 @@
 from passgate.selectors import Selector
 from passgate.state.specs import ModelVersionSpec, PoolSpec
 
-READ_AT_ONCE = 32
-"""Most load reports read at the same time."""
+CONCURRENT_READS = 32
+"""Load reports that are read at the same time."""
 
 
 class ServiceAddresses(msgspec.Struct, frozen=True, kw_only=True):
-    """Where to read from besides the operators' port, each ``IP:port``."""
+    """Addresses (``IP:port``) that are read besides the operators' port."""
 
     machine_list: str
     weight_store: str = ""
@@ -41,43 +43,52 @@
     settings: RolloutSettings,
     rates: PlatformRates,
 ) -> PlanRequest:
-    """Return the request of a plan for one pool; version 0 means the newest one.
+    """Return the plan request of one pool; version 0 selects the newest usable version.
+
+    An engine whose load report can not be read counts as running version 0.  The size of
+    the weights is read only when ``addresses`` names a weight store.
 
     Raises:
-        NotFound: no such pool, or no usable version of its model.
-        PlatformError: the machine list or the store could not be read.
+        NotFound: the pool does not exist, or its model has no version that is not withdrawn.
+        PlatformError: the machine list or the weight store could not be read.
     """
     pool = _pool_spec((await operator.get_object("Pool", pool_name)).spec)
-    target = await _target(operator, pool.model, version)
+    target = await _read_target(operator, pool.model, version)
     machines = await HttpMachineList(http, addresses.machine_list).machines()
-    views = _views(machines, pool)
-    reports = await _reports(HttpEngineClient(http), views)
-    running = {view.replica_id: _version_of(report, pool.model) for view, report in reports}
-    loaded = tuple(_with_load(view, report) for view, report in reports)
+    views = _engine_views(machines, pool)
+    reports = await _read_reports(HttpEngineClient(http), views)
+    version_by_replica = {view.replica_id: _reported_version(report, pool.model) for view, report in reports}
+    views_with_load = tuple(_with_load(view, report) for view, report in reports)
     if addresses.weight_store:
         store = HttpWeightStore(http, addresses.weight_store)
         size = await store.size_bytes(target.model, target.version)
         rates = msgspec.structs.replace(rates, weight_bytes=size)
-    return PlanRequest(views=loaded, target=target, running=running, settings=settings, rates=rates)
+    return PlanRequest(
+        views=views_with_load,
+        target=target,
+        version_by_replica=version_by_replica,
+        settings=settings,
+        rates=rates,
+    )
 
 
 def _pool_spec(spec: msgspec.Raw) -> PoolSpec:
     return msgspec.json.decode(msgspec.json.encode(spec), type=PoolSpec)
 
 
-async def _target(operator: OperatorClient, model: str, version: int) -> RolloutTarget:
-    listed = (await operator.list_objects("ModelVersion")).objects
-    specs = [msgspec.json.decode(msgspec.json.encode(item.spec), type=ModelVersionSpec) for item in listed]
-    own = [spec for spec in specs if spec.model == model]
-    usable = [spec.version for spec in own if not spec.withdrawn]
-    wanted = version or max(usable, default=0)
-    if not wanted:
+async def _read_target(operator: OperatorClient, model: str, version: int) -> RolloutTarget:
+    objects = (await operator.list_objects("ModelVersion")).objects
+    specs = [msgspec.json.decode(msgspec.json.encode(item.spec), type=ModelVersionSpec) for item in objects]
+    model_specs = [spec for spec in specs if spec.model == model]
+    usable_versions = [spec.version for spec in model_specs if not spec.withdrawn]
+    target_version = version or max(usable_versions, default=0)
+    if not target_version:
         raise NotFound(f"model {model} has no version that is not withdrawn", model=model)
-    withdrawn = frozenset(spec.version for spec in own if spec.withdrawn)
-    return RolloutTarget(model=model, version=wanted, withdrawn=withdrawn)
+    withdrawn = frozenset(spec.version for spec in model_specs if spec.withdrawn)
+    return RolloutTarget(model=model, version=target_version, withdrawn=withdrawn)
 
 
-def _views(machines: Iterable[MachineInfo], pool: PoolSpec) -> list[ReplicaView]:
+def _engine_views(machines: Iterable[MachineInfo], pool: PoolSpec) -> list[ReplicaView]:
     selector = Selector.parse(pool.selector)
     return [
         ReplicaView(
@@ -93,10 +104,10 @@
     ]
 
 
-async def _reports(
+async def _read_reports(
     engine: HttpEngineClient, views: Sequence[ReplicaView]
 ) -> list[tuple[ReplicaView, LoadReport | None]]:
-    limit = asyncio.Semaphore(READ_AT_ONCE)
+    limit = asyncio.Semaphore(CONCURRENT_READS)
 
     async def read(view: ReplicaView) -> LoadReport | None:
         async with limit:
@@ -108,7 +119,7 @@
     return list(zip(views, await asyncio.gather(*map(read, views)), strict=True))
 
 
-def _version_of(report: LoadReport | None, model: str) -> int:
+def _reported_version(report: LoadReport | None, model: str) -> int:
     text = "" if report is None else report.versions.get(model, "")
     return int(text) if text.isdecimal() else 0
 
--- a/passgate/rollout/order_sender.py
+++ b/passgate/rollout/order_sender.py
@@ -1,8 +1,8 @@
-"""Sends fenced orders to engines and follows each until its end.
+"""Sends fenced orders to engines and polls each until it is done.
 
-An engine answers an order at once and works on; the same order, sent again, tells
-how far it is.  The time between such questions follows the time that earlier
-orders of the kind took, so that a rollout costs few messages.
+An engine answers an order at once and carries it out in the background.  Sending the
+same order again returns whether it is done.  The poll interval follows the mean duration
+of earlier orders of the kind, which keeps the number of calls low.
 """
 
 from __future__ import annotations
@@ -16,65 +16,74 @@
 from passgate.clock import monotonic_s
 from passgate.errors import BackendUnreachable, ExecutionStatus, OrderRefused, SupersededEpoch
 from passgate.rollout.swap_modes import SwapMode
-from passgate.rollout.types import Outcome, PlannedOrder
+from passgate.rollout.types import OrderOutcome, PlannedOrder
 from passgate.schema import EngineOrder, OrderKind, OrderResult
 
 OLD_FENCE_REASON = "old_fence"
 """Value of ``details["reason"]`` when an engine has seen a newer fence."""
-FAILED_REASONS = frozenset({"swap_failed"})
-"""Reasons that mean the engine changed something before it failed."""
+PARTIAL_FAILURE_REASONS = frozenset({"swap_failed"})
+"""Refusal reasons after which the engine may have changed something before it failed."""
 
-_DURATION_WEIGHT = 0.3
-"""Weight of the newest duration in the running mean."""
+_NEWEST_DURATION_WEIGHT = 0.3
+"""Weight of the newest duration in the exponential moving average."""
 
 
-class OrderTimes(msgspec.Struct, frozen=True, kw_only=True):
-    """Time limits of orders, in seconds."""
+class OrderTiming(msgspec.Struct, frozen=True, kw_only=True):
+    """Poll intervals and timeouts of orders; times in seconds."""
 
-    first_poll_s: float = 0.1
-    """Wait before the first question, while no duration is known."""
-    growth: float = 0.4
-    """Later questions then follow after this share of the time since the order."""
-    poll_share: float = 0.08
-    """With a known mean duration, questions follow after this share of it once it is over."""
-    shortest_poll_s: float = 0.05
+    initial_poll_s: float = 0.1
+    """Shortest poll interval while no duration of the order's kind is known."""
+    poll_share_of_elapsed: float = 0.4
+    """Poll interval without a known duration, as a share of the time since the order was sent."""
+    poll_share_of_mean: float = 0.08
+    """Poll interval after the known mean duration has passed, as a share of that mean."""
+    minimum_poll_s: float = 0.05
     timeout_s: float = 60.0
-    """An order that takes longer counts as in doubt."""
+    """Time after which the outcome of an order that is not done counts as unknown."""
     drain_timeout_s: float = 600.0
 
 
 class OrderEngine(Protocol):
-    """The part of ``interfaces.EngineClient`` that orders need."""
+    """The method of ``interfaces.EngineClient`` that sends orders."""
 
     async def order(self, address: str, order: EngineOrder) -> OrderResult:
-        """Send a control order; raises OrderRefused or BackendUnreachable."""
+        """Send a control order and return whether it is done.
+
+        Raises:
+            OrderRefused: the engine refused the order, or failed to carry it out.
+            BackendUnreachable: no answer; ``execution`` says whether the order may have arrived.
+        """
         ...
 
 
-class OrderPacer:
-    """Running mean of how long orders of each kind take."""
+class PollScheduler:
+    """Chooses poll intervals from the mean duration of earlier orders of the same kind."""
 
-    def __init__(self, times: OrderTimes) -> None:
-        self._times = times
-        self._mean_s: dict[OrderKind, float] = {}
+    def __init__(self, timing: OrderTiming) -> None:
+        self._timing = timing
+        self._mean_s_by_kind: dict[OrderKind, float] = {}
 
-    def observe(self, kind: OrderKind, duration_s: float) -> None:
-        """Take the duration of one finished order."""
-        mean_s = self._mean_s.get(kind, duration_s)
-        self._mean_s[kind] = mean_s + _DURATION_WEIGHT * (duration_s - mean_s)
+    def record_duration(self, kind: OrderKind, duration_s: float) -> None:
+        """Add the duration of one completed order to the mean of its kind."""
+        mean_s = self._mean_s_by_kind.get(kind, duration_s)
+        self._mean_s_by_kind[kind] = mean_s + _NEWEST_DURATION_WEIGHT * (duration_s - mean_s)
 
-    def wait_s(self, kind: OrderKind, elapsed_s: float, may_fail_early: bool = False) -> float:
-        """Return the time until the next question about an order sent ``elapsed_s`` ago."""
+    def delay_s(self, kind: OrderKind, elapsed_s: float, may_fail_early: bool = False) -> float:
+        """Return the time until the next poll of an order sent ``elapsed_s`` ago.
+
+        With ``may_fail_early`` the mean duration is ignored and polls begin early, since the
+        engine is likely to report a failure soon.
+        """
         if may_fail_early:
-            return max(self._times.shortest_poll_s, self._times.growth * elapsed_s)
-        mean_s = self._mean_s.get(kind)
+            return max(self._timing.minimum_poll_s, self._timing.poll_share_of_elapsed * elapsed_s)
+        mean_s = self._mean_s_by_kind.get(kind)
         if mean_s is None:
-            return max(self._times.first_poll_s, self._times.growth * elapsed_s)
-        return max(mean_s - elapsed_s, mean_s * self._times.poll_share, self._times.shortest_poll_s)
+            return max(self._timing.initial_poll_s, self._timing.poll_share_of_elapsed * elapsed_s)
+        return max(mean_s - elapsed_s, mean_s * self._timing.poll_share_of_mean, self._timing.minimum_poll_s)
 
 
 class OrderSender:
-    """Sends the orders of one holding of a role, all under its fence."""
+    """Sends orders under the fence of one period in which this daemon holds a role."""
 
     def __init__(
         self,
@@ -82,27 +91,28 @@
         role: str,
         fence: int,
         mode: SwapMode,
-        times: OrderTimes | None = None,
-        pacer: OrderPacer | None = None,
+        timing: OrderTiming | None = None,
+        poll_scheduler: PollScheduler | None = None,
     ) -> None:
-        self.messages = 0
-        """Calls to engines so far, questions included."""
+        self.engine_calls = 0
+        """Calls to engines so far, polls included."""
         self._engine = engine
         self._role = role
         self._fence = fence
         self._mode = mode
-        self._times = times or OrderTimes()
-        self._pacer = pacer or OrderPacer(self._times)
+        self._timing = timing or OrderTiming()
+        self._poll_scheduler = poll_scheduler or PollScheduler(self._timing)
 
-    async def carry_out(
+    async def execute(
         self, planned: PlannedOrder, on_accepted: Callable[[PlannedOrder], None] | None = None
-    ) -> Outcome:
-        """Send an order, follow it to its end and return what became of it.
+    ) -> OrderOutcome:
+        """Send an order, poll it until it ends and return its outcome.
 
-        ``on_accepted`` is called when the engine has begun to carry it out.
+        ``on_accepted`` is called once the engine has accepted the order without being done; for
+        an order from another zone's seed only when the first poll finds it still running.
 
         Raises:
-            SupersededEpoch: the engine has seen a newer fence; details give ``fence``.
+            SupersededEpoch: the engine has seen a newer fence, given in ``details["fence"]``.
         """
         order = EngineOrder(
             order_id=planned.order_id(self._role, self._fence),
@@ -114,65 +124,80 @@
             argument=planned.argument,
         )
         try:
-            if self._drains(planned):
-                return await self._drained(planned.address, order)
+            if self._needs_drain(planned):
+                return await self._execute_drained(planned.address, order)
             accepted = None if on_accepted is None else lambda: on_accepted(planned)
-            await self._follow(planned.address, order, self._times.timeout_s, accepted, planned.foreign)
+            await self._send_until_done(
+                planned.address, order, self._timing.timeout_s, accepted, planned.from_other_zone
+            )
         except OrderRefused as error:
-            return self._refused(error)
+            return self._outcome_of_refusal(error)
         except BackendUnreachable as error:
-            return Outcome.UNREACHABLE if error.execution is ExecutionStatus.NOT_RUN else Outcome.IN_DOUBT
+            return (
+                OrderOutcome.UNREACHABLE
+                if error.execution is ExecutionStatus.NOT_RUN
+                else OrderOutcome.UNKNOWN
+            )
         except TimeoutError:
-            return Outcome.IN_DOUBT
-        return Outcome.DONE
+            return OrderOutcome.UNKNOWN
+        return OrderOutcome.DONE
 
-    def _drains(self, planned: PlannedOrder) -> bool:
+    def _needs_drain(self, planned: PlannedOrder) -> bool:
         activates = planned.kind is OrderKind.ACTIVATE_VERSION
-        return self._mode.drains and activates and not planned.confirms
+        return self._mode.drains and activates and not planned.is_confirmation
 
-    async def _drained(self, address: str, order: EngineOrder) -> Outcome:
-        """Carry out ``order`` on an idle engine; it takes work again whatever comes of it."""
-        drain = self._side_order(order, OrderKind.DRAIN)
-        outcome = Outcome.DONE
+    async def _execute_drained(self, address: str, order: EngineOrder) -> OrderOutcome:
+        """Drain the engine, send ``order`` and resume the engine, also when the order is refused.
+
+        The engine is not resumed when a call times out or is not answered.
+        """
+        drain = self._derive_order(order, OrderKind.DRAIN)
+        outcome = OrderOutcome.DONE
         try:
-            await self._follow(address, drain, self._times.drain_timeout_s)
-            await self._follow(address, order, self._times.timeout_s)
+            await self._send_until_done(address, drain, self._timing.drain_timeout_s)
+            await self._send_until_done(address, order, self._timing.timeout_s)
         except OrderRefused as error:
-            outcome = self._refused(error)
-        await self._follow(address, self._side_order(order, OrderKind.RESUME), self._times.timeout_s)
+            outcome = self._outcome_of_refusal(error)
+        await self._send_until_done(
+            address, self._derive_order(order, OrderKind.RESUME), self._timing.timeout_s
+        )
         return outcome
 
-    def _side_order(self, order: EngineOrder, kind: OrderKind) -> EngineOrder:
+    def _derive_order(self, order: EngineOrder, kind: OrderKind) -> EngineOrder:
         return EngineOrder(
             order_id=f"{order.order_id}/{kind.value}", kind=kind, fence=order.fence, model=order.model
         )
 
-    async def _follow(
+    async def _send_until_done(
         self,
         address: str,
         order: EngineOrder,
         timeout_s: float,
-        accepted: Callable[[], None] | None = None,
+        on_accepted: Callable[[], None] | None = None,
         may_fail_early: bool = False,
     ) -> None:
         sent_s = monotonic_s()
-        while not await self._is_done(address, order):
-            if accepted is not None and not may_fail_early:
-                accepted()
-                accepted = None
+        while not await self._send(address, order):
+            if on_accepted is not None and not may_fail_early:
+                on_accepted()
+                on_accepted = None
             may_fail_early = False
             elapsed_s = monotonic_s() - sent_s
             if elapsed_s > timeout_s:
                 raise TimeoutError(order.order_id)
-            await asyncio.sleep(self._pacer.wait_s(order.kind, elapsed_s, accepted is not None))
-        self._pacer.observe(order.kind, monotonic_s() - sent_s)
+            await asyncio.sleep(self._poll_scheduler.delay_s(order.kind, elapsed_s, on_accepted is not None))
+        self._poll_scheduler.record_duration(order.kind, monotonic_s() - sent_s)
 
-    async def _is_done(self, address: str, order: EngineOrder) -> bool:
-        self.messages += 1
+    async def _send(self, address: str, order: EngineOrder) -> bool:
+        self.engine_calls += 1
         return (await self._engine.order(address, order)).done
 
-    def _refused(self, error: OrderRefused) -> Outcome:
+    def _outcome_of_refusal(self, error: OrderRefused) -> OrderOutcome:
         seen = int(error.details.get("fence", "0") or 0)
         if error.details.get("reason") == OLD_FENCE_REASON or seen > self._fence:
             raise SupersededEpoch("an engine has seen a newer fence", fence=seen, ours=self._fence)
-        return Outcome.FAILED if error.details.get("reason") in FAILED_REASONS else Outcome.REFUSED
+        return (
+            OrderOutcome.FAILED
+            if error.details.get("reason") in PARTIAL_FAILURE_REASONS
+            else OrderOutcome.REFUSED
+        )
--- a/passgate/rollout/plan.py
+++ b/passgate/rollout/plan.py
@@ -1,7 +1,7 @@
-"""Plan of a rollout before it is carried out: waves, time, store traffic, capacity kept.
+"""Plans a rollout in advance: waves of orders, durations, store traffic and remaining capacity.
 
-The plan runs the same :class:`Reconciler` as the manager against modelled times, so
-it can not disagree with the manager about choices, only about times.
+A plan runs the manager's :class:`Reconciler` against modelled durations, so it makes the
+same decisions as the manager and can differ from it only in times.
 
 >>> views = [ReplicaView(replica_id=f"r{n}", address=f"10.0.0.{n}:1", zone="a") for n in range(4)]
 >>> plan = make_plan(PlanRequest(views=tuple(views), target=RolloutTarget(model="m", version=2)))
@@ -22,7 +22,7 @@
 from passgate.rollout.types import (
     STORE_SOURCE,
     DistributionSettings,
-    Outcome,
+    OrderOutcome,
     PlannedOrder,
     ReplicaView,
     RolloutSettings,
@@ -30,43 +30,43 @@
 )
 from passgate.schema import OrderKind
 
-LONGEST_S = 7_200.0
-"""A rollout that takes longer in the model is not planned to its end."""
+MAXIMUM_PLANNED_S = 7_200.0
+"""Modelled duration at which a plan stops, although the rollout has not finished."""
 
 
 class PlatformRates(msgspec.Struct, frozen=True, kw_only=True):
-    """What is assumed of engines, network and store."""
+    """Assumed rates, sizes and delays of engines, network and weight store."""
 
     weight_bytes: int = 2_000_000_000
     store_bytes_per_s: float = 2.5e9
     engine_link_bytes_per_s: float = 1.25e9
-    """Rate at which one engine sends to others, shared by all of them."""
+    """Rate at which one engine sends, shared by all engines that fetch from it."""
     piece_bytes: int = 64_000_000
     swap_pause_s: float = 0.8
     drain_s: float = 30.0
-    """Time until an engine that takes no new work is idle; for modes that drain."""
-    order_s: float = 0.01
-    """Time of one order with its answer."""
-    question_share: float = 0.05
-    """An order's end is noticed late by this share of its duration."""
+    """Time until an engine that takes no new work is idle, in swap modes that drain."""
+    order_round_trip_s: float = 0.01
+    """Time from sending an order to receiving its answer."""
+    poll_delay_share: float = 0.05
+    """Delay until polling detects an order's end, as a share of the order's duration."""
 
 
 class PlanRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """What a plan starts from."""
+    """Inputs of a plan."""
 
     views: tuple[ReplicaView, ...]
     target: RolloutTarget
-    running: dict[str, int] = {}
-    """Version that each replica runs now; the version before the target where absent."""
+    version_by_replica: dict[str, int] = {}
+    """Version that each replica runs; a replica without an entry runs the version before the target."""
     settings: RolloutSettings = RolloutSettings()
     rates: PlatformRates = PlatformRates()
 
 
 class PlanWave(msgspec.Struct, frozen=True, kw_only=True):
-    """Orders of one kind that begin together."""
+    """Orders of one kind that start at the same time."""
 
     kind: str
-    """``stage`` or ``activate``."""
+    """``stage``, or ``activate`` for all orders that may interrupt service."""
     begin_s: float
     end_s: float
     replicas: tuple[str, ...]
@@ -75,7 +75,7 @@
 
 
 class RolloutPlan(msgspec.Struct, frozen=True, kw_only=True):
-    """What a rollout would do; times in seconds after publication."""
+    """Planned waves and totals of a rollout; times in seconds after publication."""
 
     target: RolloutTarget
     swap_mode: str
@@ -83,16 +83,16 @@
     waves: tuple[PlanWave, ...]
     seconds_to_all: float
     finished: bool
-    """Whether every replica reaches the target within the longest planned time."""
+    """Whether every replica reaches the target within ``MAXIMUM_PLANNED_S``."""
     store_copies: int
     store_bytes: int
     engine_bytes: int
-    """Bytes that engines send to each other, those between zones included."""
+    """Bytes that engines send to each other, including those between zones."""
     zone_crossing_bytes: int
     least_serving: int
-    """Least number of replicas in service at any time."""
+    """Minimum number of replicas in service at any time."""
     replicas_to_keep: int
-    """What the capacity floor asks for."""
+    """Number of replicas that the capacity floor keeps in service."""
     distribution: DistributionSettings
 
 
@@ -101,39 +101,42 @@
     end_s: float
 
 
-class _Ending(msgspec.Struct, order=True):
-    at_s: float
+class _ScheduledEnd(msgspec.Struct, order=True):
+    end_s: float
     number: int
     order: PlannedOrder
 
 
-class _Model:
-    """Modelled durations and the totals of a plan."""
+class _TransferModel:
+    """Models the durations of orders and sums up their traffic."""
 
     def __init__(self, request: PlanRequest) -> None:
         self.rates = request.rates
         self.settings = request.settings
         self.drains = swap_mode(request.settings.swap_mode).drains
-        self.zone_of = {view.address: view.zone for view in request.views}
-        self.transfers: dict[str, _Transfer] = {}
+        self.zone_by_address = {view.address: view.zone for view in request.views}
+        self.transfer_by_address: dict[str, _Transfer] = {}
         self.store_copies = 0
         self.engine_copies = 0
-        self.crossing_copies = 0
+        self.cross_zone_copies = 0
 
-    def begin(self, order: PlannedOrder, now_s: float) -> float:
-        """Return when an order that begins now ends, and count its traffic."""
+    def start_order(self, order: PlannedOrder, now_s: float) -> float:
+        """Count an order's traffic and return when the order, started at ``now_s``, ends."""
         if order.kind is OrderKind.STAGE_VERSION:
-            return self._begin_stage(order, now_s)
-        if order.kind is OrderKind.ACTIVATE_VERSION and not order.confirms:
+            return self._start_stage(order, now_s)
+        if order.kind is OrderKind.ACTIVATE_VERSION and not order.is_confirmation:
             duration_s = self.rates.swap_pause_s + (self.rates.drain_s if self.drains else 0.0)
-            return self._noticed(now_s, duration_s)
-        return now_s + self.rates.order_s
-
-    def crosses(self, order: PlannedOrder) -> bool:
-        """Return whether a stage fetches from another zone."""
-        return order.source != STORE_SOURCE and self.zone_of[order.source] != self.zone_of[order.address]
+            return self._noticed_end_s(now_s, duration_s)
+        return now_s + self.rates.order_round_trip_s
+
+    def is_cross_zone(self, order: PlannedOrder) -> bool:
+        """Return whether a stage fetches from an engine of another zone."""
+        return (
+            order.source != STORE_SOURCE
+            and self.zone_by_address[order.source] != self.zone_by_address[order.address]
+        )
 
-    def _begin_stage(self, order: PlannedOrder, now_s: float) -> float:
+    def _start_stage(self, order: PlannedOrder, now_s: float) -> float:
         rates, distribution = self.rates, self.settings.distribution
         if order.source == STORE_SOURCE:
             self.store_copies += 1
@@ -141,134 +144,139 @@
             end_s = now_s + rates.weight_bytes / rate
         else:
             self.engine_copies += 1
-            self.crossing_copies += self.crosses(order)
+            self.cross_zone_copies += self.is_cross_zone(order)
             rate = rates.engine_link_bytes_per_s / distribution.fan_out
-            end_s = max(now_s + rates.weight_bytes / rate, self._source_ends(order, rate))
-        self.transfers[order.address] = _Transfer(now_s, end_s)
-        return self._noticed(now_s, end_s - now_s)
+            end_s = max(now_s + rates.weight_bytes / rate, self._earliest_end_s(order, rate))
+        self.transfer_by_address[order.address] = _Transfer(now_s, end_s)
+        return self._noticed_end_s(now_s, end_s - now_s)
 
-    def _source_ends(self, order: PlannedOrder, rate: float) -> float:
-        """With cut-through the last piece follows the source's own last piece."""
-        source = self.transfers.get(order.source)
+    def _earliest_end_s(self, order: PlannedOrder, rate: float) -> float:
+        """Return when the last piece can arrive from a source that is itself still fetching."""
+        source = self.transfer_by_address.get(order.source)
         return 0.0 if source is None else source.end_s + self.rates.piece_bytes / rate
 
-    def _noticed(self, now_s: float, duration_s: float) -> float:
-        return now_s + self.rates.order_s + duration_s * (1 + self.rates.question_share)
+    def _noticed_end_s(self, now_s: float, duration_s: float) -> float:
+        return now_s + self.rates.order_round_trip_s + duration_s * (1 + self.rates.poll_delay_share)
 
 
 def make_plan(request: PlanRequest) -> RolloutPlan:
-    """Return the plan of a rollout that starts at time zero and meets no failure."""
+    """Return the plan of a rollout without failures, starting at time zero.
+
+    Raises InvalidRequest when the settings name an unknown swap mode.
+    """
     settings = settings_for_mode(request.settings)
     reconciler = Reconciler(settings, Random(0))
-    model = _Model(msgspec.structs.replace(request, settings=settings))
-    reconciler.observe_replicas(request.views, 0.0)
+    transfer_model = _TransferModel(msgspec.structs.replace(request, settings=settings))
+    reconciler.set_replicas(request.views, 0.0)
     reconciler.set_targets([request.target], 0.0)
-    _observe_present(reconciler, request)
-    recorder = _Recorder(len(request.views), model)
-    endings: list[_Ending] = []
+    _observe_initial_versions(reconciler, request)
+    recorder = _PlanRecorder(len(request.views), transfer_model)
+    scheduled_ends: list[_ScheduledEnd] = []
     number, now_s = 0, 0.0
-    while now_s < LONGEST_S:
-        while orders := reconciler.next_orders(now_s):
+    while now_s < MAXIMUM_PLANNED_S:
+        while orders := reconciler.start_orders(now_s):
             for order in orders:
                 number += 1
-                ending = _Ending(model.begin(order, now_s), number, order)
-                heapq.heappush(endings, ending)
-                recorder.began(order, now_s, ending.at_s)
-                reconciler.accepted(order)
-        if reconciler.is_settled() or not endings:
+                end = _ScheduledEnd(transfer_model.start_order(order, now_s), number, order)
+                heapq.heappush(scheduled_ends, end)
+                recorder.record_start(order, now_s, end.end_s)
+                reconciler.record_accepted(order)
+        if reconciler.is_settled() or not scheduled_ends:
             break
-        now_s = endings[0].at_s
-        while endings and endings[0].at_s <= now_s:
-            ended = heapq.heappop(endings)
-            recorder.ended(ended.order)
-            reconciler.finish(ended.order, Outcome.DONE, now_s)
-    return recorder.plan(request, settings, now_s, reconciler.is_settled())
+        now_s = scheduled_ends[0].end_s
+        while scheduled_ends and scheduled_ends[0].end_s <= now_s:
+            ended = heapq.heappop(scheduled_ends)
+            recorder.record_end(ended.order)
+            reconciler.record_outcome(ended.order, OrderOutcome.DONE, now_s)
+    return recorder.build_plan(request, settings, now_s, reconciler.is_settled())
 
 
-def best_distribution(request: PlanRequest, most_store_copies: int) -> RolloutPlan:
-    """Return the fastest plan over ways to distribute, with at most so many store copies."""
-    present = request.settings.distribution
+def fastest_plan(request: PlanRequest, maximum_store_copies: int) -> RolloutPlan:
+    """Return the fastest plan over several fan-outs and store copies up to ``most_store_copies``."""
+    base = request.settings.distribution
     plans = []
     copies = 1
-    while copies <= most_store_copies:
+    while copies <= maximum_store_copies:
         for fan_out in (1, 2, 3):
-            distribution = msgspec.structs.replace(present, fan_out=fan_out, max_store_copies=copies)
+            distribution = msgspec.structs.replace(base, fan_out=fan_out, max_store_copies=copies)
             settings = msgspec.structs.replace(request.settings, distribution=distribution)
             plans.append(make_plan(msgspec.structs.replace(request, settings=settings)))
         copies *= 2
     return min(plans, key=lambda plan: (not plan.finished, round(plan.seconds_to_all, 1), plan.store_bytes))
 
 
-def _observe_present(reconciler: Reconciler, request: PlanRequest) -> None:
-    """Let the reconciler know what runs, proved under its fence, so that only changes are planned."""
-    model, former = request.target.model, max(request.target.version - 1, 0)
+def _observe_initial_versions(reconciler: Reconciler, request: PlanRequest) -> None:
+    """Pass the running versions to the reconciler as confirmed, so that only changes are planned."""
+    model, previous_version = request.target.model, max(request.target.version - 1, 0)
     for view in request.views:
-        version = request.running.get(view.replica_id, former)
-        reconciler.observe_report(view.replica_id, {model: version}, view.outstanding_tokens, 0.0)
-        reconciler.assume_proved(view.replica_id)
+        version = request.version_by_replica.get(view.replica_id, previous_version)
+        reconciler.record_report(view.replica_id, {model: version}, view.outstanding_tokens, 0.0)
+        reconciler.assume_confirmed(view.replica_id)
 
 
-class _Recorder:
-    """Collects waves and the least capacity while a plan is made."""
+class _PlanRecorder:
+    """Collects the waves and the minimum capacity while a plan is computed."""
 
-    def __init__(self, replicas: int, model: _Model) -> None:
+    def __init__(self, replicas: int, model: _TransferModel) -> None:
         self._replicas = replicas
         self._model = model
-        self._out: set[str] = set()
+        self._out_of_service: set[str] = set()
         self._least_serving = replicas
-        self._groups: dict[tuple[str, float], list[PlannedOrder]] = {}
-        self._ends: dict[tuple[str, float], float] = {}
+        self._orders_by_wave: dict[tuple[str, float], list[PlannedOrder]] = {}
+        self._end_s_by_wave: dict[tuple[str, float], float] = {}
 
-    def began(self, order: PlannedOrder, now_s: float, end_s: float) -> None:
-        """Note an order that begins."""
+    def record_start(self, order: PlannedOrder, now_s: float, end_s: float) -> None:
+        """Record an order that starts at ``now_s`` and ends at ``end_s``."""
         kind = "stage" if order.kind is OrderKind.STAGE_VERSION else "activate"
         if kind == "activate":
-            self._out.add(order.replica_id)
-            self._least_serving = min(self._least_serving, self._replicas - len(self._out))
+            self._out_of_service.add(order.replica_id)
+            self._least_serving = min(self._least_serving, self._replicas - len(self._out_of_service))
         key = (kind, round(now_s, 2))
-        self._groups.setdefault(key, []).append(order)
-        self._ends[key] = max(self._ends.get(key, 0.0), end_s)
+        self._orders_by_wave.setdefault(key, []).append(order)
+        self._end_s_by_wave[key] = max(self._end_s_by_wave.get(key, 0.0), end_s)
 
-    def ended(self, order: PlannedOrder) -> None:
-        """Note an order that ended."""
-        self._out.discard(order.replica_id)
+    def record_end(self, order: PlannedOrder) -> None:
+        """Record that an order has ended, so that its replica serves again."""
+        self._out_of_service.discard(order.replica_id)
 
-    def plan(
+    def build_plan(
         self, request: PlanRequest, settings: RolloutSettings, seconds: float, finished: bool
     ) -> RolloutPlan:
-        """Return the plan of what was noted."""
+        """Return the plan of the recorded orders."""
         model, weight_bytes = self._model, request.rates.weight_bytes
         return RolloutPlan(
             target=request.target,
             swap_mode=settings.swap_mode,
             replicas=self._replicas,
-            waves=tuple(self._wave(key) for key in sorted(self._groups, key=lambda key: (key[1], key[0]))),
+            waves=tuple(
+                self._wave(key) for key in sorted(self._orders_by_wave, key=lambda key: (key[1], key[0]))
+            ),
             seconds_to_all=round(seconds, 2),
             finished=finished,
             store_copies=model.store_copies,
             store_bytes=model.store_copies * weight_bytes,
             engine_bytes=model.engine_copies * weight_bytes,
-            zone_crossing_bytes=model.crossing_copies * weight_bytes,
+            zone_crossing_bytes=model.cross_zone_copies * weight_bytes,
             least_serving=self._least_serving,
             replicas_to_keep=replicas_to_keep(self._replicas, settings.capacity_floor),
             distribution=settings.distribution,
         )
 
     def _wave(self, key: tuple[str, float]) -> PlanWave:
-        orders = self._groups[key]
+        orders = self._orders_by_wave[key]
         stages = [order for order in orders if order.kind is OrderKind.STAGE_VERSION]
         return PlanWave(
             kind=key[0],
             begin_s=key[1],
-            end_s=round(self._ends[key], 2),
+            end_s=round(self._end_s_by_wave[key], 2),
             replicas=tuple(order.replica_id for order in orders),
             from_store=sum(order.source == STORE_SOURCE for order in stages),
-            from_other_zone=sum(self._model.crosses(order) for order in stages),
+            from_other_zone=sum(self._model.is_cross_zone(order) for order in stages),
         )
 
 
 def make_views(replicas: int, zones: int) -> list[ReplicaView]:
-    """Return replicas spread evenly over zones, with made-up addresses."""
+    """Return replicas with generated addresses, spread evenly over generated zones."""
     return [
         ReplicaView(
             replica_id=f"e{number:04d}",
--- a/passgate/rollout/planned_orders.py
+++ b/passgate/rollout/planned_orders.py
@@ -1,16 +1,16 @@
-"""The next order for one model on one replica, as its track and target ask for it."""
+"""Builds the next order for one model on one replica from its tracked state and its target."""
 
 from __future__ import annotations
 
 import msgspec
 
-from passgate.rollout.swap_track import SwapTrack
+from passgate.rollout.swap_track import SwapTracker
 from passgate.rollout.types import PlannedOrder, RolloutTarget
 from passgate.schema import OrderKind
 
 
 class OrderEvents(msgspec.Struct, frozen=True):
-    """Chart events at the start and the good end of an order."""
+    """Chart events at the start and the successful end of an order."""
 
     start: str
     end: str
@@ -22,40 +22,45 @@
     OrderKind.LOAD_ADAPTER: OrderEvents("activate", "activated"),
     OrderKind.SET_ROLE: OrderEvents("activate", "activated"),
 }
-"""Events of the chart ``replica_swap`` per kind of order."""
+"""Events of the state chart ``replica_swap`` by kind of order."""
 
 
-def service_order(track: SwapTrack, target: RolloutTarget) -> PlannedOrder:
-    """Return the order that may interrupt service: activation, adapter or role."""
-    kind = track.next_kind(target)
+def service_order(tracker: SwapTracker, target: RolloutTarget) -> PlannedOrder:
+    """Return the next order that may interrupt service: activation, adapter or role.
+
+    The tracker's next order must not be a stage.
+    """
+    kind = tracker.next_order_kind(target)
     assert kind is not None and kind is not OrderKind.STAGE_VERSION
     activates = kind is OrderKind.ACTIVATE_VERSION
     arguments = {
-        OrderKind.LOAD_ADAPTER: track.missing_adapter(target),
+        OrderKind.LOAD_ADAPTER: tracker.missing_adapter(target),
         OrderKind.SET_ROLE: target.engine_role,
     }
     return PlannedOrder(
-        replica_id=track.view.replica_id,
-        address=track.view.address,
+        replica_id=tracker.view.replica_id,
+        address=tracker.view.address,
         kind=kind,
-        model=track.model,
-        version=track.goal(target) if activates else 0,
+        model=tracker.model,
+        version=tracker.goal_version(target) if activates else 0,
         argument=arguments.get(kind, ""),
-        attempt=track.order_count,
-        roll_back=track.fallback > 0,
-        confirms=activates and track.active == track.goal(target),
+        attempt=tracker.ended_orders,
+        is_rollback=tracker.rollback_version > 0,
+        is_confirmation=activates and tracker.active_version == tracker.goal_version(target),
     )
 
 
-def stage_order(track: SwapTrack, target: RolloutTarget, source: str, foreign: bool = False) -> PlannedOrder:
-    """Return the order to fetch weights from ``source`` into spare memory."""
+def stage_order(
+    tracker: SwapTracker, target: RolloutTarget, source: str, from_other_zone: bool = False
+) -> PlannedOrder:
+    """Return the order to fetch the goal version from ``source`` into spare memory."""
     return PlannedOrder(
-        replica_id=track.view.replica_id,
-        address=track.view.address,
+        replica_id=tracker.view.replica_id,
+        address=tracker.view.address,
         kind=OrderKind.STAGE_VERSION,
-        model=track.model,
-        version=track.goal(target),
+        model=tracker.model,
+        version=tracker.goal_version(target),
         source=source,
-        foreign=foreign,
-        attempt=track.order_count,
+        from_other_zone=from_other_zone,
+        attempt=tracker.ended_orders,
     )
--- a/passgate/rollout/seeds.py
+++ b/passgate/rollout/seeds.py
@@ -1,8 +1,8 @@
-"""Where a zone takes its first copy from, when each zone has a manager of its own.
+"""Chooses the source of a zone's first copy when each zone has its own rollout manager.
 
-Zone managers do not talk to each other.  All compute the same chain of zones from
-model, version and replicas: the first zone's seed replica fetches from the store,
-each later one's from the seed replica of the zone before it.
+The managers do not communicate.  Each computes the same order of zones and the same
+seed replica of each zone from model, version and replicas.  The first zone's seed
+fetches from the weight store, every later seed from the seed of the zone before it.
 
 >>> views = [ReplicaView(replica_id=f"r{n}", address=f"10.0.0.{n}:1", zone=f"z{n % 3}") for n in range(6)]
 >>> chain = seed_chain("m", 2, views)
@@ -25,30 +25,33 @@
 
 
 class SeedPlan(msgspec.Struct, frozen=True, kw_only=True):
-    """How one zone gets its first copy."""
+    """Which replica fetches a zone's first copy of a version, and from where."""
 
     replica_id: str = ""
-    """The replica that fetches first; empty when any may."""
+    """Replica that fetches first; empty when any replica may."""
     address: str = ""
     source: str = STORE_SOURCE
     serves_next_zone: bool = False
-    """One upload of the seed is kept free for the next zone's seed."""
+    """Whether one upload of this seed is reserved for the next zone's seed."""
 
 
 def seed_chain(model: str, version: int, views: Iterable[ReplicaView]) -> list[ReplicaView]:
-    """Return the seed replica of each zone, in the order of the chain."""
+    """Return the seed replica of each zone, in the order in which they fetch."""
     seeds: dict[str, ReplicaView] = {}
     for view in views:
-        present = seeds.get(view.zone)
-        if present is None or _rank(model, version, view.replica_id) < _rank(
-            model, version, present.replica_id
+        current = seeds.get(view.zone)
+        if current is None or _rank(model, version, view.replica_id) < _rank(
+            model, version, current.replica_id
         ):
             seeds[view.zone] = view
     return sorted(seeds.values(), key=lambda seed: _rank(model, version, seed.zone))
 
 
 def seed_plan(model: str, version: int, zone: str, views: Iterable[ReplicaView]) -> SeedPlan:
-    """Return how ``zone`` gets its first copy, given the replicas of all zones."""
+    """Return how ``zone`` gets its first copy, given the replicas of all zones.
+
+    A zone without replicas gets a plan in which any replica may fetch from the store.
+    """
     chain = seed_chain(model, version, views)
     position = next((index for index, seed in enumerate(chain) if seed.zone == zone), None)
     if position is None:
--- a/passgate/rollout/sources.py
+++ b/passgate/rollout/sources.py
@@ -1,14 +1,14 @@
-"""Choice of where a replica fetches weights: the store or an engine that has them.
+"""Chooses where a replica fetches weights: from the weight store or from another engine.
 
-Engines that hold a version pass it on, so that the store sends few copies: the
-copies form a distribution tree.  The first copy comes from the store; a zone takes
-its first and few more copies from other zones and all later ones from its own.
+Engines that hold a version serve it to others, so the copies form a distribution tree
+and the store sends few.  The first copy comes from the store; each zone fetches a few
+copies from other zones and all further ones from its own engines.
 
 >>> table = SourceTable(DistributionSettings(store_streams=1, max_store_copies=1, fan_out=2))
->>> table.choose("10.0.0.1:80", "a"), table.begin("store", "10.0.0.1:80", "a")
+>>> table.choose("10.0.0.1:80", "a"), table.start_fetch("store", "10.0.0.1:80", "a")
 ('store', None)
 >>> table.choose("10.0.0.2:80", "a")
->>> table.end("store", "10.0.0.1:80", "a"); table.add_holder("10.0.0.1:80", "a")
+>>> table.end_fetch("store", "10.0.0.1:80", "a"); table.add_holder("10.0.0.1:80", "a")
 >>> table.choose("10.0.0.2:80", "a"), table.choose("10.0.0.3:80", "b")
 ('10.0.0.1:80', '10.0.0.1:80')
 """
@@ -22,160 +22,176 @@
 
 
 class SourceTable:
-    """Holders of one version of one model, with their uploads in progress."""
+    """Engines that hold one version of one model, and the running fetches of it."""
 
     def __init__(self, settings: DistributionSettings, seed: SeedPlan | None = None) -> None:
         self.store_copies = 0
-        """Fetches from the store so far, retries included."""
+        """Fetches from the store started so far, retries included."""
         self.seed = seed
-        """How the zone gets its first copy, when other zones have managers of their own."""
+        """Source of the zone's first copy; None when one manager orders all zones."""
         self._settings = settings
-        self._cut_through = settings.cut_through
-        self._partial: set[str] = set()
-        """Holders that still fetch."""
+        self._cut_through_enabled = settings.cut_through
+        self._partial_holders: set[str] = set()
+        """Holders that are still fetching the version."""
         self._partial_failures = 0
-        self._zone_of: dict[str, str] = {}
-        self._holders: dict[str, int] = {}
-        self._parents: dict[str, str] = {}
-        """Engines that fetch, with their sources."""
-        self._uploads: dict[str, int] = {}
-        self._free: dict[str, dict[str, None]] = {}
-        self._store_uploads = 0
-        self._crossings: dict[str, int] = {}
-        self._fetching: dict[str, int] = {}
+        self._zone_by_holder: dict[str, str] = {}
+        self._holder_count_by_zone: dict[str, int] = {}
+        self._source_by_fetcher: dict[str, str] = {}
+        """Address of each fetching engine and the source that it fetches from."""
+        self._upload_count_by_source: dict[str, int] = {}
+        self._free_holders_by_zone: dict[str, dict[str, None]] = {}
+        self._running_store_fetches = 0
+        self._cross_zone_fetches_by_zone: dict[str, int] = {}
+        self._running_fetches_by_zone: dict[str, int] = {}
 
     def add_holder(self, address: str, zone: str) -> None:
-        """Let an engine that holds the version serve as a source."""
-        if address not in self._zone_of:
-            self._zone_of[address] = zone
-            self._holders[zone] = self._holders.get(zone, 0) + 1
-            self._update(address)
-
-    def complete_holder(self, address: str, zone: str) -> None:
-        """Note that an engine now holds the whole version."""
-        self._partial.discard(address)
+        """Add an engine as a source; without effect when it is one."""
+        if address not in self._zone_by_holder:
+            self._zone_by_holder[address] = zone
+            self._holder_count_by_zone[zone] = self._holder_count_by_zone.get(zone, 0) + 1
+            self._update_free_holders(address)
+
+    def add_complete_holder(self, address: str, zone: str) -> None:
+        """Add an engine that holds the complete version, also one that was still fetching."""
+        self._partial_holders.discard(address)
         self.add_holder(address, zone)
 
     def add_partial_holder(self, address: str, zone: str) -> bool:
-        """Let an engine that still fetches serve as a source; return whether that is done."""
-        if not self._cut_through:
+        """Add an engine that is still fetching; False, and not added, when cut-through is off."""
+        if not self._cut_through_enabled:
             return False
-        self._partial.add(address)
+        self._partial_holders.add(address)
         self.add_holder(address, zone)
         return True
 
     def use_store_for_seed(self) -> None:
-        """Give up waiting for another zone's seed."""
+        """Make the store the source of the zone's first copy instead of another zone's seed."""
         if self.seed is not None:
             self.seed = msgspec.structs.replace(self.seed, source=STORE_SOURCE)
 
-    def is_foreign(self, source: str) -> bool:
-        """Return whether a source belongs to another zone's manager."""
+    def is_other_zone_seed(self, source: str) -> bool:
+        """Return whether ``source`` is the other zone's seed that this zone fetches from."""
         return self.seed is not None and source == self.seed.source != STORE_SOURCE
 
     def is_partial(self, address: str) -> bool:
-        """Return whether a source still fetches itself."""
-        return address in self._partial
+        """Return whether the source at ``address`` is still fetching the version."""
+        return address in self._partial_holders
 
-    def partial_failed(self) -> None:
-        """Note that a fetch from an engine that still fetched failed; after some, stop using such."""
+    def record_partial_failure(self) -> None:
+        """Count a failed fetch from a still-fetching engine.
+
+        After ``cut_through_refusals`` of them, removes all such sources and accepts no new ones.
+        """
         self._partial_failures += 1
         if self._partial_failures >= self._settings.cut_through_refusals:
-            self._cut_through = False
-            for partial in list(self._partial):
+            self._cut_through_enabled = False
+            for partial in list(self._partial_holders):
                 self.remove_holder(partial)
 
     def remove_holder(self, address: str) -> None:
-        """Forget an engine as a source; uploads in progress may still end."""
-        zone = self._zone_of.pop(address, None)
-        self._partial.discard(address)
+        """Remove an engine as a source; without effect when it is none.
+
+        Its running uploads stay counted until :meth:`end_fetch`.
+        """
+        zone = self._zone_by_holder.pop(address, None)
+        self._partial_holders.discard(address)
         if zone is not None:
-            self._holders[zone] -= 1
-            self._free[zone].pop(address, None)
+            self._holder_count_by_zone[zone] -= 1
+            self._free_holders_by_zone[zone].pop(address, None)
 
-    def has_any(self, zone: str) -> bool:
-        """Return whether a zone has a holder or a fetch in progress."""
-        return bool(self._fetching.get(zone)) or bool(self._holders.get(zone))
+    def has_copy(self, zone: str) -> bool:
+        """Return whether a zone has a source or a running fetch."""
+        return bool(self._running_fetches_by_zone.get(zone)) or bool(self._holder_count_by_zone.get(zone))
 
-    def begin(self, source: str, address: str, zone: str) -> None:
-        """Note that the engine at ``address`` in ``zone`` starts to fetch from ``source``."""
-        self._parents[address] = source
-        self._fetching[zone] = self._fetching.get(zone, 0) + 1
+    def start_fetch(self, source: str, address: str, zone: str) -> None:
+        """Record that the engine at ``address`` in ``zone`` starts to fetch from ``source``."""
+        self._source_by_fetcher[address] = source
+        self._running_fetches_by_zone[zone] = self._running_fetches_by_zone.get(zone, 0) + 1
         if source == STORE_SOURCE:
-            self._store_uploads += 1
+            self._running_store_fetches += 1
             self.store_copies += 1
             return
-        if self._zone_of.get(source) != zone:
-            self._crossings[zone] = self._crossings.get(zone, 0) + 1
-        self._uploads[source] = self._uploads.get(source, 0) + 1
-        self._update(source)
-
-    def end(self, source: str, address: str, zone: str) -> None:
-        """Note that a fetch begun before ended, well or not."""
-        self._parents.pop(address, None)
-        self._fetching[zone] -= 1
+        if self._zone_by_holder.get(source) != zone:
+            self._cross_zone_fetches_by_zone[zone] = self._cross_zone_fetches_by_zone.get(zone, 0) + 1
+        self._upload_count_by_source[source] = self._upload_count_by_source.get(source, 0) + 1
+        self._update_free_holders(source)
+
+    def end_fetch(self, source: str, address: str, zone: str) -> None:
+        """Record that a started fetch has ended, whether or not it succeeded."""
+        self._source_by_fetcher.pop(address, None)
+        self._running_fetches_by_zone[zone] -= 1
         if source == STORE_SOURCE:
-            self._store_uploads -= 1
+            self._running_store_fetches -= 1
             return
-        self._uploads[source] -= 1
-        self._update(source)
+        self._upload_count_by_source[source] -= 1
+        self._update_free_holders(source)
 
     def choose(self, address: str, zone: str, avoid_engines: bool = False) -> str | None:
-        """Return a free source for the engine at ``address``, None when it must wait.
+        """Return a source with free capacity for the engine at ``address``, None when it must wait.
 
-        ``avoid_engines`` asks for the store, after engines failed as sources.
+        With ``avoid_engines`` only the store is considered.
         """
         if avoid_engines:
-            return STORE_SOURCE if self._store_free() else None
-        own = self._first_free(address, zone)
-        if own is not None:
-            return own
-        if self.is_foreign(self._seed_source()):
-            return None if self.has_any(zone) else self._seed_source()
-        if self._store_free() and self.store_copies < self._settings.max_store_copies:
+            return STORE_SOURCE if self._store_has_capacity() else None
+        own_zone_source = self._first_free_holder(address, zone)
+        if own_zone_source is not None:
+            return own_zone_source
+        if self.is_other_zone_seed(self._seed_source()):
+            return None if self.has_copy(zone) else self._seed_source()
+        if self._store_has_capacity() and self.store_copies < self._settings.max_store_copies:
             return STORE_SOURCE
         if self._must_use_store():
             return STORE_SOURCE
-        if self.has_any(zone) and self._crossings.get(zone, 0) >= self._settings.max_crossings:
+        if (
+            self.has_copy(zone)
+            and self._cross_zone_fetches_by_zone.get(zone, 0) >= self._settings.max_crossings
+        ):
             return None
-        zones = sorted(self._free, key=lambda other: -len(self._free[other]))
-        found = (self._first_free(address, other) for other in zones)
-        return next((source for source in found if source is not None), None)
+        zones = sorted(self._free_holders_by_zone, key=lambda other: -len(self._free_holders_by_zone[other]))
+        candidates = (self._first_free_holder(address, other) for other in zones)
+        return next((source for source in candidates if source is not None), None)
 
     def _seed_source(self) -> str:
         return STORE_SOURCE if self.seed is None else self.seed.source
 
-    def _first_free(self, address: str, zone: str) -> str | None:
-        free = self._free.get(zone, ())
+    def _first_free_holder(self, address: str, zone: str) -> str | None:
+        free = self._free_holders_by_zone.get(zone, ())
         return next((source for source in free if not self._depends_on(source, address)), None)
 
     def _depends_on(self, source: str, address: str) -> bool:
-        """Return whether a source waits, perhaps through others, for pieces from ``address``.
+        """Return whether ``source`` fetches, directly or indirectly, from ``address``.
 
-        Without this check two engines could wait for each other's pieces for ever.
+        Two engines that fetch from each other would deadlock, each waiting for the other's data.
         """
-        while source != address and source in self._parents:
-            source = self._parents[source]
+        while source != address and source in self._source_by_fetcher:
+            source = self._source_by_fetcher[source]
         return source == address
 
-    def _store_free(self) -> bool:
-        return self._store_uploads < self._settings.store_streams
+    def _store_has_capacity(self) -> bool:
+        return self._running_store_fetches < self._settings.store_streams
 
     def _must_use_store(self) -> bool:
-        """No engine holds or fetches the version, so only the store can start over."""
-        return self._store_free() and not self._zone_of and not any(self._fetching.values())
-
-    def _reserved(self, address: str) -> int:
-        """Return the uploads kept free for the next zone's seed."""
+        """Return whether no engine holds or fetches the version and the store has capacity."""
+        return (
+            self._store_has_capacity()
+            and not self._zone_by_holder
+            and not any(self._running_fetches_by_zone.values())
+        )
+
+    def _reserved_uploads(self, address: str) -> int:
+        """Return the number of uploads at ``address`` reserved for the next zone's seed."""
         reserves = self.seed is not None and self.seed.serves_next_zone and address == self.seed.address
         return int(reserves and self._settings.fan_out > 1)
 
-    def _update(self, address: str) -> None:
-        zone = self._zone_of.get(address)
+    def _update_free_holders(self, address: str) -> None:
+        zone = self._zone_by_holder.get(address)
         if zone is None:
             return
-        free = self._free.setdefault(zone, {})
-        if self._uploads.get(address, 0) + self._reserved(address) < self._settings.fan_out:
+        free = self._free_holders_by_zone.setdefault(zone, {})
+        if (
+            self._upload_count_by_source.get(address, 0) + self._reserved_uploads(address)
+            < self._settings.fan_out
+        ):
             free.setdefault(address)
         else:
             free.pop(address, None)
--- a/passgate/rollout/swap_modes.py
+++ b/passgate/rollout/swap_modes.py
@@ -1,7 +1,7 @@
-"""Ways to bring new weights into engines that have running streams.
+"""Modes of activating new weights on engines that have running streams.
 
-``swap_running`` is in force; the others stay as baselines by name, see
-docs/design/rollout.md for the comparison.
+``swap_running`` is the default; the other modes are baselines, which
+docs/design/rollout.md compares with it.
 
 >>> SWAP_MODES["swap_running"].drains
 False
@@ -16,13 +16,13 @@
 
 
 class SwapMode(msgspec.Struct, frozen=True, kw_only=True):
-    """How activation treats running streams and capacity."""
+    """How an activation treats running streams and the capacity floors."""
 
     name: str
     drains: bool
-    """Wait until the engine is idle before the swap; it takes no new work meanwhile."""
+    """The engine takes no new work and becomes idle before the swap."""
     all_at_once: bool
-    """Start only when every replica has staged, then swap all without a capacity floor."""
+    """Activation starts when every replica has staged, and ignores the capacity floors."""
 
 
 SWAP_MODES = {
@@ -34,12 +34,13 @@
         SwapMode(name="full_drain", drains=True, all_at_once=True),
     )
 }
-"""Swap modes by name: streams go on over the swap (``swap_running``, ``pause``) or end
-before it (``drain``, ``full_drain``), replica by replica or all at once."""
+"""Swap modes by name.  Streams continue after the swap in ``swap_running`` and ``pause``, and
+end before it in ``drain`` and ``full_drain``; ``pause`` and ``full_drain`` swap all replicas
+at once."""
 
 
 def settings_for_mode(settings: RolloutSettings) -> RolloutSettings:
-    """Return the settings with what their swap mode implies."""
+    """Return the settings with the capacity floors and waiting that their swap mode requires."""
     if not swap_mode(settings.swap_mode).all_at_once:
         return settings
     return msgspec.structs.replace(
@@ -48,7 +49,7 @@
 
 
 def swap_mode(name: str) -> SwapMode:
-    """Return a mode by name; raises InvalidRequest when there is none."""
+    """Return the swap mode of a name; raises InvalidRequest for an unknown name."""
     try:
         return SWAP_MODES[name]
     except KeyError:
--- a/passgate/rollout/types.py
+++ b/passgate/rollout/types.py
@@ -1,6 +1,6 @@
-"""Typed views, targets, orders and progress of a weight rollout.
+"""Values of a weight rollout: replicas, targets, settings, orders, outcomes and progress.
 
->>> RolloutTarget(model="grade", version=7).wants_version(7)
+>>> RolloutTarget(model="grade", version=7).accepts_version(7)
 True
 """
 
@@ -17,83 +17,83 @@
 
 
 class ReplicaView(msgspec.Struct, frozen=True, kw_only=True):
-    """One replica of the pool as the directory shows it."""
+    """One replica of the pool, as the replica directory lists it."""
 
     replica_id: str
     address: str
     zone: str
     generation: int = 0
     outstanding_tokens: int = 0
-    """Load at the last report; the least loaded replicas swap first."""
+    """Load in the last report; the least loaded replicas swap first."""
 
 
 class RolloutTarget(msgspec.Struct, frozen=True, kw_only=True):
-    """What each replica of the pool shall run of one model."""
+    """Version, adapters and engine role of one model that each replica of the pool should have."""
 
     model: str
     version: int
-    """Zero when no usable version is published; then nothing is ordered."""
+    """Zero when no usable version is published; no orders are sent then."""
     withdrawn: frozenset[int] = frozenset()
-    """Versions known bad: never a source, never the goal of a roll-back."""
+    """Versions that a roll-back never activates."""
     adapters: tuple[str, ...] = ()
     engine_role: str = ""
-    """Role that the engine shall take, such as ``prefill``; empty leaves it as it is."""
+    """Engine role to set, such as ``prefill``; empty leaves the role unchanged."""
 
-    def wants_version(self, version: int) -> bool:
-        """Return whether a replica that runs ``version`` needs no other weights."""
+    def accepts_version(self, version: int) -> bool:
+        """Return whether a replica that runs ``version`` needs no other version."""
         return self.version in (0, version)
 
 
 class DistributionSettings(msgspec.Struct, frozen=True, kw_only=True):
-    """How weights spread from the store over the engines."""
+    """Limits on how weights are copied from the store and between engines."""
 
     fan_out: int = 2
-    """Most engines that fetch from one engine at the same time."""
+    """Maximum number of engines that fetch from one engine at the same time."""
     cut_through: bool = True
-    """An engine passes on pieces while it still fetches; given up when engines refuse it."""
+    """Engines serve as sources while they are still fetching, until such fetches keep failing."""
     cut_through_refusals: int = 3
-    """Failed fetches from engines that still fetched, after which only whole copies are used."""
+    """Failed fetches from still-fetching engines after which only complete copies are sources."""
     max_crossings: int = 2
-    """Most fetches of one version into one zone from other zones."""
+    """Maximum number of fetches of one version into a zone from other zones, once the zone has a copy."""
     store_streams: int = 1
-    """Most fetches from the store at the same time."""
+    """Maximum number of concurrent fetches from the store."""
     max_store_copies: int = 1
-    """Most fetches of one version from the store, apart from retries."""
+    """Maximum number of store fetches of one version while engines can serve as sources instead."""
 
 
 class RolloutSettings(msgspec.Struct, frozen=True, kw_only=True):
-    """Knobs of a rollout; times in seconds."""
+    """Settings of a rollout; times in seconds."""
 
     capacity_floor: float = 0.75
-    """Share of the pool's healthy replicas that keep serving at any time."""
+    """Minimum share of the pool's healthy replicas that keep serving."""
     zone_capacity_floor: float = 0.5
-    """The same within each zone."""
+    """Minimum share of each zone's healthy replicas that keep serving."""
     distribution: DistributionSettings = DistributionSettings()
     swap_mode: str = "swap_running"
     """Name in :data:`passgate.rollout.swap_modes.SWAP_MODES`."""
     wait_for_all_staged: bool = False
-    """Start no activation before every healthy replica has staged; for baselines only."""
+    """Activate nothing before every reachable replica has staged; for baselines only."""
     retry_base_s: float = 0.25
     retry_max_s: float = 15.0
     seed_retry_s: float = 0.1
-    seed_patience_s: float = 2.0
-    """Time to wait for another zone's seed before the store is asked."""
+    seed_timeout_s: float = 2.0
+    """Time spent on retries of another zone's seed before the store is used instead."""
     swap_attempts: int = 2
-    """Failed activations after which the previous version is put back."""
-    keeps_previous: bool = False
-    """Engines keep the version before a swap in spare memory, ready to activate."""
+    """Failed activations after which the previous version is activated again."""
+    engines_keep_previous: bool = False
+    """Whether engines keep the previous version in spare memory after a swap."""
     source_attempts: int = 2
-    """Failed fetches from engines after which a replica fetches from the store."""
+    """Failed fetches from engines after which a replica fetches from the store only."""
     report_lag_s: float = 2.0
-    """Reports read sooner than this after a swap may be older than the swap."""
-    swap_doubt_s: float = 10.0
-    """A swap whose answer was lost counts as interrupting service for so long, unless proved over."""
+    """Longest delay of a report: one read sooner than this after a swap may be older than it."""
+    unconfirmed_swap_s: float = 10.0
+    """Time for which a swap of unknown outcome counts as interrupting service."""
     verify_interval_s: float = 60.0
-    """A replica thought to be on its target is read again after this time."""
+    """Interval at which the report of a replica is read again."""
 
 
 class PlannedOrder(msgspec.Struct, frozen=True, kw_only=True):
-    """One order that the reconciler wants sent now."""
+    """One order to an engine, to be sent now."""
 
     replica_id: str
     address: str
@@ -103,34 +103,34 @@
     source: str = ""
     argument: str = ""
     attempt: int = 0
-    roll_back: bool = False
-    foreign: bool = False
-    """Fetches from an engine of another zone's manager, which may not be ready yet."""
-    confirms: bool = False
-    """The engine reported this version already; the order proves it under the fence."""
+    is_rollback: bool = False
+    from_other_zone: bool = False
+    """Fetches from another zone's seed, which may not have the version yet."""
+    is_confirmation: bool = False
+    """Activates the version that the engine already reports, to make it accept the current fence."""
 
     def order_id(self, scope: str, fence: int) -> str:
-        """Return an identifier that is the same for a repeated send of this order."""
+        """Return the idempotency key of this order: equal whenever the order is sent again."""
         parts = [scope, fence, self.replica_id, self.kind.value, self.model, self.version, self.argument]
         return "/".join(str(part) for part in [*parts, self.attempt])
 
 
-class Outcome(enum.Enum):
-    """What became of one order."""
+class OrderOutcome(enum.Enum):
+    """Outcome of one order."""
 
     DONE = "done"
     FAILED = "failed"
-    """The engine tried and failed; it may serve nothing until it is rolled back."""
+    """The engine failed partway and may have no usable weights until another activation."""
     REFUSED = "refused"
-    """The engine refused before it changed anything."""
+    """The engine refused the order and changed nothing."""
     UNREACHABLE = "unreachable"
-    """The order certainly did not arrive."""
-    IN_DOUBT = "in_doubt"
-    """The order may have taken effect."""
+    """The order did not reach the engine."""
+    UNKNOWN = "unknown"
+    """No answer: the order may or may not have taken effect."""
 
 
 class RolloutProgress(msgspec.Struct, frozen=True, kw_only=True):
-    """Counts of one model's replicas, for metrics and ``passgate watch``."""
+    """Numbers of one model's replicas by their state in the rollout."""
 
     model: str
     version: int
@@ -145,5 +145,5 @@
 
     @property
     def settled(self) -> bool:
-        """Whether every replica runs the target."""
+        """Whether every replica has reached the target."""
         return self.on_target == self.replicas
--- a/tests/rollout_fleet_run.py
+++ b/tests/rollout_fleet_run.py
@@ -1,12 +1,12 @@
-"""Rollouts of a hollow fleet by real managers and real lease services in virtual time.
+"""Runs rollout managers and lease services against a simulated fleet of engines.
 
 >>> from passgate.clock import new_virtual_loop
 >>> async def publish_once():
-...     run = HollowRun(make_views(12, 3), managers=2)
+...     run = SimulatedRollout(make_views(12, 3), managers=2)
 ...     run.start()
-...     await run.until_settled(timeout_s=60.0)
+...     await run.wait_until_settled(timeout_s=60.0)
 ...     run.publish(2)
-...     await run.until_settled(timeout_s=60.0)
+...     await run.wait_until_settled(timeout_s=60.0)
 ...     await run.close()
 ...     return run.fleet.count_on(2)
 >>> loop = new_virtual_loop(); loop.run_until_complete(publish_once()); loop.close()
@@ -23,60 +23,60 @@
 from passgate.emulator.parameters import StoreParameters
 from passgate.emulator.weight_store import EmulatedWeightStore
 from passgate.rollout.manager import RolloutManager
-from passgate.rollout.order_sender import OrderTimes
+from passgate.rollout.order_sender import OrderTiming
 from passgate.rollout.plan import make_views
 from passgate.rollout.types import ReplicaView, RolloutSettings, RolloutTarget
 from passgate.state.leases import LeaseService
 from passgate.state.memory_log import MemoryLog, MemoryLogClient
-from tests.rollout_fleet import HollowFleet, HollowSettings
+from tests.rollout_fleet import SimulatedFleet, SimulationSettings
 
-__all__ = ["HollowDaemon", "HollowRun", "make_views"]
+__all__ = ["SimulatedDaemon", "SimulatedRollout", "make_views"]
 
 ROLE = "rollout/hollow"
-CHECK_S = 0.05
-"""Interval at which a run looks at its engines."""
+CHECK_INTERVAL_S = 0.05
+"""Interval at which a run checks its condition and counts paused engines."""
 
 
-class HollowDaemon:
-    """One daemon's part: a lease service and a manager per role."""
+class SimulatedDaemon:
+    """Lease service of one daemon and its rollout manager of each role."""
 
-    def __init__(self, run: HollowRun, name: str, roles: Sequence[str], seed: int) -> None:
+    def __init__(self, run: SimulatedRollout, name: str, roles: Sequence[str], seed: int) -> None:
         self.name = name
         self.running = True
-        self.client = MemoryLogClient(run.log)
-        self.leases = LeaseService(self.client, name, run.live_names, Random(seed))
-        self.managers = {
+        self.log_client = MemoryLogClient(run.log)
+        self.leases = LeaseService(self.log_client, name, run.live_names, Random(seed))
+        self.manager_by_role = {
             role: RolloutManager(
                 role,
                 run.fleet,
                 self.leases,
-                run.source_of(role),
+                run.inputs_of(role),
                 run.settings,
                 Random(seed + 1),
-                times=run.times,
+                timing=run.timing,
                 other_zones=run.other_zones_of(role),
             )
             for role in roles
         }
 
     def start(self) -> None:
-        """Begin to follow the leases and to stand by."""
+        """Start the lease service and all managers."""
         self.leases.start()
-        for manager in self.managers.values():
+        for manager in self.manager_by_role.values():
             manager.start()
 
     async def close(self) -> None:
-        """End at once, as a killed process does."""
+        """Stop at once without releasing roles, like a killed process."""
         self.running = False
-        for manager in self.managers.values():
+        for manager in self.manager_by_role.values():
             await manager.close()
         await self.leases.close()
 
 
-class _Source:
-    """What a manager of one role sees: all replicas, or those of one zone."""
+class _RoleInputs:
+    """Inputs of the manager of one role: the replicas of one zone, or all of them."""
 
-    def __init__(self, run: HollowRun, zone: str) -> None:
+    def __init__(self, run: SimulatedRollout, zone: str) -> None:
         self._run = run
         self._zone = zone
 
@@ -89,8 +89,8 @@
         return [self._run.target()]
 
 
-class HollowRun:
-    """A fleet, a log, and some daemons with rollout managers."""
+class SimulatedRollout:
+    """A simulated fleet, a log, and daemons with rollout managers."""
 
     def __init__(
         self,
@@ -98,30 +98,30 @@
         *,
         managers: int = 1,
         settings: RolloutSettings | None = None,
-        hollow: HollowSettings | None = None,
+        simulation: SimulationSettings | None = None,
         store: StoreParameters | None = None,
-        times: OrderTimes | None = None,
+        timing: OrderTiming | None = None,
         by_zone: bool = False,
         seed: int = 1,
     ) -> None:
         self.views = list(views)
         self.settings = settings or RolloutSettings()
-        self.times = times
-        self.hollow = hollow or HollowSettings()
+        self.timing = timing
+        self.simulation = simulation or SimulationSettings()
         self.store = EmulatedWeightStore(store or StoreParameters())
-        self.fleet = HollowFleet(views, self.store, self.hollow)
+        self.fleet = SimulatedFleet(views, self.store, self.simulation)
         self.log = MemoryLog()
         self.published: list[int] = []
         self.withdrawn: set[int] = set()
-        self.most_paused = 0
+        self.maximum_paused = 0
         zones = sorted({view.zone for view in views}) if by_zone else [""]
         roles = [f"{ROLE}/{zone}" if zone else ROLE for zone in zones]
-        self._zone_of = dict(zip(roles, zones, strict=True))
+        self._zone_by_role = dict(zip(roles, zones, strict=True))
         self.daemons = [
-            HollowDaemon(self, f"d{index}", roles, seed + 10 * index) for index in range(managers)
+            SimulatedDaemon(self, f"d{index}", roles, seed + 10 * index) for index in range(managers)
         ]
-        self._alive = [daemon.name for daemon in self.daemons]
-        self.publish(self.hollow.boot_version)
+        self._live_names = [daemon.name for daemon in self.daemons]
+        self.publish(self.simulation.boot_version)
 
     def start(self) -> None:
         """Start all daemons."""
@@ -129,75 +129,75 @@
             daemon.start()
 
     def live_names(self) -> list[str]:
-        """Return the daemons that membership believes to be alive."""
-        return list(self._alive)
+        """Return the names of the daemons that membership reports as alive."""
+        return list(self._live_names)
 
-    def source_of(self, role: str) -> _Source:
-        """Return what the manager of a role sees."""
-        return _Source(self, self._zone_of[role])
+    def inputs_of(self, role: str) -> _RoleInputs:
+        """Return the inputs of a role's manager."""
+        return _RoleInputs(self, self._zone_by_role[role])
 
     def other_zones_of(self, role: str) -> Callable[[], list[ReplicaView]] | None:
-        """Return what gives the replicas of the other zones, None with one role for all."""
-        zone = self._zone_of[role]
+        """Return a function that returns the other zones' replicas; None with one role for all zones."""
+        zone = self._zone_by_role[role]
         if not zone:
             return None
         others = [view for view in self.views if view.zone != zone]
         return lambda: others
 
     def target(self) -> RolloutTarget:
-        """Return the target of the hollow model."""
+        """Return the newest published version that is not withdrawn, as the target."""
         usable = [version for version in self.published if version not in self.withdrawn]
         return RolloutTarget(
-            model=self.hollow.model, version=max(usable, default=0), withdrawn=frozenset(self.withdrawn)
+            model=self.simulation.model, version=max(usable, default=0), withdrawn=frozenset(self.withdrawn)
         )
 
     def publish(self, version: int) -> None:
-        """Put a version into the store and make it the target where it is the newest."""
-        self.store.publish(self.hollow.model, version, self.hollow.weight_bytes)
+        """Publish a version in the weight store and notify the managers."""
+        self.store.publish(self.simulation.model, version, self.simulation.weight_bytes)
         self.published.append(version)
         self._notify()
 
     def withdraw(self, version: int) -> None:
-        """Mark a version as known bad."""
+        """Withdraw a version and notify the managers."""
         self.withdrawn.add(version)
         self._notify()
 
     def leaders(self) -> list[RolloutManager]:
-        """Return the managers that believe that they lead."""
+        """Return the managers of running daemons that are in a leading state."""
         running = [daemon for daemon in self.daemons if daemon.running]
-        managers = [manager for daemon in running for manager in daemon.managers.values()]
+        managers = [manager for daemon in running for manager in daemon.manager_by_role.values()]
         return [manager for manager in managers if manager.state in ("settled", "rolling", "degraded")]
 
-    async def kill(self, daemon: HollowDaemon, detect_s: float) -> None:
-        """End a daemon at once; membership learns of it after ``detect_s``."""
+    async def kill(self, daemon: SimulatedDaemon, detect_s: float) -> None:
+        """Stop a daemon at once; membership reports it as dead after ``detect_s``."""
         await daemon.close()
         await asyncio.sleep(detect_s)
-        self._alive.remove(daemon.name)
+        self._live_names.remove(daemon.name)
 
-    def declare_dead(self, daemon: HollowDaemon) -> None:
-        """Let membership believe that a daemon is dead although it may run."""
-        self._alive.remove(daemon.name)
+    def declare_dead(self, daemon: SimulatedDaemon) -> None:
+        """Make membership report a daemon as dead while it may still run."""
+        self._live_names.remove(daemon.name)
 
-    async def until(self, condition: Callable[[], bool], timeout_s: float) -> float:
-        """Wait for a condition and return how long it took; raises TimeoutError."""
-        begun_s = monotonic_s()
+    async def wait_until(self, condition: Callable[[], bool], timeout_s: float) -> float:
+        """Wait for a condition and return the seconds waited; raises TimeoutError."""
+        start_s = monotonic_s()
         async with asyncio.timeout(timeout_s):
             while not condition():
-                self.most_paused = max(self.most_paused, len(self.fleet.paused()))
-                await asyncio.sleep(CHECK_S)
-        return monotonic_s() - begun_s
+                self.maximum_paused = max(self.maximum_paused, len(self.fleet.paused_engines()))
+                await asyncio.sleep(CHECK_INTERVAL_S)
+        return monotonic_s() - start_s
 
-    async def until_on(self, version: int, timeout_s: float, share: float = 1.0) -> float:
-        """Wait until that share of all engines uses a version; return how long it took."""
-        wanted = share * len(self.views)
-        return await self.until(lambda: self.fleet.count_on(version) >= wanted, timeout_s)
+    async def wait_until_on(self, version: int, timeout_s: float, share: float = 1.0) -> float:
+        """Wait until a version is active on ``share`` of all engines; return the seconds waited."""
+        minimum_count = share * len(self.views)
+        return await self.wait_until(lambda: self.fleet.count_on(version) >= minimum_count, timeout_s)
 
-    async def until_settled(self, timeout_s: float) -> float:
-        """Wait until the leaders believe every replica to be on its target."""
-        return await self.until(self._is_settled, timeout_s)
+    async def wait_until_settled(self, timeout_s: float) -> float:
+        """Wait until the leaders report every replica as on its target; return the seconds waited."""
+        return await self.wait_until(self._is_settled, timeout_s)
 
     async def close(self) -> None:
-        """End all daemons and transfers."""
+        """Stop all daemons and transfers."""
         for daemon in self.daemons:
             await daemon.close()
         await self.fleet.close()
@@ -209,5 +209,5 @@
 
     def _notify(self) -> None:
         for daemon in getattr(self, "daemons", ()):
-            for manager in daemon.managers.values():
+            for manager in daemon.manager_by_role.values():
                 manager.notify()
--- a/tests/test_rollout_service.py
+++ b/tests/test_rollout_service.py
@@ -1,4 +1,4 @@
-"""From configuration to rollout managers: shared engines, roles by zone, targets."""
+"""RolloutService: configuration determines the managers, their roles and their targets."""
 
 import asyncio
 from random import Random
@@ -16,13 +16,13 @@
 from passgate.state.configuration_state import ConfigurationState
 from passgate.state.leases import LeaseService
 from passgate.state.memory_log import MemoryLog, MemoryLogClient
-from tests.rollout_fleet import HollowFleet, HollowSettings
+from tests.rollout_fleet import SimulatedFleet, SimulationSettings
 
 LIMIT_S = 60.0
 
 
-class Configuration:
-    """Stands in for the configuration service: objects without a log."""
+class ConfigurationStub:
+    """Configuration service without a log."""
 
     def __init__(self):
         self.state = ConfigurationState()
@@ -46,8 +46,8 @@
             callback(self.state)
 
 
-class Rig:
-    """One daemon's rollout service over six hollow engines in three zones."""
+class RolloutServiceFixture:
+    """Rollout service of one daemon over six simulated engines in three zones."""
 
     def __init__(self):
         views = [
@@ -55,8 +55,8 @@
             for index in range(6)
         ]
         self.store = EmulatedWeightStore(StoreParameters())
-        self.fleet = HollowFleet(views, self.store, HollowSettings())
-        self.configuration = Configuration()
+        self.fleet = SimulatedFleet(views, self.store, SimulationSettings())
+        self.configuration = ConfigurationStub()
         self.leases = LeaseService(MemoryLogClient(MemoryLog()), "d1", lambda: ["d1"], Random(1))
         directory = ReplicaDirectory()
         directory.apply_machines(
@@ -78,82 +78,82 @@
         self.store.publish("m", version, 2_000_000_000)
         self.configuration.put("ModelVersion", f"m-{version}", model="m", version=version, **spec)
 
-    async def until(self, condition):
+    async def wait_until(self, condition):
         async with asyncio.timeout(LIMIT_S):
             while not condition():
                 await asyncio.sleep(0.05)
 
-    def settled(self, roles):
+    def is_settled(self, roles):
         progress = self.service.progress()
         return len(progress) == roles and all(item.settled for shared in progress.values() for item in shared)
 
 
-def simulate(scenario):
-    async def whole():
-        rig = Rig()
-        rig.leases.start()
-        rig.configuration.put("Pool", "grade", selector="service=modelos", role="engine", model="m")
-        rig.publish(1)
-        rig.service.start()
+def run_scenario(scenario):
+    async def run():
+        fixture = RolloutServiceFixture()
+        fixture.leases.start()
+        fixture.configuration.put("Pool", "grade", selector="service=modelos", role="engine", model="m")
+        fixture.publish(1)
+        fixture.service.start()
         try:
-            await scenario(rig)
+            await scenario(fixture)
         finally:
-            await rig.service.close()
-            await rig.leases.close()
-            await rig.fleet.close()
+            await fixture.service.close()
+            await fixture.leases.close()
+            await fixture.fleet.close()
 
     loop = new_virtual_loop()
     try:
-        loop.run_until_complete(whole())
+        loop.run_until_complete(run())
     finally:
         loop.close()
 
 
 def test_pools_of_one_selector_share_one_role():
-    async def scenario(rig):
-        rig.configuration.put("Pool", "notes", selector="service = modelos", role="engine", model="other")
-        await rig.until(lambda: len(rig.service.progress()) == 1)
-        [progress] = rig.service.progress().values()
+    async def scenario(fixture):
+        fixture.configuration.put("Pool", "notes", selector="service = modelos", role="engine", model="other")
+        await fixture.wait_until(lambda: len(fixture.service.progress()) == 1)
+        [progress] = fixture.service.progress().values()
         assert [item.model for item in progress] == ["m", "other"]
 
-    simulate(scenario)
+    run_scenario(scenario)
 
 
 def test_published_and_withdrawn_versions_reach_the_engines():
-    async def scenario(rig):
-        rig.publish(2)
-        await rig.until(lambda: rig.fleet.count_on(2) == 6)
-        rig.publish(2, withdrawn=True)
-        await rig.until(lambda: rig.fleet.count_on(1) == 6)
+    async def scenario(fixture):
+        fixture.publish(2)
+        await fixture.wait_until(lambda: fixture.fleet.count_on(2) == 6)
+        fixture.publish(2, withdrawn=True)
+        await fixture.wait_until(lambda: fixture.fleet.count_on(1) == 6)
 
-    simulate(scenario)
+    run_scenario(scenario)
 
 
 def test_adapters_and_role_of_the_pool_reach_the_engines():
-    async def scenario(rig):
+    async def scenario(fixture):
         rollout = {"adapters": ["defects"], "engine_role": "decode"}
-        rig.configuration.put(
+        fixture.configuration.put(
             "Pool", "grade", selector="service=modelos", role="engine", model="m", rollout=rollout
         )
-        await rig.until(
+        await fixture.wait_until(
             lambda: all(
                 engine.control.adapters == {"defects"} and engine.control.role == "decode"
-                for engine in rig.fleet.engines.values()
+                for engine in fixture.fleet.engine_by_address.values()
             )
         )
 
-    simulate(scenario)
+    run_scenario(scenario)
 
 
-def test_change_to_roles_by_zone_hands_the_engines_over():
-    async def scenario(rig):
-        await rig.until(lambda: rig.settled(roles=1))
-        rig.configuration.put(
+def test_change_to_roles_by_zone_moves_engines_to_new_managers():
+    async def scenario(fixture):
+        await fixture.wait_until(lambda: fixture.is_settled(roles=1))
+        fixture.configuration.put(
             "Pool", "grade", selector="service=modelos", role="engine", model="m", rollout={"by_zone": True}
         )
-        await rig.until(lambda: rig.settled(roles=3))
-        rig.publish(2)
-        await rig.until(lambda: rig.fleet.count_on(2) == 6)
-        assert rig.store.fetches == 1
+        await fixture.wait_until(lambda: fixture.is_settled(roles=3))
+        fixture.publish(2)
+        await fixture.wait_until(lambda: fixture.fleet.count_on(2) == 6)
+        assert fixture.store.fetches == 1
 
-    simulate(scenario)
+    run_scenario(scenario)
--- a/tests/test_rollout_sockets.py
+++ b/tests/test_rollout_sockets.py
@@ -1,4 +1,4 @@
-"""Rollouts and plans against stand-in engines over real sockets."""
+"""Rollouts and plans over real sockets against the emulator's engines, machine list and weight store."""
 
 import asyncio
 import json
@@ -19,7 +19,7 @@
 from passgate.rollout.order_sender import OrderSender
 from passgate.rollout.plan import PlatformRates, make_plan
 from passgate.rollout.swap_modes import SWAP_MODES
-from passgate.rollout.types import Outcome, PlannedOrder, ReplicaView, RolloutSettings, RolloutTarget
+from passgate.rollout.types import OrderOutcome, PlannedOrder, ReplicaView, RolloutSettings, RolloutTarget
 from passgate.schema import MachineRole, OrderKind
 from passgate.server.wire import ConfigList, ConfigObjectView
 
@@ -40,8 +40,8 @@
     )
 
 
-def over_sockets(scenario):
-    async def whole():
+def run_over_sockets(scenario):
+    async def run():
         standins = StandIns(fast_deployment())
         http = HttpClient()
         try:
@@ -50,11 +50,11 @@
             http.close()
             standins.close()
 
-    asyncio.run(whole())
+    asyncio.run(run())
 
 
-class HeldLease:
-    """A lease that this daemon holds for good."""
+class LeaseStub:
+    """Lease service that holds every role under one epoch until it is released."""
 
     def __init__(self, epoch):
         self.epoch = epoch
@@ -72,7 +72,7 @@
         return False
 
 
-class Pool:
+class PoolInputs:
     def __init__(self, views, version):
         self.views = views
         self.version = version
@@ -93,13 +93,13 @@
     ]
 
 
-def test_manager_brings_all_engines_to_the_target_and_old_fences_are_recognised():
+def test_manager_brings_all_engines_to_the_target_and_old_fences_are_refused():
     async def scenario(standins, http, addresses):
         standins.world.store.publish(MODEL, 2, 1_000)
         engine = HttpEngineClient(http)
         views = await engine_views(http, addresses)
         settings = RolloutSettings(report_lag_s=0.1)
-        manager = RolloutManager("role", engine, HeldLease(5), Pool(views, 2), settings, Random(1))
+        manager = RolloutManager("role", engine, LeaseStub(5), PoolInputs(views, 2), settings, Random(1))
         manager.start()
         async with asyncio.timeout(LIMIT_S):
             while not (manager.progress() and manager.progress()[0].settled):
@@ -114,20 +114,22 @@
             version=1,
         )
         with pytest.raises(SupersededEpoch) as caught:
-            await OrderSender(engine, "role", 4, SWAP_MODES["swap_running"]).carry_out(late)
+            await OrderSender(engine, "role", 4, SWAP_MODES["swap_running"]).execute(late)
         assert caught.value.details["fence"] == "5"
         gone = msgspec.structs.replace(late, address="127.0.0.1:9")
         sender = OrderSender(engine, "role", 5, SWAP_MODES["swap_running"])
-        assert await sender.carry_out(gone) is Outcome.UNREACHABLE
-        assert await sender.carry_out(late) is Outcome.REFUSED, "version 1 is not staged any more"
+        assert await sender.execute(gone) is OrderOutcome.UNREACHABLE
+        assert await sender.execute(late) is OrderOutcome.REFUSED, (
+            "version 1 is no longer in the engine's memory"
+        )
         await manager.stop(1.0)
         assert manager.state == "stopped"
 
-    over_sockets(scenario)
+    run_over_sockets(scenario)
 
 
-class Operator:
-    """Answers of a daemon's operators' port."""
+class OperatorStub:
+    """Operator client that returns fixed configuration objects."""
 
     def __init__(self, **objects):
         self.objects = objects
@@ -144,10 +146,10 @@
         return ConfigList(revision=1, objects=objects)
 
 
-def test_plan_of_a_running_service_reads_replicas_versions_and_size():
+def test_plan_reads_replicas_versions_and_weight_size_from_a_running_service():
     async def scenario(standins, http, addresses):
         standins.world.store.publish(MODEL, 3, 4_000)
-        operator = Operator(
+        operator = OperatorStub(
             Pool=[{"selector": "service=modelos", "role": "engine", "model": MODEL}],
             ModelVersion=[
                 {"model": MODEL, "version": 3},
@@ -155,20 +157,20 @@
                 {"model": "other", "version": 9},
             ],
         )
-        places = ServiceAddresses(machine_list=addresses.platform, weight_store=addresses.platform)
+        service_addresses = ServiceAddresses(machine_list=addresses.platform, weight_store=addresses.platform)
         request = await read_plan_request(
-            http, operator, places, "modelos", 0, RolloutSettings(), PlatformRates()
+            http, operator, service_addresses, "modelos", 0, RolloutSettings(), PlatformRates()
         )
         assert request.target == RolloutTarget(model=MODEL, version=3, withdrawn=frozenset({4}))
-        assert set(request.running.values()) == {1} and request.rates.weight_bytes == 4_000
+        assert set(request.version_by_replica.values()) == {1} and request.rates.weight_bytes == 4_000
         plan = make_plan(request)
         assert plan.finished and plan.replicas == 5
         assert plan.least_serving >= plan.replicas_to_keep
 
-    over_sockets(scenario)
+    run_over_sockets(scenario)
 
 
-def test_plan_command_prints_the_plan_and_refuses_bad_flags(capsys):
+def test_plan_command_prints_the_plan_and_rejects_invalid_flags(capsys):
     main(["plan", "rollout", "--deployment", "olhar", "--json"])
     plan = json.loads(capsys.readouterr().out)
     assert plan["replicas"] == 5 and plan["store_copies"] == 1 and plan["finished"]
