--- a/passgate/membership/configuration_sync.py
+++ b/passgate/membership/configuration_sync.py
@@ -1,10 +1,10 @@
-"""Configuration between daemons: who holds which revision, and pulling what is missing.
+"""Pulls missing configuration entries from peers that have applied more of the log.
 
-Each daemon tells direct peers the first offset of the configuration stream that it has
-not applied yet.  A daemon behind a peer waits a moment for the log itself, then pulls
-the missing entries from that peer.  So an accepted change is in force everywhere also
-while only one daemon can read the log.  The entries are the log's own, applied in offset
-order without gaps: a pull can only move a daemon forward.
+Each daemon publishes to its direct peers the first offset of the configuration stream that
+it has not applied.  A daemon that is behind waits ``LOG_GRACE_PERIOD_S`` for the log, then
+pulls the missing entries from a peer, so an accepted change becomes active everywhere even
+while only one daemon can read the log.  Pulled entries are log entries, applied in offset
+order without gaps, so a pull never moves a daemon backwards.
 
 ::
 
@@ -30,28 +30,28 @@
 from passgate.membership.messages import MemberInfo, MemberState
 from passgate.records import SnapshotTaken
 
-HELD_KEY = "configuration"
+REVISION_KEY = "configuration"
 RECORDS_METHOD = "configuration.records"
 SNAPSHOT_METHOD = "configuration.snapshot"
 REVISION_METHOD = "configuration.revision"
 
-LOG_GRACE_S = 0.5
-"""How long the log itself may take to bring a change that a peer already has."""
-RETRY_S = 0.5
-"""Wait after a failed pull."""
+LOG_GRACE_PERIOD_S = 0.5
+"""Time allowed for the log to deliver a change that a peer has already applied."""
+RETRY_DELAY_S = 0.5
+"""Delay after a failed pull, and between the queries of ``wait_ready``."""
 CALL_TIMEOUT_S = 2.0
-REFRESH_S = 1.0
-"""How often the own revision is looked at, beside the service's notices."""
+REFRESH_INTERVAL_S = 1.0
+"""Interval at which the own revision is checked without a notification."""
 PAGE_BYTES = 256_000
-"""Most payload bytes of one page of entries."""
-ASKED_AT_START = 5
-"""Peers asked for their revision by a starting daemon."""
-ASKED_AT_ONCE = 16
-"""Open calls while all members are asked for their revision."""
+"""Maximum payload size of a page of entries; a single larger entry is still sent."""
+PEERS_QUERIED_AT_START = 5
+"""Number of peers that a starting daemon queries for their revision."""
+CONCURRENT_QUERIES = 16
+"""Maximum number of concurrent revision queries."""
 
 
 class Follower(Protocol):
-    """What is used of the log follower."""
+    """The attribute of the log follower that is used here."""
 
     @property
     def next_offset(self) -> int:
@@ -60,65 +60,65 @@
 
 
 class ConfigurationSource(Protocol):
-    """What is used of :class:`passgate.state.configuration.ConfigurationService`."""
+    """The members of :class:`passgate.state.configuration.ConfigurationService` that are used here."""
 
     follower: Follower
 
     def records_since(self, offset: int) -> Sequence[LogEntry]:
-        """Return retained entries from ``offset``; empty when they do not reach back so far."""
+        """Return the retained entries from ``offset`` on; empty when that entry is not retained."""
         ...
 
     def adopt(self, entries: Sequence[LogEntry]) -> int:
-        """Apply entries that follow without a gap; return how many."""
+        """Apply the entries that follow the own state without a gap; return how many."""
         ...
 
     def snapshot(self) -> SnapshotTaken | None:
-        """Return the whole state for a peer; None when this daemon can not give one."""
+        """Return the complete state for a peer; None when this daemon has none to give."""
         ...
 
     def adopt_snapshot(self, snapshot: SnapshotTaken) -> bool:
-        """Replace an older state; False when it is not newer or not readable."""
+        """Replace the state by a newer snapshot; False when it is not newer or not readable."""
         ...
 
     def ready_at(self, minimum_revision: int) -> bool:
-        """Return whether all records before ``minimum_revision`` are in force."""
+        """Return whether all records before ``minimum_revision`` are applied."""
         ...
 
     def subscribe(self, callback) -> None:
-        """Call ``callback`` after each accepted change."""
+        """Register ``callback``, which is called with the state after each accepted change."""
         ...
 
 
 class RecordsRequest(msgspec.Struct, frozen=True):
-    """Ask for the entries from ``offset``."""
+    """Request for the entries from ``offset`` on."""
 
     offset: int
 
 
 class RecordsPage(msgspec.Struct, frozen=True):
-    """Entries without gaps; empty when the peer does not retain them."""
+    """Consecutive entries; empty when the peer does not retain the requested one."""
 
     entries: tuple[LogEntry, ...]
 
 
 class RevisionReport(msgspec.Struct, frozen=True):
-    """First offset that the answering daemon has not applied."""
+    """First offset that the replying daemon has not applied."""
 
     next_offset: int
 
 
 class MemberRevision(msgspec.Struct, frozen=True):
-    """Revision in force on one member, for operators."""
+    """Revision that one member has applied, for operators."""
 
     member_id: str
     zone: str
     state: MemberState
     next_offset: int | None
-    """None when the member did not answer."""
+    """First offset that the member has not applied; None when it did not answer."""
 
 
 class SyncCounters(msgspec.Struct):
-    """Counts since the start, for metrics."""
+    """Counts since the start."""
 
     pulls: int = 0
     pull_failures: int = 0
@@ -127,38 +127,38 @@
 
 
 class ConfigurationSync:
-    """Keeps this daemon's configuration level with its peers'."""
+    """Brings this daemon's configuration up to the highest revision of its peers."""
 
     def __init__(self, agent: MembershipAgent, source: ConfigurationSource, random: Random) -> None:
         self.counters = SyncCounters()
         self._agent = agent
         self._source = source
         self._random = random
-        self._wake = asyncio.Event()
+        self._peers_ahead_changed = asyncio.Event()
         self._task: asyncio.Task[None] | None = None
 
-    # --- life -----------------------------------------------------------------------------
+    # --- lifecycle ------------------------------------------------------------------------
 
     def start(self) -> None:
-        """Answer peers and keep level with them."""
+        """Start answering peers and pulling from them; needs a running event loop."""
         self._agent.handle(RECORDS_METHOD, self._answer_records)
         self._agent.handle(SNAPSHOT_METHOD, self._answer_snapshot)
         self._agent.handle(REVISION_METHOD, self._answer_revision)
-        self._agent.subscribe_ahead(HELD_KEY, self._wake.set)
-        self._source.subscribe(lambda _state: self._tell())
+        self._agent.subscribe_peers_ahead(REVISION_KEY, self._peers_ahead_changed.set)
+        self._source.subscribe(lambda _state: self._publish_revision())
         self._task = asyncio.get_running_loop().create_task(self._run())
 
     async def close(self) -> None:
-        """Stop pulling."""
+        """Stop pulling; peers are still answered."""
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
 
     async def wait_ready(self, timeout_s: float) -> None:
-        """Wait until all that any asked peer has in force is in force here.
+        """Wait until this daemon has applied everything that any queried peer has applied.
 
         Raises:
-            DeadlineExceeded: that did not happen in time.
+            DeadlineExceeded: not reached within ``timeout_s``.
         """
         deadline_s = monotonic_s() + timeout_s
         minimum = 0
@@ -168,32 +168,34 @@
                 return
             if monotonic_s() >= deadline_s:
                 raise DeadlineExceeded(
-                    "configuration did not arrive", execution=ExecutionStatus.NOT_RUN, minimum=minimum
+                    "configuration did not reach the minimum revision",
+                    execution=ExecutionStatus.NOT_RUN,
+                    minimum=minimum,
                 )
-            await asyncio.sleep(RETRY_S)
+            await asyncio.sleep(RETRY_DELAY_S)
 
     # --- views ------------------------------------------------------------------------------
 
     async def highest_known(self) -> int:
-        """Return the highest revision that this daemon or some asked peers hold."""
-        peers = self._living_peers()
-        asked = self._random.sample(peers, min(ASKED_AT_START, len(peers)))
-        reports = await self._ask(asked)
-        told = [report.next_offset for report in reports if report.next_offset is not None]
-        heard = self._agent.ahead(HELD_KEY).values()
-        return max(self._next_offset, *told, *heard, 0)
-
-    async def revisions(self) -> list[MemberRevision]:
-        """Ask every living member for its revision; shows who lags."""
-        own = self._agent.self_info
-        mine = MemberRevision(own.member_id, own.zone, own.state, self._next_offset)
-        return [mine, *await self._ask(self._living_peers())]
-
-    async def _ask(self, members: Iterable[MemberInfo]) -> list[MemberRevision]:
-        limit = asyncio.Semaphore(ASKED_AT_ONCE)
-        return list(await asyncio.gather(*(self._ask_one(member, limit) for member in members)))
-
-    async def _ask_one(self, member: MemberInfo, limit: asyncio.Semaphore) -> MemberRevision:
+        """Return the highest revision of this daemon, some queried peers and the peers known to be ahead."""
+        peers = self._live_peers()
+        queried_peers = self._random.sample(peers, min(PEERS_QUERIED_AT_START, len(peers)))
+        reports = await self._query_revisions(queried_peers)
+        reported_offsets = [report.next_offset for report in reports if report.next_offset is not None]
+        announced_offsets = self._agent.peers_ahead(REVISION_KEY).values()
+        return max(self._next_offset, *reported_offsets, *announced_offsets, 0)
+
+    async def member_revisions(self) -> list[MemberRevision]:
+        """Return the revision of this daemon and of every live member, which are queried for it."""
+        self_info = self._agent.self_info
+        own_revision = MemberRevision(self_info.member_id, self_info.zone, self_info.state, self._next_offset)
+        return [own_revision, *await self._query_revisions(self._live_peers())]
+
+    async def _query_revisions(self, members: Iterable[MemberInfo]) -> list[MemberRevision]:
+        limit = asyncio.Semaphore(CONCURRENT_QUERIES)
+        return list(await asyncio.gather(*(self._query_revision(member, limit) for member in members)))
+
+    async def _query_revision(self, member: MemberInfo, limit: asyncio.Semaphore) -> MemberRevision:
         async with limit:
             try:
                 answer = await self._agent.call(member.member_id, REVISION_METHOD, b"", CALL_TIMEOUT_S)
@@ -202,7 +204,7 @@
                 next_offset = None
         return MemberRevision(member.member_id, member.zone, member.state, next_offset)
 
-    def _living_peers(self) -> list[MemberInfo]:
+    def _live_peers(self) -> list[MemberInfo]:
         own_id = self._agent.self_info.member_id
         return [
             member
@@ -210,7 +212,7 @@
             if member.member_id != own_id and self._agent.is_alive(member.member_id)
         ]
 
-    # --- answering ----------------------------------------------------------------------------
+    # --- requests from peers ------------------------------------------------------------------
 
     async def _answer_records(self, payload: bytes) -> bytes:
         request = msgspec.json.decode(payload, type=RecordsRequest)
@@ -236,58 +238,58 @@
     def _next_offset(self) -> int:
         return self._source.follower.next_offset
 
-    def _tell(self) -> None:
-        self._agent.set_held(HELD_KEY, self._next_offset)
+    def _publish_revision(self) -> None:
+        self._agent.set_revision(REVISION_KEY, self._next_offset)
 
     async def _run(self) -> None:
         while True:
-            await self._wait_for_news()
-            if not self._peers_ahead():
+            await self._wait_for_change()
+            if not self._refresh_peers_ahead():
                 continue
-            await asyncio.sleep(LOG_GRACE_S)
-            while self._peers_ahead():
+            await asyncio.sleep(LOG_GRACE_PERIOD_S)
+            while self._refresh_peers_ahead():
                 if not await self._pull():
-                    await asyncio.sleep(RETRY_S)
+                    await asyncio.sleep(RETRY_DELAY_S)
 
-    async def _wait_for_news(self) -> None:
+    async def _wait_for_change(self) -> None:
         with contextlib.suppress(TimeoutError):
-            await asyncio.wait_for(self._wake.wait(), REFRESH_S)
-        self._wake.clear()
+            await asyncio.wait_for(self._peers_ahead_changed.wait(), REFRESH_INTERVAL_S)
+        self._peers_ahead_changed.clear()
 
-    def _peers_ahead(self) -> list[str]:
-        self._tell()
-        return sorted(self._agent.ahead(HELD_KEY))
+    def _refresh_peers_ahead(self) -> list[str]:
+        self._publish_revision()
+        return sorted(self._agent.peers_ahead(REVISION_KEY))
 
     async def _pull(self) -> bool:
-        """Pull once from a peer that is ahead; return whether it brought anything."""
-        address = self._random.choice(self._peers_ahead())
+        """Pull once from a random peer that is ahead; return whether the own revision has increased."""
+        address = self._random.choice(self._refresh_peers_ahead())
         self.counters.pulls += 1
         try:
-            brought = await self._pull_records(address) or await self._pull_snapshot(address)
+            advanced = await self._pull_entries(address) or await self._pull_snapshot(address)
         except (PeerError, msgspec.MsgspecError):
-            brought = False
-        if brought:
-            self._tell()
+            advanced = False
+        if advanced:
+            self._publish_revision()
         else:
             self.counters.pull_failures += 1
-            self._agent.forget_ahead(HELD_KEY, address)
-        return brought
+            self._agent.forget_peer_revision(REVISION_KEY, address)
+        return advanced
 
-    async def _pull_records(self, address: str) -> bool:
+    async def _pull_entries(self, address: str) -> bool:
         request = msgspec.json.encode(RecordsRequest(self._next_offset))
         answer = await self._agent.call_address(address, RECORDS_METHOD, request, CALL_TIMEOUT_S)
         page = msgspec.json.decode(answer, type=RecordsPage)
-        before = self._next_offset
+        offset_before = self._next_offset
         self.counters.entries_adopted += self._source.adopt(page.entries)
-        return self._next_offset > before
+        return self._next_offset > offset_before
 
     async def _pull_snapshot(self, address: str) -> bool:
-        before = self._next_offset
+        offset_before = self._next_offset
         answer = await self._agent.call_address(address, SNAPSHOT_METHOD, b"", CALL_TIMEOUT_S)
         if not answer:
             return False
-        # The log may have brought more meanwhile; an older snapshot is then refused.
+        # The log may have delivered newer records meanwhile; an older snapshot is then refused.
         snapshot = msgspec.json.decode(answer, type=SnapshotTaken)
         if self._source.adopt_snapshot(snapshot):
             self.counters.snapshots_adopted += 1
-        return self._next_offset > before
+        return self._next_offset > offset_before
--- a/passgate/membership/counters.py
+++ b/passgate/membership/counters.py
@@ -9,12 +9,12 @@
     """Counts since the start, for metrics."""
 
     suspicions: int = 0
-    """Suspicions that this daemon raised itself."""
+    """Suspicions that this daemon raised."""
     refutations: int = 0
-    """Times this daemon had to contradict news about itself."""
+    """Updates that declared this daemon suspect, dead or left, and that it refuted."""
     deaths: int = 0
-    """Suspicions that ran out here."""
+    """Suspicions that expired on this daemon, which then declared the member dead."""
     pauses: int = 0
-    """Times this process noticed that it had been paused."""
+    """Pauses of this process that it detected."""
     identity_conflicts: int = 0
-    """Another process announced itself under this daemon's id."""
+    """Updates with this daemon's id and the address of another process."""
--- a/passgate/membership/messages.py
+++ b/passgate/membership/messages.py
@@ -1,10 +1,10 @@
-"""Members, news about them, and the messages of the membership protocol.
+"""Members, membership updates, and the messages of the membership protocol.
 
-Messages are typed structs, encoded as JSON arrays with a leading tag, since
-control traffic counts against a byte budget.
+Messages are encoded as JSON arrays with a leading tag, which keeps them small: control
+traffic has a byte budget.
 
 >>> decode_message(encode_message(Ping(sequence=7, target="b")))
-Ping(sequence=7, target='b', news=(), held={})
+Ping(sequence=7, target='b', updates=(), revisions={})
 """
 
 from __future__ import annotations
@@ -16,51 +16,51 @@
 
 
 class MemberState(enum.Enum):
-    """What this daemon believes about a member."""
+    """State of a member in this daemon's view."""
 
     ALIVE = "alive"
     SUSPECT = "suspect"
-    """Did not answer; still counts as alive until the suspicion runs out."""
+    """Did not answer a probe; counts as alive until the suspicion expires."""
     DEAD = "dead"
     LEFT = "left"
-    """Said itself that it leaves."""
+    """Announced itself that it leaves."""
 
 
 STATE_RANK = {MemberState.ALIVE: 0, MemberState.SUSPECT: 1, MemberState.DEAD: 2, MemberState.LEFT: 3}
-"""At one incarnation the state with the higher rank wins a merge."""
+"""Between views of the same incarnation, the state with the higher rank takes precedence."""
 
 COUNTER_MAXIMUM = 2**53
-"""Larger numbers from a faulty peer are refused, since not every JSON library keeps them."""
+"""Largest integer that every JSON library represents exactly; larger ones are rejected."""
 
 Counter = Annotated[int, msgspec.Meta(ge=0, le=COUNTER_MAXIMUM)]
 
 Metadata = dict[str, str]
-"""Small values that a member publishes about itself."""
+"""Small values that a member publishes about itself, by key."""
 
 
 class MemberInfo(msgspec.Struct, frozen=True, kw_only=True):
-    """One member of the cluster as this daemon sees it."""
+    """This daemon's view of one member of the cluster."""
 
     member_id: str
     address: str
     """``host:port`` of the member's peer port."""
     zone: str
     incarnation: int = 0
-    """Set by the member alone; grows with each restart and each refutation."""
+    """Raised by the member alone, at each restart under the same id and at each refutation."""
     state: MemberState = MemberState.ALIVE
     metadata: Metadata = {}
     metadata_version: int = 0
 
-    def order(self) -> tuple[int, int]:
-        """Return the key by which the newer of two views is chosen."""
+    def precedence(self) -> tuple[int, int]:
+        """Return the sort key of views: of two views, the one with the greater key is newer."""
         return (self.incarnation, STATE_RANK[self.state])
 
 
-# --- news: what travels on other messages -------------------------------------------
+# --- membership updates, which other messages carry ---------------------------------
 
 
-class AliveNews(msgspec.Struct, frozen=True, array_like=True, tag="a"):
-    """A member is alive under an incarnation; only the member itself starts this news."""
+class AliveUpdate(msgspec.Struct, frozen=True, array_like=True, tag="a"):
+    """A member is alive under an incarnation; only the member itself originates this update."""
 
     member_id: str
     incarnation: Counter
@@ -70,112 +70,112 @@
     metadata: Metadata = {}
 
 
-class SuspectNews(msgspec.Struct, frozen=True, array_like=True, tag="s"):
-    """``accuser`` got no answer from a member."""
+class SuspectUpdate(msgspec.Struct, frozen=True, array_like=True, tag="s"):
+    """``accuser`` received no answer from a member."""
 
     member_id: str
     incarnation: Counter
     accuser: str
 
 
-class DeadNews(msgspec.Struct, frozen=True, array_like=True, tag="d"):
-    """A suspicion ran out without refutation."""
+class DeadUpdate(msgspec.Struct, frozen=True, array_like=True, tag="d"):
+    """A suspicion expired without a refutation."""
 
     member_id: str
     incarnation: Counter
 
 
-class LeftNews(msgspec.Struct, frozen=True, array_like=True, tag="l"):
+class LeftUpdate(msgspec.Struct, frozen=True, array_like=True, tag="l"):
     """A member announced that it leaves."""
 
     member_id: str
     incarnation: Counter
 
 
-News = AliveNews | SuspectNews | DeadNews | LeftNews
+MemberUpdate = AliveUpdate | SuspectUpdate | DeadUpdate | LeftUpdate
 
-Held = dict[str, Counter]
-"""Named revisions that the sender itself holds, for example of the configuration."""
+RevisionByKey = dict[str, Counter]
+"""Revisions that the sender has applied, by key, for example of the configuration."""
 
 # --- messages ---------------------------------------------------------------------------
 
 
 class Ping(msgspec.Struct, frozen=True, array_like=True, tag="p"):
-    """Ask ``target`` for an Ack; another member that now has the address ignores it."""
+    """Request for an Ack from ``target``; a different member at the same address ignores it."""
 
     sequence: int
     target: str
-    news: tuple[News, ...] = ()
-    held: Held = {}
+    updates: tuple[MemberUpdate, ...] = ()
+    revisions: RevisionByKey = {}
 
 
 class Ack(msgspec.Struct, frozen=True, array_like=True, tag="k"):
-    """Answer to a Ping, or to a PingRequest whose target answered the helper."""
+    """Reply to a Ping, or to a PingRequest whose target answered the helper."""
 
     sequence: int
-    news: tuple[News, ...] = ()
-    held: Held = {}
+    updates: tuple[MemberUpdate, ...] = ()
+    revisions: RevisionByKey = {}
 
 
 class PingRequest(msgspec.Struct, frozen=True, array_like=True, tag="q"):
-    """Ask a helper to ping ``target`` on the sender's behalf."""
+    """Request that a helper pings ``target`` on the sender's behalf."""
 
     sequence: int
     target: str
     target_address: str
-    news: tuple[News, ...] = ()
-    held: Held = {}
+    updates: tuple[MemberUpdate, ...] = ()
+    revisions: RevisionByKey = {}
 
 
 class Nack(msgspec.Struct, frozen=True, array_like=True, tag="n"):
-    """The helper is healthy but its ping was not answered."""
+    """Reply to a PingRequest whose target did not answer; shows that the helper itself is reachable."""
 
     sequence: int
 
 
 class Gossip(msgspec.Struct, frozen=True, array_like=True, tag="g"):
-    """News and held revisions alone; needs no answer."""
+    """Updates and revisions without a probe; needs no reply."""
 
-    news: tuple[News, ...] = ()
-    held: Held = {}
+    updates: tuple[MemberUpdate, ...] = ()
+    revisions: RevisionByKey = {}
 
 
 class Join(msgspec.Struct, frozen=True, array_like=True, tag="j"):
-    """A daemon asks a seed for its whole table."""
+    """Request of a joining daemon for a seed's full member table."""
 
-    news: tuple[News, ...]
-    held: Held = {}
+    updates: tuple[MemberUpdate, ...]
+    revisions: RevisionByKey = {}
 
 
 class SyncDigest(msgspec.Struct, frozen=True, array_like=True, tag="h"):
-    """Hash of the sender's whole table; an equal one needs no answer."""
+    """Hash of the sender's member table; a receiver with an equal one does not reply."""
 
     digest: int
-    held: Held = {}
+    revisions: RevisionByKey = {}
 
 
 class SyncBuckets(msgspec.Struct, frozen=True, array_like=True, tag="b"):
-    """Hash of each bucket of the sender's table, answer to a differing SyncDigest."""
+    """Hash of each bucket of the sender's member table; reply to a different SyncDigest."""
 
     digests: tuple[int, ...]
 
 
 class SyncRows(msgspec.Struct, frozen=True, array_like=True, tag="r"):
-    """Rows of the listed buckets; all of them when ``buckets`` is empty."""
+    """Members in the listed buckets, or in all buckets when ``buckets`` is empty."""
 
     buckets: tuple[int, ...]
-    alive: tuple[AliveNews, ...]
-    gone: tuple[DeadNews | LeftNews, ...]
+    alive: tuple[AliveUpdate, ...]
+    gone: tuple[DeadUpdate | LeftUpdate, ...]
     reply: bool
-    """The receiver should send its own rows of these buckets back."""
-    held: Held = {}
+    """Whether the receiver should send its own rows of these buckets back."""
+    revisions: RevisionByKey = {}
 
 
 Message = Ping | Ack | PingRequest | Nack | Gossip | Join | SyncDigest | SyncBuckets | SyncRows
 
 
 class Outgoing(msgspec.Struct, frozen=True):
-    """A message to be sent to the peer port at ``address``."""
+    """A message to send to the peer port at ``address``."""
 
     address: str
     message: Message
@@ -191,10 +191,10 @@
 
 
 def decode_message(payload: bytes) -> Message:
-    """Return the message; raises ``msgspec.MsgspecError`` when it is none."""
+    """Return the message; raises ``msgspec.MsgspecError`` when ``payload`` is not a valid one."""
     return _decoder.decode(payload)
 
 
-def encoded_size_bytes(news: News) -> int:
-    """Return the size of one piece of news inside a message."""
-    return len(_encoder.encode(news)) + 1
+def encoded_size_bytes(update: MemberUpdate) -> int:
+    """Return the size of one update inside a message, with its separating comma."""
+    return len(_encoder.encode(update)) + 1
--- a/passgate/membership/probes.py
+++ b/passgate/membership/probes.py
@@ -1,4 +1,4 @@
-"""Probes in flight: own ones with their deadlines, and those relayed for others."""
+"""Tracks the deadlines of this daemon's probes and of the probes that it relays for other members."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from passgate.membership.messages import MemberInfo
 from passgate.membership.suspicion import LocalHealth
 
-MAXIMUM_RELAYS = 256
-"""Relayed probes in flight; further requests are not relayed."""
+MAXIMUM_RELAYED_PROBES = 256
+"""Maximum number of relayed probes in flight; the answers of further ones are not passed on."""
 
 
 class Probe(msgspec.Struct):
@@ -20,50 +20,50 @@
     sequence: int
     target: MemberInfo
     direct_deadline_s: float
-    """When helpers are asked."""
+    """When helpers are asked to probe the target."""
     deadline_s: float
-    """When the target is suspected."""
-    helpers: int = -1
-    """Helpers asked; -1 before any was."""
-    helper_answers: int = 0
+    """When the target becomes suspected."""
+    helper_count: int = -1
+    """Number of helpers asked; -1 before the direct deadline."""
+    nack_count: int = 0
 
 
-class Origin(msgspec.Struct, frozen=True):
-    """Who asked for a relayed probe, and under which sequence."""
+class ProbeRequester(msgspec.Struct, frozen=True):
+    """Member that requested a relayed probe, and its sequence number of the probe."""
 
     address: str
     sequence: int
 
 
-class _Relay(msgspec.Struct):
-    origin: Origin
+class _RelayedProbe(msgspec.Struct):
+    requester: ProbeRequester
     deadline_s: float
 
 
 class DueProbes(msgspec.Struct):
-    """What :meth:`Prober.take_due` found."""
+    """What :meth:`ProbeTracker.take_due` found."""
 
-    unanswered_directly: list[Probe]
+    without_direct_ack: list[Probe]
     failed: list[Probe]
-    nacks: list[Origin]
-    """Requesters whose target did not answer us."""
+    requesters_to_nack: list[ProbeRequester]
+    """Requesters of relayed probes that were not answered in time."""
 
 
-class Prober:
-    """Keeps the deadlines of probes and relays."""
+class ProbeTracker:
+    """Own and relayed probes in flight, by sequence number."""
 
     def __init__(self, config: MembershipConfig, health: LocalHealth, random: Random) -> None:
         self._config = config
         self._health = health
         self._sequence = random.randrange(1000)
-        self._probes: dict[int, Probe] = {}
-        self._relays: dict[int, _Relay] = {}
+        self._probe_by_sequence: dict[int, Probe] = {}
+        self._relayed_by_sequence: dict[int, _RelayedProbe] = {}
 
     def start(self, target: MemberInfo, now_s: float) -> int:
-        """Note a new probe and return its sequence."""
+        """Start a probe and return its sequence number."""
         self._sequence += 1
         multiplier = self._health.multiplier
-        self._probes[self._sequence] = Probe(
+        self._probe_by_sequence[self._sequence] = Probe(
             sequence=self._sequence,
             target=target,
             direct_deadline_s=now_s + self._config.probe_timeout_s * multiplier,
@@ -71,63 +71,68 @@
         )
         return self._sequence
 
-    def start_relay(self, origin_address: str, origin_sequence: int, now_s: float) -> int:
-        """Note a probe made for another member and return its own sequence."""
+    def start_relay(self, requester_address: str, requester_sequence: int, now_s: float) -> int:
+        """Start a probe on behalf of another member and return its own sequence number.
+
+        With ``MAXIMUM_RELAYED_PROBES`` in flight the probe is not tracked, so its answer is ignored.
+        """
         self._sequence += 1
-        if len(self._relays) < MAXIMUM_RELAYS:
+        if len(self._relayed_by_sequence) < MAXIMUM_RELAYED_PROBES:
             deadline_s = now_s + self._config.probe_timeout_s
-            self._relays[self._sequence] = _Relay(Origin(origin_address, origin_sequence), deadline_s)
+            self._relayed_by_sequence[self._sequence] = _RelayedProbe(
+                ProbeRequester(requester_address, requester_sequence), deadline_s
+            )
         return self._sequence
 
-    def answered(self, sequence: int) -> Origin | None:
-        """Note an answer; return the requester when the probe was relayed."""
-        if self._probes.pop(sequence, None) is not None:
-            self._health.better()
+    def record_ack(self, sequence: int) -> ProbeRequester | None:
+        """End the probe that was answered; return its requester when it was a relayed one."""
+        if self._probe_by_sequence.pop(sequence, None) is not None:
+            self._health.improve()
             return None
-        relay = self._relays.pop(sequence, None)
-        return None if relay is None else relay.origin
+        relay = self._relayed_by_sequence.pop(sequence, None)
+        return None if relay is None else relay.requester
 
-    def helper_answered(self, sequence: int) -> None:
-        """Note that a helper is healthy although the target did not answer it."""
-        probe = self._probes.get(sequence)
+    def record_nack(self, sequence: int) -> None:
+        """Count a helper that is reachable but got no answer from the target."""
+        probe = self._probe_by_sequence.get(sequence)
         if probe is not None:
-            probe.helper_answers += 1
+            probe.nack_count += 1
 
     def next_deadline_s(self) -> float:
-        """Return the nearest deadline, infinity when there is none."""
-        deadlines = [relay.deadline_s for relay in self._relays.values()]
+        """Return the earliest deadline, infinity when there is none."""
+        deadlines = [relay.deadline_s for relay in self._relayed_by_sequence.values()]
         deadlines += [
-            probe.direct_deadline_s if probe.helpers < 0 else probe.deadline_s
-            for probe in self._probes.values()
+            probe.direct_deadline_s if probe.helper_count < 0 else probe.deadline_s
+            for probe in self._probe_by_sequence.values()
         ]
         return min(deadlines, default=float("inf"))
 
     def take_due(self, now_s: float) -> DueProbes:
-        """Return and remove what ran out at ``now_s``."""
+        """Return the probes whose deadline has passed at ``now_s``, and update their state."""
         due = DueProbes([], [], [])
-        for probe in list(self._probes.values()):
+        for probe in list(self._probe_by_sequence.values()):
             if now_s >= probe.deadline_s:
-                del self._probes[probe.sequence]
-                self._judge_self(probe)
+                del self._probe_by_sequence[probe.sequence]
+                self._adjust_local_health(probe)
                 due.failed.append(probe)
-            elif now_s >= probe.direct_deadline_s and probe.helpers < 0:
-                probe.helpers = 0
-                due.unanswered_directly.append(probe)
-        for sequence, relay in list(self._relays.items()):
+            elif now_s >= probe.direct_deadline_s and probe.helper_count < 0:
+                probe.helper_count = 0
+                due.without_direct_ack.append(probe)
+        for sequence, relay in list(self._relayed_by_sequence.items()):
             if now_s >= relay.deadline_s:
-                del self._relays[sequence]
-                due.nacks.append(relay.origin)
+                del self._relayed_by_sequence[sequence]
+                due.requesters_to_nack.append(relay.requester)
         return due
 
-    def _judge_self(self, probe: Probe) -> None:
-        # When not even the helpers answered, the fault may be this daemon's own.
-        if probe.helper_answers < max(1, probe.helpers):
-            self._health.worse()
-
-    def shift(self, by_s: float) -> None:
-        """Move all deadlines after a pause of this process."""
-        for probe in self._probes.values():
-            probe.direct_deadline_s += by_s
-            probe.deadline_s += by_s
-        for relay in self._relays.values():
-            relay.deadline_s += by_s
+    def _adjust_local_health(self, probe: Probe) -> None:
+        # If the helpers did not answer either, this daemon itself may be slow or cut off.
+        if probe.nack_count < max(1, probe.helper_count):
+            self._health.degrade()
+
+    def postpone_deadlines(self, pause_s: float) -> None:
+        """Postpone all deadlines by the length of a pause of this process."""
+        for probe in self._probe_by_sequence.values():
+            probe.direct_deadline_s += pause_s
+            probe.deadline_s += pause_s
+        for relay in self._relayed_by_sequence.values():
+            relay.deadline_s += pause_s
--- a/passgate/membership/swim.py
+++ b/passgate/membership/swim.py
@@ -1,9 +1,9 @@
-"""Membership protocol as a pure state machine: messages and time in, messages out.
+"""Membership protocol as a state machine without I/O: messages and time in, messages out.
 
-SWIM (Das, Gupta and Motivala, 2002) with the changes of Lifeguard: probe, indirect
-probe, suspicion, refutation under a higher incarnation, news carried on other
-messages, and anti-entropy by table digests.  It serves liveness only: no promise of
-passgate depends on two daemons having the same view.
+Implements SWIM (Das, Gupta and Motivala, 2002) with the extensions of Lifeguard: probes,
+indirect probes, suspicions, refutation under a higher incarnation, updates carried on
+other messages, and anti-entropy by table digests.  Views are eventually consistent: no
+guarantee of passgate may depend on two daemons having the same view.
 
 >>> from random import Random
 >>> one = Swim(MemberInfo(member_id="a", address="h:1", zone="z"), MembershipConfig(), Random(1))
@@ -26,40 +26,40 @@
 from passgate.membership.anti_entropy import AntiEntropy, SyncMessage
 from passgate.membership.config import MembershipConfig
 from passgate.membership.counters import SwimCounters
-from passgate.membership.held_revisions import HeldRevisions
+from passgate.membership.held_revisions import RevisionTracker
 from passgate.membership.messages import (
     Ack,
-    AliveNews,
-    DeadNews,
+    AliveUpdate,
+    DeadUpdate,
     Gossip,
     Join,
-    LeftNews,
+    LeftUpdate,
     MemberInfo,
     MemberState,
+    MemberUpdate,
     Message,
     Nack,
-    News,
     Outgoing,
     Ping,
     PingRequest,
-    SuspectNews,
+    SuspectUpdate,
     SyncBuckets,
     SyncDigest,
     SyncRows,
 )
-from passgate.membership.news_queue import NewsQueue
-from passgate.membership.probes import Prober
+from passgate.membership.news_queue import UpdateQueue
+from passgate.membership.probes import ProbeTracker
 from passgate.membership.suspicion import LocalHealth, Suspicions
-from passgate.membership.table import MemberTable, alive_news
-from passgate.membership.targets import Targets
+from passgate.membership.table import MemberTable, alive_update
+from passgate.membership.targets import PeerSelector
 
-REAP_PERIOD_S = 10.0
+REAP_INTERVAL_S = 10.0
 
 _LIVING = (MemberState.ALIVE, MemberState.SUSPECT)
 
 
 class Swim:
-    """One daemon's part of the membership protocol; does no I/O and reads no clock."""
+    """One daemon's instance of the membership protocol; does no I/O and reads no clock."""
 
     def __init__(self, self_info: MemberInfo, config: MembershipConfig, random: Random) -> None:
         self._config = config
@@ -67,24 +67,24 @@
         self._id = self_info.member_id
         self._table = MemberTable()
         self._table.put(self_info, 0.0)
-        self._queue = NewsQueue(config.retransmit_multiplier)
-        self._queue.add(alive_news(self_info))
-        self._health = LocalHealth(config.health_maximum)
-        self._targets = Targets(
+        self._update_queue = UpdateQueue(config.retransmit_multiplier)
+        self._update_queue.add(alive_update(self_info))
+        self._local_health = LocalHealth(config.maximum_health_score)
+        self._peer_selector = PeerSelector(
             self._id,
             self_info.zone,
-            self._table.all,
+            self._table.views,
             random,
             config.own_zone_share,
             config.contacts_per_zone,
         )
-        self._prober = Prober(config, self._health, random)
-        self._anti_entropy = AntiEntropy(self._table, self._targets, config, random)
+        self._probe_tracker = ProbeTracker(config, self._local_health, random)
+        self._anti_entropy = AntiEntropy(self._table, self._peer_selector, config, random)
         self._suspicions = Suspicions(config.suspicion_multiplier, config.probe_period_s)
         self._changes: list[MemberInfo] = []
         self._seeds: set[str] = set()
-        self._held = HeldRevisions()
-        self._held_rounds = 0
+        self._revision_tracker = RevisionTracker()
+        self._revision_gossip_rounds = 0
         self._expected_tick_s: float | None = None
         self._next_probe_s = 0.0
         self._next_gossip_s = 0.0
@@ -102,21 +102,21 @@
         return view
 
     @property
-    def held(self) -> HeldRevisions:
-        """Return the revisions held here and by peers that are ahead."""
-        return self._held
+    def revision_tracker(self) -> RevisionTracker:
+        """Return the revisions of this daemon and of peers that are ahead."""
+        return self._revision_tracker
 
     @property
     def health_multiplier(self) -> int:
-        """Return how much longer than usual this daemon waits before it accuses."""
-        return self._health.multiplier
+        """Return the factor by which this daemon waits longer before it suspects a member."""
+        return self._local_health.multiplier
 
     def members(self) -> list[MemberInfo]:
         """Return every known member, dead and departed ones included."""
-        return self._table.all()
+        return self._table.views()
 
     def get(self, member_id: str) -> MemberInfo | None:
-        """Return the view of one member."""
+        """Return the view of one member, None when it is unknown."""
         return self._table.get(member_id)
 
     def digest(self) -> int:
@@ -128,44 +128,44 @@
         changes, self._changes = self._changes, []
         return changes
 
-    # --- what the daemon tells ------------------------------------------------------------
+    # --- published values and membership changes ------------------------------------------
 
     def set_metadata(self, key: str, value: str) -> None:
-        """Publish a small value with the own entry."""
+        """Publish a small value with this daemon's own entry."""
         view = self.self_info
         if view.metadata.get(key) == value:
             return
         metadata = {**view.metadata, key: value}
-        self._announce(
+        self._publish_own_entry(
             msgspec.structs.replace(view, metadata=metadata, metadata_version=view.metadata_version + 1)
         )
 
-    def set_held(self, key: str, revision: int) -> None:
-        """Tell peers that this daemon holds ``revision`` of ``key``; it never goes back."""
-        if self._held.set(key, revision):
-            transmissions = self._queue.limit(len(self._table))
-            self._held_rounds = math.ceil(transmissions / self._config.gossip_fanout)
+    def set_revision(self, key: str, revision: int) -> None:
+        """Publish to peers that this daemon has applied ``revision`` of ``key``; ignores a lower one."""
+        if self._revision_tracker.set_own(key, revision):
+            transmissions = self._update_queue.transmission_limit(len(self._table))
+            self._revision_gossip_rounds = math.ceil(transmissions / self._config.gossip_fanout)
 
     def join(self, addresses: Iterable[str], now_s: float) -> list[Outgoing]:
-        """Contact daemons at ``addresses``; asked again until one has answered."""
-        known = {view.address for view in self._table.all() if view.state in _LIVING}
-        fresh = [address for address in addresses if address not in known]
-        self._seeds.update(fresh)
+        """Contact daemons at ``addresses``, again and again until one has sent its table."""
+        known = {view.address for view in self._table.views() if view.state in _LIVING}
+        unknown = [address for address in addresses if address not in known]
+        self._seeds.update(unknown)
         self._next_join_s = now_s
-        return self._ask_seeds(now_s)
+        return self._send_joins(now_s)
 
-    def learn(self, members: Iterable[MemberInfo], now_s: float) -> None:
-        """Take over members from a list, without spreading them."""
+    def add_members(self, members: Iterable[MemberInfo], now_s: float) -> None:
+        """Add members from a list as alive, without spreading them."""
         for member in members:
-            self._apply(alive_news(member), now_s, spread=False)
+            self._apply(alive_update(member), now_s, spread=False)
 
     def leave(self, now_s: float) -> list[Outgoing]:
-        """Announce a planned leave; ticks go on spreading it until the daemon closes."""
+        """Announce that this daemon leaves; later ticks keep spreading it."""
         view = self.self_info
         if view.state is MemberState.LEFT:
             return []
         self._table.put(msgspec.structs.replace(view, state=MemberState.LEFT), now_s)
-        self._queue.add(LeftNews(self._id, view.incarnation))
+        self._update_queue.add(LeftUpdate(self._id, view.incarnation))
         return self._gossip(now_s)
 
     # --- time ---------------------------------------------------------------------------------
@@ -173,129 +173,129 @@
     def next_wakeup_s(self) -> float:
         """Return when :meth:`tick` is due next."""
         due = [self._next_probe_s, self._next_reap_s, self._anti_entropy.next_due_s()]
-        if self._queue or self._held_rounds:
+        if self._update_queue or self._revision_gossip_rounds:
             due.append(self._next_gossip_s)
         if self._seeds:
             due.append(self._next_join_s)
-        due += [self._suspicions.next_deadline_s(), self._prober.next_deadline_s()]
+        due += [self._suspicions.next_deadline_s(), self._probe_tracker.next_deadline_s()]
         return min(due)
 
     def tick(self, now_s: float) -> list[Outgoing]:
-        """Do all that is due at ``now_s``."""
-        self._notice_pause(now_s)
+        """Do what is due at ``now_s`` and return the messages to send."""
+        self._compensate_pause(now_s)
         out: list[Outgoing] = []
-        out += self._finish_probes(now_s)
-        self._end_suspicions(now_s)
+        out += self._handle_due_probes(now_s)
+        self._declare_dead(now_s)
         if now_s >= self._next_probe_s:
             out += self._probe(now_s)
-        if now_s >= self._next_gossip_s and (self._queue or self._held_rounds):
+        if now_s >= self._next_gossip_s and (self._update_queue or self._revision_gossip_rounds):
             out += self._gossip(now_s)
         if now_s >= self._next_reap_s:
             self._reap(now_s)
-        out += self._anti_entropy.take_due(now_s, self._held.own)
+        out += self._anti_entropy.start_due(now_s, self._revision_tracker.own_revisions)
         if self._seeds and now_s >= self._next_join_s:
-            out += self._ask_seeds(now_s)
+            out += self._send_joins(now_s)
         self._expected_tick_s = self.next_wakeup_s()
         return out
 
-    def _notice_pause(self, now_s: float) -> None:
-        """Shift deadlines by the length of a pause: answers may wait unread meanwhile."""
+    def _compensate_pause(self, now_s: float) -> None:
+        """Postpone deadlines after a pause of this process, since answers may be unread."""
         expected_s = self._expected_tick_s
         if expected_s is None:
-            self._spread_timers(now_s)
+            self._randomize_timers(now_s)
             return
-        late_s = now_s - expected_s
-        if late_s <= self._config.pause_threshold_s:
+        delay_s = now_s - expected_s
+        if delay_s <= self._config.pause_threshold_s:
             return
         self.counters.pauses += 1
-        self._health.worse()
-        # The timer that woke us may be a deadline itself; leave time to read what waits.
-        late_s += self._config.probe_timeout_s
-        self._prober.shift(late_s)
-        self._suspicions.shift(late_s)
+        self._local_health.degrade()
+        # The due timer may itself be a deadline; allow time to read the pending answers.
+        delay_s += self._config.probe_timeout_s
+        self._probe_tracker.postpone_deadlines(delay_s)
+        self._suspicions.postpone_deadlines(delay_s)
 
-    def _spread_timers(self, now_s: float) -> None:
+    def _randomize_timers(self, now_s: float) -> None:
         self._next_probe_s = now_s + self._random.random() * self._config.probe_period_s
-        self._anti_entropy.spread(now_s)
+        self._anti_entropy.randomize_timers(now_s)
 
-    def _later(self, now_s: float, period_s: float) -> float:
+    def _jittered_s(self, now_s: float, period_s: float) -> float:
         return now_s + period_s * self._random.uniform(0.9, 1.1)
 
     # --- failure detection ----------------------------------------------------------------------
 
     def _probe(self, now_s: float) -> list[Outgoing]:
-        period_s = self._config.probe_period_s * self._health.multiplier
-        self._next_probe_s = self._later(now_s, period_s)
-        target = self._targets.next_probe(self._suspicions.doubtful_zones())
+        period_s = self._config.probe_period_s * self._local_health.multiplier
+        self._next_probe_s = self._jittered_s(now_s, period_s)
+        target = self._peer_selector.next_probe_target(self._suspicions.suspect_zones())
         if target is None:
             return []
-        sequence = self._prober.start(target, now_s)
+        sequence = self._probe_tracker.start(target, now_s)
         return [Outgoing(target.address, self._ping(sequence, target.member_id))]
 
     def _ping(self, sequence: int, target_id: str) -> Ping:
-        # A suspect is told first of all that it is suspected, so that it can refute at once.
+        # The suspicion of the target comes first in the message, so that it can refute at once.
         suspicion = self._suspicions.get(target_id)
-        news = self._take_news()
+        updates = self._take_updates()
         if suspicion is not None:
-            accusation = SuspectNews(target_id, suspicion.incarnation, self._id)
-            news = (accusation, *(item for item in news if item.member_id != target_id))
-        return Ping(sequence, target_id, news, self._held.own)
-
-    def _finish_probes(self, now_s: float) -> list[Outgoing]:
-        due = self._prober.take_due(now_s)
-        out = [Outgoing(origin.address, Nack(origin.sequence)) for origin in due.nacks]
-        for probe in due.unanswered_directly:
-            for helper in self._targets.helpers(probe.target, self._config.indirect_probes):
-                probe.helpers += 1
+            accusation = SuspectUpdate(target_id, suspicion.incarnation, self._id)
+            updates = (accusation, *(update for update in updates if update.member_id != target_id))
+        return Ping(sequence, target_id, updates, self._revision_tracker.own_revisions)
+
+    def _handle_due_probes(self, now_s: float) -> list[Outgoing]:
+        due = self._probe_tracker.take_due(now_s)
+        out = [Outgoing(requester.address, Nack(requester.sequence)) for requester in due.requesters_to_nack]
+        for probe in due.without_direct_ack:
+            for helper in self._peer_selector.probe_helpers(probe.target, self._config.indirect_probes):
+                probe.helper_count += 1
                 request = PingRequest(
                     probe.sequence,
                     probe.target.member_id,
                     probe.target.address,
-                    self._take_news(),
-                    self._held.own,
+                    self._take_updates(),
+                    self._revision_tracker.own_revisions,
                 )
                 out.append(Outgoing(helper.address, request))
         for probe in due.failed:
-            self._accuse(probe.target.member_id, now_s)
+            self._suspect(probe.target.member_id, now_s)
         return out
 
-    def _accuse(self, member_id: str, now_s: float) -> None:
+    def _suspect(self, member_id: str, now_s: float) -> None:
         view = self._table.get(member_id)
         if view is None or view.state not in _LIVING:
             return
         if view.state is MemberState.ALIVE:
             self.counters.suspicions += 1
-        self._apply(SuspectNews(member_id, view.incarnation, self._id), now_s)
+        self._apply(SuspectUpdate(member_id, view.incarnation, self._id), now_s)
 
-    def _end_suspicions(self, now_s: float) -> None:
-        for suspicion in self._suspicions.run_out(now_s):
+    def _declare_dead(self, now_s: float) -> None:
+        for suspicion in self._suspicions.expired(now_s):
             self.counters.deaths += 1
-            self._apply(DeadNews(suspicion.member_id, suspicion.incarnation), now_s)
+            self._apply(DeadUpdate(suspicion.member_id, suspicion.incarnation), now_s)
 
     # --- receiving ----------------------------------------------------------------------------------
 
     def receive(self, sender: str, message: Message, now_s: float) -> list[Outgoing]:
         """Handle a message from the peer port at ``sender``."""
-        for news in getattr(message, "news", ()):
-            self._apply(news, now_s)
-        self._held.note(sender, getattr(message, "held", {}))
+        for update in getattr(message, "updates", ()):
+            self._apply(update, now_s)
+        self._revision_tracker.record_peer(sender, getattr(message, "revisions", {}))
         match message:
             case Ping():
                 return self._answer_ping(sender, message)
             case Ack():
-                origin = self._prober.answered(message.sequence)
-                if origin is None:
+                requester = self._probe_tracker.record_ack(message.sequence)
+                if requester is None:
                     return []
-                answer = Ack(origin.sequence, self._take_news(), self._held.own)
-                return [Outgoing(origin.address, answer)]
+                answer = Ack(requester.sequence, self._take_updates(), self._revision_tracker.own_revisions)
+                return [Outgoing(requester.address, answer)]
             case Nack():
-                self._prober.helper_answered(message.sequence)
+                self._probe_tracker.record_nack(message.sequence)
                 return []
             case PingRequest():
-                sequence = self._prober.start_relay(sender, message.sequence, now_s)
+                sequence = self._probe_tracker.start_relay(sender, message.sequence, now_s)
                 return [Outgoing(message.target_address, self._ping(sequence, message.target))]
             case Join():
-                return [Outgoing(sender, self._anti_entropy.whole_table(self._held.own))]
+                return [Outgoing(sender, self._anti_entropy.full_table(self._revision_tracker.own_revisions))]
             case SyncDigest() | SyncBuckets() | SyncRows():
                 return self._receive_sync(sender, message, now_s)
             case _:
@@ -304,97 +304,103 @@
     def _answer_ping(self, sender: str, ping: Ping) -> list[Outgoing]:
         if ping.target != self._id:
             return []
-        # Who counts as dead here and pings us learns it at once, and refutes.
-        news = (*self._table.dead_at(sender), *self._take_news())
-        return [Outgoing(sender, Ack(ping.sequence, news, self._held.own))]
+        # A sender that is dead in this daemon's view learns so from the Ack, and can refute.
+        updates = (*self._table.dead_update_at(sender), *self._take_updates())
+        return [Outgoing(sender, Ack(ping.sequence, updates, self._revision_tracker.own_revisions))]
 
-    # --- news -----------------------------------------------------------------------------------------
+    # --- updates --------------------------------------------------------------------------------------
 
-    def _apply(self, news: News, now_s: float, spread: bool = True) -> None:
-        if news.member_id == self._id:
-            self._hear_of_self(news)
+    def _apply(self, update: MemberUpdate, now_s: float, spread: bool = True) -> None:
+        if update.member_id == self._id:
+            self._apply_update_about_self(update)
             return
-        changed = self._table.merge(news, now_s)
+        changed = self._table.merge(update, now_s)
         if changed is None:
-            self._hear_again(news)
+            self._handle_known_update(update)
             return
         self._changes.append(changed)
-        self._targets.invalidate()
-        if isinstance(news, SuspectNews):
-            self._suspicions.start(news, changed.zone, self._table.living, now_s)
+        self._peer_selector.invalidate()
+        if isinstance(update, SuspectUpdate):
+            self._suspicions.start(update, changed.zone, self._table.living_count, now_s)
         else:
-            self._suspicions.end(news.member_id)
+            self._suspicions.end(update.member_id)
         if changed.state not in _LIVING:
-            self._held.drop_peer(changed.address)
+            self._revision_tracker.forget_peer(changed.address)
         if spread:
-            self._queue.add(news)
-
-    def _hear_again(self, news: News) -> None:
-        """Count a further accuser; contradict news about a member that is buried here."""
-        self._queue.heard(news)
-        if isinstance(news, SuspectNews):
-            if self._suspicions.confirm(news):
-                self._queue.add(news)
-        elif isinstance(news, AliveNews) and self._table.get(news.member_id) is None:
-            buried = self._table.tombstone(news.member_id)
-            if buried is not None:
-                self._queue.add(DeadNews(news.member_id, buried))
-
-    def _hear_of_self(self, news: News) -> None:
+            self._update_queue.add(update)
+
+    def _handle_known_update(self, update: MemberUpdate) -> None:
+        """Handle an update that changes no view.
+
+        Counts a further accuser of a suspect, and answers an outdated "alive" of a reaped
+        member with its death.
+        """
+        self._update_queue.record_received(update)
+        if isinstance(update, SuspectUpdate):
+            if self._suspicions.confirm(update):
+                self._update_queue.add(update)
+        elif isinstance(update, AliveUpdate) and self._table.get(update.member_id) is None:
+            tombstone_incarnation = self._table.tombstone_incarnation(update.member_id)
+            if tombstone_incarnation is not None:
+                self._update_queue.add(DeadUpdate(update.member_id, tombstone_incarnation))
+
+    def _apply_update_about_self(self, update: MemberUpdate) -> None:
         view = self.self_info
-        if view.state is MemberState.LEFT or news.incarnation < view.incarnation:
+        if view.state is MemberState.LEFT or update.incarnation < view.incarnation:
             return
-        if isinstance(news, AliveNews):
-            if news.address != view.address:
+        if isinstance(update, AliveUpdate):
+            if update.address != view.address:
                 self.counters.identity_conflicts += 1
-            if news.incarnation == view.incarnation:
+            if update.incarnation == view.incarnation:
                 return
         else:
             self.counters.refutations += 1
-        if isinstance(news, SuspectNews):
-            self._health.worse()
-        self._announce(msgspec.structs.replace(view, incarnation=news.incarnation + 1))
+        if isinstance(update, SuspectUpdate):
+            self._local_health.degrade()
+        self._publish_own_entry(msgspec.structs.replace(view, incarnation=update.incarnation + 1))
 
-    def _announce(self, view: MemberInfo) -> None:
+    def _publish_own_entry(self, view: MemberInfo) -> None:
         self._table.put(view, 0.0)
         if view.state in _LIVING:
-            self._queue.add(alive_news(view))
+            self._update_queue.add(alive_update(view))
 
-    def _take_news(self) -> tuple[News, ...]:
-        return self._queue.take(len(self._table), self._config.news_bytes)
+    def _take_updates(self) -> tuple[MemberUpdate, ...]:
+        return self._update_queue.take(len(self._table), self._config.maximum_update_bytes)
 
     # --- dissemination -----------------------------------------------------------------------------------
 
     def _gossip(self, now_s: float) -> list[Outgoing]:
         self._next_gossip_s = now_s + self._config.gossip_period_s
-        telling_held = self._held_rounds > 0
-        self._held_rounds = max(0, self._held_rounds - 1)
+        announces_revisions = self._revision_gossip_rounds > 0
+        self._revision_gossip_rounds = max(0, self._revision_gossip_rounds - 1)
         out = []
-        for peer in self._targets.gossip(self._config.gossip_fanout):
-            news = self._take_news()
-            if news or telling_held:
-                out.append(Outgoing(peer.address, Gossip(news, self._held.own)))
+        for peer in self._peer_selector.gossip_targets(self._config.gossip_fanout):
+            updates = self._take_updates()
+            if updates or announces_revisions:
+                out.append(Outgoing(peer.address, Gossip(updates, self._revision_tracker.own_revisions)))
         return out
 
-    def _ask_seeds(self, now_s: float) -> list[Outgoing]:
-        self._next_join_s = self._later(now_s, self._config.join_retry_s)
+    def _send_joins(self, now_s: float) -> list[Outgoing]:
+        self._next_join_s = self._jittered_s(now_s, self._config.join_retry_s)
         self._seeds.discard(self.self_info.address)
         seeds = sorted(self._seeds)
         chosen = self._random.sample(seeds, min(self._config.join_fanout, len(seeds)))
-        joining = Join((alive_news(self.self_info),), self._held.own)
-        return [Outgoing(address, joining) for address in chosen]
+        join = Join((alive_update(self.self_info),), self._revision_tracker.own_revisions)
+        return [Outgoing(address, join) for address in chosen]
 
     def _receive_sync(self, sender: str, message: SyncMessage, now_s: float) -> list[Outgoing]:
-        answers, news = self._anti_entropy.receive(sender, message, now_s, self._held.own)
-        # A whole table answers a join; its rows are news to the joining daemon alone.
-        joining = isinstance(message, SyncRows) and not message.buckets
-        for item in news:
-            self._apply(item, now_s, spread=not joining)
-        if joining:
+        answers, updates = self._anti_entropy.receive(
+            sender, message, now_s, self._revision_tracker.own_revisions
+        )
+        # A full table is the reply to a join; other daemons already know its rows.
+        is_join_reply = isinstance(message, SyncRows) and not message.buckets
+        for update in updates:
+            self._apply(update, now_s, spread=not is_join_reply)
+        if is_join_reply:
             self._seeds.clear()
         return answers
 
     def _reap(self, now_s: float) -> None:
-        self._next_reap_s = now_s + REAP_PERIOD_S
+        self._next_reap_s = now_s + REAP_INTERVAL_S
         for member_id in self._table.reap(now_s, self._config.gone_retention_s):
-            self._queue.discard(member_id)
+            self._update_queue.discard(member_id)
--- a/tests/membership_cluster.py
+++ b/tests/membership_cluster.py
@@ -1,14 +1,14 @@
-"""Hollow daemons with the real control code, many in one process, in virtual time.
+"""Simulated cluster of daemons in one process and in virtual time.
 
-Each one runs the membership agent, the configuration service and the configuration
-pull over a simulated network and log.
+Each daemon runs the membership agent, the configuration service and the configuration
+sync over a simulated network and log.
 
 >>> from passgate.clock import new_virtual_loop
 >>> loop = new_virtual_loop()
 >>> async def start_three():
-...     cluster = HollowCluster(ClusterShape(daemons=3, zones=3), seed=1)
+...     cluster = SimulatedCluster(ClusterShape(daemons=3, zones=3), seed=1)
 ...     await cluster.start()
-...     agreed_s = await cluster.until_agreed(30.0)
+...     agreed_s = await cluster.wait_until_converged(30.0)
 ...     await cluster.close()
 ...     return agreed_s < 5.0
 >>> loop.run_until_complete(start_three())
@@ -35,63 +35,63 @@
 from passgate.state.configuration import ConfigurationService, PoolSpec
 from passgate.state.memory_log import MemoryLog, MemoryLogClient
 
-POLL_S = 0.05
-"""Resolution of measured times."""
+POLL_INTERVAL_S = 0.05
+"""Interval at which ``wait_until`` checks its condition."""
 
 START_TIMEOUT_S = 60.0
 
-SEEDS = 5
-"""Daemons that a starting one is told of."""
+SEED_COUNT = 5
+"""Number of seeds that a starting daemon is given."""
 
 
 class ClusterShape(msgspec.Struct, frozen=True, kw_only=True):
-    """Size of a cluster."""
+    """Number of daemons, zones and regions of a cluster."""
 
     daemons: int
     zones: int
     regions: int = 4
 
 
-class HollowDaemon:
-    """One daemon's control part."""
+class SimulatedDaemon:
+    """Membership agent, configuration service and configuration sync of one daemon."""
 
-    def __init__(self, cluster: HollowCluster, index: int, run: int) -> None:
+    def __init__(self, cluster: SimulatedCluster, index: int, start_number: int) -> None:
         self.index = index
         self.zone = f"zone-{index % cluster.shape.zones:02d}"
         self.member_id = f"{self.zone}-daemon-{index:03d}"
-        random = Random(f"{cluster.seed}/{index}/{run}")
+        random = Random(f"{cluster.seed}/{index}/{start_number}")
         address = f"10.{index // 65536}.{index // 256 % 256}.{index % 256}:7000"
         self.transport = cluster.network.transport(address, self.zone)
         own = MemberInfo(member_id=self.member_id, address=address, zone=self.zone)
         self.agent = MembershipAgent(
             own, self.transport, random, cluster.config, call_later=self.transport.call_later
         )
-        self.log = MemoryLogClient(cluster.log)
-        self.service = ConfigurationService(self.log, f"{self.member_id}/{run}", random)
-        self.sync = ConfigurationSync(self.agent, self.service, random)
+        self.log_client = MemoryLogClient(cluster.log)
+        self.configuration = ConfigurationService(self.log_client, f"{self.member_id}/{start_number}", random)
+        self.sync = ConfigurationSync(self.agent, self.configuration, random)
         self.revision_went_back = 0
 
     @property
-    def revision(self) -> int:
-        """Return the first offset of the configuration that is not in force here."""
-        return self.service.follower.next_offset
+    def next_offset(self) -> int:
+        """Return the first offset of the configuration that this daemon has not applied."""
+        return self.configuration.follower.next_offset
 
     def start(self, seeds: Iterable[str]) -> None:
-        """Start and join by ``seeds``."""
+        """Start the daemon and join the cluster at ``seeds``."""
         self.agent.start()
-        self.service.start()
+        self.configuration.start()
         self.sync.start()
         self.agent.join(seeds)
 
     async def kill(self) -> None:
-        """End without a word to the others."""
+        """Stop at once without notifying other daemons."""
         await self.agent.close()
         await self.sync.close()
-        await self.service.close()
+        await self.configuration.close()
 
 
-class HollowCluster:
-    """All hollow daemons, their network and their log."""
+class SimulatedCluster:
+    """Simulated daemons with their network and log."""
 
     def __init__(self, shape: ClusterShape, seed: int, config: MembershipConfig | None = None) -> None:
         self.shape = shape
@@ -100,80 +100,80 @@
         self.random = Random(seed)
         self.network = MemoryNetwork(Random(seed + 1))
         self.log = MemoryLog()
-        self.runs = 0
-        self.daemons = [HollowDaemon(self, index, 0) for index in range(shape.daemons)]
+        self.replacement_count = 0
+        self.daemons = [SimulatedDaemon(self, index, 0) for index in range(shape.daemons)]
 
     async def start(self) -> None:
-        """Start all daemons at once, as after a loss of everything."""
+        """Start all daemons at once, as after an outage of the whole cluster."""
         addresses = [daemon.transport.address for daemon in self.daemons]
         for daemon in self.daemons:
-            daemon.start(self._some(addresses))
+            daemon.start(self._choose_seeds(addresses))
 
-    async def start_settled(self) -> None:
-        """Start all daemons with a common view, as in a cluster that has run for long."""
+    async def start_converged(self) -> None:
+        """Start all daemons with equal tables, as in a cluster that has converged."""
         members = [daemon.agent.self_info for daemon in self.daemons]
         for daemon in self.daemons:
             daemon.start(())
-            daemon.agent.learn(members)
-        await self.until_agreed(START_TIMEOUT_S)
+            daemon.agent.add_members(members)
+        await self.wait_until_converged(START_TIMEOUT_S)
 
     async def close(self) -> None:
         """Stop all daemons."""
         await asyncio.gather(*(daemon.kill() for daemon in self.daemons))
 
-    async def replace(self, index: int) -> HollowDaemon:
-        """Start a new process under the id and address of a daemon that was killed."""
-        self.runs += 1
-        daemon = HollowDaemon(self, index, self.runs)
+    async def replace(self, index: int) -> SimulatedDaemon:
+        """Start a new daemon with the id and address of one that was killed."""
+        self.replacement_count += 1
+        daemon = SimulatedDaemon(self, index, self.replacement_count)
         self.daemons[index] = daemon
-        daemon.start(self._some([other.transport.address for other in self.living()]))
+        daemon.start(self._choose_seeds([other.transport.address for other in self.running_daemons()]))
         return daemon
 
-    def living(self) -> list[HollowDaemon]:
-        """Return the daemons that run."""
+    def running_daemons(self) -> list[SimulatedDaemon]:
+        """Return the daemons that are running."""
         return [daemon for daemon in self.daemons if not daemon.transport.closed]
 
-    def agreed(self) -> bool:
-        """Return whether all running daemons have one table with exactly themselves alive."""
-        living = self.living()
+    def is_converged(self) -> bool:
+        """Return whether all running daemons have equal tables with exactly themselves alive."""
+        living = self.running_daemons()
         if len({daemon.agent.digest() for daemon in living}) != 1:
             return False
         ids = {daemon.member_id for daemon in living}
         first = living[0].agent
         return {view.member_id for view in first.members() if first.is_alive(view.member_id)} == ids
 
-    async def until_agreed(self, timeout_s: float) -> float:
-        """Return the seconds until :meth:`agreed`; raises DeadlineExceeded."""
-        return await until(self.agreed, timeout_s)
+    async def wait_until_converged(self, timeout_s: float) -> float:
+        """Return the seconds until :meth:`is_converged`; raises DeadlineExceeded."""
+        return await wait_until(self.is_converged, timeout_s)
 
     def bytes_moved(self) -> list[int]:
-        """Return bytes sent plus received of each daemon."""
+        """Return the bytes sent and received by each daemon."""
         return [
             daemon.transport.counters.bytes_sent + daemon.transport.counters.bytes_received
             for daemon in self.daemons
         ]
 
     def region_of(self, zone: str) -> int:
-        """Return the region of a zone; regions hold neighbouring zones."""
+        """Return the number of a zone's region; zones with adjacent numbers share a region."""
         return int(zone.removeprefix("zone-")) * self.shape.regions // self.shape.zones
 
-    def _some(self, addresses: list[str]) -> list[str]:
-        return self.random.sample(addresses, min(SEEDS, len(addresses)))
+    def _choose_seeds(self, addresses: list[str]) -> list[str]:
+        return self.random.sample(addresses, min(SEED_COUNT, len(addresses)))
 
 
-async def until(condition: Callable[[], bool], timeout_s: float) -> float:
-    """Return the seconds until ``condition`` holds; raises DeadlineExceeded."""
+async def wait_until(condition: Callable[[], bool], timeout_s: float) -> float:
+    """Wait until ``condition`` holds and return the seconds waited; raises DeadlineExceeded."""
     start_s = monotonic_s()
     while not condition():
         if monotonic_s() - start_s > timeout_s:
-            raise DeadlineExceeded("the condition did not come to hold")
-        await asyncio.sleep(POLL_S)
+            raise DeadlineExceeded("the condition was not reached before the timeout")
+        await asyncio.sleep(POLL_INTERVAL_S)
     return monotonic_s() - start_s
 
 
-async def change(daemon: HollowDaemon, number: int) -> float:
-    """Put a pool through one daemon; return when it was accepted."""
+async def put_pool(daemon: SimulatedDaemon, number: int) -> float:
+    """Put a changed pool through one daemon; return the time of its acceptance."""
     spec = PoolSpec(selector="tier=gold", role=MachineRole.ENGINE, model="model")
     labels = {"tier": "gold", "change": str(number)}
-    await daemon.service.put("Pool", f"pool-{number % 50}", labels, spec, None, timeout_s=10.0)
+    await daemon.configuration.put("Pool", f"pool-{number % 50}", labels, spec, None, timeout_s=10.0)
     return monotonic_s()
--- a/tests/test_membership_agent.py
+++ b/tests/test_membership_agent.py
@@ -2,12 +2,12 @@
 
 from passgate.clock import new_virtual_loop
 from passgate.membership.config import MembershipConfig
-from tests.membership_cluster import ClusterShape, HollowCluster, until
+from tests.membership_cluster import ClusterShape, SimulatedCluster, wait_until
 
 
-def with_cluster(scenario, daemons: int, zones: int, seed: int = 7) -> None:
+def run_with_cluster(scenario, daemons: int, zones: int, seed: int = 7) -> None:
     async def run():
-        cluster = HollowCluster(ClusterShape(daemons=daemons, zones=zones), seed)
+        cluster = SimulatedCluster(ClusterShape(daemons=daemons, zones=zones), seed)
         await scenario(cluster)
         await cluster.close()
 
@@ -18,48 +18,50 @@
         loop.close()
 
 
-def test_daemons_that_all_start_at_once_agree_within_seconds():
+def test_daemons_started_together_converge_within_seconds():
     async def scenario(cluster):
         await cluster.start()
-        assert await cluster.until_agreed(10.0) < 10.0
+        assert await cluster.wait_until_converged(10.0) < 10.0
 
-    with_cluster(scenario, daemons=24, zones=3)
+    run_with_cluster(scenario, daemons=24, zones=3)
 
 
-def test_leaving_daemon_is_gone_everywhere_without_a_suspicion():
+def test_leaving_daemon_is_removed_everywhere_without_a_suspicion():
     async def scenario(cluster):
-        await cluster.start_settled()
+        await cluster.start_converged()
         leaver, *others = cluster.daemons
         await leaver.agent.leave(MembershipConfig().leave_linger_s)
         await leaver.kill()
         assert not any(other.agent.is_alive(leaver.member_id) for other in others)
         assert sum(other.agent.counters.suspicions for other in others) == 0
 
-    with_cluster(scenario, daemons=12, zones=3)
+    run_with_cluster(scenario, daemons=12, zones=3)
 
 
-def test_loss_of_a_zone_is_known_to_every_survivor():
+def test_every_remaining_daemon_detects_the_loss_of_a_zone():
     async def scenario(cluster):
-        await cluster.start_settled()
+        await cluster.start_converged()
         victims = [daemon for daemon in cluster.daemons if daemon.zone == "zone-00"]
         await asyncio.gather(*(victim.kill() for victim in victims))
-        survivors = cluster.living()
+        survivors = cluster.running_daemons()
         assert (len(victims), len(survivors)) == (3, 6)
         gone = {victim.member_id for victim in victims}
-        await until(lambda: not any(other.agent.is_alive(name) for other in survivors for name in gone), 60.0)
+        await wait_until(
+            lambda: not any(other.agent.is_alive(name) for other in survivors for name in gone), 60.0
+        )
 
-    with_cluster(scenario, daemons=9, zones=3, seed=1)
+    run_with_cluster(scenario, daemons=9, zones=3, seed=1)
 
 
-def test_change_listeners_hear_of_a_death_once():
+def test_change_listener_is_called_once_for_suspicion_and_death():
     async def scenario(cluster):
-        await cluster.start_settled()
-        watcher, victim, *_ = cluster.daemons
-        heard = []
-        watcher.agent.subscribe(heard.append)
+        await cluster.start_converged()
+        observer, victim, *_ = cluster.daemons
+        changes = []
+        observer.agent.subscribe(changes.append)
         await victim.kill()
         await asyncio.sleep(30)
-        states = [view.state.value for view in heard if view.member_id == victim.member_id]
+        states = [view.state.value for view in changes if view.member_id == victim.member_id]
         assert states == ["suspect", "dead"]
 
-    with_cluster(scenario, daemons=6, zones=3)
+    run_with_cluster(scenario, daemons=6, zones=3)
--- a/tests/test_membership_schedules.py
+++ b/tests/test_membership_schedules.py
@@ -1,4 +1,4 @@
-"""Schedules of failures over small clusters in virtual time."""
+"""Membership of small clusters under schedules of crashes, restarts, pauses and network partitions."""
 
 import asyncio
 from random import Random
@@ -13,7 +13,7 @@
 from passgate.peers.memory_transport import MemoryNetwork
 
 DAEMONS = 4
-CONVERGE_S = 60
+CONVERGENCE_TIME_S = 60
 
 
 class Kill(msgspec.Struct):
@@ -33,12 +33,12 @@
     seconds: int
 
 
-class Cut(msgspec.Struct):
+class Partition(msgspec.Struct):
     side: frozenset[int]
     seconds: int
 
 
-class Publish(msgspec.Struct):
+class PublishMetadata(msgspec.Struct):
     index: int
 
 
@@ -48,8 +48,8 @@
     st.builds(Restart, INDEX),
     st.builds(Leave, INDEX),
     st.builds(Pause, INDEX, st.sampled_from([2, 20])),
-    st.builds(Cut, st.frozensets(INDEX, min_size=1, max_size=DAEMONS - 1), st.sampled_from([3, 30])),
-    st.builds(Publish, INDEX),
+    st.builds(Partition, st.frozensets(INDEX, min_size=1, max_size=DAEMONS - 1), st.sampled_from([3, 30])),
+    st.builds(PublishMetadata, INDEX),
 )
 
 
@@ -61,55 +61,57 @@
         self.agents: list[MembershipAgent | None] = [None] * DAEMONS
         self.transports = [None] * DAEMONS
         self.running: set[int] = set()
-        self.runs = 0
-        self.published = 0
-        self.seen: dict[tuple[int, str], tuple[int, int]] = {}
+        self.start_count = 0
+        self.last_published = 0
+        self.highest_precedence: dict[tuple[int, str], tuple[int, int]] = {}
         for index in range(DAEMONS):
-            self.start(index)
+            self.start_daemon(index)
 
-    def address(self, index: int) -> str:
+    def address_of(self, index: int) -> str:
         return f"10.0.0.{index}:1"
 
-    def start(self, index: int) -> None:
-        self.runs += 1
-        transport = self.network.transport(self.address(index), f"zone-{index % 2}")
+    def start_daemon(self, index: int) -> None:
+        self.start_count += 1
+        transport = self.network.transport(self.address_of(index), f"zone-{index % 2}")
         own = MemberInfo(member_id=f"d{index}", address=transport.address, zone=transport.zone)
-        random = Random(f"{self.seed}/{self.runs}")
+        random = Random(f"{self.seed}/{self.start_count}")
         agent = MembershipAgent(own, transport, random, call_later=transport.call_later)
         agent.start()
-        agent.join([self.address(other) for other in range(DAEMONS) if other != index])
+        agent.join([self.address_of(other) for other in range(DAEMONS) if other != index])
         self.agents[index], self.transports[index] = agent, transport
         self.running.add(index)
-        self.seen = {key: order for key, order in self.seen.items() if key[0] != index}
+        self.highest_precedence = {
+            key: precedence for key, precedence in self.highest_precedence.items() if key[0] != index
+        }
 
-    async def stop(self, index: int) -> None:
+    async def kill_daemon(self, index: int) -> None:
         self.running.discard(index)
         await self.agents[index].close()
 
     async def apply(self, step) -> None:
         match step:
             case Kill(index):
-                await self.stop(index)
+                await self.kill_daemon(index)
             case Restart(index):
-                await self.stop(index)
-                self.start(index)
+                await self.kill_daemon(index)
+                self.start_daemon(index)
             case Leave(index) if index in self.running:
                 await self.agents[index].leave(1.0)
-                await self.stop(index)
+                await self.kill_daemon(index)
             case Pause(index, seconds):
                 self.transports[index].pause()
-                await self.let_pass(seconds)
+                await self.run_for(seconds)
                 self.transports[index].resume()
-            case Cut(side, seconds):
-                sides = {self.address(index) for index in side}
+            case Partition(side, seconds):
+                sides = {self.address_of(index) for index in side}
                 self.network.cut(lambda address, _zone: address in sides)
-                await self.let_pass(seconds)
+                await self.run_for(seconds)
                 self.network.heal()
-            case Publish(index):
-                self.published += 1
-                self.agents[index].set_metadata("value", str(self.published))
+            case PublishMetadata(index):
+                self.last_published += 1
+                self.agents[index].set_metadata("value", str(self.last_published))
 
-    async def let_pass(self, seconds: float) -> None:
+    async def run_for(self, seconds: float) -> None:
         for _ in range(int(seconds * 2)):
             await asyncio.sleep(0.5)
             self.check_views_move_forward()
@@ -118,8 +120,10 @@
         for index in self.running:
             for view in self.agents[index].members():
                 key = (index, view.member_id)
-                assert view.order() >= self.seen.get(key, (0, 0)), "a view went back"
-                self.seen[key] = view.order()
+                assert view.precedence() >= self.highest_precedence.get(key, (0, 0)), (
+                    "a view was replaced by an older one"
+                )
+                self.highest_precedence[key] = view.precedence()
 
     def check_agreement(self) -> None:
         expected = {f"d{index}" for index in self.running}
@@ -133,7 +137,7 @@
                 assert view.state is MemberState.ALIVE
 
 
-def in_virtual_time(coroutine) -> None:
+def run_in_virtual_time(coroutine) -> None:
     loop = new_virtual_loop()
     try:
         loop.run_until_complete(coroutine)
@@ -143,48 +147,48 @@
 
 async def run_schedule(seed: int, loss: float, steps) -> None:
     cluster = Cluster(seed, loss)
-    await cluster.let_pass(5)
+    await cluster.run_for(5)
     for step in steps:
         await cluster.apply(step)
-        await cluster.let_pass(2)
+        await cluster.run_for(2)
     cluster.network.loss = 0.0
-    await cluster.let_pass(CONVERGE_S)
+    await cluster.run_for(CONVERGENCE_TIME_S)
     cluster.check_agreement()
     for index in list(cluster.running):
-        await cluster.stop(index)
+        await cluster.kill_daemon(index)
 
 
 @settings(max_examples=8, deadline=None, derandomize=True, database=None)
 @given(st.integers(0, 1000), st.sampled_from([0.0, 0.05]), st.lists(STEP, min_size=1, max_size=5))
-def test_any_schedule_ends_in_agreement_and_no_view_goes_back(seed, loss, steps):
-    in_virtual_time(run_schedule(seed, loss, steps))
+def test_any_failure_schedule_converges_and_views_never_go_back(seed, loss, steps):
+    run_in_virtual_time(run_schedule(seed, loss, steps))
 
 
-def test_cut_cluster_merges_and_the_newest_published_value_wins():
+def test_clusters_merge_after_a_partition_and_keep_the_newest_metadata():
     async def scenario():
         cluster = Cluster(seed=3, loss=0.0)
-        await cluster.let_pass(5)
-        await cluster.apply(Publish(0))
-        await cluster.let_pass(5)
-        cluster.network.cut(lambda address, _zone: address == cluster.address(0))
-        await cluster.let_pass(40)
+        await cluster.run_for(5)
+        await cluster.apply(PublishMetadata(0))
+        await cluster.run_for(5)
+        cluster.network.cut(lambda address, _zone: address == cluster.address_of(0))
+        await cluster.run_for(40)
         assert not cluster.agents[1].is_alive("d0")
         cluster.agents[0].set_metadata("value", "newest")
         cluster.network.heal()
-        await cluster.let_pass(60)
+        await cluster.run_for(60)
         cluster.check_agreement()
         assert cluster.agents[1].get("d0").metadata == {"value": "newest"}
 
-    in_virtual_time(scenario())
+    run_in_virtual_time(scenario())
 
 
 def test_member_paused_for_two_seconds_is_never_declared_dead():
     async def scenario():
         cluster = Cluster(seed=1, loss=0.05)
-        await cluster.let_pass(5)
+        await cluster.run_for(5)
         for turn in range(8):
             await cluster.apply(Pause(turn % DAEMONS, 2))
-            await cluster.let_pass(3)
+            await cluster.run_for(3)
         assert sum(agent.counters.deaths for agent in cluster.agents) == 0
 
-    in_virtual_time(scenario())
+    run_in_virtual_time(scenario())
