--- a/passgate/membership/anti_entropy.py
+++ b/passgate/membership/anti_entropy.py
@@ -58,8 +58,8 @@
             addresses += self._compare(now_s)
         if now_s >= self._next_reconnect_s:
             addresses += self._reconnect(now_s)
-        greeting = SyncDigest(self._table.digest(), revisions)
-        return [Outgoing(address, greeting) for address in addresses]
+        digest_message = SyncDigest(self._table.digest(), revisions)
+        return [Outgoing(address, digest_message) for address in addresses]
 
     def _compare(self, now_s: float) -> list[str]:
         self._next_compare_s = now_s + self._period_s * self._random.uniform(0.9, 1.1)
--- a/passgate/membership/probes.py
+++ b/passgate/membership/probes.py
@@ -26,6 +26,7 @@
     helper_count: int = -1
     """Number of helpers asked; -1 before the direct deadline."""
     nack_count: int = 0
+    """Number of helpers that are reachable but got no answer from the target."""
 
 
 class ProbeRequester(msgspec.Struct, frozen=True):
@@ -41,7 +42,7 @@
 
 
 class DueProbes(msgspec.Struct):
-    """What :meth:`ProbeTracker.take_due` found."""
+    """Result of :meth:`ProbeTracker.take_due`."""
 
     without_direct_ack: list[Probe]
     failed: list[Probe]
@@ -89,8 +90,8 @@
         if self._probe_by_sequence.pop(sequence, None) is not None:
             self._health.improve()
             return None
-        relay = self._relayed_by_sequence.pop(sequence, None)
-        return None if relay is None else relay.requester
+        relayed_probe = self._relayed_by_sequence.pop(sequence, None)
+        return None if relayed_probe is None else relayed_probe.requester
 
     def record_nack(self, sequence: int) -> None:
         """Count a helper that is reachable but got no answer from the target."""
@@ -100,7 +101,7 @@
 
     def next_deadline_s(self) -> float:
         """Return the earliest deadline, infinity when there is none."""
-        deadlines = [relay.deadline_s for relay in self._relayed_by_sequence.values()]
+        deadlines = [relayed_probe.deadline_s for relayed_probe in self._relayed_by_sequence.values()]
         deadlines += [
             probe.direct_deadline_s if probe.helper_count < 0 else probe.deadline_s
             for probe in self._probe_by_sequence.values()
@@ -118,10 +119,10 @@
             elif now_s >= probe.direct_deadline_s and probe.helper_count < 0:
                 probe.helper_count = 0
                 due.without_direct_ack.append(probe)
-        for sequence, relay in list(self._relayed_by_sequence.items()):
-            if now_s >= relay.deadline_s:
+        for sequence, relayed_probe in list(self._relayed_by_sequence.items()):
+            if now_s >= relayed_probe.deadline_s:
                 del self._relayed_by_sequence[sequence]
-                due.requesters_to_nack.append(relay.requester)
+                due.requesters_to_nack.append(relayed_probe.requester)
         return due
 
     def _adjust_local_health(self, probe: Probe) -> None:
@@ -134,5 +135,5 @@
         for probe in self._probe_by_sequence.values():
             probe.direct_deadline_s += pause_s
             probe.deadline_s += pause_s
-        for relay in self._relayed_by_sequence.values():
-            relay.deadline_s += pause_s
+        for relayed_probe in self._relayed_by_sequence.values():
+            relayed_probe.deadline_s += pause_s
--- a/passgate/membership/targets.py
+++ b/passgate/membership/targets.py
@@ -71,15 +71,13 @@
         """
         self._refresh()
         if suspect_zones and self._random.random() < SUSPECT_ZONE_SHARE:
-            contacts = [
-                member for member in self._other_zone_contacts if _is_probe_worthy(member, suspect_zones)
-            ]
+            contacts = [member for member in self._other_zone_contacts if _is_alive_in(member, suspect_zones)]
             if contacts:
                 return self._random.choice(contacts)
-        use_own = bool(self._own_zone_members) and (
+        use_own_zone = bool(self._own_zone_members) and (
             not self._other_zone_contacts or self._random.random() < self._own_zone_share
         )
-        if use_own:
+        if use_own_zone:
             return self._next_in_round(self._own_zone_round, self._own_zone_members)
         return self._next_in_round(self._contact_round, self._other_zone_contacts)
 
@@ -128,10 +126,10 @@
         return list(chosen.values())
 
     def _random_peer(self, other_zone_members: list[MemberInfo]) -> MemberInfo | None:
-        use_own = bool(self._own_zone_members) and (
+        use_own_zone = bool(self._own_zone_members) and (
             not other_zone_members or self._random.random() < self._own_zone_share
         )
-        group = self._own_zone_members if use_own else other_zone_members
+        group = self._own_zone_members if use_own_zone else other_zone_members
         return self._random.choice(group) if group else None
 
     def _refresh(self) -> None:
@@ -164,5 +162,5 @@
         return affinity
 
 
-def _is_probe_worthy(member: MemberInfo, suspect_zones: frozenset[str]) -> bool:
-    return member.zone in suspect_zones and member.state is MemberState.ALIVE
+def _is_alive_in(member: MemberInfo, zones: frozenset[str]) -> bool:
+    return member.zone in zones and member.state is MemberState.ALIVE
--- a/passgate/rollout/cli.py
+++ b/passgate/rollout/cli.py
@@ -109,7 +109,7 @@
             drain_s=drain_s,
         )
         if pool:
-            request = _live_request(
+            request = _service_request(
                 pool, operator, machine_list, weight_store, version, settings, rates, credential_file
             )
         elif deployment:
@@ -160,7 +160,7 @@
     ]
 
 
-def _live_request(
+def _service_request(
     pool: str,
     operator: str,
     machine_list: str,
--- a/passgate/rollout/manager.py
+++ b/passgate/rollout/manager.py
@@ -35,7 +35,7 @@
 REFRESH_INTERVAL_S = 1.0
 """Interval at which a leading manager reads replicas and targets without a notification."""
 REFUSED_EPOCH_RELEASE_DELAY_S = 3.0
-"""Time after which an epoch that an engine refused is released if the log still assigns it here."""
+"""Time after which an epoch that engines refuse is released if the log still assigns it here."""
 MINIMUM_SLEEP_S = 0.001
 """Shortest sleep of the loop; a shorter one may round to zero, and the loop would spin."""
 FAILED_STEP_DELAY_S = 1.0
@@ -136,7 +136,8 @@
         self._chart = Machine("rollout")
         self._changed = asyncio.Event()
         self._stopping = False
-        self._refused_fence = 0
+        self._highest_seen_fence = 0
+        """Highest newer fence reported by an engine that refused an order; epochs up to it are not used."""
         self._reconciler: Reconciler | None = None
         self._sender: OrderSender | None = None
         self._tasks: set[asyncio.Task[None]] = set()
@@ -206,7 +207,7 @@
         epoch = self._leases.held_epoch(self.role)
         if epoch is None and self._leases.should_take(self.role):
             epoch = await self._try_take_role()
-        if epoch is not None and epoch > self._refused_fence:
+        if epoch is not None and epoch > self._highest_seen_fence:
             self._start_leading(epoch)
             return
         if epoch is not None:
@@ -221,7 +222,7 @@
             return None
 
     async def _release_refused_epoch(self, epoch: int) -> None:
-        """Release an epoch that an engine refused, if it is still held after a delay.
+        """Release an epoch that engines refuse, if it is still held after a delay.
 
         The log should name the newer holder soon; otherwise the role is acquired again under
         a newer epoch.
@@ -238,11 +239,11 @@
         self._refresh_due_s = 0.0
         self._send_event("lease_granted")
 
-    def _step_down(self, fence: int) -> None:
-        """Stop leading, because an engine refused ``fence`` or the lease is lost (``fence`` 0)."""
+    def _step_down(self, seen_fence: int) -> None:
+        """Stop leading; ``seen_fence`` is the newer fence of an engine, 0 when the lease was lost."""
         if not self._chart.can("superseded"):
             return
-        self._refused_fence = max(self._refused_fence, fence)
+        self._highest_seen_fence = max(self._highest_seen_fence, seen_fence)
         self._drop_leadership()
         self._send_event("superseded")
         self._changed.set()
--- a/passgate/rollout/plan.py
+++ b/passgate/rollout/plan.py
@@ -107,7 +107,7 @@
     order: PlannedOrder
 
 
-class _TransferModel:
+class _PlatformModel:
     """Models the durations of orders and sums up their traffic."""
 
     def __init__(self, request: PlanRequest) -> None:
@@ -166,28 +166,28 @@
     """
     settings = settings_for_mode(request.settings)
     reconciler = Reconciler(settings, Random(0))
-    transfer_model = _TransferModel(msgspec.structs.replace(request, settings=settings))
+    platform_model = _PlatformModel(msgspec.structs.replace(request, settings=settings))
     reconciler.set_replicas(request.views, 0.0)
     reconciler.set_targets([request.target], 0.0)
     _observe_initial_versions(reconciler, request)
-    recorder = _PlanRecorder(len(request.views), transfer_model)
+    recorder = _PlanRecorder(len(request.views), platform_model)
     scheduled_ends: list[_ScheduledEnd] = []
     number, now_s = 0, 0.0
     while now_s < MAXIMUM_PLANNED_S:
         while orders := reconciler.start_orders(now_s):
             for order in orders:
                 number += 1
-                end = _ScheduledEnd(transfer_model.start_order(order, now_s), number, order)
-                heapq.heappush(scheduled_ends, end)
-                recorder.record_start(order, now_s, end.end_s)
+                scheduled_end = _ScheduledEnd(platform_model.start_order(order, now_s), number, order)
+                heapq.heappush(scheduled_ends, scheduled_end)
+                recorder.record_start(order, now_s, scheduled_end.end_s)
                 reconciler.record_accepted(order)
         if reconciler.is_settled() or not scheduled_ends:
             break
         now_s = scheduled_ends[0].end_s
         while scheduled_ends and scheduled_ends[0].end_s <= now_s:
-            ended = heapq.heappop(scheduled_ends)
-            recorder.record_end(ended.order)
-            reconciler.record_outcome(ended.order, OrderOutcome.DONE, now_s)
+            scheduled_end = heapq.heappop(scheduled_ends)
+            recorder.record_end(scheduled_end.order)
+            reconciler.record_outcome(scheduled_end.order, OrderOutcome.DONE, now_s)
     return recorder.build_plan(request, settings, now_s, reconciler.is_settled())
 
 
@@ -217,7 +217,7 @@
 class _PlanRecorder:
     """Collects the waves and the minimum capacity while a plan is computed."""
 
-    def __init__(self, replicas: int, model: _TransferModel) -> None:
+    def __init__(self, replicas: int, model: _PlatformModel) -> None:
         self._replicas = replicas
         self._model = model
         self._out_of_service: set[str] = set()
@@ -243,7 +243,7 @@
         self, request: PlanRequest, settings: RolloutSettings, seconds: float, finished: bool
     ) -> RolloutPlan:
         """Return the plan of the recorded orders."""
-        model, weight_bytes = self._model, request.rates.weight_bytes
+        platform_model, weight_bytes = self._model, request.rates.weight_bytes
         return RolloutPlan(
             target=request.target,
             swap_mode=settings.swap_mode,
@@ -253,10 +253,10 @@
             ),
             seconds_to_all=round(seconds, 2),
             finished=finished,
-            store_copies=model.store_copies,
-            store_bytes=model.store_copies * weight_bytes,
-            engine_bytes=model.engine_copies * weight_bytes,
-            zone_crossing_bytes=model.cross_zone_copies * weight_bytes,
+            store_copies=platform_model.store_copies,
+            store_bytes=platform_model.store_copies * weight_bytes,
+            engine_bytes=platform_model.engine_copies * weight_bytes,
+            zone_crossing_bytes=platform_model.cross_zone_copies * weight_bytes,
             least_serving=self._least_serving,
             replicas_to_keep=replicas_to_keep(self._replicas, settings.capacity_floor),
             distribution=settings.distribution,
--- a/passgate/rollout/reconciler.py
+++ b/passgate/rollout/reconciler.py
@@ -173,8 +173,8 @@
         """
         rollout = self._rollout_by_model.get(order.model)
         is_current = self._order_by_replica.get(order.replica_id) is order and rollout is not None
-        stages = order.kind is OrderKind.STAGE_VERSION
-        if not is_current or not stages or order.version != rollout.target.version:
+        is_stage = order.kind is OrderKind.STAGE_VERSION
+        if not is_current or not is_stage or order.version != rollout.target.version:
             return False
         return rollout.sources.add_partial_holder(order.address, self._view_by_replica[order.replica_id].zone)
 
@@ -443,5 +443,5 @@
     def _backoff_s(self, attempts: int) -> float:
         """Return an exponential back-off, with jitter over its upper half."""
         settings = self._settings
-        longest = min(settings.retry_base_s * 2 ** max(attempts - 1, 0), settings.retry_max_s)
-        return longest * (0.5 + 0.5 * self._random.random())
+        maximum_s = min(settings.retry_base_s * 2 ** max(attempts - 1, 0), settings.retry_max_s)
+        return maximum_s * (0.5 + 0.5 * self._random.random())
--- a/passgate/rollout/swap_track.py
+++ b/passgate/rollout/swap_track.py
@@ -36,7 +36,8 @@
         """Whether the engine has completed an order under the current fence.
 
         Until then a late order of an earlier lease holder can still take effect, so a
-        report alone is no evidence that the replica is on its target.
+        report alone is no evidence that the replica is on its target.  An unknown outcome
+        and a report of another version reset it.
         """
         self.adapters: set[str] = set()
         self.engine_role = ""
@@ -51,7 +52,11 @@
         self.swap_failures = 0
         """Failed activations since the last successful one."""
         self.ended_orders = 0
-        """Orders with a known outcome; part of the next order's identifier, which keeps it unique."""
+        """Number of orders with a known outcome, part of the next order's identifier.
+
+        It makes identifiers unique, and gives an order sent again after an unknown outcome the
+        same identifier as before.
+        """
         self.unknown_outcomes = 0
         """Orders of unknown outcome since the last successful order."""
         self.unconfirmed_swap_since_s: float | None = None
--- a/tests/membership_cluster.py
+++ b/tests/membership_cluster.py
@@ -69,7 +69,7 @@
         self.log_client = MemoryLogClient(cluster.log)
         self.configuration = ConfigurationService(self.log_client, f"{self.member_id}/{start_number}", random)
         self.sync = ConfigurationSync(self.agent, self.configuration, random)
-        self.revision_went_back = 0
+        self.revision_decreases = 0
 
     @property
     def next_offset(self) -> int:
@@ -146,7 +146,7 @@
         """Return the seconds until :meth:`is_converged`; raises DeadlineExceeded."""
         return await wait_until(self.is_converged, timeout_s)
 
-    def bytes_moved(self) -> list[int]:
+    def traffic_bytes(self) -> list[int]:
         """Return the bytes sent and received by each daemon."""
         return [
             daemon.transport.counters.bytes_sent + daemon.transport.counters.bytes_received
--- a/tests/rollout_fleet.py
+++ b/tests/rollout_fleet.py
@@ -168,8 +168,8 @@
         self.settings = settings
         self.store = store
         self.engine_by_address = {view.address: SimulatedEngine(view, settings, self) for view in views}
-        self.messages = 0
-        self.message_bytes = 0
+        self.client_calls = 0
+        self.client_call_bytes = 0
         self.largest_paused_share = 0.0
         self.unreachable_zones: set[str] = set()
         self.answers_to_lose: dict[tuple[str, OrderKind], int] = {}
@@ -181,7 +181,7 @@
     async def order(self, address: str, order: EngineOrder) -> OrderResult:
         """Send one order over the network; see ``interfaces.EngineClient``."""
         engine = await self._connect(address)
-        self.message_bytes += len(msgspec.json.encode(order))
+        self.client_call_bytes += len(msgspec.json.encode(order))
         result = engine.order(order)
         await self._send_answer(address, order.kind)
         return result
@@ -190,12 +190,12 @@
         """Read a load report over the network; see ``interfaces.EngineClient``."""
         engine = await self._connect(address)
         report = engine.report(monotonic_s())
-        self.message_bytes += len(msgspec.json.encode(report))
+        self.client_call_bytes += len(msgspec.json.encode(report))
         await asyncio.sleep(self.settings.one_way_delay_s)
         return report
 
     async def _connect(self, address: str) -> SimulatedEngine:
-        self.messages += 1
+        self.client_calls += 1
         engine = self.engine_by_address[address]
         if not engine.up or engine.view.zone in self.unreachable_zones:
             await asyncio.sleep(self.settings.connect_timeout_s)
--- a/tests/test_rollout_manager.py
+++ b/tests/test_rollout_manager.py
@@ -82,7 +82,7 @@
     async def scenario(run):
         [first] = run.leaders()
         address = run.views[0].address
-        late = EngineOrder(
+        late_order = EngineOrder(
             order_id="late", kind=OrderKind.ACTIVATE_VERSION, fence=first.fence, model="m", version=1
         )
         run.publish(2)
@@ -90,7 +90,7 @@
         await run.kill(daemon_of(run, first), detect_s=1.0)
         await run.wait_until_settled(LIMIT_S)
         with pytest.raises(OrderRefused) as caught:
-            await run.fleet.order(address, late)
+            await run.fleet.order(address, late_order)
         assert caught.value.details["reason"] == "old_fence"
         assert run.fleet.count_on(2) == 12
 
@@ -102,12 +102,12 @@
 )
 def test_failing_engine_is_retried_and_does_not_block_others(failure):
     async def scenario(run):
-        bad = run.fleet.engine_by_address[run.views[5].address]
+        failing_engine = run.fleet.engine_by_address[run.views[5].address]
         run.fleet.fail_next_swaps(run.views[5].address, failure, count=1)
         run.publish(2)
         await run.wait_until(lambda: run.fleet.count_on(2) >= 11, LIMIT_S)
         await run.wait_until_settled(LIMIT_S)
-        assert bad.version == 2
+        assert failing_engine.version == 2
 
     run_scenario(scenario)
 
@@ -115,14 +115,14 @@
 def test_only_the_engine_with_failing_swaps_is_rolled_back():
     async def scenario(run):
         view = run.views[5]
-        bad = run.fleet.engine_by_address[view.address]
+        failing_engine = run.fleet.engine_by_address[view.address]
         run.fleet.fail_next_swaps(view.address, SwapFailure.LOSES_WEIGHTS, count=2)
         run.publish(2)
         duration_s = await run.wait_until(lambda: run.fleet.count_on(2) == 11, LIMIT_S)
         assert duration_s < 30.0
         versions = []
-        while bad.version != 2:
-            versions.append(bad.version)
+        while failing_engine.version != 2:
+            versions.append(failing_engine.version)
             await asyncio.sleep(0.05)
         assert list(dict.fromkeys(versions))[-2:] == [None, 1], "version 1 was active again before the retry"
 
--- a/tests/test_rollout_sockets.py
+++ b/tests/test_rollout_sockets.py
@@ -106,7 +106,7 @@
                 await asyncio.sleep(0.01)
         versions = {item.model.weights.active[MODEL] for item in standins.world.engines.values()}
         assert versions == {2} and standins.world.store.fetches == 1
-        late = PlannedOrder(
+        late_order = PlannedOrder(
             replica_id="late",
             address=views[0].address,
             kind=OrderKind.ACTIVATE_VERSION,
@@ -114,12 +114,12 @@
             version=1,
         )
         with pytest.raises(SupersededEpoch) as caught:
-            await OrderSender(engine, "role", 4, SWAP_MODES["swap_running"]).execute(late)
+            await OrderSender(engine, "role", 4, SWAP_MODES["swap_running"]).execute(late_order)
         assert caught.value.details["fence"] == "5"
-        gone = msgspec.structs.replace(late, address="127.0.0.1:9")
+        unreachable_order = msgspec.structs.replace(late_order, address="127.0.0.1:9")
         sender = OrderSender(engine, "role", 5, SWAP_MODES["swap_running"])
-        assert await sender.execute(gone) is OrderOutcome.UNREACHABLE
-        assert await sender.execute(late) is OrderOutcome.REFUSED, (
+        assert await sender.execute(unreachable_order) is OrderOutcome.UNREACHABLE
+        assert await sender.execute(late_order) is OrderOutcome.REFUSED, (
             "version 1 is no longer in the engine's memory"
         )
         await manager.stop(1.0)
