--- a/passgate/membership/suspicion.py
+++ b/passgate/membership/suspicion.py
@@ -15,10 +15,10 @@
 
 from passgate.membership.messages import SuspectUpdate
 
-CONFIRMATIONS = 3
+MAXIMUM_CONFIRMATIONS = 3
 """Confirmations by further accusers after which a suspicion lasts only its minimum."""
 
-MAXIMUM_FACTOR = 2.0
+MAXIMUM_SUSPICION_FACTOR = 2.0
 """Longest duration of a suspicion, without confirmations, as a multiple of its minimum."""
 
 
@@ -42,7 +42,7 @@
         """Return when the member is declared dead unless it refutes."""
         if self.required_confirmations <= 0:
             return self.started_s + self.minimum_s
-        maximum_s = self.minimum_s * MAXIMUM_FACTOR
+        maximum_s = self.minimum_s * MAXIMUM_SUSPICION_FACTOR
         confirmed = min(len(self.accusers) - 1, self.required_confirmations)
         share = math.log(confirmed + 1) / math.log(self.required_confirmations + 1)
         return self.started_s + maximum_s - (maximum_s - self.minimum_s) * share
@@ -82,7 +82,7 @@
             accusers={update.accuser},
             started_s=now_s,
             minimum_s=minimum_suspicion_s(self._multiplier, self._probe_period_s, members),
-            required_confirmations=min(CONFIRMATIONS, members - 3),
+            required_confirmations=min(MAXIMUM_CONFIRMATIONS, members - 3),
         )
 
     def end(self, member_id: str) -> None:
--- a/passgate/membership/table.py
+++ b/passgate/membership/table.py
@@ -2,7 +2,8 @@
 
 The view with the higher incarnation is newer; between equal incarnations it is the one
 whose state ranks higher (alive, suspect, dead, left).  A view is only replaced by a newer
-one, so the order in which updates arrive does not matter.
+one, so the order in which updates arrive does not matter.  Metadata has a version of its
+own: at an equal incarnation, a higher one replaces the metadata alone.
 
 Dead and departed members are kept for a while, so that an old "alive" update can not
 revive them, and are then replaced by a tombstone with their incarnation.
--- a/passgate/membership/targets.py
+++ b/passgate/membership/targets.py
@@ -155,11 +155,11 @@
         ]
 
     def _rendezvous_score(self, member: MemberInfo) -> int:
-        affinity = self._score_by_member.get(member.member_id)
-        if affinity is None:
-            affinity = xxhash.xxh32_intdigest(f"{self._self_id}|{member.member_id}".encode())
-            self._score_by_member[member.member_id] = affinity
-        return affinity
+        score = self._score_by_member.get(member.member_id)
+        if score is None:
+            score = xxhash.xxh32_intdigest(f"{self._self_id}|{member.member_id}".encode())
+            self._score_by_member[member.member_id] = score
+        return score
 
 
 def _is_alive_in(member: MemberInfo, zones: frozenset[str]) -> bool:
--- a/passgate/rollout/plan.py
+++ b/passgate/rollout/plan.py
@@ -63,7 +63,7 @@
 
 
 class PlanWave(msgspec.Struct, frozen=True, kw_only=True):
-    """Orders of one kind that start at the same time."""
+    """Orders of one kind whose start is the same to 10 ms."""
 
     kind: str
     """``stage``, or ``activate`` for all orders that may interrupt service."""
@@ -169,7 +169,7 @@
     platform_model = _PlatformModel(msgspec.structs.replace(request, settings=settings))
     reconciler.set_replicas(request.views, 0.0)
     reconciler.set_targets([request.target], 0.0)
-    _observe_initial_versions(reconciler, request)
+    _record_initial_versions(reconciler, request)
     recorder = _PlanRecorder(len(request.views), platform_model)
     scheduled_ends: list[_ScheduledEnd] = []
     number, now_s = 0, 0.0
@@ -192,7 +192,7 @@
 
 
 def fastest_plan(request: PlanRequest, maximum_store_copies: int) -> RolloutPlan:
-    """Return the fastest plan over several fan-outs and store copies up to ``most_store_copies``."""
+    """Return the fastest plan over several fan-outs and store copies up to ``maximum_store_copies``."""
     base = request.settings.distribution
     plans = []
     copies = 1
@@ -205,7 +205,7 @@
     return min(plans, key=lambda plan: (not plan.finished, round(plan.seconds_to_all, 1), plan.store_bytes))
 
 
-def _observe_initial_versions(reconciler: Reconciler, request: PlanRequest) -> None:
+def _record_initial_versions(reconciler: Reconciler, request: PlanRequest) -> None:
     """Pass the running versions to the reconciler as confirmed, so that only changes are planned."""
     model, previous_version = request.target.model, max(request.target.version - 1, 0)
     for view in request.views:
--- a/passgate/rollout/reconciler.py
+++ b/passgate/rollout/reconciler.py
@@ -82,7 +82,8 @@
     def set_replicas(self, views: Iterable[ReplicaView], now_s: float) -> None:
         """Replace the set of replicas.
 
-        A replica with a new generation or address is tracked as a new one.
+        A replica with a new generation or address is tracked as a new one.  The outcome of an
+        order in flight to a removed or replaced replica is ignored.
         """
         view_by_replica = {view.replica_id: view for view in views}
         for replica_id, old in list(self._view_by_replica.items()):
@@ -319,12 +320,12 @@
         more replicas are out than a floor allows.  One without usable weights may always be
         ordered, since it has no service to interrupt.
         """
-        ledger = self._capacity
-        if not ledger.is_out_of_service(tracker.view.replica_id):
-            return ledger.allowed_outages() > 0 and ledger.allowed_outages_in(tracker.view.zone) > 0
+        capacity = self._capacity
+        if not capacity.is_out_of_service(tracker.view.replica_id):
+            return capacity.allowed_outages() > 0 and capacity.allowed_outages_in(tracker.view.zone) > 0
         if tracker.broken and tracker.active_version == 0:
             return True
-        return ledger.allowed_outages() >= 0 and ledger.allowed_outages_in(tracker.view.zone) >= 0
+        return capacity.allowed_outages() >= 0 and capacity.allowed_outages_in(tracker.view.zone) >= 0
 
     def _start_stage_orders(self, rollout: ModelRollout, orders: list[PlannedOrder]) -> None:
         for tracker, source in rollout.stage_candidates(self._is_free):
--- a/passgate/rollout/swap_track.py
+++ b/passgate/rollout/swap_track.py
@@ -159,7 +159,8 @@
         """Record that an activation failed partway, and decide whether to roll back.
 
         The previous version is activated again after ``swap_attempts`` failures, unless it is
-        unknown, withdrawn or the target itself, or the failed activation was a roll-back.
+        unknown, withdrawn or the target itself, or the failed activation was a roll-back; in
+        these cases the target is staged and activated again.
         """
         self.broken = True
         self.swap_failures += 1
--- a/passgate/rollout/types.py
+++ b/passgate/rollout/types.py
@@ -58,7 +58,7 @@
     store_streams: int = 1
     """Maximum number of concurrent fetches from the store."""
     max_store_copies: int = 1
-    """Maximum number of store fetches of one version while engines can serve as sources instead."""
+    """Store fetches of one version after which the store is used only if no engine can be the source."""
 
 
 class RolloutSettings(msgspec.Struct, frozen=True, kw_only=True):
