--- a/passgate/emulator/__init__.py
+++ b/passgate/emulator/__init__.py
@@ -1,1 +1,1 @@
-"""Emulator of the outside systems, in virtual time and over sockets."""
+"""Emulators of the systems that passgate talks to, in virtual time and over sockets."""
--- a/passgate/emulator/app.py
+++ b/passgate/emulator/app.py
@@ -1,77 +1,78 @@
-"""Application model driven on the running loop's time."""
+"""Runs an :class:`AppModel` on the clock and timers of the running event loop."""
 
 from __future__ import annotations
 
 import asyncio
 
 from passgate.clock import monotonic_s
-from passgate.emulator.app_model import AppDone, AppEvent, AppModel
+from passgate.emulator.app_model import AppCallFinished, AppEvent, AppModel
 from passgate.schema import AppRequest, AppResponse, LoadReport
 
 
 class EmulatedApp:
-    """One application replica at one address."""
+    """One application replica, reachable at one address."""
 
     def __init__(self, model: AppModel, address: str, zone: str) -> None:
         self.model = model
         self.address = address
         self.zone = zone
-        self._answers: dict[int, asyncio.Future[AppResponse | None]] = {}
+        self._response_by_ticket: dict[int, asyncio.Future[AppResponse | None]] = {}
         self._timer: asyncio.TimerHandle | None = None
 
     @property
     def replica_id(self) -> str:
-        """Identifier of the replica."""
+        """The replica's identifier."""
         return self.model.replica_id
 
     @property
     def up(self) -> bool:
-        """Whether the process runs; otherwise connections are refused."""
+        """Whether the process runs; while it does not, clients must refuse connections to it."""
         return self.model.up
 
     def submit(self, request: AppRequest) -> asyncio.Future[AppResponse | None]:
-        """Take a call; its future yields None when the replica crashes.
+        """Queue a call and return its future response, which is None if the replica crashes first.
 
-        Raises BackendRefused, and then the call never runs.
+        Raises:
+            BackendRefused: the replica does not accept the call; it never runs.
         """
-        self._pump()
+        self._advance_model()
         ticket = self.model.submit(request, monotonic_s())
-        answer: asyncio.Future[AppResponse | None] = asyncio.get_running_loop().create_future()
-        self._answers[ticket] = answer
-        self._pump()
-        return answer
+        response: asyncio.Future[AppResponse | None] = asyncio.get_running_loop().create_future()
+        self._response_by_ticket[ticket] = response
+        self._advance_model()
+        return response
 
     def load_report(self) -> LoadReport:
-        """Return the newest readable load report."""
+        """Return the newest load report that is at least as old as the configured report lag."""
         report = self.model.load_report(monotonic_s())
-        self._pump()
+        self._advance_model()
         return report
 
     def set_draining(self, draining: bool) -> None:
-        """Refuse, or take again, new calls; later load reports tell it."""
+        """Start or stop refusing new calls; later load reports have the new state in ``leaving``."""
         self.model.set_draining(draining, monotonic_s())
-        self._pump()
+        self._advance_model()
 
     def set_slow_factor(self, factor: float) -> None:
-        """Make the service times of later starts ``factor`` times as long as normal."""
+        """Multiply the normal service time of calls that start from now on by ``factor``."""
         self.model.slow_factor = factor
 
     def crash(self, restart_after_s: float | None = None) -> None:
-        """Lose all calls; the replica restarts after a while."""
+        """Lose all calls and restart after ``restart_after_s`` (default: the configured time)."""
         self.model.crash(monotonic_s(), restart_after_s)
-        self._pump()
+        self._advance_model()
 
     def close(self) -> None:
-        """Stop the timer."""
+        """Cancel the timer, so that the model no longer advances by itself."""
         if self._timer is not None:
             self._timer.cancel()
 
-    def _pump(self, now_s: float | None = None) -> None:
+    def _advance_model(self, now_s: float | None = None) -> None:
         for event in self.model.advance(monotonic_s() if now_s is None else now_s):
-            self._dispatch(event)
-        self._arm()
+            self._resolve_call(event)
+        self._schedule_timer()
 
-    def _arm(self) -> None:
+    def _schedule_timer(self) -> None:
         due_s = self.model.next_event_s()
         if self._timer is not None:
             self._timer.cancel()
@@ -81,9 +82,9 @@
 
     def _on_timer(self, due_s: float) -> None:
         self._timer = None
-        self._pump(max(due_s, monotonic_s()))
+        self._advance_model(max(due_s, monotonic_s()))
 
-    def _dispatch(self, event: AppEvent) -> None:
-        answer = self._answers.pop(event.ticket)
-        if not answer.done():
-            answer.set_result(event.response if isinstance(event, AppDone) else None)
+    def _resolve_call(self, event: AppEvent) -> None:
+        response = self._response_by_ticket.pop(event.ticket)
+        if not response.done():
+            response.set_result(event.response if isinstance(event, AppCallFinished) else None)
--- a/passgate/emulator/app_model.py
+++ b/passgate/emulator/app_model.py
@@ -1,8 +1,8 @@
-"""Plain model of one application replica: a queue before a few workers, no I/O.
+"""Model of one application replica: a bounded queue in front of a few workers, without I/O or clock.
 
-A call is refused before it runs when the queue is full.  Each run is counted
-under its request identifier, and its side effect under a digest of its body, so
-that "at most once" can be proven over retries under other identifiers.
+Each execution that starts is recorded under its request identifier, and its side
+effect under a digest of method, path and body.  Retries of a call have new
+identifiers but the same digest, so tests can check that a call took effect at most once.
 
 >>> app = AppModel("linha-0", AppParameters(), Random(1), now_s=0.0)
 >>> call = AppRequest(request_id="r", caller="c", pool="linha", method="POST", path="/", body=b"{}")
@@ -29,35 +29,38 @@
 from passgate.schema import AppRequest, AppResponse, LoadReport
 
 OVERLOAD_RETRY_S = 0.5
-"""``retry_after_s`` of a refusal because the queue is full."""
+"""``retry_after_s`` of a refusal for a full queue."""
 
 
-class AppAnswer(msgspec.Struct, frozen=True, kw_only=True):
-    """JSON body of an emulated application's answer."""
+class AppResponseBody(msgspec.Struct, frozen=True, kw_only=True):
+    """JSON body of the response to a call."""
 
     call: str
-    """Digest of method, path and body of the call that was answered."""
+    """Digest of the call's method, path and body."""
     accepted: bool
 
 
-class AppDone(msgspec.Struct, frozen=True):
-    """A call's answer."""
+class AppCallFinished(msgspec.Struct, frozen=True):
+    """A call has finished."""
 
     ticket: int
     response: AppResponse
 
 
-class AppLost(msgspec.Struct, frozen=True):
+class AppCallLost(msgspec.Struct, frozen=True):
     """The replica crashed while a call was waiting or running."""
 
     ticket: int
 
 
-AppEvent = AppDone | AppLost
+AppEvent = AppCallFinished | AppCallLost
 
 
 class AppCounters(msgspec.Struct):
-    """Totals of one replica; they conserve calls."""
+    """Totals of one replica since it was made, over restarts.
+
+    ``submitted`` is the sum of ``refused``, ``finished``, ``lost`` and the calls that are queued or running.
+    """
 
     submitted: int = 0
     refused: int = 0
@@ -65,37 +68,41 @@
     finished: int = 0
     lost: int = 0
     wait_s: float = 0.0
-    """Sum over started calls of the time before their start."""
+    """Sum of the queueing times of started calls."""
     busy_s: float = 0.0
     """Sum of service times of started calls."""
 
 
-class _Call(msgspec.Struct):
+class _QueuedCall(msgspec.Struct):
     ticket: int
     request: AppRequest
     arrived_s: float
 
 
-class _Run(msgspec.Struct, order=True):
+class _RunningCall(msgspec.Struct, order=True):
     end_s: float
     ticket: int
     request: AppRequest
 
 
 def call_digest(request: AppRequest) -> str:
-    """Return the digest that answers and side effects of a call carry."""
-    text = f"{request.method} {request.path} ".encode() + request.body
-    return xxhash.xxh64_hexdigest(text)
+    """Return the digest that identifies a call in its response and its side effect."""
+    content = f"{request.method} {request.path} ".encode() + request.body
+    return xxhash.xxh64_hexdigest(content)
 
 
 def expected_app_body(request: AppRequest) -> bytes:
-    """Return the only right answer to a call."""
+    """Return the body of the only correct response to a call."""
     digest = call_digest(request)
-    return msgspec.json.encode(AppAnswer(call=digest, accepted=int(digest[-1], 16) < 12))
+    return msgspec.json.encode(AppResponseBody(call=digest, accepted=int(digest[-1], 16) < 12))
 
 
 class AppModel:
-    """One replica of an application service."""
+    """One replica of an application service.
+
+    Methods take the current time ``now_s``, which must never go back, and first
+    process the events that were due before it.
+    """
 
     def __init__(
         self,
@@ -103,7 +110,7 @@
         parameters: AppParameters,
         random: Random,
         now_s: float,
-        ledger: RunLedger | None = None,
+        run_recorder: RunLedger | None = None,
     ) -> None:
         self.replica_id = replica_id
         self.parameters = parameters
@@ -112,69 +119,80 @@
         self.slow_factor = 1.0
         self.counters = AppCounters()
         self._random = random
-        self._ledger = ledger if ledger is not None else RunLedger()
+        self._run_recorder = run_recorder if run_recorder is not None else RunLedger()
         self._now_s = now_s
-        self._restart_s: float | None = None
-        self._tickets = 0
-        self._waiting: deque[_Call] = deque()
-        self._runs: list[_Run] = []
-        self._outbox: list[AppEvent] = []
+        self._restart_at_s: float | None = None
+        self._last_ticket = 0
+        self._queued_calls: deque[_QueuedCall] = deque()
+        self._running_calls: list[_RunningCall] = []
+        self._undelivered_events: list[AppEvent] = []
         self._reporter = self._new_reporter(now_s)
 
     @property
     def running(self) -> int:
-        """Calls being executed."""
-        return len(self._runs)
+        """Number of calls being executed."""
+        return len(self._running_calls)
 
     @property
     def waiting(self) -> int:
-        """Calls in the queue."""
-        return len(self._waiting)
+        """Number of calls in the queue."""
+        return len(self._queued_calls)
 
     def next_event_s(self) -> float | None:
-        """Return when :meth:`advance` has something to do next; None when idle."""
-        due = [self._restart_s, self._runs[0].end_s if self._runs else None]
-        return min((at_s for at_s in due if at_s is not None), default=None)
+        """Return the time of the next call's end or restart; None when nothing is due."""
+        due_times_s = [self._restart_at_s, self._running_calls[0].end_s if self._running_calls else None]
+        return min((due_s for due_s in due_times_s if due_s is not None), default=None)
 
     def advance(self, now_s: float) -> list[AppEvent]:
-        """Process everything due up to ``now_s`` and return the events since the last call."""
-        self._catch_up(now_s)
-        events = list(self._outbox)
-        self._outbox.clear()
+        """Process what is due up to ``now_s`` and return the events since the last call."""
+        self._process_due_events(now_s)
+        events = list(self._undelivered_events)
+        self._undelivered_events.clear()
         return events
 
     def submit(self, request: AppRequest, now_s: float) -> int:
-        """Take a call and return its ticket; raises BackendRefused, and then it never runs."""
-        self._catch_up(now_s)
+        """Queue or start a call and return its ticket.
+
+        Raises:
+            BackendRefused: the replica is down or draining, or its queue is full; the call never runs.
+        """
+        self._process_due_events(now_s)
         self.counters.submitted += 1
-        self._check()
-        self._tickets += 1
-        self._waiting.append(_Call(self._tickets, request, now_s))
+        self._check_acceptance()
+        self._last_ticket += 1
+        self._queued_calls.append(_QueuedCall(self._last_ticket, request, now_s))
         self._start_waiting(now_s)
-        return self._tickets
+        return self._last_ticket
 
     def set_draining(self, draining: bool, now_s: float) -> None:
-        """Refuse, or take again, new calls; later load reports tell it."""
-        self._catch_up(now_s)
+        """Start or stop refusing new calls; later load reports have the new state in ``leaving``."""
+        self._process_due_events(now_s)
         self.draining = draining
 
     def load_report(self, now_s: float) -> LoadReport:
-        """Return the newest report that is old enough to be readable."""
-        self._catch_up(now_s)
-        return self._reporter.read(now_s)
+        """Return the newest report that is at least ``report_lag_s`` old, or the oldest available one."""
+        self._process_due_events(now_s)
+        return self._reporter.read_report(now_s)
 
     def crash(self, now_s: float, restart_after_s: float | None = None) -> None:
-        """Lose all calls; side effects of running ones have happened."""
-        self._catch_up(now_s)
-        self._restart_s = now_s + (self.parameters.restart_s if restart_after_s is None else restart_after_s)
-        self.up = False
-        lost = [run.ticket for run in sorted(self._runs)] + [call.ticket for call in self._waiting]
-        self.counters.lost += len(lost)
-        self._outbox.extend(AppLost(ticket) for ticket in lost)
-        self._runs.clear()
-        self._waiting.clear()
+        """Lose all calls and restart later; the side effects of running calls have happened.
 
-    def _check(self) -> None:
+        A crash while down only moves the restart.  A draining replica still drains after its restart.
+        """
+        self._process_due_events(now_s)
+        self._restart_at_s = now_s + (
+            self.parameters.restart_s if restart_after_s is None else restart_after_s
+        )
+        self.up = False
+        lost_tickets = [call.ticket for call in sorted(self._running_calls)] + [
+            call.ticket for call in self._queued_calls
+        ]
+        self.counters.lost += len(lost_tickets)
+        self._undelivered_events.extend(AppCallLost(ticket) for ticket in lost_tickets)
+        self._running_calls.clear()
+        self._queued_calls.clear()
+
+    def _check_acceptance(self) -> None:
         if not self.up:
             self._refuse("down")
         if self.draining:
@@ -184,53 +202,55 @@
 
     def _refuse(self, reason: str, retry_after_s: float | None = None) -> None:
         self.counters.refused += 1
-        raise BackendRefused(f"the application refused: {reason}", retry_after_s=retry_after_s, reason=reason)
+        raise BackendRefused(
+            f"the application replica refused the call: {reason}", retry_after_s=retry_after_s, reason=reason
+        )
 
-    def _catch_up(self, now_s: float) -> None:
+    def _process_due_events(self, now_s: float) -> None:
         while (due_s := self.next_event_s()) is not None and due_s <= now_s:
-            self._reporter.catch_up(due_s, self._snapshot)
-            if self._restart_s is not None and self._restart_s <= due_s:
-                self._restart_s = None
+            self._reporter.take_due_snapshots(due_s, self._load_snapshot)
+            if self._restart_at_s is not None and self._restart_at_s <= due_s:
+                self._restart_at_s = None
                 self.up = True
                 self._reporter = self._new_reporter(due_s)
-            while self._runs and self._runs[0].end_s <= due_s:
-                self._finish(heapq.heappop(self._runs))
+            while self._running_calls and self._running_calls[0].end_s <= due_s:
+                self._finish(heapq.heappop(self._running_calls))
             self._start_waiting(due_s)
-        self._reporter.catch_up(now_s, self._snapshot)
+        self._reporter.take_due_snapshots(now_s, self._load_snapshot)
         self._now_s = max(self._now_s, now_s)
 
     def _start_waiting(self, now_s: float) -> None:
-        while self._waiting and self.running < self.parameters.concurrency:
-            self._start(self._waiting.popleft(), now_s)
+        while self._queued_calls and self.running < self.parameters.concurrency:
+            self._start(self._queued_calls.popleft(), now_s)
 
-    def _start(self, call: _Call, now_s: float) -> None:
-        service_s = self._service_s()
+    def _start(self, call: _QueuedCall, now_s: float) -> None:
+        service_s = self._draw_service_s()
         self.counters.started += 1
         self.counters.wait_s += now_s - call.arrived_s
         self.counters.busy_s += service_s
-        self._ledger.record_run(call.request.request_id, self.replica_id, now_s, call.request)
-        self._ledger.record_effect(call_digest(call.request), repeatable=call.request.repeatable)
-        heapq.heappush(self._runs, _Run(now_s + service_s, call.ticket, call.request))
+        self._run_recorder.record_run(call.request.request_id, self.replica_id, now_s, call.request)
+        self._run_recorder.record_effect(call_digest(call.request), repeatable=call.request.repeatable)
+        heapq.heappush(self._running_calls, _RunningCall(now_s + service_s, call.ticket, call.request))
 
-    def _finish(self, run: _Run) -> None:
+    def _finish(self, call: _RunningCall) -> None:
         self.counters.finished += 1
         response = AppResponse(
-            request_id=run.request.request_id,
+            request_id=call.request.request_id,
             status=200,
-            body=expected_app_body(run.request),
+            body=expected_app_body(call.request),
             replica_id=self.replica_id,
         )
-        self._outbox.append(AppDone(run.ticket, response))
+        self._undelivered_events.append(AppCallFinished(call.ticket, response))
 
     def _new_reporter(self, start_s: float) -> LoadReporter:
         parameters = self.parameters
         reporter = LoadReporter(
             self.replica_id, parameters.report_interval_s, parameters.report_lag_s, start_s
         )
-        reporter.catch_up(start_s, self._snapshot)
+        reporter.take_due_snapshots(start_s, self._load_snapshot)
         return reporter
 
-    def _snapshot(self) -> LoadSnapshot:
+    def _load_snapshot(self) -> LoadSnapshot:
         return LoadSnapshot(
             running=self.running,
             waiting=self.waiting,
@@ -242,7 +262,7 @@
             leaving=self.draining,
         )
 
-    def _service_s(self) -> float:
+    def _draw_service_s(self) -> float:
         mean_s = self.parameters.service_mean_s * self.slow_factor
         if self.parameters.exponential:
             return self._random.expovariate(1.0 / mean_s)
--- a/passgate/emulator/app_server.py
+++ b/passgate/emulator/app_server.py
@@ -1,8 +1,8 @@
-"""Serves an application model over HTTP: any method and path, ``X-Request-Id`` echoed.
+"""HTTP server of one application replica: accepts any path and echoes ``X-Request-Id``.
 
-``GET /load`` without that header is not a forwarded call and answers the load report.
-
-The model is any :class:`passgate.interfaces.AppClient`, addressed by ``model_address``.
+``GET /load`` without that header is no forwarded call; it returns the load report.
+Requests are passed to a :class:`passgate.interfaces.AppClient` under ``app_address``,
+for example to a replica of the emulator.
 """
 
 from __future__ import annotations
@@ -16,21 +16,22 @@
 from passgate.interfaces import AppClient
 from passgate.schema import AppRequest, AppResponse
 
-CROSSED_REQUEST_ID = "crossed"
+WRONG_REQUEST_ID = "crossed"
+"""Identifier in a response whose request identifier is falsified by ``ServerFaults.cross_answers``."""
 
 
 class AppServer(StandInServer):
-    """One replica of an application service behind one port."""
+    """One port of one replica of an application service."""
 
     def __init__(
-        self, name: str, model: AppClient, model_address: str, credential: str | None = None
+        self, name: str, app_client: AppClient, app_address: str, credential: str | None = None
     ) -> None:
         super().__init__(name, credential)
-        self.model = model
-        self.model_address = model_address
+        self.model = app_client
+        self.app_address = app_address
 
     def routes(self) -> list[tuple]:
-        """Return the only route, which takes every path."""
+        """Return one route that matches every path."""
         return [(r"/.*", _CallHandler, {"server": self})]
 
 
@@ -39,38 +40,42 @@
 
     async def get(self) -> None:
         is_call = wire.REQUEST_ID_HEADER in self.request.headers
-        await (self._serve_call() if is_call or self.request.path != wire.LOAD_PATH else self._load())
+        await (
+            self._serve_call()
+            if is_call or self.request.path != wire.LOAD_PATH
+            else self._serve_load_report()
+        )
 
     async def _serve_call(self) -> None:
-        await self.while_connected(self._call(self._app_request()))
+        await self.while_connected(self._forward(self._to_app_request()))
 
     post = put = patch = delete = _serve_call
 
-    async def _load(self) -> None:
-        report = await self.server.model.load_report(self.server.model_address)
+    async def _serve_load_report(self) -> None:
+        report = await self.server.model.load_report(self.server.app_address)
         self.reply(wire.AppLoadAnswer.of(report))
 
-    async def _call(self, request: AppRequest) -> None:
+    async def _forward(self, request: AppRequest) -> None:
         self.server.count_received(request.request_id)
         try:
-            response = await self.server.model.call(self.server.model_address, request)
+            response = await self.server.model.call(self.server.app_address, request)
         except BackendUnreachable as error:
             self.send_unreachable(error)
             return
         if self.takes_lost_answer():
             self.drop_connection()
             return
-        self._answer(response)
+        self._send_response(response)
 
-    def _answer(self, response: AppResponse) -> None:
+    def _send_response(self, response: AppResponse) -> None:
         self.set_status(response.status)
         self.set_header("Content-Type", response.content_type)
         self.set_header(wire.REPLICA_HEADER, response.replica_id)
         if self.takes_crossed_answer():
-            self.set_header(wire.REQUEST_ID_HEADER, CROSSED_REQUEST_ID)
+            self.set_header(wire.REQUEST_ID_HEADER, WRONG_REQUEST_ID)
         self.finish(response.body)
 
-    def _app_request(self) -> AppRequest:
+    def _to_app_request(self) -> AppRequest:
         headers = self.request.headers
         timeout_ms = headers.get(wire.TIMEOUT_HEADER)
         return AppRequest(
--- a/passgate/emulator/engine_server.py
+++ b/passgate/emulator/engine_server.py
@@ -1,7 +1,7 @@
-"""Serves an engine model over HTTP in the completions form.
+"""HTTP server of one engine with the completions interface of ``passgate.clients.wire``.
 
-The model is any :class:`passgate.interfaces.EngineClient`, for example the
-emulator's engines, addressed by ``model_address``.
+Requests are passed to a :class:`passgate.interfaces.EngineClient` under
+``engine_address``, for example to an engine of the emulator.
 """
 
 from __future__ import annotations
@@ -20,17 +20,17 @@
 
 
 class EngineServer(StandInServer):
-    """One engine behind one port."""
+    """One port of one engine."""
 
     def __init__(
-        self, name: str, model: EngineClient, model_address: str, credential: str | None = None
+        self, name: str, engine_client: EngineClient, engine_address: str, credential: str | None = None
     ) -> None:
         super().__init__(name, credential)
-        self.model = model
-        self.model_address = model_address
+        self.engine_client = engine_client
+        self.engine_address = engine_address
 
     def routes(self) -> list[tuple]:
-        """Return the engine's routes."""
+        """Return the routes for completions, cancellation, load reports, cache events and orders."""
         arguments = {"server": self}
         return [
             (r"/v1/completions", _CompletionHandler, arguments),
@@ -47,41 +47,45 @@
 
 class _CompletionHandler(_EngineHandler):
     async def post(self) -> None:
-        request = generate_request(self.body_as(wire.CompletionCall))
+        request = to_generate_request(self.body_as(wire.CompletionCall))
         await self.while_connected(self._serve(request))
 
     async def _serve(self, request: GenerateRequest) -> None:
         self.server.count_received(request.request_id)
-        chunks = self.server.model.generate(self.server.model_address, request)
+        chunks = self.server.engine_client.generate(self.server.engine_address, request)
         async with contextlib.aclosing(chunks):
             try:
-                first = await anext(chunks, None)
+                first_chunk = await anext(chunks, None)
             except BackendUnreachable as error:
                 self.send_unreachable(error)
                 return
             if self.takes_lost_answer():
                 self.drop_connection()
                 return
-            await self._send_all(request, first, chunks)
+            await self._send_stream(request, first_chunk, chunks)
 
-    async def _send_all(
-        self, request: GenerateRequest, first: GenerateChunk | None, chunks: AsyncIterator[GenerateChunk]
+    async def _send_stream(
+        self,
+        request: GenerateRequest,
+        first_chunk: GenerateChunk | None,
+        chunks: AsyncIterator[GenerateChunk],
     ) -> None:
         self.set_header("Content-Type", wire.EVENT_STREAM_TYPE)
-        total = len(request.resume_tokens)
-        chunk = first
+        output_tokens = len(request.resume_tokens)
+        chunk = first_chunk
         while chunk is not None:
-            total += len(chunk.tokens)
+            output_tokens += len(chunk.tokens)
             self.server.counters.tokens += len(chunk.tokens)
-            self.write(wire.encode_chunk(chunk, None if chunk.finish_reason is None else total))
+            self.write(wire.encode_chunk(chunk, None if chunk.finish_reason is None else output_tokens))
             await self.flush()
-            if self._takes_cut():
+            if self._cut_if_injected():
                 return
-            chunk = await self._next(chunks)
+            chunk = await self._next_chunk(chunks)
         self.write(wire.encode_event(wire.DONE_MARK))
         self.finish()
 
-    async def _next(self, chunks: AsyncIterator[GenerateChunk]) -> GenerateChunk | None:
+    async def _next_chunk(self, chunks: AsyncIterator[GenerateChunk]) -> GenerateChunk | None:
+        """Return the next chunk; None at the end, and after an error that was sent as an event."""
         try:
             return await anext(chunks, None)
         except BackendUnreachable:
@@ -92,7 +96,8 @@
             self.write(wire.encode_event(msgspec.json.encode(event)))
             return None
 
-    def _takes_cut(self) -> bool:
+    def _cut_if_injected(self) -> bool:
+        """Apply the fault ``cut_streams``; return whether it closed the connection."""
         if self.server.faults.cut_streams <= 0:
             return False
         self.server.faults.cut_streams -= 1
@@ -102,20 +107,20 @@
 
 class _CancelHandler(_EngineHandler):
     async def post(self) -> None:
-        call = self.body_as(wire.CancelCall)
-        await self.server.model.cancel(self.server.model_address, call.request_id)
-        self.reply(call)
+        cancellation = self.body_as(wire.CancelCall)
+        await self.server.engine_client.cancel(self.server.engine_address, cancellation.request_id)
+        self.reply(cancellation)
 
 
 class _LoadHandler(_EngineHandler):
     async def get(self) -> None:
-        self.reply(await self.server.model.load_report(self.server.model_address))
+        self.reply(await self.server.engine_client.load_report(self.server.engine_address))
 
 
 class _CacheEventsHandler(_EngineHandler):
     async def get(self) -> None:
-        after = int(self.get_query_argument("after", "0"))
-        events = await self.server.model.cache_events(self.server.model_address, after)
+        after_sequence = int(self.get_query_argument("after", "0"))
+        events = await self.server.engine_client.cache_events(self.server.engine_address, after_sequence)
         self.reply(wire.CacheEventsAnswer(events=tuple(events)))
 
 
@@ -123,15 +128,15 @@
     async def post(self) -> None:
         order = self.body_as(EngineOrder)
         try:
-            result = await self.server.model.order(self.server.model_address, order)
+            result = await self.server.engine_client.order(self.server.engine_address, order)
         except OrderRefused as error:
             self.send_error_body(409, error.body())
             return
         self.reply(result)
 
 
-def generate_request(call: wire.CompletionCall) -> GenerateRequest:
-    """Return the typed request of a completion call; its deadline is on this loop's clock."""
+def to_generate_request(call: wire.CompletionCall) -> GenerateRequest:
+    """Return the request of a completion call; its deadline is a time of this loop's clock."""
     deadline_s = None if call.timeout_s is None else monotonic_s() + call.timeout_s
     return GenerateRequest(
         request_id=call.request_id,
--- a/passgate/emulator/engine_weights.py
+++ b/passgate/emulator/engine_weights.py
@@ -1,9 +1,9 @@
-"""Weights that an emulated engine holds: active, staged, and being fetched.
+"""Weight versions of an emulated engine: active, staged and being fetched.
 
 >>> weights = EngineWeights({"m": 1})
 >>> weights.stage("m", 2, "store", "o1")
 TransferWanted(model='m', version=2, source='store')
->>> weights.transferred("m", 2)
+>>> weights.complete_fetch("m", 2)
 ['o1']
 >>> weights.activate("m", 2)
 >>> weights.loaded()
@@ -25,72 +25,77 @@
 
 
 class EngineWeights:
-    """Per model: the active version or None, one staged version, one fetch."""
+    """Per model, the active version, at most one staged version and at most one fetch."""
 
     def __init__(self, boot_versions: Mapping[str, int]) -> None:
         self._boot_versions = dict(boot_versions)
         self.active: dict[str, int | None] = dict(boot_versions)
+        """Active version by model; None if the model has no usable weights."""
         self.staged: dict[str, int] = {}
-        self._fetches: dict[str, _Fetch] = {}
+        self._fetch_by_model: dict[str, _Fetch] = {}
 
-    def knows(self, model: str) -> bool:
+    def serves(self, model: str) -> bool:
         """Return whether this engine serves the model."""
         return model in self.active
 
     def loaded(self) -> dict[str, str]:
-        """Return the active versions as decimal text, without models that have none."""
+        """Return the active versions by model as decimal text, without models that have none."""
         return {model: str(version) for model, version in self.active.items() if version is not None}
 
     def holds(self, model: str, version: int) -> bool:
-        """Return whether the version is complete in memory."""
+        """Return whether the version is active or staged."""
         return version in (self.active.get(model), self.staged.get(model))
 
     def stage(self, model: str, version: int, source: str, order_id: str) -> TransferWanted | None:
-        """Begin or join a fetch; None when no new transfer is needed.
+        """Start a fetch and return its transfer; None if the version is being fetched already.
 
-        The caller checks :meth:`holds` and :meth:`abandoned_by` first.
+        A fetch of another version is replaced.  The caller first checks that the engine does not hold the
+        version, and fails the orders of :meth:`orders_superseded_by`.
         """
-        fetch = self._fetches.get(model)
+        fetch = self._fetch_by_model.get(model)
         if fetch is not None and fetch.version == version:
             fetch.order_ids.append(order_id)
             return None
-        self._fetches[model] = _Fetch(version=version, order_ids=[order_id])
+        self._fetch_by_model[model] = _Fetch(version=version, order_ids=[order_id])
         return TransferWanted(model, version, source)
 
-    def abandoned_by(self, model: str, version: int) -> list[str]:
-        """Return the orders of a present fetch that staging ``version`` would replace."""
-        fetch = self._fetches.get(model)
+    def orders_superseded_by(self, model: str, version: int) -> list[str]:
+        """Return the order identifiers of the fetch that staging ``version`` would replace."""
+        fetch = self._fetch_by_model.get(model)
         if fetch is None or fetch.version == version:
             return []
         return fetch.order_ids
 
-    def transferred(self, model: str, version: int) -> list[str]:
-        """Note that the weights arrived; return the orders that this finishes."""
-        order_ids = self.end_fetch(model, version)
+    def complete_fetch(self, model: str, version: int) -> list[str]:
+        """Stage the fetched weights and return the identifiers of the orders that are now done.
+
+        Returns an empty list and stages nothing if the fetch was replaced.
+        """
+        order_ids = self.remove_fetch(model, version)
         if order_ids:
             self.staged[model] = version
         return order_ids
 
-    def end_fetch(self, model: str, version: int) -> list[str]:
-        """Forget a fetch; return its orders, none when it was replaced before."""
-        fetch = self._fetches.get(model)
+    def remove_fetch(self, model: str, version: int) -> list[str]:
+        """Remove a fetch and return the identifiers of its orders, none if it was replaced."""
+        fetch = self._fetch_by_model.get(model)
         if fetch is None or fetch.version != version:
             return []
-        del self._fetches[model]
+        del self._fetch_by_model[model]
         return fetch.order_ids
 
     def activate(self, model: str, version: int) -> None:
-        """Use a version that was staged when its activation began."""
+        """Make a version active that was staged when its activation began."""
         self.active[model] = version
         if self.staged.get(model) == version:
             del self.staged[model]
 
-    def lose(self, model: str) -> None:
-        """The model is left without usable weights; the staged copy stays."""
+    def mark_unusable(self, model: str) -> None:
+        """Leave the model without an active version; its staged version stays."""
         self.active[model] = None
 
-    def restart(self) -> None:
-        """Return to the boot versions."""
+    def reset(self) -> None:
+        """Return to the boot versions, without staged versions and fetches."""
         self.active = dict(self._boot_versions)
         self.staged.clear()
-        self._fetches.clear()
+        self._fetch_by_model.clear()
--- a/passgate/emulator/kv_cache.py
+++ b/passgate/emulator/kv_cache.py
@@ -1,17 +1,17 @@
-"""Memory of one engine's KV cache: blocks, shared prefixes, eviction.
+"""Block accounting of one engine's KV cache, with shared prefixes and LRU eviction.
 
-A block is free, private to one sequence, or cached under a prefix hash.  Cached
-blocks are shared by counted references; those without a reference stay until
-their memory is needed and leave in order of last use.
+A block is free, private to one sequence, or cached under a prefix hash.  Cached blocks
+are reference-counted and may be shared.  Those without a reference are idle: they stay
+cached until their memory is needed, and the least recently used is evicted first.
 
 >>> a, b = BlockKey("m", 1, 11), BlockKey("m", 1, 12)
 >>> cache = KvCache(capacity_blocks=3)
->>> cache.take(2)
+>>> cache.take_private(2)
 True
->>> cache.store([a, b]) == [a, b], cache.free_blocks
+>>> cache.store_private([a, b]) == [a, b], cache.free_blocks
 (True, 1)
->>> cache.release([a, b], private=0)
->>> cache.take(3), cache.drain_evicted() == [b, a]
+>>> cache.release([a, b], private_blocks=0)
+>>> cache.take_private(3), cache.pop_evicted() == [b, a]
 (True, True)
 """
 
@@ -23,143 +23,150 @@
 
 
 class BlockKey(NamedTuple):
-    """Identity of a cached block."""
+    """Key of a cached block."""
 
     model: str
     version: int
     """Weight version that computed the block."""
     block_hash: int
+    """Hash of the whole prefix up to the block's end."""
 
 
 class KvCache:
-    """Block accounting; every method keeps free + private + cached == capacity."""
+    """Counts of free, private and cached blocks; their sum is always ``capacity_blocks``."""
 
     def __init__(self, capacity_blocks: int) -> None:
         self.capacity_blocks = capacity_blocks
         self.free_blocks = capacity_blocks
         self.private_blocks = 0
-        self._references: dict[BlockKey, int] = {}
-        self._idle: OrderedDict[BlockKey, None] = OrderedDict()
-        self._evicted: list[BlockKey] = []
-        self._outdated: set[BlockKey] = set()
+        self._reference_count_by_key: dict[BlockKey, int] = {}
+        self._idle_keys: OrderedDict[BlockKey, None] = OrderedDict()
+        """Least recently used first."""
+        self._evicted_keys: list[BlockKey] = []
+        self._invalidated_keys: set[BlockKey] = set()
+        """Keys to drop with their last reference."""
 
     @property
     def cached_blocks(self) -> int:
-        """Blocks held under a prefix hash, referenced or idle."""
-        return len(self._references)
+        """Number of cached blocks, referenced or idle."""
+        return len(self._reference_count_by_key)
 
     @property
     def available_blocks(self) -> int:
-        """Blocks that can be taken now, by eviction if need be."""
-        return self.free_blocks + len(self._idle)
+        """Number of blocks that can be taken now: free ones and, by eviction, idle ones."""
+        return self.free_blocks + len(self._idle_keys)
 
     @property
     def used_blocks(self) -> int:
-        """Blocks that running sequences hold."""
+        """Number of private and referenced blocks."""
         return self.capacity_blocks - self.available_blocks
 
-    def match(self, keys: Sequence[BlockKey]) -> int:
-        """Return how many leading keys are cached."""
+    def cached_prefix_length(self, keys: Sequence[BlockKey]) -> int:
+        """Return the number of leading keys that are cached."""
         for index, key in enumerate(keys):
-            if key not in self._references:
+            if key not in self._reference_count_by_key:
                 return index
         return len(keys)
 
-    def idle_among(self, keys: Iterable[BlockKey]) -> int:
-        """Return how many of the keys are cached without a reference."""
-        return sum(1 for key in keys if key in self._idle)
+    def count_idle(self, keys: Iterable[BlockKey]) -> int:
+        """Return the number of keys whose blocks are idle."""
+        return sum(1 for key in keys if key in self._idle_keys)
 
-    def reference(self, keys: Iterable[BlockKey]) -> None:
-        """Hold cached blocks; every key must be cached."""
+    def add_references(self, keys: Iterable[BlockKey]) -> None:
+        """Add a reference to each block; raises KeyError for a key that is not cached."""
         for key in keys:
-            self._references[key] += 1
-            self._idle.pop(key, None)
+            self._reference_count_by_key[key] += 1
+            self._idle_keys.pop(key, None)
 
-    def take(self, blocks: int) -> bool:
-        """Take private blocks, evicting idle ones; return False and change nothing if short."""
+    def take_private(self, blocks: int) -> bool:
+        """Take private blocks, evicting idle ones if needed; return False and change nothing if too few."""
         if blocks > self.available_blocks:
             return False
         while self.free_blocks < blocks:
-            self._evict_oldest()
+            self._evict_least_recently_used()
         self.free_blocks -= blocks
         self.private_blocks += blocks
         return True
 
-    def store(self, keys: Sequence[BlockKey]) -> list[BlockKey]:
-        """Turn one private block per key into a referenced cached one; return the new keys.
+    def store_private(self, keys: Sequence[BlockKey]) -> list[BlockKey]:
+        """Turn one private block per key into a cached one with a reference; return the new keys.
 
-        A key that is cached already is referenced and its private copy freed.
+        For a key that is cached already, the private block is freed and the cached one referenced.
         """
-        new: list[BlockKey] = []
+        new_keys: list[BlockKey] = []
         for key in keys:
             self.private_blocks -= 1
-            if key in self._references:
+            if key in self._reference_count_by_key:
                 self.free_blocks += 1
-                self.reference([key])
+                self.add_references([key])
             else:
-                self._references[key] = 1
-                new.append(key)
-        return new
+                self._reference_count_by_key[key] = 1
+                new_keys.append(key)
+        return new_keys
 
     def insert_idle(self, keys: Iterable[BlockKey]) -> list[BlockKey]:
-        """Cache imported blocks from free memory without a reference; return the new ones."""
-        new: list[BlockKey] = []
+        """Cache imported blocks as idle while free blocks last, evicting none; return the new keys."""
+        new_keys: list[BlockKey] = []
         for key in keys:
-            if key in self._references:
+            if key in self._reference_count_by_key:
                 continue
             if self.free_blocks == 0:
                 break
             self.free_blocks -= 1
-            self._references[key] = 0
-            self._idle[key] = None
-            new.append(key)
-        return new
-
-    def release(self, keys: Sequence[BlockKey], private: int) -> None:
-        """Drop references and free private blocks; later blocks become evictable first."""
-        self.free_blocks += private
-        self.private_blocks -= private
+            self._reference_count_by_key[key] = 0
+            self._idle_keys[key] = None
+            new_keys.append(key)
+        return new_keys
+
+    def release(self, keys: Sequence[BlockKey], private_blocks: int) -> None:
+        """Drop a reference of each key and free private blocks.
+
+        Blocks that become idle are evicted in reverse order of ``keys``, as a prefix without its
+        beginning is useless.
+        """
+        self.free_blocks += private_blocks
+        self.private_blocks -= private_blocks
         for key in reversed(keys):
             self._drop_reference(key)
 
     def invalidate(self, keys: Iterable[BlockKey]) -> None:
-        """Free idle blocks among ``keys`` now and referenced ones with their last reference."""
+        """Free the idle blocks of ``keys`` now, and the referenced ones with their last reference."""
         for key in keys:
-            if key in self._idle:
-                del self._idle[key]
+            if key in self._idle_keys:
+                del self._idle_keys[key]
                 self._discard(key)
             else:
-                self._outdated.add(key)
+                self._invalidated_keys.add(key)
 
-    def keys_of(self, model: str) -> list[BlockKey]:
+    def keys_of_model(self, model: str) -> list[BlockKey]:
         """Return the keys of all cached blocks of one model."""
-        return [key for key in self._references if key.model == model]
+        return [key for key in self._reference_count_by_key if key.model == model]
 
     def clear(self) -> None:
-        """Return to the empty state, as after a restart."""
+        """Return to the initial state with all blocks free."""
         self.__init__(self.capacity_blocks)
 
-    def drain_evicted(self) -> list[BlockKey]:
-        """Return and forget the keys evicted for want of memory since the last call."""
-        evicted = self._evicted
-        self._evicted = []
+    def pop_evicted(self) -> list[BlockKey]:
+        """Return the keys of the blocks that were evicted since the last call."""
+        evicted = self._evicted_keys
+        self._evicted_keys = []
         return evicted
 
     def _drop_reference(self, key: BlockKey) -> None:
-        self._references[key] -= 1
-        if self._references[key] > 0:
+        self._reference_count_by_key[key] -= 1
+        if self._reference_count_by_key[key] > 0:
             return
-        if key in self._outdated:
-            self._outdated.remove(key)
+        if key in self._invalidated_keys:
+            self._invalidated_keys.remove(key)
             self._discard(key)
         else:
-            self._idle[key] = None
+            self._idle_keys[key] = None
 
-    def _evict_oldest(self) -> None:
-        key, _ = self._idle.popitem(last=False)
+    def _evict_least_recently_used(self) -> None:
+        key, _ = self._idle_keys.popitem(last=False)
         self._discard(key)
-        self._evicted.append(key)
+        self._evicted_keys.append(key)
 
     def _discard(self, key: BlockKey) -> None:
-        del self._references[key]
+        del self._reference_count_by_key[key]
         self.free_blocks += 1
--- a/passgate/emulator/ledger.py
+++ b/passgate/emulator/ledger.py
@@ -1,11 +1,12 @@
-"""What truly ran on the emulated back ends, for judging what callers were told.
+"""Record of the executions and side effects that really happened on the emulated back ends.
 
-The ledger belongs to the emulator, not to passgate: a request that was refused
-as "not run" must have no run here, and a not-repeatable call at most one effect.
+Tests and simulations compare it with what passgate reported to callers: a request that
+was refused as "not run" must have no execution here, and a call that is not repeatable
+at most one side effect.
 
->>> ledger = RunLedger()
->>> ledger.record_run("r1", "linha-0", now_s=1.0)
->>> ledger.runs("r1"), ledger.runs("r2")
+>>> run_recorder = RunLedger()
+>>> run_recorder.record_run("r1", "linha-0", now_s=1.0)
+>>> run_recorder.runs("r1"), run_recorder.runs("r2")
 (1, 0)
 """
 
@@ -20,22 +21,26 @@
 
 
 class RunRecord(msgspec.Struct, frozen=True):
-    """One start of one request on one replica."""
+    """Start of one execution of a request on a replica."""
 
     request_id: str
     replica_id: str
     at_s: float
+    """Time of the start on the loop's clock."""
 
 
 class RunLedger:
-    """Counts starts per request and side effects per effect key; ``on_run`` is told each start."""
+    """Counts executions by request and side effects by effect key.
+
+    ``on_run`` is called with the record of each execution when it starts.
+    """
 
     def __init__(self, on_run: Callable[[RunRecord], None] | None = None) -> None:
         self._on_run = on_run
         self.records: list[RunRecord] = []
-        self._runs: Counter[str] = Counter()
-        self._effects: Counter[str] = Counter()
-        self._single_effects: set[str] = set()
+        self._run_counts: Counter[str] = Counter()
+        self._effect_counts: Counter[str] = Counter()
+        self._unrepeatable_effects: set[str] = set()
 
     def record_run(
         self,
@@ -44,27 +49,27 @@
         now_s: float,
         request: GenerateRequest | AppRequest | None = None,
     ) -> None:
-        """Note that a replica began to execute a request; subclasses may look at the request itself."""
+        """Record that a replica starts to execute a request; ``request`` is for subclasses."""
         record = RunRecord(request_id, replica_id, now_s)
         self.records.append(record)
         if self._on_run is not None:
             self._on_run(record)
-        self._runs[request_id] += 1
+        self._run_counts[request_id] += 1
 
     def record_effect(self, effect_key: str, *, repeatable: bool = True) -> None:
-        """Note that a side effect happened once more."""
-        self._effects[effect_key] += 1
+        """Count a side effect; ``repeatable`` is False if it must happen at most once."""
+        self._effect_counts[effect_key] += 1
         if not repeatable:
-            self._single_effects.add(effect_key)
+            self._unrepeatable_effects.add(effect_key)
 
     def runs(self, request_id: str) -> int:
-        """Return how often a request began to run anywhere."""
-        return self._runs[request_id]
+        """Return how many executions of a request have started on all replicas."""
+        return self._run_counts[request_id]
 
     def effects(self, effect_key: str) -> int:
-        """Return how often a side effect happened."""
-        return self._effects[effect_key]
+        """Return how often a side effect has happened."""
+        return self._effect_counts[effect_key]
 
     def repeated_single_effects(self) -> list[str]:
-        """Return the side effects of not-repeatable calls that happened more than once."""
-        return sorted(key for key in self._single_effects if self._effects[key] > 1)
+        """Return the sorted keys of side effects that happened more than once but must not."""
+        return sorted(key for key in self._unrepeatable_effects if self._effect_counts[key] > 1)
--- a/passgate/emulator/run_feed.py
+++ b/passgate/emulator/run_feed.py
@@ -1,8 +1,8 @@
-"""Every start of a request on a back end, with a digest of what was asked for.
+"""Execution record of the back ends with a digest of each request's work, for other processes.
 
-A back end knows only the identifier that passgate gave it.  When a caller never
-heard that identifier, because its daemon died, the digest still leads from the
-start to the call that asked for the work.
+A back end knows only the request identifier that passgate gave it.  A caller whose
+daemon crashed never received that identifier; the digest still relates the execution
+to the call.
 
 >>> feed = RunFeed()
 >>> feed.record_run("a-1-7f", "engine-0", 1.5)
@@ -22,21 +22,22 @@
 
 
 def generate_work(model: str, prompt: tuple[int, ...], seed: int | None) -> str:
-    """Return the digest of a generate request's work."""
+    """Return the digest of a generate request's model, prompt and seed."""
     return xxhash.xxh64_hexdigest(msgspec.json.encode((model, prompt, seed)))
 
 
-def app_work(request: AppRequest) -> str:
-    """Return the digest of the only right answer to a call, which callers record too."""
+def app_work_digest(request: AppRequest) -> str:
+    """Return the digest of the only correct response to a call, which callers record too."""
     return xxhash.xxh64_hexdigest(expected_app_body(request))
 
 
 class RunFeed(RunLedger):
-    """A ledger that keeps each start in order, for a reader in another process."""
+    """Execution record that also lists each start with its work digest, in order."""
 
     def __init__(self) -> None:
         super().__init__()
         self.seen: list[SeenRun] = []
+        """Read through the administration port."""
 
     def record_run(
         self,
@@ -45,15 +46,20 @@
         now_s: float,
         request: GenerateRequest | AppRequest | None = None,
     ) -> None:
-        """Note a start with its work."""
+        """Record that a replica starts to execute a request, with the digest of the request's work.
+
+        Without a ``request`` the digest is empty.
+        """
         super().record_run(request_id, replica_id, now_s, request)
-        seen = SeenRun(time_s=now_s, request_id=request_id, replica_id=replica_id, work=_work(request))
-        self.seen.append(seen)
+        start = SeenRun(
+            time_s=now_s, request_id=request_id, replica_id=replica_id, work=_work_digest(request)
+        )
+        self.seen.append(start)
 
 
-def _work(request: GenerateRequest | AppRequest | None) -> str:
+def _work_digest(request: GenerateRequest | AppRequest | None) -> str:
     if request is None:
         return ""
     if isinstance(request, AppRequest):
-        return app_work(request)
+        return app_work_digest(request)
     return generate_work(request.model, tuple(request.prompt), request.seed)
--- a/tests/test_emulator_engine_model.py
+++ b/tests/test_emulator_engine_model.py
@@ -1,4 +1,4 @@
-"""Engine model: conservation, determinism, orders, swaps, crashes."""
+"""Engine model: conservation of requests and blocks, determinism, orders, weight swaps and crashes."""
 
 from random import Random
 
@@ -28,12 +28,13 @@
 
 
 def long_request(name: str, **changes) -> GenerateRequest:
-    asked = request(name, max_tokens=400, **changes)
-    seed = next(seed for seed in range(1000) if output_length(asked.prompt, seed, LENGTHS) > 120)
-    return msgspec.structs.replace(asked, seed=seed)
+    base_request = request(name, max_tokens=400, **changes)
+    seed = next(seed for seed in range(1000) if output_length(base_request.prompt, seed, LENGTHS) > 120)
+    return msgspec.structs.replace(base_request, seed=seed)
 
 
 def run(engine: EngineModel, until_s=float("inf")) -> list[tuple[float, object]]:
+    """Advance the engine through all its events up to ``until_s``; return the events with their times."""
     events = []
     while (due_s := engine.next_event_s()) is not None and due_s <= until_s:
         events += [(due_s, event) for event in engine.advance(due_s)]
@@ -41,22 +42,23 @@
 
 
 def output(events, name: str) -> tuple[tuple[int, ...], tuple[VersionSpan, ...], object]:
+    """Return the tokens, version spans and finish reason of a request's chunks."""
     tokens: list[int] = []
     spans: list[VersionSpan] = []
-    finish = None
+    finish_reason = None
     for _, event in events:
         if isinstance(event, ChunkProduced) and event.chunk.request_id == name:
             chunk = event.chunk
             if chunk.tokens:
                 spans.append(VersionSpan(chunk.start, chunk.start + len(chunk.tokens), chunk.version))
             tokens += chunk.tokens
-            finish = chunk.finish_reason
-    return tuple(tokens), tuple(spans), finish
+            finish_reason = chunk.finish_reason
+    return tuple(tokens), tuple(spans), finish_reason
 
 
-def assert_right(events, asked: GenerateRequest) -> None:
-    tokens, spans, finish = output(events, asked.request_id)
-    assert verify_output(asked, tokens, spans, finish, LENGTHS) is Verdict.RIGHT
+def assert_correct(events, expected_request: GenerateRequest) -> None:
+    tokens, spans, finish_reason = output(events, expected_request.request_id)
+    assert verify_output(expected_request, tokens, spans, finish_reason, LENGTHS) is Verdict.RIGHT
 
 
 def order(kind, fence=1, name=None, **fields) -> EngineOrder:
@@ -66,8 +68,9 @@
 
 
 def stage(engine: EngineModel, version: int, now_s: float, fence=1, model="m") -> None:
+    """Order the staging of a version and complete its transfer at once."""
     engine.order(order(OrderKind.STAGE_VERSION, fence, version=version, model=model), now_s)
-    engine.transferred(model, version, now_s)
+    engine.record_transfer_end(model, version, now_s)
 
 
 def activate(engine: EngineModel, version: int, now_s: float, **fields):
@@ -87,17 +90,18 @@
 
 
 def check_conservation(engine: EngineModel) -> None:
+    """Check that no request or block is lost or counted twice."""
     counters, batch, cache = engine.counters, engine.batch, engine.batch.cache
     ended = counters.finished + counters.cancelled + counters.failed + counters.refused
-    departing = sum(1 for sequence in batch.running if sequence.cancelled)
-    assert counters.submitted == ended + len(batch.running) - departing + len(batch.waiting)
+    cancelled_running = sum(1 for sequence in batch.running if sequence.cancelled)
+    assert counters.submitted == ended + len(batch.running) - cancelled_running + len(batch.waiting)
     assert cache.free_blocks + cache.private_blocks + cache.cached_blocks == cache.capacity_blocks
     assert cache.private_blocks == sum(sequence.private_blocks for sequence in batch.running)
     assert min(cache.free_blocks, cache.private_blocks, cache.cached_blocks) >= 0
-    held = {key for sequence in batch.running for key in sequence.held_keys}
-    assert cache.used_blocks == cache.private_blocks + len(held)
+    referenced_keys = {key for sequence in batch.running for key in sequence.held_keys}
+    assert cache.used_blocks == cache.private_blocks + len(referenced_keys)
     for sequence in batch.running:
-        assert sequence.blocks * engine.parameters.block_tokens >= sequence.computed
+        assert sequence.held_blocks * engine.parameters.block_tokens >= sequence.computed_tokens
         assert sequence.started_s >= sequence.arrived_s
 
 
@@ -107,20 +111,20 @@
     engine = make_engine(
         kv_blocks=40, max_running=5, max_waiting=6, restart_s=0.5, swap_pause_s=0.1, priorities={"urgent": 0}
     )
-    now_s, version, events, asked = 0.0, 1, [], {}
+    now_s, version, events, accepted = 0.0, 1, [], {}
     for number, (action, wait_s, choice) in enumerate(actions):
         now_s += wait_s
         events += run(engine, now_s)
         if action in ("submit", "urgent"):
-            asked[f"r{number}"] = request(
+            accepted[f"r{number}"] = request(
                 f"r{number}", tokens=20 + 8 * choice, seed=number, priority_class=action
             )
             try:
-                engine.submit(asked[f"r{number}"], now_s)
+                engine.submit(accepted[f"r{number}"], now_s)
             except BackendRefused:
-                del asked[f"r{number}"]
-        elif action == "cancel" and asked:
-            engine.cancel(list(asked)[choice % len(asked)], now_s)
+                del accepted[f"r{number}"]
+        elif action == "cancel" and accepted:
+            engine.cancel(list(accepted)[choice % len(accepted)], now_s)
         elif action in ("swap", "lose") and engine.up:
             version += 1
             stage(engine, version, now_s)
@@ -138,16 +142,17 @@
     events += run(engine)
     check_conservation(engine)
     assert engine.batch.cache.used_blocks == 0
-    decoded = sum(len(event.chunk.tokens) for _, event in events if isinstance(event, ChunkProduced))
-    assert decoded <= engine.counters.decoded_tokens
-    ended = {event.request_id for _, event in events if isinstance(event, StreamEnded)}
-    for name, sent in asked.items():
-        if name not in ended:
-            assert_right(events, sent)
+    streamed_tokens = sum(len(event.chunk.tokens) for _, event in events if isinstance(event, ChunkProduced))
+    assert streamed_tokens <= engine.counters.decoded_tokens
+    unfinished = {event.request_id for _, event in events if isinstance(event, StreamEnded)}
+    for name, accepted_request in accepted.items():
+        if name not in unfinished:
+            assert_correct(events, accepted_request)
     assert [at_s for at_s, _ in events] == sorted(at_s for at_s, _ in events)
 
 
-def busy_history(stream_interval_tokens: int) -> list[tuple[float, str]]:
+def end_times_under_load(stream_interval_tokens: int) -> list[tuple[float, str]]:
+    """Return the end times of requests in a run with preemptions."""
     engine = make_engine(kv_blocks=24, stream_interval_tokens=stream_interval_tokens)
     random = Random(5)
     events, now_s = [], 0.0
@@ -164,26 +169,29 @@
     ]
 
 
-def test_same_seed_gives_the_same_history_bit_for_bit() -> None:
-    assert busy_history(8) == busy_history(8)
+def test_same_seed_gives_identical_end_times() -> None:
+    assert end_times_under_load(8) == end_times_under_load(8)
 
 
-def test_steps_taken_at_once_end_as_single_steps_do() -> None:
-    assert busy_history(8) == busy_history(1)
+def test_step_runs_end_requests_at_the_same_times_as_single_steps() -> None:
+    assert end_times_under_load(8) == end_times_under_load(1)
 
 
 def test_step_time_follows_its_formula() -> None:
     engine = make_engine()
-    asked = request("r", tokens=1000, max_tokens=3, seed=1)
-    engine.submit(asked, 0.0)
-    ends = [at_s for at_s, _ in run(engine)]
-    p = engine.parameters
-    prefill_s = 2 * p.step_base_s + 1000 * p.step_per_prefill_token_s
-    decode_s = 2 * (p.step_base_s + p.step_per_sequence_s) + (1001 + 1002) * p.step_per_kv_token_s
-    assert ends == pytest.approx([prefill_s, prefill_s + decode_s])
+    engine_request = request("r", tokens=1000, max_tokens=3, seed=1)
+    engine.submit(engine_request, 0.0)
+    chunk_times_s = [at_s for at_s, _ in run(engine)]
+    parameters = engine.parameters
+    prefill_s = 2 * parameters.step_base_s + 1000 * parameters.step_per_prefill_token_s
+    decode_s = (
+        2 * (parameters.step_base_s + parameters.step_per_sequence_s)
+        + (1001 + 1002) * parameters.step_per_kv_token_s
+    )
+    assert chunk_times_s == pytest.approx([prefill_s, prefill_s + decode_s])
 
 
-# --- memory and order ------------------------------------------------------------------
+# --- KV cache and priorities -----------------------------------------------------------
 
 
 def test_shared_prefix_is_prefilled_once_and_reported() -> None:
@@ -193,8 +201,8 @@
     engine.submit(request("b", tokens=64, seed=8), 10.0)
     run(engine)
     assert engine.counters.prefilled_tokens == 64 + 1
-    stored = engine.cache_events(0, now_s=20.0)
-    assert [event.kind for event in stored] == [CacheEventKind.STORED] * 4
+    events = engine.cache_events(0, now_s=20.0)
+    assert [event.kind for event in events] == [CacheEventKind.STORED] * 4
     assert engine.cache_events(0, now_s=0.1) == []
 
 
@@ -207,25 +215,25 @@
     assert max(sequences) > len(sequences)
 
 
-def test_urgent_request_preempts_and_both_end_right() -> None:
+def test_urgent_request_preempts_and_both_outputs_are_correct() -> None:
     engine = make_engine(max_running=1, priorities={"urgent": 0})
     slow, urgent = long_request("slow"), request("u", priority_class="urgent")
     engine.submit(slow, 0.0)
     events = run(engine, 0.1)
     engine.submit(urgent, 0.1)
     events += run(engine)
-    finished = [
+    finished_ids = [
         event.chunk.request_id
         for _, event in events
         if isinstance(event, ChunkProduced) and event.chunk.finish_reason is not None
     ]
-    assert finished == ["u", "slow"]
+    assert finished_ids == ["u", "slow"]
     assert engine.counters.preempted == 1
-    assert_right(events, slow)
-    assert_right(events, urgent)
+    assert_correct(events, slow)
+    assert_correct(events, urgent)
 
 
-def test_full_queue_is_refused_before_running() -> None:
+def test_request_to_a_full_queue_is_refused_and_never_runs() -> None:
     engine = make_engine(max_running=1, max_waiting=1)
     for name in ("a", "b"):
         engine.submit(request(name), 0.0)
@@ -238,12 +246,12 @@
 
 def test_resumed_stream_continues_with_the_same_tokens() -> None:
     first, second = make_engine(), make_engine()
-    asked = request("r")
-    first.submit(asked, 0.0)
-    whole = output(run(first), "r")[0]
-    second.submit(request("r", resume_tokens=whole[:11]), 0.0)
+    engine_request = request("r")
+    first.submit(engine_request, 0.0)
+    complete_output = output(run(first), "r")[0]
+    second.submit(request("r", resume_tokens=complete_output[:11]), 0.0)
     tokens, spans, _ = output(run(second), "r")
-    assert tokens == whole[11:]
+    assert tokens == complete_output[11:]
     assert spans[0].start == 11
 
 
@@ -259,10 +267,10 @@
     assert engine.batch.cache.used_blocks == 0
 
 
-def test_kv_cache_moves_to_an_engine_of_the_same_version_only() -> None:
+def test_kv_cache_is_imported_only_by_an_engine_with_the_same_version() -> None:
     source, target, newer = make_engine(), make_engine(), make_engine()
-    asked = long_request("r", tokens=160)
-    source.submit(asked, 0.0)
+    engine_request = long_request("r", tokens=160)
+    source.submit(engine_request, 0.0)
     events = run(source, 0.3)
     export = source.export_kv("r", 0.3)
     stage(newer, 2, 0.3)
@@ -274,17 +282,17 @@
     run(target)
     target.submit(export.request, 1.0)
     run(target)
-    hits = len(export.block_hashes) * target.parameters.block_tokens
-    assert target.counters.cache_hit_tokens == min(hits, 160 + len(export.request.resume_tokens) - 1)
+    hit_tokens = len(export.block_hashes) * target.parameters.block_tokens
+    assert target.counters.cache_hit_tokens == min(hit_tokens, 160 + len(export.request.resume_tokens) - 1)
     assert events
 
 
-def test_admission_leaves_the_watermark_and_spares_blocks_it_counts_on() -> None:
+def test_admission_keeps_the_watermark_free_and_evicts_no_block_that_it_reuses() -> None:
     engine = make_engine(kv_blocks=10, kv_watermark=0.1)
     engine.submit(request("cached", tokens=64, max_tokens=4), 0.0)
     run(engine)
-    other = tuple(range(1000, 1064))
-    engine.submit(request("running", prompt=other, max_tokens=14, seed=9), 60.0)
+    other_prompt = tuple(range(1000, 1064))
+    engine.submit(request("running", prompt=other_prompt, max_tokens=14, seed=9), 60.0)
     engine.submit(request("waits", tokens=80, max_tokens=4), 60.0)
     run(engine, 60.1)
     assert [len(engine.batch.running), len(engine.batch.waiting)] == [1, 1]
@@ -305,7 +313,7 @@
     assert engine.counters.cache_hit_tokens == 0
 
 
-def test_prefix_computed_twice_at_once_is_kept_once() -> None:
+def test_prefix_that_two_sequences_compute_at_once_is_cached_once() -> None:
     engine = make_engine(cache_event_loss=0.0)
     engine.submit(request("first", tokens=5), 0.0)
     for name in ("b", "c"):
@@ -315,23 +323,23 @@
     assert engine.batch.cache.cached_blocks == len(engine.cache_events(0, 60.0)) == 4
 
 
-def test_swap_in_mid_prefill_stores_no_mixed_prefix() -> None:
+def test_prefix_that_spans_a_swap_is_not_cached() -> None:
     engine = make_engine(cache_event_loss=0.0, prefill_chunk_tokens=64)
-    asked = request("r", tokens=640)
-    engine.submit(asked, 0.0)
+    engine_request = request("r", tokens=640)
+    engine.submit(engine_request, 0.0)
     events = run(engine, 0.1)
     stage(engine, 2, 0.1)
     activate(engine, 2, 0.1)
     events += run(engine)
     assert engine.cache_events(0, 60.0)[-1].kind is CacheEventKind.CLEARED
     assert engine.batch.cache.cached_blocks == 0
-    assert_right(events, asked)
+    assert_correct(events, engine_request)
 
 
 # --- reports ------------------------------------------------------------------------------
 
 
-def test_load_report_lags_and_counts_what_was_there() -> None:
+def test_load_report_shows_the_load_at_its_snapshot() -> None:
     engine = make_engine(report_interval_s=0.25, report_lag_s=0.25, max_running=2)
     for name in ("a", "b", "c"):
         engine.submit(long_request(name), 1.0)
@@ -348,22 +356,22 @@
 
 
 @pytest.mark.parametrize("scope", list(FenceScope))
-def test_order_under_an_older_fence_is_refused_and_changes_nothing(scope) -> None:
+def test_order_with_an_older_fence_is_refused_and_changes_nothing(scope) -> None:
     models = [*MODELS, ModelParameters(name="n", lengths=LENGTHS)]
     engine = make_engine(models, fence_scope=scope)
     stage(engine, 2, 0.0, fence=5)
-    late = order(OrderKind.ACTIVATE_VERSION, fence=4, version=2)
+    outdated = order(OrderKind.ACTIVATE_VERSION, fence=4, version=2)
     with pytest.raises(OrderRefused) as caught:
-        engine.order(late, 1.0)
+        engine.order(outdated, 1.0)
     assert caught.value.details == {"reason": "old_fence", "fence": "5"}
     run(engine)
     assert engine.weights.active["m"] == 1
-    other = order(OrderKind.STAGE_VERSION, fence=4, version=2, model="n")
+    for_other_model = order(OrderKind.STAGE_VERSION, fence=4, version=2, model="n")
     if scope is FenceScope.ENGINE:
         with pytest.raises(OrderRefused):
-            engine.order(other, 1.0)
+            engine.order(for_other_model, 1.0)
     else:
-        assert not engine.order(other, 1.0).done
+        assert not engine.order(for_other_model, 1.0).done
 
 
 @pytest.mark.parametrize("survives", [True, False])
@@ -372,22 +380,22 @@
     engine.order(order(OrderKind.DRAIN, fence=5), 0.0)
     engine.crash(1.0)
     run(engine)
-    late = order(OrderKind.DRAIN, fence=4)
+    outdated = order(OrderKind.DRAIN, fence=4)
     if survives:
         with pytest.raises(OrderRefused):
-            engine.order(late, 30.0)
+            engine.order(outdated, 30.0)
     else:
-        assert engine.order(late, 30.0).done
+        assert engine.order(outdated, 30.0).done
 
 
-def test_repeated_order_is_carried_out_once() -> None:
+def test_repeated_order_is_executed_once() -> None:
     engine = make_engine()
     staging = order(OrderKind.STAGE_VERSION, version=2)
     assert not engine.order(staging, 0.0).done
     assert not engine.order(staging, 0.1).done
-    wanted = [event for event in engine.advance(0.1) if isinstance(event, TransferWanted)]
-    assert wanted == [TransferWanted("m", 2, "store")]
-    engine.transferred("m", 2, 1.0)
+    transfers = [event for event in engine.advance(0.1) if isinstance(event, TransferWanted)]
+    assert transfers == [TransferWanted("m", 2, "store")]
+    engine.record_transfer_end("m", 2, 1.0)
     assert engine.order(staging, 1.0).done
 
 
@@ -403,17 +411,17 @@
     first = order(OrderKind.STAGE_VERSION, version=2)
     engine.order(first, 0.0)
     engine.order(order(OrderKind.STAGE_VERSION, version=3), 0.1)
-    engine.transferred("m", 2, 0.2)
+    engine.record_transfer_end("m", 2, 0.2)
     assert engine.weights.staged == {}
     with pytest.raises(OrderRefused) as caught:
         engine.order(first, 0.3)
     assert caught.value.details["reason"] == "superseded"
 
 
-def test_swap_in_mid_stream_is_reported_token_by_token() -> None:
+def test_stream_across_a_swap_names_the_version_of_each_token() -> None:
     engine = make_engine(swap_pause_s=0.5)
-    asked = long_request("r")
-    engine.submit(asked, 0.0)
+    engine_request = long_request("r")
+    engine.submit(engine_request, 0.0)
     events = run(engine, 0.4)
     stage(engine, 2, 0.4)
     assert not activate(engine, 2, 0.4).done
@@ -421,13 +429,13 @@
     assert activate(engine, 2, 60.0).done
     spans = output(events, "r")[1]
     assert {span.version for span in spans} == {1, 2}
-    assert_right(events, asked)
+    assert_correct(events, engine_request)
     times = [at_s for at_s, _ in events]
     assert max(later - earlier for earlier, later in zip(times, times[1:], strict=False)) >= 0.5
 
 
 @pytest.mark.parametrize("recompute", [True, False])
-def test_old_prefixes_are_not_reused_under_new_weights(recompute) -> None:
+def test_prefixes_of_old_weights_are_not_reused(recompute) -> None:
     engine = make_engine(recompute_kv_on_swap=recompute, cache_event_loss=0.0)
     running = long_request("running", tokens=64)
     engine.submit(running, 0.0)
@@ -440,29 +448,29 @@
     assert engine.counters.preempted == (1 if recompute else 0)
     assert engine.counters.cache_hit_tokens == (63 if recompute else 0)
     assert CacheEventKind.CLEARED in [event.kind for event in engine.cache_events(0, 60.0)]
-    assert engine.batch.cache.cached_blocks == len(engine.batch.cache.keys_of("m")) == 4
-    assert {key.version for key in engine.batch.cache.keys_of("m")} == {2}
-    assert_right(events, running)
+    assert engine.batch.cache.cached_blocks == len(engine.batch.cache.keys_of_model("m")) == 4
+    assert {key.version for key in engine.batch.cache.keys_of_model("m")} == {2}
+    assert_correct(events, running)
 
 
-def test_failed_stage_changes_nothing_and_can_be_repeated_under_a_new_order() -> None:
+def test_failed_stage_changes_nothing_and_a_new_order_can_succeed() -> None:
     engine = make_engine()
     engine.arm_swap_failure(SwapFailure.STAGE_FAILS)
     failing = order(OrderKind.STAGE_VERSION, version=2, name="o1")
     engine.order(failing, 0.0)
-    engine.transferred("m", 2, 1.0)
+    engine.record_transfer_end("m", 2, 1.0)
     with pytest.raises(OrderRefused) as caught:
         engine.order(failing, 1.0)
     assert caught.value.details["reason"] == "transfer_failed"
     engine.order(order(OrderKind.STAGE_VERSION, version=2, name="o2"), 2.0)
-    engine.transferred("m", 2, 3.0)
+    engine.record_transfer_end("m", 2, 3.0)
     assert engine.weights.staged == {"m": 2}
 
 
 def test_failed_activation_keeps_the_old_version_and_the_streams() -> None:
     engine = make_engine()
-    asked = long_request("r")
-    engine.submit(asked, 0.0)
+    engine_request = long_request("r")
+    engine.submit(engine_request, 0.0)
     stage(engine, 2, 0.1)
     engine.arm_swap_failure(SwapFailure.KEEPS_OLD)
     activate(engine, 2, 0.1)
@@ -471,10 +479,10 @@
         activate(engine, 2, 60.0)
     assert caught.value.details["reason"] == "swap_failed"
     assert {span.version for span in output(events, "r")[1]} == {1}
-    assert_right(events, asked)
+    assert_correct(events, engine_request)
 
 
-def test_activation_that_loses_the_weights_ends_streams_until_the_next_one_works() -> None:
+def test_model_without_weights_serves_nothing_until_the_next_activation() -> None:
     engine = make_engine()
     engine.submit(long_request("r"), 0.0)
     events = run(engine, 0.3)
@@ -492,7 +500,7 @@
     assert engine.weights.active["m"] == 2
 
 
-def test_crash_ends_streams_and_brings_the_boot_version_back() -> None:
+def test_crash_ends_streams_and_restores_the_boot_version() -> None:
     engine = make_engine(restart_s=5.0)
     stage(engine, 2, 0.0)
     activate(engine, 2, 0.0)
@@ -507,20 +515,20 @@
     run(engine)
     assert engine.up
     assert engine.weights.loaded() == {"m": "1"}
-    after = engine.cache_events(0, 60.0)
-    assert after[0].kind is CacheEventKind.CLEARED
-    assert after[0].sequence > max((event.sequence for event in events_before), default=0) + 1
+    events_after = engine.cache_events(0, 60.0)
+    assert events_after[0].kind is CacheEventKind.CLEARED
+    assert events_after[0].sequence > max((event.sequence for event in events_before), default=0) + 1
 
 
 def test_drain_is_done_once_the_last_stream_has_ended() -> None:
     engine = make_engine()
     engine.submit(request("r"), 0.0)
-    draining = order(OrderKind.DRAIN)
-    assert not engine.order(draining, 0.1).done
+    drain = order(OrderKind.DRAIN)
+    assert not engine.order(drain, 0.1).done
     with pytest.raises(BackendRefused):
         engine.submit(request("s"), 0.2)
     run(engine)
-    assert engine.order(draining, 60.0).done
+    assert engine.order(drain, 60.0).done
     assert engine.load_report(61.0).leaving
     assert engine.order(order(OrderKind.RESUME), 62.0).done
     engine.submit(request("t"), 63.0)
