--- a/passgate/emulator/engine_batch.py
+++ b/passgate/emulator/engine_batch.py
@@ -126,12 +126,12 @@
             self.step_run = self._plan_step_run(now_s)
 
     def truncate_step_run(self, now_s: float) -> None:
-        """Shorten the step run in progress to the next step boundary."""
+        """Shorten the step run in progress, if any, to the next step boundary."""
         if self.step_run is not None:
             self.step_run.truncate(now_s)
 
     def abandon_step_run(self, now_s: float) -> None:
-        """Drop the step run in progress without its output."""
+        """Drop the step run in progress, if any, without its output."""
         if self.step_run is not None:
             self._counters.total_busy_s += max(0.0, now_s - self.step_run.start_s)
             self.step_run = None
--- a/passgate/emulator/engine_orders.py
+++ b/passgate/emulator/engine_orders.py
@@ -38,7 +38,7 @@
     TRANSFER_FAILED = "transfer_failed"
     """The weights could not be fetched."""
     SWAP_FAILED = "swap_failed"
-    """The activation failed halfway; load reports name the versions that are still loaded."""
+    """The activation failed; load reports name the versions that are loaded now."""
 
 
 def order_refusal(reason: RefusalReason, message: str, fence: int = 0) -> OrderRefused:
--- a/passgate/emulator/engine_sequence.py
+++ b/passgate/emulator/engine_sequence.py
@@ -62,7 +62,7 @@
             request.prompt, request.seed, request.max_tokens, lengths
         )
         self.output = list(request.resume_tokens)
-        """Decoded tokens, after those of an earlier attempt that the request resumes."""
+        """Output tokens: those of an earlier attempt that the request resumes, then the decoded ones."""
         self.sent_tokens = len(self.output)
         self.sent_chunks = 0
         self._output_key_version = 0
--- a/passgate/emulator/expected_output.py
+++ b/passgate/emulator/expected_output.py
@@ -30,6 +30,7 @@
 
 _HASH_RANGE = 2.0**64
 _LENGTH_HASH_SEED = 0x6C656E
+"""Separates the hash of the output length from other hashes of the same input."""
 _POSITION_BYTES = 4
 
 
@@ -118,7 +119,7 @@
     finish_reason: FinishReason,
     lengths: LengthDistribution,
 ) -> Verdict:
-    """Verify tokens, spans and finish reason as :func:`verify` does, without the request identifier."""
+    """Verify tokens, spans and finish reason like :func:`verify`, but no request identifier."""
     length, reason = expected_length(request.prompt, request.seed, request.max_tokens, lengths)
     if len(tokens) != length:
         return Verdict.WRONG_LENGTH
--- a/passgate/emulator/queueing_check.py
+++ b/passgate/emulator/queueing_check.py
@@ -87,7 +87,7 @@
 
 
 def engine_recursion(utilisation: float, calls: int, seed: int) -> QueueingResult:
-    """Compare the mean sojourn time of the same arrivals with Lindley's recursion for one server."""
+    """Compare the mean sojourn time at the same engine with Lindley's recursion over the same arrivals."""
     engine = _engine_with_constant_service(max_running=1)
     service_s = _service_s(engine.parameters)
     rate_per_s = utilisation / service_s
