--- a/passgate/server/answer_forms.py
+++ b/passgate/server/answer_forms.py
@@ -1,4 +1,4 @@
-"""Forms of completion answers: text completions and chat completions."""
+"""Builders of the JSON bodies that answer text completions and chat completions."""
 
 from __future__ import annotations
 
@@ -22,48 +22,55 @@
 Answer = CompletionAnswer | ChatCompletionAnswer
 
 
-class AnswerForm(abc.ABC):
-    """Builds the bodies of one answer, whole or piece by piece."""
+class AnswerBuilder(abc.ABC):
+    """Builds the bodies of the answer to one request: one complete body, or the chunks of a stream.
 
-    def __init__(self, request: GenerateRequest, created: int) -> None:
+    Chunks have to be built in the order of the stream, because the text of a chunk can depend on bytes
+    of a character that an earlier chunk began.
+    """
+
+    def __init__(self, request: GenerateRequest, created_unix_s: int) -> None:
         self._request = request
-        self._created = created
+        self._created_unix_s = created_unix_s
         self._decoder = TextDecoder()
 
-    def whole(self, result: GenerateResult) -> Answer:
-        """Return a whole answer."""
+    def build_complete(self, result: GenerateResult) -> Answer:
+        """Return the answer to a request that is not streamed."""
         text = TextDecoder().decode(result.tokens, final=True)
-        return self._answer(
+        return self._build(
             text=text,
             tokens=result.tokens,
             finish_reason=result.finish_reason,
-            usage=self._usage(len(result.tokens)),
-            provenance=self._provenance(result),
+            usage=self._count_usage(len(result.tokens)),
+            provenance=self._make_provenance(result),
         )
 
-    def piece(self, chunk: GenerateChunk) -> Answer:
-        """Return one streamed piece."""
+    def build_chunk(self, chunk: GenerateChunk) -> Answer:
+        """Return the streamed chunk of the next tokens."""
         text = self._decoder.decode(chunk.tokens)
         version = UNSET if chunk.version is None else chunk.version
-        return self._answer(text=text, tokens=chunk.tokens, version=version, streamed=True)
+        return self._build(text=text, tokens=chunk.tokens, version=version, streamed=True)
 
-    def last(self, result: GenerateResult) -> Answer:
-        """Return the last streamed piece: no tokens, but finish reason and provenance."""
-        return self._answer(
+    def build_last_chunk(self, result: GenerateResult) -> Answer:
+        """Return the last chunk of a stream: finish reason, usage and provenance, but no tokens."""
+        return self._build(
             text=self._decoder.decode((), final=True),
             tokens=(),
             finish_reason=result.finish_reason,
-            usage=self._usage(len(result.tokens)),
-            provenance=self._provenance(result),
+            usage=self._count_usage(len(result.tokens)),
+            provenance=self._make_provenance(result),
             streamed=True,
         )
 
     @abc.abstractmethod
-    def last_of_stored(self, body: bytes, written_tokens: int) -> Answer:
-        """Return the last piece for a stored whole answer, with the tokens not yet written."""
+    def build_last_chunk_of_stored(self, body: bytes, written_tokens: int) -> Answer:
+        """Return the last chunk of a stream whose result is a stored_answer answer that is not streamed.
+
+        ``body`` is the stored_answer JSON; the chunk holds its tokens after the first ``written_tokens``.
+        """
 
     @abc.abstractmethod
-    def _answer(
+    def _build(
         self,
         *,
         text: str,
@@ -74,9 +81,9 @@
         provenance: Provenance | UnsetType = UNSET,
         streamed: bool = False,
     ) -> Answer:
-        """Return one body."""
+        """Return a body with one choice; ``streamed`` selects the format of a chunk."""
 
-    def _usage(self, completion_tokens: int) -> Usage:
+    def _count_usage(self, completion_tokens: int) -> Usage:
         prompt_tokens = len(self._request.prompt)
         return Usage(
             prompt_tokens=prompt_tokens,
@@ -84,7 +91,7 @@
             total_tokens=prompt_tokens + completion_tokens,
         )
 
-    def _provenance(self, result: GenerateResult) -> Provenance:
+    def _make_provenance(self, result: GenerateResult) -> Provenance:
         return Provenance(
             request_id=self._request.request_id,
             model=self._request.model,
@@ -94,22 +101,22 @@
             attempts=result.attempts,
         )
 
-    def _finish(self, reason: FinishReason | None) -> str | None:
+    def _finish_reason_text(self, reason: FinishReason | None) -> str | None:
         return None if reason is None else reason.value
 
 
-class CompletionForm(AnswerForm):
-    """Bodies of ``/v1/completions``."""
+class CompletionAnswerBuilder(AnswerBuilder):
+    """Builds the answers of ``/v1/completions``."""
 
-    def last_of_stored(self, body: bytes, written_tokens: int) -> CompletionAnswer:
-        """Return the last piece for a stored whole answer, with the tokens not yet written."""
-        stored = msgspec.json.decode(body, type=CompletionAnswer)
-        tokens = stored.choices[0].token_ids[written_tokens:]
+    def build_last_chunk_of_stored(self, body: bytes, written_tokens: int) -> CompletionAnswer:
+        """Return the stored_answer answer with only its tokens after the first ``written_tokens``."""
+        stored_answer = msgspec.json.decode(body, type=CompletionAnswer)
+        tokens = stored_answer.choices[0].token_ids[written_tokens:]
         text = self._decoder.decode(tokens, final=True)
-        choice = msgspec.structs.replace(stored.choices[0], text=text, token_ids=tokens)
-        return msgspec.structs.replace(stored, choices=(choice,))
+        choice = msgspec.structs.replace(stored_answer.choices[0], text=text, token_ids=tokens)
+        return msgspec.structs.replace(stored_answer, choices=(choice,))
 
-    def _answer(
+    def _build(
         self,
         *,
         text: str,
@@ -124,11 +131,11 @@
             text=text,
             token_ids=tokens,
             weight_version=version,
-            finish_reason=self._finish(finish_reason),
+            finish_reason=self._finish_reason_text(finish_reason),
         )
         return CompletionAnswer(
             id=f"cmpl-{self._request.request_id}",
-            created=self._created,
+            created=self._created_unix_s,
             model=self._request.model,
             choices=(choice,),
             usage=usage,
@@ -136,18 +143,20 @@
         )
 
 
-class ChatForm(AnswerForm):
-    """Bodies of ``/v1/chat/completions``."""
+class ChatAnswerBuilder(AnswerBuilder):
+    """Builds the answers of ``/v1/chat/completions``."""
 
-    def last_of_stored(self, body: bytes, written_tokens: int) -> ChatCompletionAnswer:
-        """Return the last piece for a stored whole answer, with the tokens not yet written."""
-        stored = msgspec.json.decode(body, type=ChatCompletionAnswer)
-        tokens = stored.choices[0].token_ids[written_tokens:]
+    def build_last_chunk_of_stored(self, body: bytes, written_tokens: int) -> ChatCompletionAnswer:
+        """Return the stored_answer answer with only its tokens after the first ``written_tokens``."""
+        stored_answer = msgspec.json.decode(body, type=ChatCompletionAnswer)
+        tokens = stored_answer.choices[0].token_ids[written_tokens:]
         delta = ChatAnswerMessage(content=self._decoder.decode(tokens, final=True))
-        choice = msgspec.structs.replace(stored.choices[0], message=UNSET, delta=delta, token_ids=tokens)
-        return msgspec.structs.replace(stored, object="chat.completion.chunk", choices=(choice,))
+        choice = msgspec.structs.replace(
+            stored_answer.choices[0], message=UNSET, delta=delta, token_ids=tokens
+        )
+        return msgspec.structs.replace(stored_answer, object="chat.completion.chunk", choices=(choice,))
 
-    def _answer(
+    def _build(
         self,
         *,
         text: str,
@@ -164,12 +173,12 @@
             delta=message if streamed else UNSET,
             token_ids=tokens,
             weight_version=version,
-            finish_reason=self._finish(finish_reason),
+            finish_reason=self._finish_reason_text(finish_reason),
         )
         return ChatCompletionAnswer(
             id=f"chatcmpl-{self._request.request_id}",
             object="chat.completion.chunk" if streamed else "chat.completion",
-            created=self._created,
+            created=self._created_unix_s,
             model=self._request.model,
             choices=(choice,),
             usage=usage,
--- a/passgate/server/base.py
+++ b/passgate/server/base.py
@@ -1,7 +1,7 @@
-"""Request handling that all routes share: limits, credentials, errors, identifiers.
+"""Base classes of the request handlers: limits, credentials, identifiers and error answers.
 
-Bodies are read piece by piece, so that an oversized or slow one is answered by
-a typed error as soon as its limit is passed.  No input raises past this module.
+Bodies are received in chunks, so that a body over its size or time limit is answered with a typed error
+as soon as the limit is exceeded.  Each exception that a handler raises becomes a typed error answer.
 """
 
 from __future__ import annotations
@@ -35,58 +35,71 @@
 from passgate.settings import IDENTIFIER_PATTERN, Credential
 
 JSON_CONTENT_TYPE = "application/json"
-REQUEST_ID_FORM = re.compile(r"^[\x21-\x7e]{1,128}$")
-CALLER_FORM = re.compile(IDENTIFIER_PATTERN)
+REQUEST_ID_PATTERN = re.compile(r"^[\x21-\x7e]{1,128}$")
+CALLER_PATTERN = re.compile(IDENTIFIER_PATTERN)
 ANONYMOUS_CALLER = "anonymous"
-UNHANDLED_METHOD_STATUS = 405
+METHOD_NOT_ALLOWED_STATUS = 405
 
 T = TypeVar("T")
 
 
 @stream_request_body
 class ApiHandler(RequestHandler):
-    """Base of all handlers; sub-classes set ``route_name`` and ``port_name``."""
+    """Base of all handlers.
+
+    Subclasses may override ``port_name``, the value of the metrics' label ``port``; ``route_name`` comes
+    from the route table.
+    """
 
     SUPPORTED_METHODS = ("GET", "POST", "PUT", "DELETE", "PATCH", "HEAD")
     port_name = "caller"
-    counted = True
-    """Whether the request passes the gate (health and metrics do not)."""
+    uses_admission = True
+    """Whether admission control applies; False for health, metrics and unknown paths."""
 
     def initialize(self, context: ServerContext, route_name: str = "unknown") -> None:
-        """Take the daemon's shared parts; called by tornado for each request."""
+        """Set up the state of one request; called by tornado for each request."""
         self.context = context
         self.route_name = route_name
         self.request_id = context.new_request_id()
-        """Unique identifier used towards back ends."""
-        self.shown_request_id = self.request_id
-        """The caller's own X-Request-Id when it sent one."""
+        """Unique identifier of this request, sent to replicas."""
+        self.echoed_request_id = self.request_id
+        """The caller's own X-Request-Id when it sent one; not unique."""
         self.started_s = clock.monotonic_s()
+        """-1 once the end of the request is recorded."""
         self.body = bytearray()
-        self.work: asyncio.Task[Any] | None = None
-        self.caller_left = False
-        self._entered = False
+        self.cancellable_task: asyncio.Task[Any] | None = None
+        self.caller_disconnected = False
+        self._is_admitted = False
         self._body_timer: asyncio.TimerHandle | None = None
 
     # --- before the body -----------------------------------------------------------
 
     def prepare(self) -> None:
-        """Check headers, credential and admission before any byte of the body is read."""
-        self._take_request_id()
+        """Check headers, credential, admission and Content-Length before the body is read.
+
+        Raises:
+            InvalidRequest, HeadersTooLarge, Unauthorized, PayloadTooLarge: the request is not acceptable.
+            NotReady, Draining, Overloaded: admission control refuses it.
+        """
+        self._read_request_id()
         self._check_headers()
         self.check_credential()
-        if self.counted:
+        if self.uses_admission:
             self.context.gate.enter()
-            self._entered = True
+            self._is_admitted = True
             self.context.metrics.in_flight.set(self.context.gate.in_flight)
-        self._check_announced_length()
+        self._check_content_length()
         loop = asyncio.get_running_loop()
-        self._body_timer = loop.call_later(self.context.settings.limits.body_timeout_s, self._body_late)
-
-    def _take_request_id(self) -> None:
-        given = self.request.headers.get("X-Request-Id", "")
-        if given and not REQUEST_ID_FORM.match(given):
-            raise InvalidRequest("X-Request-Id has a wrong form", header="X-Request-Id")
-        self.shown_request_id = given or self.request_id
+        self._body_timer = loop.call_later(self.context.settings.limits.body_timeout_s, self._on_body_timeout)
+
+    def _read_request_id(self) -> None:
+        caller_request_id = self.request.headers.get("X-Request-Id", "")
+        if caller_request_id and not REQUEST_ID_PATTERN.match(caller_request_id):
+            raise InvalidRequest(
+                "X-Request-Id must be 1 to 128 visible ASCII characters",
+                header="X-Request-Id",
+            )
+        self.echoed_request_id = caller_request_id or self.request_id
 
     def _check_headers(self) -> None:
         limits = self.context.settings.limits
@@ -94,86 +107,88 @@
         size_bytes = sum(len(name) + len(value) for name, value in pairs)
         if len(pairs) > limits.max_headers or size_bytes > limits.max_header_bytes:
             raise HeadersTooLarge(
-                "headers are over the limit",
+                "the headers are too many or too large",
                 max_headers=limits.max_headers,
                 max_header_bytes=limits.max_header_bytes,
             )
 
     def check_credential(self) -> None:
-        """Check the credential of this port; raises Unauthorized."""
+        """Check the credential of this port; raises Unauthorized.  Accepts everything unless overridden."""
 
-    def _check_announced_length(self) -> None:
-        announced = self.request.headers.get("Content-Length", "0")
-        if announced.isascii() and announced.isdigit():
-            self._check_size(int(announced))
+    def _check_content_length(self) -> None:
+        content_length = self.request.headers.get("Content-Length", "0")
+        if content_length.isascii() and content_length.isdigit():
+            self._check_body_size(int(content_length))
 
-    def _check_size(self, size_bytes: int) -> None:
+    def _check_body_size(self, size_bytes: int) -> None:
         limit = self.context.settings.limits.max_body_bytes
         if size_bytes > limit:
-            raise PayloadTooLarge("the body is over the limit", max_body_bytes=limit)
+            raise PayloadTooLarge("the body exceeds the size limit", max_body_bytes=limit)
 
     # --- the body ------------------------------------------------------------------
 
     def data_received(self, chunk: bytes) -> None:
-        """Collect a piece of the body, up to the limit."""
+        """Append a chunk to the body; answers PayloadTooLarge when the body exceeds its limit."""
         if self._finished:
             return
         try:
-            self._check_size(len(self.body) + len(chunk))
+            self._check_body_size(len(self.body) + len(chunk))
         except PayloadTooLarge as error:
-            self._fail_early(error)
+            self._abort_body(error)
             return
         self.body += chunk
 
-    def _body_late(self) -> None:
+    def _on_body_timeout(self) -> None:
         if not self._finished and not self.request._body_future.done():
-            self._fail_early(BodyTimeout("the body took too long to arrive"))
+            self._abort_body(BodyTimeout("the body was not received before its timeout"))
 
-    def _fail_early(self, error: PassgateError) -> None:
+    def _abort_body(self, error: PassgateError) -> None:
+        """Answer with an error and end the reading of the body."""
         self.answer_error(error)
         if not self.request._body_future.done():
             self.request._body_future.set_exception(iostream.StreamClosedError())
 
-    def decode_body(self, kind: type[T]) -> T:
-        """Return the body as a typed value; raises MalformedBody naming the field."""
+    def decode_body(self, body_type: type[T]) -> T:
+        """Return the body, decoded from JSON as ``body_type``; raises MalformedBody that names the field."""
         try:
-            return msgspec.json.decode(bytes(self.body), type=kind)
+            return msgspec.json.decode(bytes(self.body), type=body_type)
         except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
-            head, _, path = str(error).partition(" - at `")
+            problem, _, path = str(error).partition(" - at `")
             field = path.rstrip("`") or "$"
-            raise MalformedBody(f"the body is wrong at {field}: {head}", field=field) from None
+            raise MalformedBody(f"the body is invalid at {field}: {problem}", field=field) from None
 
-    # --- work and its end ----------------------------------------------------------
+    # --- cancellation and the end of the request -----------------------------------
 
     async def run_cancellable(self, work: Awaitable[T]) -> T:
-        """Await work that is cancelled when the caller leaves."""
-        self.work = asyncio.ensure_future(work)
+        """Await work that is cancelled when the caller disconnects; then raises Cancelled."""
+        self.cancellable_task = asyncio.ensure_future(work)
         try:
-            return await self.work
+            return await self.cancellable_task
         except asyncio.CancelledError:
-            if self.caller_left:
-                raise Cancelled("the caller left") from None
+            if self.caller_disconnected:
+                raise Cancelled("the caller closed its connection") from None
             raise
 
     def on_connection_close(self) -> None:
-        """Cancel the repeatable work of a caller that left."""
+        """Cancel work that :meth:`run_cancellable` awaits; called by tornado when the caller disconnects."""
         super().on_connection_close()
-        self.caller_left = True
+        self.caller_disconnected = True
         self.context.metrics.disconnects.labels(route=self.route_name).inc()
-        if self.work is not None:
-            self.work.cancel()
-        self._leave(status="disconnected")
+        if self.cancellable_task is not None:
+            self.cancellable_task.cancel()
+        self._record_end(status="disconnected")
 
-    def cut_off(self) -> None:
-        """Close the connection of a caller that does not read its answer."""
-        self.caller_left = True
+    def close_connection(self) -> None:
+        """Close the connection of a caller that does not read its answer; unsent bytes are lost."""
+        self.caller_disconnected = True
         self.request.connection.stream.close()
 
     def on_finish(self) -> None:
-        """Count the answer and leave the gate."""
-        self._leave(status=str(self.get_status()))
+        """Record the end of the request; called by tornado once the answer is written."""
+        self._record_end(status=str(self.get_status()))
 
-    def _leave(self, status: str) -> None:
+    def _record_end(self, status: str) -> None:
+        """Count the request in the metrics and release its admission; further calls do nothing."""
         if self._body_timer is not None:
             self._body_timer.cancel()
             self._body_timer = None
@@ -184,68 +199,71 @@
         elapsed_s = clock.monotonic_s() - self.started_s
         metrics.request_seconds.labels(route=self.route_name).observe(elapsed_s)
         self.started_s = -1.0
-        if self._entered:
-            self._entered = False
+        if self._is_admitted:
+            self._is_admitted = False
             self.context.gate.leave(getattr(self.request.connection, "stream", None))
             metrics.in_flight.set(self.context.gate.in_flight)
 
     # --- answers -------------------------------------------------------------------
 
     def set_default_headers(self) -> None:
-        """Leave tornado's own default headers out."""
+        """Remove tornado's ``Server`` header."""
         self.clear_header("Server")
 
     def write_common_headers(self, content_type: str) -> None:
-        """Set the headers that every answer carries."""
+        """Set the headers of every answer."""
         self.set_header("Content-Type", content_type)
-        self.set_header("X-Request-Id", self.shown_request_id)
+        self.set_header("X-Request-Id", self.echoed_request_id)
         self.set_header("X-Passgate-Request-Id", self.request_id)
         self.set_header("X-Passgate-Daemon", self.context.settings.daemon_id)
-        if self.context.gate.leaving:
+        if self.context.gate.is_closing_connections:
             self.set_header("Connection", "close")
 
     def answer_json(self, value: Any, status: int = 200) -> None:
-        """Finish with a JSON body."""
+        """Finish the answer with ``value`` encoded as JSON."""
         self.set_status(status)
         self.write_common_headers(JSON_CONTENT_TYPE)
         self.finish(msgspec.json.encode(value))
 
     def answer_error(self, error: PassgateError) -> None:
-        """Finish with a typed error, unless the answer has begun or its caller left."""
+        """Finish the answer with a typed error, and count it.
+
+        Only counts it when headers are already sent or the caller has disconnected.
+        """
         self.count_error(error)
-        if self._finished or self._headers_written or self.caller_left:
+        if self._finished or self._headers_written or self.caller_disconnected:
             return
         self.clear()
         if error.retry_after_s is not None:
             self.set_header("Retry-After", str(max(1, math.ceil(error.retry_after_s))))
         self.set_header("X-Passgate-Error", error.code)
-        self.answer_json(ErrorAnswer(error.body(), self.shown_request_id), error.http_status)
+        self.answer_json(ErrorAnswer(error.body(), self.echoed_request_id), error.http_status)
 
     def count_error(self, error: PassgateError) -> None:
-        """Count an error answer."""
+        """Count an error in the metrics."""
         self.context.metrics.errors.labels(
             route=self.route_name, code=error.code, execution=error.execution.value
         ).inc()
 
     def send_error(self, status_code: int = 500, **kwargs: Any) -> None:
-        """Answer any exception of a handler with its typed error."""
+        """Answer an exception of a handler with a typed error; called by tornado."""
         exception = kwargs.get("exc_info", (None, None, None))[1]
-        self.answer_error(self._typed(exception, status_code))
-        if not self._finished and not self.caller_left:
+        self.answer_error(self._to_passgate_error(exception, status_code))
+        if not self._finished and not self.caller_disconnected:
             self.finish()
 
-    def _typed(self, exception: BaseException | None, status_code: int) -> PassgateError:
+    def _to_passgate_error(self, exception: BaseException | None, status_code: int) -> PassgateError:
         if isinstance(exception, PassgateError):
             return exception
         if isinstance(exception, HTTPError):
             status_code = exception.status_code
         if 400 <= status_code < 500:
-            error: PassgateError = InvalidRequest(f"the request was refused with status {status_code}")
-            if status_code == UNHANDLED_METHOD_STATUS:
-                error = InvalidRequest("this path does not know the method", method=self.request.method)
+            error: PassgateError = InvalidRequest(f"the request was rejected with status {status_code}")
+            if status_code == METHOD_NOT_ALLOWED_STATUS:
+                error = InvalidRequest("the path does not support this method", method=self.request.method)
             error.http_status = status_code
             return error
-        return PassgateError("an unexpected failure inside passgate")
+        return PassgateError("an unexpected internal error occurred")
 
     def log_exception(
         self,
@@ -253,7 +271,7 @@
         value: BaseException | None,
         trace: TracebackType | None,
     ) -> None:
-        """Log only failures that have no type: they are faults of passgate itself."""
+        """Log exceptions that are neither typed errors nor HTTP errors: they are faults of passgate."""
         if isinstance(value, (PassgateError, HTTPError)):
             return
         log_change(
@@ -276,7 +294,7 @@
 
 
 def bearer_matches(header: str, credential: Credential) -> bool:
-    """Return whether an Authorization header carries the credential, in constant time."""
+    """Return whether an Authorization header holds the credential; compares in constant time."""
     scheme, _, token = header.partition(" ")
     if scheme.lower() != "bearer":
         return False
@@ -289,18 +307,18 @@
     caller = ANONYMOUS_CALLER
 
     def check_credential(self) -> None:
-        """Name the caller by its credential when credentials are set, else by its header."""
+        """Set ``caller`` from the credential or, when none are configured, from X-Passgate-Caller."""
         credentials = self.context.settings.credentials.callers
         header = self.request.headers.get("Authorization", "")
         if credentials:
             matches = [name for name, secret in credentials.items() if bearer_matches(header, secret)]
             if not matches:
-                raise Unauthorized("a caller's credential is needed")
+                raise Unauthorized("the Authorization header holds no valid caller credential")
             self.caller = matches[0]
             return
         name = self.request.headers.get("X-Passgate-Caller", ANONYMOUS_CALLER)
-        if not CALLER_FORM.match(name):
-            raise InvalidRequest("X-Passgate-Caller has a wrong form", header="X-Passgate-Caller")
+        if not CALLER_PATTERN.match(name):
+            raise InvalidRequest("X-Passgate-Caller is not a valid caller name", header="X-Passgate-Caller")
         self.caller = name
 
 
@@ -310,9 +328,9 @@
     port_name = "operator"
 
     def check_credential(self) -> None:
-        """Check the operators' credential when one is set."""
+        """Check the operators' credential when one is configured."""
         credential = self.context.settings.credentials.operators
         if not credential:
             return
         if not bearer_matches(self.request.headers.get("Authorization", ""), credential):
-            raise Unauthorized("the operators' credential is needed")
+            raise Unauthorized("the Authorization header does not hold the operators' credential")
--- a/passgate/server/cluster_status.py
+++ b/passgate/server/cluster_status.py
@@ -1,7 +1,6 @@
-"""Who has which configuration: asked of the daemons themselves when an operator looks.
+"""Status of all daemons, requested from each of them when an operator asks for it.
 
-Asking on demand costs nothing while nobody looks; spreading every daemon's
-revision by gossip would cost daemons x changes pieces of news.
+Daemons do not gossip their revisions, as that would take one message per daemon and change.
 """
 
 from __future__ import annotations
@@ -17,51 +16,55 @@
 from passgate.schema import Labels
 from passgate.server.wire import DaemonView
 
-METHOD = "daemon.status"
+STATUS_METHOD = "daemon.status"
 CALL_TIMEOUT_S = 1.0
-CALLS_AT_ONCE = 64
+MAX_CONCURRENT_CALLS = 64
 
 
 class DaemonStatus(msgspec.Struct, frozen=True, kw_only=True):
-    """A daemon's own word about itself."""
+    """What a daemon reports about itself to other daemons."""
 
     life: str
+    """State of the daemon's lifecycle, see the state chart ``daemon``."""
     revision: int
+    """Configuration revision that is active on the daemon."""
     labels: Labels = {}
 
 
 class ClusterStatus:
-    """Answers peers about this daemon, and asks them about themselves."""
+    """Answers status requests of other daemons, and collects the status of all."""
 
-    def __init__(self, membership: MembershipAgent, own_status: Callable[[], DaemonStatus]) -> None:
+    def __init__(self, membership: MembershipAgent, get_own_status: Callable[[], DaemonStatus]) -> None:
         self._membership = membership
-        self._own_status = own_status
-        membership.handle(METHOD, self._answer)
+        self._get_own_status = get_own_status
+        membership.handle(STATUS_METHOD, self._handle_request)
 
-    async def _answer(self, payload: bytes) -> bytes:
-        return msgspec.json.encode(self._own_status())
+    async def _handle_request(self, payload: bytes) -> bytes:
+        return msgspec.json.encode(self._get_own_status())
 
     async def collect(self) -> list[DaemonView]:
-        """Return a view of every known daemon; those that do not answer are marked."""
-        limit = asyncio.Semaphore(CALLS_AT_ONCE)
+        """Return a view of every known daemon; ``reached`` is False for those that did not answer."""
+        call_slots = asyncio.Semaphore(MAX_CONCURRENT_CALLS)
         return list(
-            await asyncio.gather(*(self._ask(member, limit) for member in self._membership.members()))
+            await asyncio.gather(
+                *(self._view_member(member, call_slots) for member in self._membership.members())
+            )
         )
 
-    async def _ask(self, member: MemberInfo, limit: asyncio.Semaphore) -> DaemonView:
+    async def _view_member(self, member: MemberInfo, call_slots: asyncio.Semaphore) -> DaemonView:
         if member.member_id == self._membership.self_info.member_id:
-            return _view(member, self._own_status())
+            return _make_view(member, self._get_own_status())
         if member.state not in (MemberState.ALIVE, MemberState.SUSPECT):
-            return _view(member, None)
-        async with limit:
+            return _make_view(member, None)
+        async with call_slots:
             try:
-                answer = await self._membership.call(member.member_id, METHOD, b"{}", CALL_TIMEOUT_S)
-                return _view(member, msgspec.json.decode(answer, type=DaemonStatus))
+                answer = await self._membership.call(member.member_id, STATUS_METHOD, b"{}", CALL_TIMEOUT_S)
+                return _make_view(member, msgspec.json.decode(answer, type=DaemonStatus))
             except (PeerError, msgspec.MsgspecError):
-                return _view(member, None)
+                return _make_view(member, None)
 
 
-def _view(member: MemberInfo, status: DaemonStatus | None) -> DaemonView:
+def _make_view(member: MemberInfo, status: DaemonStatus | None) -> DaemonView:
     view = DaemonView(
         daemon_id=member.member_id,
         zone=member.zone,
--- a/passgate/server/config_views.py
+++ b/passgate/server/config_views.py
@@ -1,4 +1,4 @@
-"""Wire forms of configuration objects."""
+"""Conversion of configuration objects to their JSON representation."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 from passgate.state.configuration import ConfigObject
 
 
-def view_object(item: ConfigObject) -> ConfigObjectView:
-    """Return the wire form of a configuration object."""
+def make_object_view(config_object: ConfigObject) -> ConfigObjectView:
+    """Return the JSON representation of a configuration object."""
     return ConfigObjectView(
-        kind=item.kind,
-        name=item.name,
-        revision=item.revision,
-        labels=item.labels,
-        spec=msgspec.Raw(msgspec.json.encode(item.spec)),
+        kind=config_object.kind,
+        name=config_object.name,
+        revision=config_object.revision,
+        labels=config_object.labels,
+        spec=msgspec.Raw(msgspec.json.encode(config_object.spec)),
     )
--- a/passgate/server/context.py
+++ b/passgate/server/context.py
@@ -1,4 +1,4 @@
-"""What the request handlers of one daemon share."""
+"""State that all request handlers of one daemon share."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 import msgspec
 
 from passgate.metrics import DaemonMetrics
-from passgate.server.gate import RequestGate
+from passgate.server.gate import AdmissionController
 from passgate.settings import Settings
 
 if TYPE_CHECKING:
@@ -24,7 +24,7 @@
 
 
 class Services(msgspec.Struct, kw_only=True):
-    """The parts of a daemon that answer requests."""
+    """The services of a daemon that request handlers call."""
 
     configuration: ConfigurationService
     dispatcher: Dispatcher
@@ -34,7 +34,7 @@
 
 
 class ServerContext:
-    """Shared state of all handlers of one daemon."""
+    """Settings, services, lifecycle, metrics and admission control of one daemon."""
 
     def __init__(
         self,
@@ -51,14 +51,14 @@
         self.metrics = metrics
         self.logger = logger
         self.random = random
-        self.gate = RequestGate(
+        self.gate = AdmissionController(
             settings.limits.max_in_flight, settings.stop.retry_after_s, settings.limits.write_timeout_s
         )
 
     def new_request_id(self) -> str:
-        """Return an identifier that no other request has, whatever a caller sends."""
+        """Return a new random identifier; unlike a caller's X-Request-Id it is unique among all requests."""
         return f"{self.settings.daemon_id}-{self.random.randbytes(REQUEST_ID_BYTES).hex()}"
 
     def ready(self) -> bool:
-        """Return whether load balancers should send requests here."""
+        """Return whether load balancers should send requests to this daemon."""
         return self.life.within("serving")
--- a/passgate/server/daemon.py
+++ b/passgate/server/daemon.py
@@ -1,4 +1,4 @@
-"""One daemon: its parts, its two HTTP ports, its background work and its planned stop."""
+"""One daemon of ``passgate serve``: its components, HTTP servers, background tasks and graceful shutdown."""
 
 from __future__ import annotations
 
@@ -20,28 +20,38 @@
 from passgate.schema import MachineRole
 from passgate.server.cluster_status import ClusterStatus, DaemonStatus
 from passgate.server.context import ServerContext, Services
-from passgate.server.parts import Outside, Parts, build_parts, close_parts, connect_outside, make_http_client
+from passgate.server.parts import (
+    Outside,
+    Parts,
+    build_components,
+    close_components,
+    connect_external_systems,
+    make_http_client,
+)
 from passgate.server.routes import CALLER_ROUTES, OPERATOR_ROUTES, Route, make_application
 from passgate.settings import Settings, parse_address
 from passgate.state.configuration import ConfigurationState
 from passgate.statecharts import Machine
 
-MACHINE_LIST_PERIOD_S = 1.0
-JOIN_WAIT_S = 3.0
-"""Longest wait for a first peer before a daemon serves on its own."""
-POLL_S = 0.05
-LOOP_LAG_PERIOD_S = 1.0
-LOG_CHECK_PERIOD_S = 1.0
+MACHINE_LIST_POLL_INTERVAL_S = 1.0
+JOIN_TIMEOUT_S = 3.0
+"""Maximum wait for a first peer before the daemon serves without any."""
+POLL_INTERVAL_S = 0.05
+LOOP_LAG_INTERVAL_S = 1.0
+LOG_CHECK_INTERVAL_S = 1.0
 LOG_LOST_FAILURES = 3
-"""Read failures in a row after which the log counts as lost."""
-HEADER_HARD_LIMIT_FACTOR = 4
-"""Headers over this many times the limit are cut off without an answer."""
-FAILED_WORK_PAUSE_S = 1.0
-SOCKET_BACKLOG = 1024
+"""Not used: the daemon becomes degraded after one failed read in a check interval."""
+HARD_HEADER_LIMIT_FACTOR = 4
+"""Connections whose headers exceed this many times the limit are closed without a typed error."""
+BACKGROUND_RETRY_S = 1.0
+LISTEN_BACKLOG = 1024
 
 
 class Daemon:
-    """Runs until :meth:`stop`; make and use it inside a running loop."""
+    """One daemon; it serves from :meth:`start` until :meth:`stop` or :meth:`close`.  Needs a running loop.
+
+    Its components are reached at ``parts``, the state machine of its lifecycle at ``life``.
+    """
 
     def __init__(
         self,
@@ -52,258 +62,290 @@
     ) -> None:
         self._http = None if outside else make_http_client(settings)
         self.settings = settings
-        self.parts: Parts = build_parts(settings, outside or connect_outside(settings, self._http), random)
+        self.parts: Parts = build_components(
+            settings, outside or connect_external_systems(settings, self._http), random
+        )
         self.metrics = DaemonMetrics()
         self.life = Machine("daemon")
         self._logger = logger
-        self._sync = ConfigurationSync(
+        self._configuration_sync = ConfigurationSync(
             self.parts.membership, self.parts.configuration, Random(random.random())
         )
         self.context = ServerContext(
-            settings, self._services(), self.life, self.metrics, logger, Random(random.random())
+            settings, self._make_services(), self.life, self.metrics, logger, Random(random.random())
         )
         self.context.gate.starting = True
         self._servers: list[HTTPServer] = []
-        self._tasks: list[asyncio.Task[Any]] = []
-        self._stop: asyncio.Task[bool] | None = None
-        self._catching_up: asyncio.Task[None] | None = None
+        self._background_tasks: list[asyncio.Task[Any]] = []
+        self._shutdown_task: asyncio.Task[bool] | None = None
+        self._catch_up_task: asyncio.Task[None] | None = None
         self.caller_address = ""
         self.operator_address = ""
 
-    def _services(self) -> Services:
+    def _make_services(self) -> Services:
         parts = self.parts
         return Services(
             configuration=parts.configuration,
             dispatcher=parts.dispatcher,
             claims=parts.claims,
             lots=parts.lots,
-            cluster_status=ClusterStatus(parts.membership, self._status),
+            cluster_status=ClusterStatus(parts.membership, self._get_status),
         )
 
-    def _status(self) -> DaemonStatus:
+    def _get_status(self) -> DaemonStatus:
         revision = self.parts.configuration.state.revision
         return DaemonStatus(life=self.life.state, revision=revision, labels=self.settings.labels)
 
     # --- start -----------------------------------------------------------------------
 
     def start(self) -> None:
-        """Open the ports and begin to catch up; requests are refused as not run until then."""
+        """Open the ports and start all background tasks.
+
+        Requests are refused as not run until the active configuration is known.
+
+        Raises:
+            SettingsError: an address can not be listened on.
+        """
         self.caller_address = self._listen(CALLER_ROUTES, self.settings.caller_address)
         self.operator_address = self._listen(OPERATOR_ROUTES, self.settings.operator_address)
         parts = self.parts
-        parts.configuration.subscribe(self._configuration_changed)
+        parts.configuration.subscribe(self._on_configuration_changed)
         parts.configuration.start()
         parts.leases.start()
         parts.membership.start()
         parts.membership.join(self.settings.seeds)
-        self._sync.start()
+        self._configuration_sync.start()
         parts.dispatcher.start()
-        self._catching_up = asyncio.ensure_future(self._catch_up())
-        self._run(self._follow_machine_list)
-        self._run(self._watch_log)
-        self._run(self._measure_loop_lag)
-        self._changed("daemon_started", callers=self.caller_address, operators=self.operator_address)
+        self._catch_up_task = asyncio.ensure_future(self._catch_up())
+        self._start_background(self._poll_machine_list)
+        self._start_background(self._watch_log)
+        self._start_background(self._measure_loop_lag)
+        self._log_change("daemon_started", callers=self.caller_address, operators=self.operator_address)
 
     def _listen(self, routes: tuple[Route, ...], address: str) -> str:
+        """Start an HTTP server; return its address, with the port that the system chose if it was 0."""
         limits = self.settings.limits
         host, port = parse_address(address)
         try:
-            sockets = bind_sockets(port, host, backlog=SOCKET_BACKLOG)
+            sockets = bind_sockets(port, host, backlog=LISTEN_BACKLOG)
         except OSError as error:
             raise SettingsError(
-                f"can not listen on {address}: {error.strerror}", key=address, expected="a free address"
+                f"cannot listen on {address}: {error.strerror}", key=address, expected="a free address"
             ) from error
         server = HTTPServer(
             make_application(routes, self.context),
-            max_header_size=limits.max_header_bytes * HEADER_HARD_LIMIT_FACTOR,
+            max_header_size=limits.max_header_bytes * HARD_HEADER_LIMIT_FACTOR,
             max_body_size=limits.max_body_bytes * 2**20,
             idle_connection_timeout=limits.idle_connection_timeout_s,
         )
         server.add_sockets(sockets)
         self._servers.append(server)
-        shown = f"[{host}]" if ":" in host else host
-        return f"{shown}:{sockets[0].getsockname()[1]}"
+        url_host = f"[{host}]" if ":" in host else host
+        return f"{url_host}:{sockets[0].getsockname()[1]}"
 
-    def _run(self, work: Callable[[], Coroutine[Any, Any, None]]) -> None:
-        """Run background work for ever: a failure that has no type is logged and the work goes on."""
-        self._tasks.append(asyncio.ensure_future(self._run_for_ever(work)))
+    def _start_background(self, work: Callable[[], Coroutine[Any, Any, None]]) -> None:
+        """Start a background task that runs ``work`` until it is cancelled."""
+        self._background_tasks.append(asyncio.ensure_future(self._run_forever(work)))
 
-    async def _run_for_ever(self, work: Callable[[], Coroutine[Any, Any, None]]) -> None:
+    async def _run_forever(self, work: Callable[[], Coroutine[Any, Any, None]]) -> None:
+        """Run ``work`` again and again; an exception is logged, and the work restarted after a pause."""
         while True:
             try:
                 await work()
-            except Exception as error:  # noqa: BLE001  Whatever it is, the daemon goes on serving.
-                self._changed(
+            except Exception as error:  # noqa: BLE001  A fault of one task must not end the daemon.
+                self._log_change(
                     "background_work_failed", logging.ERROR, work=work.__qualname__, failure=repr(error)
                 )
-                await asyncio.sleep(FAILED_WORK_PAUSE_S)
+                await asyncio.sleep(BACKGROUND_RETRY_S)
 
     async def _catch_up(self) -> None:
-        """Become ready once the configuration in force is known, also to the peers heard of."""
-        await self._until_configured(0)
+        """Become ready once this daemon has applied the newest configuration known to it or its peers."""
+        await self._wait_until_configured(0)
         self.life.send("caught_up")
-        await self._until_joined()
-        # Peers are asked too: the log may have been read from a replica that lags behind it.
-        await self._until_configured(await self._sync.highest_known())
+        await self._wait_for_first_peer()
+        # The log may have been read from a replica that lags behind, so peers are asked for their revision.
+        await self._wait_until_configured(await self._configuration_sync.highest_known())
         self.life.send("joined")
         self.parts.rollouts.start()
         self.context.gate.starting = False
         self.metrics.ready.set(1)
-        self._changed("daemon_ready", revision=self.parts.configuration.state.revision)
+        self._log_change("daemon_ready", revision=self.parts.configuration.state.revision)
 
-    async def _until_configured(self, minimum_offset: int) -> None:
+    async def _wait_until_configured(self, minimum_offset: int) -> None:
         configuration = self.parts.configuration
         while not configuration.ready_at(minimum_offset):
             with contextlib.suppress(DeadlineExceeded):
-                await configuration.wait_ready(minimum_offset, POLL_S)
+                await configuration.wait_ready(minimum_offset, POLL_INTERVAL_S)
 
-    async def _until_joined(self) -> None:
-        """Wait for a first peer, for a bounded time: all others may be gone."""
+    async def _wait_for_first_peer(self) -> None:
+        """Wait until a peer is known, at most JOIN_TIMEOUT_S, as no other daemon may be running."""
         if not self.settings.seeds:
             return
-        deadline_s = clock.monotonic_s() + JOIN_WAIT_S
+        deadline_s = clock.monotonic_s() + JOIN_TIMEOUT_S
         while len(self.parts.membership.members()) < 2 and clock.monotonic_s() < deadline_s:
-            await asyncio.sleep(POLL_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
     # --- background work ---------------------------------------------------------------
 
-    def _configuration_changed(self, state: ConfigurationState) -> None:
+    def _on_configuration_changed(self, state: ConfigurationState) -> None:
         self.metrics.configuration_revision.set(state.revision)
 
-    async def _follow_machine_list(self) -> None:
-        """Feed the platform's list to the directory, and its daemons to membership."""
-        readable = True
+    async def _poll_machine_list(self) -> None:
+        """Apply the platform's machine list to the replica directory, and join daemons that it names.
+
+        While the list can not be read, the replicas of the last one stay in the directory.
+        """
+        is_readable = True
         while True:
             try:
                 machines = await self.parts.outside.machine_list.machines()
             except PlatformError:
-                if readable:
-                    self._changed("machine_list_lost")
-                readable = False
+                if is_readable:
+                    self._log_change("machine_list_lost")
+                is_readable = False
             else:
-                if not readable:
-                    self._changed("machine_list_back")
-                readable = True
+                if not is_readable:
+                    self._log_change("machine_list_back")
+                is_readable = True
                 self.parts.directory.apply_machines(machines, clock.monotonic_s())
-                self._join_listed([item.address for item in machines if item.role is MachineRole.DAEMON])
-            await asyncio.sleep(MACHINE_LIST_PERIOD_S)
+                self._join_unknown_daemons(
+                    [item.address for item in machines if item.role is MachineRole.DAEMON]
+                )
+            await asyncio.sleep(MACHINE_LIST_POLL_INTERVAL_S)
 
-    def _join_listed(self, addresses: list[str]) -> None:
+    def _join_unknown_daemons(self, addresses: list[str]) -> None:
         known = {member.address for member in self.parts.membership.members()}
         unknown = [address for address in addresses if address not in known]
         if unknown and self.life.within("running"):
             self.parts.membership.join(unknown)
 
     async def _watch_log(self) -> None:
-        """Show in the daemon's life when the log can not be read."""
+        """Move the lifecycle between ready and degraded as reads of the log fail and succeed."""
         counters = self.parts.configuration.follower.counters
         while True:
-            before = counters.read_failures
-            await asyncio.sleep(LOG_CHECK_PERIOD_S)
-            failures = counters.read_failures - before
+            previous_failures = counters.read_failures
+            await asyncio.sleep(LOG_CHECK_INTERVAL_S)
+            failures = counters.read_failures - previous_failures
             if failures and self.life.can("log_lost"):
                 self.life.send("log_lost")
-                self._changed("log_lost")
+                self._log_change("log_lost")
             elif not failures and self.life.can("log_back"):
                 self.life.send("log_back")
-                self._changed("log_back")
+                self._log_change("log_back")
 
     async def _measure_loop_lag(self) -> None:
         while True:
-            due_s = clock.monotonic_s() + LOOP_LAG_PERIOD_S
-            await asyncio.sleep(LOOP_LAG_PERIOD_S)
+            due_s = clock.monotonic_s() + LOOP_LAG_INTERVAL_S
+            await asyncio.sleep(LOOP_LAG_INTERVAL_S)
             self.metrics.loop_lag_seconds.set(max(0.0, clock.monotonic_s() - due_s))
 
-    # --- planned stop --------------------------------------------------------------------
+    # --- graceful shutdown ---------------------------------------------------------------
 
     async def stop(self) -> bool:
-        """Stop as planned; return whether everything in flight was finished or handed over.
+        """Shut down gracefully; return whether all work in flight was finished or released to other daemons.
 
-        Further calls wait for the same stop.
+        Further calls wait for the same shutdown.
         """
-        if self._stop is None:
-            self._stop = asyncio.ensure_future(self._planned_stop())
-        return await asyncio.shield(self._stop)
+        if self._shutdown_task is None:
+            self._shutdown_task = asyncio.ensure_future(self._shut_down())
+        return await asyncio.shield(self._shutdown_task)
+
+    async def _shut_down(self) -> bool:
+        """Announce the shutdown, refuse new requests, finish work, release ownership, and close.
 
-    async def _planned_stop(self) -> bool:
+        During the notice period readiness already fails, but requests are still accepted, so that load
+        balancers can move them elsewhere.
+        """
         stop = self.settings.stop
-        await self._cancel([self._catching_up] if self._catching_up else [])
+        await self._cancel_all([self._catch_up_task] if self._catch_up_task else [])
         self.life.send("stop")
         self.metrics.ready.set(0)
-        self.context.gate.leaving = True
-        self._changed("stop_announced", notice_s=stop.notice_s)
+        self.context.gate.is_closing_connections = True
+        self._log_change("stop_announced", notice_s=stop.notice_s)
         await asyncio.sleep(stop.notice_s)
         self.life.send("announced")
-        self.context.gate.refusing = True
-        self._changed("stop_draining", in_flight=self.context.gate.in_flight)
-        whole = await self._finish_work(stop.drain_timeout_s)
+        self.context.gate.is_draining = True
+        self._log_change("stop_draining", in_flight=self.context.gate.in_flight)
+        is_clean = await self._finish_work(stop.drain_timeout_s)
         self.life.send("finished")
         await self._hand_over(stop.leave_timeout_s)
         await self.close()
         self.life.send("handed_over")
-        self._changed("daemon_stopped", whole=whole)
-        return whole
+        self._log_change("daemon_stopped", whole=is_clean)
+        return is_clean
 
     async def _finish_work(self, timeout_s: float) -> bool:
-        """Finish or hand over lots, then all requests, then their records on the log."""
+        """Drain lots and requests, then calls to replicas, then claims; return whether all was in time.
+
+        Claims come last, as the calls before them still produce the outcomes that are put on the log.
+        """
         started_s = clock.monotonic_s()
-        lots, requests = await asyncio.gather(
-            self._succeeds(self.parts.lots.drain(timeout_s)),
+        lots_drained, requests_drained = await asyncio.gather(
+            self._run_shutdown_step(self.parts.lots.drain(timeout_s)),
             self.context.gate.wait_idle(timeout_s),
         )
-        left_s = max(POLL_S, started_s + timeout_s - clock.monotonic_s())
-        calls = await self._succeeds(self.parts.dispatcher.drain(left_s))
-        claims = await self.parts.claims.drain(left_s)
-        return lots and requests and calls and claims
+        remaining_s = max(POLL_INTERVAL_S, started_s + timeout_s - clock.monotonic_s())
+        calls_drained = await self._run_shutdown_step(self.parts.dispatcher.drain(remaining_s))
+        claims_drained = await self.parts.claims.drain(remaining_s)
+        return lots_drained and requests_drained and calls_drained and claims_drained
 
     async def _hand_over(self, timeout_s: float) -> None:
-        await self._succeeds(self.parts.rollouts.drain(timeout_s))
-        await self._succeeds(self._bounded(self.parts.leases.release_all(), timeout_s))
-        await self._succeeds(self.parts.membership.leave(timeout_s))
+        """Stop the rollout managers, release this daemon's leases and leave the membership."""
+        await self._run_shutdown_step(self.parts.rollouts.drain(timeout_s))
+        await self._run_shutdown_step(self._await_with_timeout(self.parts.leases.release_all(), timeout_s))
+        await self._run_shutdown_step(self.parts.membership.leave(timeout_s))
 
-    async def _bounded(self, work: Awaitable[None], timeout_s: float) -> None:
+    async def _await_with_timeout(self, work: Awaitable[None], timeout_s: float) -> None:
         async with asyncio.timeout(timeout_s):
             await work
 
-    async def _succeeds(self, work: Awaitable[Any]) -> bool:
+    async def _run_shutdown_step(self, work: Awaitable[Any]) -> bool:
+        """Await one step; return False if it returned False, timed out or raised a typed error.
+
+        A failed step is only logged: the steps after it still have to run.
+        """
         try:
             return await work is not False
         except (TimeoutError, PassgateError) as error:
-            self._changed("stop_step_failed", level=logging.WARNING, failure=type(error).__name__)
+            self._log_change("stop_step_failed", level=logging.WARNING, failure=type(error).__name__)
             return False
 
     async def close(self) -> None:
-        """Stop at once: close ports, background work and parts."""
-        await self._cancel([*self._tasks, *([self._catching_up] if self._catching_up else [])])
+        """Stop at once: cancel background tasks, close the HTTP servers and all components."""
+        await self._cancel_all(
+            [*self._background_tasks, *([self._catch_up_task] if self._catch_up_task else [])]
+        )
         for server in self._servers:
             server.stop()
         for server in self._servers:
             await server.close_all_connections()
-        await self._sync.close()
-        await close_parts(self.parts)
+        await self._configuration_sync.close()
+        await close_components(self.parts)
         if self._http is not None:
             self._http.close()
 
-    async def _cancel(self, tasks: list[asyncio.Task[Any]]) -> None:
+    async def _cancel_all(self, tasks: list[asyncio.Task[Any]]) -> None:
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    def _changed(self, change: str, level: int = logging.INFO, **fields: object) -> None:
-        log_change(self._logger, change, level, run=self.parts.run_id, life=self.life.state, **fields)
+    def _log_change(self, change: str, level: int = logging.INFO, **fields: object) -> None:
+        log_change(self._logger, change, level, run=self.parts.incarnation_id, life=self.life.state, **fields)
 
 
-StopTrigger = Callable[[Callable[[], None]], None]
+StopSignalInstaller = Callable[[Callable[[], None]], None]
 
 
-async def run_daemon(settings: Settings, logger: logging.Logger, on_stop_signal: StopTrigger) -> bool:
-    """Run a daemon until its stop is asked for; return whether the stop was whole.
+async def run_daemon(
+    settings: Settings, logger: logging.Logger, install_stop_signal: StopSignalInstaller
+) -> bool:
+    """Run a daemon until it is requested to stop; return whether the shutdown was clean.
 
-    ``on_stop_signal`` is given a function to call when the process is asked to stop.
+    ``install_stop_signal`` receives the function to call when the process is requested to stop.
     """
     daemon = Daemon(settings, logger, Random(settings.random_seed))
-    asked = asyncio.Event()
-    on_stop_signal(asked.set)
+    stop_requested = asyncio.Event()
+    install_stop_signal(stop_requested.set)
     daemon.start()
-    await asked.wait()
+    await stop_requested.wait()
     return await daemon.stop()
--- a/passgate/server/health.py
+++ b/passgate/server/health.py
@@ -1,4 +1,4 @@
-"""``/healthz``, ``/readyz``, ``/metrics`` and the answer for unknown paths."""
+"""Handlers of ``/healthz``, ``/readyz``, ``/metrics`` and unknown paths."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 
 
 class HealthHandler(ApiHandler):
-    """Says that the process answers."""
+    """``/healthz``: liveness of the process."""
 
-    counted = False
+    uses_admission = False
 
     async def get(self) -> None:
-        """Answer 200 while the loop runs."""
-        self.answer_json(self.health())
+        """Answer 200 with the state of the daemon."""
+        self.answer_json(self.get_health())
 
-    def health(self) -> HealthAnswer:
-        """Return the state of the daemon."""
+    def get_health(self) -> HealthAnswer:
+        """Return the lifecycle state and readiness of the daemon."""
         return HealthAnswer(
             daemon_id=self.context.settings.daemon_id,
             state=self.context.life.state,
@@ -29,31 +29,31 @@
 
 
 class ReadyHandler(HealthHandler):
-    """Says whether the daemon should be sent requests."""
+    """``/readyz``: readiness for requests."""
 
     async def get(self) -> None:
-        """Answer 200 when ready, else 503."""
-        health = self.health()
+        """Answer 200 when the daemon is ready, else 503."""
+        health = self.get_health()
         self.answer_json(health, 200 if health.ready else NOT_READY_STATUS)
 
 
 class MetricsHandler(OperatorHandler):
-    """Metrics in the text format of Prometheus."""
+    """``/metrics``: metrics in the text format of Prometheus."""
 
-    counted = False
+    uses_admission = False
 
     async def get(self) -> None:
-        """Answer all metrics."""
+        """Answer with all metrics."""
         self.write_common_headers(metrics.CONTENT_TYPE)
         self.finish(self.context.metrics.exposition())
 
 
 class UnknownPathHandler(ApiHandler):
-    """Answers paths that no route knows."""
+    """Answers requests whose path matches no route."""
 
-    counted = False
+    uses_admission = False
 
     def prepare(self) -> None:
-        """Refuse, whatever the method."""
+        """Raise NotFound for every method."""
         super().prepare()
         raise NotFound("no such path", path=self.request.path[:200])
--- a/passgate/server/openapi.py
+++ b/passgate/server/openapi.py
@@ -1,6 +1,6 @@
-"""The OpenAPI document of both ports, made from the route tables and typed bodies.
+"""Generates the OpenAPI document of both ports from the route tables and the types of the bodies.
 
-Write it anew after a change::
+Regenerate the committed document after a change::
 
     .venv/bin/python -m passgate.server.openapi > docs/openapi.json
 """
@@ -19,11 +19,11 @@
 from passgate.server import wire
 from passgate.server.routes import CALLER_ROUTES, HEALTH_ROUTES, OPERATOR_ROUTES, Operation, Route
 
-REFERENCE = "#/components/schemas/{name}"
-JSON_TYPE = "application/json"
-EVENT_STREAM_TYPE = "text/event-stream"
+REFERENCE_TEMPLATE = "#/components/schemas/{name}"
+JSON_CONTENT_TYPE = "application/json"
+EVENT_STREAM_CONTENT_TYPE = "text/event-stream"
 STREAMED_ROUTES = frozenset(("completions", "chat_completions"))
-HEADER_TEXTS = {
+HEADER_DESCRIPTIONS = {
     "Idempotency-Key": "Key of one logical request. The request runs at most once for a caller and key, "
     "whichever daemon is asked; a repeat gets the stored answer. On lots: names the lot.",
     "X-Passgate-Not-Repeatable": "true: the request runs at most once. Without Idempotency-Key the "
@@ -47,17 +47,17 @@
 
 
 def make_document() -> Document:
-    """Return the document of the callers' and operators' ports."""
+    """Return the document for the callers' and the operators' port."""
     ports = (
         ("caller", CALLER_ROUTES + HEALTH_ROUTES),
         ("operator", OPERATOR_ROUTES),
     )
-    references, components = _schemas([route for _, routes in ports for route in routes])
+    references, components = _make_schemas([route for _, routes in ports for route in routes])
     paths: dict[str, Any] = {}
     for port, routes in ports:
         for route in routes:
-            paths[route.path.replace("...}", "}")] = _path(port, route, references)
-    components["ErrorCodes"] = {"description": "Values of error.code.", "enum": sorted(_error_codes())}
+            paths[route.path.replace("...}", "}")] = _describe_path(port, route, references)
+    components["ErrorCodes"] = {"description": "Values of error.code.", "enum": sorted(_list_error_codes())}
     return Document(
         info={
             "title": "passgate",
@@ -73,81 +73,85 @@
     )
 
 
-def _schemas(routes: list[Route]) -> tuple[dict[Any, Any], dict[str, Any]]:
-    kinds: list[Any] = [wire.ErrorAnswer]
+def _make_schemas(routes: list[Route]) -> tuple[dict[Any, Any], dict[str, Any]]:
+    """Return the schema reference of each body type, and the schemas by component name."""
+    body_types: list[Any] = [wire.ErrorAnswer]
     for route in routes:
         for operation in route.operations:
-            kinds.extend(kind for kind in (operation.request, operation.answer) if kind is not None)
-    unique = list(dict.fromkeys(kinds))
-    schemas, components = msgspec.json.schema_components(unique, ref_template=REFERENCE)
-    return dict(zip(unique, schemas, strict=True)), dict(components)
+            body_types.extend(kind for kind in (operation.request, operation.answer) if kind is not None)
+    unique_types = list(dict.fromkeys(body_types))
+    schemas, components = msgspec.json.schema_components(unique_types, ref_template=REFERENCE_TEMPLATE)
+    return dict(zip(unique_types, schemas, strict=True)), dict(components)
 
 
-def _error_codes() -> set[str]:
+def _list_error_codes() -> set[str]:
+    """Return the codes of all error classes that ``passgate.errors`` exports."""
     codes: set[str] = set()
     pending = [PassgateError]
     while pending:
-        kind = pending.pop()
-        codes.add(kind.code)
-        pending.extend(kind.__subclasses__())
-    return {code for code in codes if _defined_in_tree(code)}
+        error_class = pending.pop()
+        codes.add(error_class.code)
+        pending.extend(error_class.__subclasses__())
+    return {code for code in codes if _is_code_of_errors_package(code)}
 
 
-def _defined_in_tree(code: str) -> bool:
+def _is_code_of_errors_package(code: str) -> bool:
     from passgate import errors
 
     members = inspect.getmembers(errors, inspect.isclass)
     return any(issubclass(kind, PassgateError) and kind.code == code for _, kind in members)
 
 
-def _path(port: str, route: Route, references: dict[Any, Any]) -> dict[str, Any]:
+def _describe_path(port: str, route: Route, references: dict[Any, Any]) -> dict[str, Any]:
     return {
-        operation.method.lower(): _operation(port, route, operation, references)
+        operation.method.lower(): _describe_operation(port, route, operation, references)
         for operation in route.operations
     }
 
 
-def _operation(port: str, route: Route, operation: Operation, references: dict[Any, Any]) -> dict[str, Any]:
+def _describe_operation(
+    port: str, route: Route, operation: Operation, references: dict[Any, Any]
+) -> dict[str, Any]:
     described: dict[str, Any] = {
         "operationId": f"{operation.method.lower()}_{route.name}",
         "summary": operation.summary,
         "tags": [port],
         "security": [{"bearer": []}, {}],
-        "parameters": _parameters(route, operation),
+        "parameters": _describe_parameters(route, operation),
         "responses": {
-            str(operation.status): _answer(route, operation, references),
+            str(operation.status): _describe_answer(route, operation, references),
             "default": {
                 "description": "Typed error; Retry-After is set when a later try may succeed.",
-                "content": {JSON_TYPE: {"schema": references[wire.ErrorAnswer]}},
+                "content": {JSON_CONTENT_TYPE: {"schema": references[wire.ErrorAnswer]}},
             },
         },
     }
     if operation.request is not None:
-        content = {JSON_TYPE: {"schema": references[operation.request]}}
+        content = {JSON_CONTENT_TYPE: {"schema": references[operation.request]}}
         described["requestBody"] = {"required": True, "content": content}
     return described
 
 
-def _answer(route: Route, operation: Operation, references: dict[Any, Any]) -> dict[str, Any]:
+def _describe_answer(route: Route, operation: Operation, references: dict[Any, Any]) -> dict[str, Any]:
     if operation.answer is None:
         return {"description": "Passed through.", "content": {"*/*": {}}}
-    content: dict[str, Any] = {JSON_TYPE: {"schema": references[operation.answer]}}
+    content: dict[str, Any] = {JSON_CONTENT_TYPE: {"schema": references[operation.answer]}}
     if route.name in STREAMED_ROUTES:
-        content[EVENT_STREAM_TYPE] = {"schema": references[operation.answer]}
+        content[EVENT_STREAM_CONTENT_TYPE] = {"schema": references[operation.answer]}
     return {"description": operation.summary, "content": content}
 
 
-def _parameters(route: Route, operation: Operation) -> list[dict[str, Any]]:
+def _describe_parameters(route: Route, operation: Operation) -> list[dict[str, Any]]:
     names = re.findall(r"{([a-z_]+)(?:\.\.\.)?}", route.path)
-    found: list[dict[str, Any]] = [
+    parameters: list[dict[str, Any]] = [
         {"name": name, "in": "path", "required": True, "schema": {"type": "string"}} for name in names
     ]
-    found.extend({"name": name, "in": "query", "schema": {"type": "string"}} for name in operation.query)
-    found.extend(
-        {"name": name, "in": "header", "description": HEADER_TEXTS[name], "schema": {"type": "string"}}
+    parameters.extend({"name": name, "in": "query", "schema": {"type": "string"}} for name in operation.query)
+    parameters.extend(
+        {"name": name, "in": "header", "description": HEADER_DESCRIPTIONS[name], "schema": {"type": "string"}}
         for name in operation.headers
     )
-    return found
+    return parameters
 
 
 def render() -> bytes:
--- a/passgate/server/operators.py
+++ b/passgate/server/operators.py
@@ -1,4 +1,4 @@
-"""Operators' interface: configuration objects, and who has which revision."""
+"""Handlers of the operators' port: configuration objects, and the revision on each daemon."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from passgate.errors import InvalidRequest, NotFound, PassgateError
 from passgate.selectors import Selector
 from passgate.server.base import OperatorHandler
-from passgate.server.config_views import view_object
+from passgate.server.config_views import make_object_view
 from passgate.server.wire import (
     ApplyAnswer,
     ApplyObject,
@@ -20,29 +20,34 @@
 )
 from passgate.state.configuration import ConfigObject, ConfigurationState
 
-KINDS = ("Pool", "ModelVersion", "PriorityClass")
+OBJECT_KINDS = ("Pool", "ModelVersion", "PriorityClass")
 
 
 class ConfigHandlerBase(OperatorHandler):
-    """Shared steps of the configuration handlers."""
+    """Base of the configuration handlers."""
 
     @property
     def state(self) -> ConfigurationState:
-        """Return the configuration in force on this daemon."""
+        """Return the configuration that is active on this daemon."""
         return self.context.services.configuration.state
 
-    def list_objects(self, kinds: tuple[str, ...]) -> None:
-        """Answer with all objects of these kinds that the selector matches."""
+    def answer_with_objects(self, kinds: tuple[str, ...]) -> None:
+        """Answer with the objects of these kinds that match the query's label selector, or with all."""
         text = self.get_query_argument("selector", "")
         selector = Selector.parse(text) if text else None
         objects: list[ConfigObject] = []
         for kind in kinds:
             objects.extend(self.state.objects(kind, selector))
-        views = tuple(view_object(item) for item in objects)
+        views = tuple(make_object_view(item) for item in objects)
         self.answer_json(ConfigList(revision=self.state.revision, objects=views))
 
     async def put_object(self, item: ApplyObject) -> int:
-        """Check and put one object; return its revision once it is on the log."""
+        """Create or replace one object; return its revision once it is on the log.
+
+        Raises:
+            PassgateError: the kind is unknown, the object is not valid, its revision is not the expected one,
+                or the log did not confirm the change in time.
+        """
         check_kind(item.kind)
         timeout_s = self.context.settings.limits.durability_timeout_s
         service = self.context.services.configuration
@@ -51,20 +56,22 @@
 
 
 def check_kind(kind: str) -> None:
-    """Check a kind's name; raises NotFound naming the known ones."""
-    if kind not in KINDS:
-        raise NotFound(f"no kind is named {kind!r}", kind=kind, known=", ".join(KINDS))
+    """Check that a kind exists; raises NotFound that lists the known kinds."""
+    if kind not in OBJECT_KINDS:
+        raise NotFound(
+            f"configuration kind {kind!r} does not exist", kind=kind, known=", ".join(OBJECT_KINDS)
+        )
 
 
 class ConfigCollectionHandler(ConfigHandlerBase):
-    """``/v1/config``: everything."""
+    """``/v1/config``: objects of all kinds."""
 
     async def get(self) -> None:
         """List objects of all kinds."""
-        self.list_objects(KINDS)
+        self.answer_with_objects(OBJECT_KINDS)
 
     async def post(self) -> None:
-        """Put several objects in order, up to the first error."""
+        """Create or replace several objects in order, up to the first error; earlier ones stay."""
         body = self.decode_body(ApplyRequest)
         results: list[ApplyResult] = []
         status = 200
@@ -86,22 +93,22 @@
     async def get(self, kind: str) -> None:
         """List the objects of one kind."""
         check_kind(kind)
-        self.list_objects((kind,))
+        self.answer_with_objects((kind,))
 
 
 class ConfigObjectHandler(ConfigHandlerBase):
     """``/v1/config/{kind}/{name}``: one object."""
 
     async def get(self, kind: str, name: str) -> None:
-        """Show one object."""
+        """Return one object."""
         check_kind(kind)
         item = self.state.get(kind, name)
         if item is None:
-            raise NotFound(f"no {kind} is named {name!r}", kind=kind, name=name)
-        self.answer_json(view_object(item))
+            raise NotFound(f"{kind} {name!r} does not exist", kind=kind, name=name)
+        self.answer_json(make_object_view(item))
 
     async def put(self, kind: str, name: str) -> None:
-        """Create or replace one object; answered once it is on the log."""
+        """Create or replace one object; answers once the change is on the log."""
         body = self.decode_body(PutObjectRequest)
         item = ApplyObject(
             kind=kind,
@@ -114,11 +121,13 @@
         self.answer_json(ChangeAnswer(kind=kind, name=name, revision=revision))
 
     async def delete(self, kind: str, name: str) -> None:
-        """Delete one object."""
+        """Delete one object; answers once the change is on the log."""
         check_kind(kind)
         expected = self.get_query_argument("expected_revision", "")
         if expected and not (expected.isascii() and expected.isdigit() and len(expected) < 20):
-            raise InvalidRequest("expected_revision must be a number", field="expected_revision")
+            raise InvalidRequest(
+                "expected_revision must be a non-negative integer", field="expected_revision"
+            )
         timeout_s = self.context.settings.limits.durability_timeout_s
         service = self.context.services.configuration
         revision = await service.delete(kind, name, int(expected) if expected else None, timeout_s)
@@ -126,10 +135,10 @@
 
 
 class WatchHandler(OperatorHandler):
-    """``/v1/watch``: which daemon has which revision."""
+    """``/v1/watch``: the configuration revision of each daemon."""
 
     async def get(self) -> None:
-        """List the daemons with their revisions, unreachable and lagging ones first."""
+        """List the daemons with their revisions: unreachable ones first, then those furthest behind."""
         views = await self.context.services.cluster_status.collect()
         newest = max(view.revision for view in views)
         daemons = [
--- a/passgate/server/options.py
+++ b/passgate/server/options.py
@@ -1,6 +1,6 @@
-"""Options that callers give in headers or fields, checked and typed.
+"""Reading and checking of the options that callers set in headers or body fields.
 
-Headers go before fields of the same meaning.
+A header takes precedence over a body field of the same meaning.
 """
 
 from __future__ import annotations
@@ -25,75 +25,85 @@
 DEADLINE_HEADER = "X-Passgate-Deadline-Ms"
 PRIORITY_HEADER = "X-Passgate-Priority"
 SELECTOR_HEADER = "X-Passgate-Selector"
-KEY_FORM = re.compile(r"^[\x20-\x7e]{1,256}$")
+IDEMPOTENCY_KEY_PATTERN = re.compile(r"^[\x20-\x7e]{1,256}$")
 TRUE_WORDS = frozenset(("1", "true", "yes"))
 FALSE_WORDS = frozenset(("", "0", "false", "no"))
 MS_PER_S = 1000.0
-TOKEN_LIMIT = 2**32
+TOKEN_ID_LIMIT = 2**32
 
 
 class CallOptions(msgspec.Struct, frozen=True, kw_only=True):
-    """Options of one call."""
+    """Options from the headers of one call."""
 
     deadline_s: float
-    """Absolute loop time."""
+    """Time on the monotonic clock until which the caller waits for the answer."""
     priority_class: str
     """Empty when the caller named none."""
     selector: str
+    """Label selector over pools; empty when there is none."""
     claim_key: str | None
-    """Set when the call may run at most once; unique to caller and key."""
+    """Caller and key under which the call may run at most once; None when it may be repeated."""
 
     @property
     def repeatable(self) -> bool:
-        """Return whether the call may be sent to a back end again after an unknown outcome."""
+        """Return whether the call may be sent to a replica again after an unknown outcome."""
         return self.claim_key is None
 
 
 def read_options(
     headers: Mapping[str, str], caller: str, request_id: str, limits: LimitSettings
 ) -> CallOptions:
-    """Return the options of a call; raises InvalidRequest naming the header."""
+    """Return the options of a call; raises InvalidRequest that names the header.
+
+    ``request_id`` identifies a not-repeatable call that has neither an idempotency key nor an X-Request-Id.
+    """
     return CallOptions(
-        deadline_s=clock.monotonic_s() + _deadline(headers, limits),
+        deadline_s=clock.monotonic_s() + _read_timeout_s(headers, limits),
         priority_class=headers.get(PRIORITY_HEADER, ""),
         selector=headers.get(SELECTOR_HEADER, ""),
-        claim_key=_claim_key(headers, caller, request_id),
+        claim_key=_make_claim_key(headers, caller, request_id),
     )
 
 
-def _deadline(headers: Mapping[str, str], limits: LimitSettings) -> float:
+def _read_timeout_s(headers: Mapping[str, str], limits: LimitSettings) -> float:
     text = headers.get(DEADLINE_HEADER, "")
     if not text:
         return limits.default_deadline_s
     try:
-        value_s = float(text) / MS_PER_S
+        timeout_s = float(text) / MS_PER_S
     except ValueError:
-        value_s = math.nan
-    if not 0 < value_s <= limits.max_deadline_s:
-        largest_ms = limits.max_deadline_s * MS_PER_S
+        timeout_s = math.nan
+    if not 0 < timeout_s <= limits.max_deadline_s:
+        max_ms = limits.max_deadline_s * MS_PER_S
         raise InvalidRequest(
-            f"{DEADLINE_HEADER} must be milliseconds above 0 and at most {largest_ms:g}",
+            f"{DEADLINE_HEADER} must be above 0 and at most {max_ms:g} milliseconds",
             header=DEADLINE_HEADER,
         )
-    return value_s
+    return timeout_s
 
 
-def _claim_key(headers: Mapping[str, str], caller: str, request_id: str) -> str | None:
+def _make_claim_key(headers: Mapping[str, str], caller: str, request_id: str) -> str | None:
     key = headers.get(IDEMPOTENCY_KEY_HEADER, "")
-    mark = headers.get(NOT_REPEATABLE_HEADER, "").lower()
-    if mark not in TRUE_WORDS | FALSE_WORDS:
+    not_repeatable = headers.get(NOT_REPEATABLE_HEADER, "").lower()
+    if not_repeatable not in TRUE_WORDS | FALSE_WORDS:
         raise InvalidRequest(f"{NOT_REPEATABLE_HEADER} must be true or false", header=NOT_REPEATABLE_HEADER)
-    if key and not KEY_FORM.match(key):
-        raise InvalidRequest(f"{IDEMPOTENCY_KEY_HEADER} has a wrong form", header=IDEMPOTENCY_KEY_HEADER)
+    if key and not IDEMPOTENCY_KEY_PATTERN.match(key):
+        raise InvalidRequest(
+            f"{IDEMPOTENCY_KEY_HEADER} must be 1 to 256 printable ASCII characters",
+            header=IDEMPOTENCY_KEY_HEADER,
+        )
     if key:
         return f"{caller}/key/{key}"
-    if mark in TRUE_WORDS:
+    if not_repeatable in TRUE_WORDS:
         return f"{caller}/request/{headers.get('X-Request-Id') or request_id}"
     return None
 
 
 def request_digest(*parts: bytes) -> str:
-    """Return a digest that differs for different requests; parts can not run into each other."""
+    """Return the SHA-256 digest of a request's parts.
+
+    Each part is hashed after its length, so that moving bytes from one part to the next gives another digest.
+    """
     digest = hashlib.sha256()
     for part in parts:
         digest.update(len(part).to_bytes(8, "big"))
@@ -102,60 +112,81 @@
 
 
 def choose_engine_pool(state: ConfigurationState, selector: str, model: str) -> ConfigObject:
-    """Return the engine pool that a selector over pool labels or a model's name chooses.
+    """Return the first engine pool by name that matches the label selector and serves the model.
+
+    An empty ``selector`` or ``model`` matches every pool, but one of them is required.
 
     Raises:
-        NoMatchingPool: none matches; SelectorSyntaxError, InvalidRequest: it can not be understood.
+        InvalidRequest: both are empty.
+        SelectorSyntaxError: the selector can not be parsed.
+        NoMatchingPool: no engine pool matches.
     """
     if not selector and not model:
-        raise InvalidRequest("a model or a selector is needed", field="model")
+        raise InvalidRequest("a model or a selector is required", field="model")
     if not selector:
-        return _pool_of_model(state.objects("Pool"), model)
+        return _find_pool_of_model(state.objects("Pool"), model)
     parsed = Selector.parse(selector)
     if not model:
         return state.select_pool(parsed, MachineRole.ENGINE)
-    return _pool_of_model(state.objects("Pool", parsed), model)
+    return _find_pool_of_model(state.objects("Pool", parsed), model)
 
 
-def _pool_of_model(pools: list[ConfigObject], model: str) -> ConfigObject:
+def _find_pool_of_model(pools: list[ConfigObject], model: str) -> ConfigObject:
     matching = [pool for pool in pools if pool.spec.role is MachineRole.ENGINE and pool.spec.model == model]
     if not matching:
-        raise NoMatchingPool(f"no pool serves model {model!r}", model=model)
+        raise NoMatchingPool(f"no matching pool serves model {model!r}", model=model)
     return min(matching, key=lambda pool: pool.name)
 
 
 def choose_app_pool(state: ConfigurationState, name: str, selector: str) -> ConfigObject:
-    """Return the application pool of that name, or the selected one when the name is ``-``."""
+    """Return the application pool of that name, or the first one that the selector matches if it is ``-``.
+
+    Raises:
+        InvalidRequest: the name is ``-`` and the selector is empty.
+        SelectorSyntaxError: the selector can not be parsed.
+        NoMatchingPool: there is no such application pool.
+    """
     if name == "-":
         if not selector:
-            raise InvalidRequest(f"the pool name - needs {SELECTOR_HEADER}", header=SELECTOR_HEADER)
+            raise InvalidRequest(
+                f"the pool name - requires the header {SELECTOR_HEADER}", header=SELECTOR_HEADER
+            )
         return state.select_pool(Selector.parse(selector), MachineRole.APP)
     pool = state.get("Pool", name)
     if pool is None or pool.spec.role is not MachineRole.APP:
-        raise NoMatchingPool(f"no application pool is named {name!r}", pool=name)
+        raise NoMatchingPool(f"application pool {name!r} does not exist", pool=name)
     return pool
 
 
-def check_tokens(tokens: Sequence[int], field: str) -> None:
-    """Check that all token identifiers fit 32 bits; raises InvalidRequest."""
-    if min(tokens) < 0 or max(tokens) >= TOKEN_LIMIT:
-        raise InvalidRequest("token identifiers are 0 to 2^32 - 1", field=field)
+def check_token_ids(tokens: Sequence[int], field: str) -> None:
+    """Check that all token identifiers are unsigned 32-bit integers; raises InvalidRequest.
+
+    ``tokens`` must not be empty; ``field`` is the name for the error.
+    """
+    if min(tokens) < 0 or max(tokens) >= TOKEN_ID_LIMIT:
+        raise InvalidRequest("token identifiers must be from 0 to 2^32 - 1", field=field)
 
 
 def check_priority_class(state: ConfigurationState, name: str) -> None:
-    """Check that a named priority class exists; raises NotFound."""
+    """Check that a priority class exists, if one is named; raises NotFound."""
     if name in DEFAULT_PRIORITY_CLASSES:
         return
     if name and state.get("PriorityClass", name) is None:
-        raise NotFound(f"no priority class is named {name!r}", priority_class=name)
+        raise NotFound(f"priority class {name!r} does not exist", priority_class=name)
 
 
-def oldest_allowed_version(
+def resolve_minimum_version(
     state: ConfigurationState, model: str, minimum_version: int, version_selector: str
 ) -> int:
-    """Return the oldest weight version that may make any token of an answer.
+    """Return the oldest weight version that may produce any token of an answer.
+
+    That is the newer of ``minimum_version`` and, if there is a version selector, the newest version of the
+    model that matches it and is not withdrawn.
 
-    A version selector raises it to the newest version, not withdrawn, whose labels match.
+    Raises:
+        InvalidRequest: ``minimum_version`` is negative.
+        SelectorSyntaxError: the selector can not be parsed.
+        NotFound: no version matches the selector.
     """
     if minimum_version < 0:
         raise InvalidRequest("minimum_version must not be negative", field="minimum_version")
@@ -167,5 +198,5 @@
         if version.spec.model == model and not version.spec.withdrawn
     ]
     if not matching:
-        raise NotFound("no model version matches", selector=version_selector, model=model)
+        raise NotFound("no model version matches version_selector", selector=version_selector, model=model)
     return max(minimum_version, *matching)
--- a/passgate/server/parts.py
+++ b/passgate/server/parts.py
@@ -1,4 +1,4 @@
-"""The parts of one daemon, built from its settings and connected to each other."""
+"""The components of one daemon, built from its settings and connected to each other."""
 
 from __future__ import annotations
 
@@ -29,11 +29,11 @@
 from passgate.state.leases import LeaseService
 from passgate.state.lots import LotService
 
-RUN_BYTES = 4
+INCARNATION_ID_BYTES = 4
 
 
 class Outside(msgspec.Struct, kw_only=True):
-    """Adapters of the outside systems; tests and the emulator give their own."""
+    """Clients of the external systems; tests and the simulation pass their own."""
 
     log: LogClient
     machine_list: MachineList
@@ -44,10 +44,10 @@
 
 
 class Parts(msgspec.Struct, kw_only=True):
-    """Everything that one daemon runs."""
+    """The components that one daemon runs."""
 
-    run_id: str
-    """Names this process run: daemon id and a random part."""
+    incarnation_id: str
+    """Identifies this run of the daemon's process: daemon id, ``/`` and a random part."""
     outside: Outside
     membership: MembershipAgent
     configuration: ConfigurationService
@@ -59,8 +59,8 @@
     rollouts: RolloutService
 
 
-def connect_outside(settings: Settings, http: HttpClient) -> Outside:
-    """Return adapters over sockets; binds the peer port."""
+def connect_external_systems(settings: Settings, http: HttpClient) -> Outside:
+    """Return clients that use sockets; binds the peer port, and raises SettingsError when it cannot."""
     credential = settings.credentials.platform.reveal() or None
     store_address = settings.weight_store_address
     return Outside(
@@ -69,33 +69,37 @@
         weight_store=HttpWeightStore(http, store_address, credential) if store_address else None,
         engine=HttpEngineClient(http),
         app=HttpAppClient(http),
-        transport=_peer_transport(settings),
+        transport=_make_peer_transport(settings),
     )
 
 
-def _peer_transport(settings: Settings) -> TcpPeerTransport:
+def _make_peer_transport(settings: Settings) -> TcpPeerTransport:
     host, port = parse_address(settings.peer_address)
     try:
         return TcpPeerTransport(host, port, credential=settings.credentials.peers.reveal())
     except OSError as error:
-        problem = f"can not listen on {settings.peer_address}: {error.strerror}"
+        problem = f"cannot listen on {settings.peer_address}: {error.strerror}"
         raise SettingsError(problem, key="peer_address", expected="a free address") from error
 
 
 def make_http_client(settings: Settings) -> HttpClient:
-    """Return the HTTP client of a daemon, with as many transfers as it may hold requests."""
+    """Return the HTTP client of a daemon, which allows one transfer for each request in flight."""
     return HttpClient(HttpLimits(max_transfers=settings.limits.max_in_flight))
 
 
-def build_parts(settings: Settings, outside: Outside, random: Random) -> Parts:
-    """Build and connect all parts; nothing runs yet.  Needs a running loop."""
+def build_components(settings: Settings, outside: Outside, random: Random) -> Parts:
+    """Build and connect all components without starting them; needs a running loop.
+
+    Raises:
+        SettingsError: the settings name an unknown routing policy.
+    """
     if settings.policy not in POLICIES:
         names = ", ".join(sorted(POLICIES))
-        raise SettingsError(f"unknown policy {settings.policy!r}", key="policy", expected=names)
-    run_id = f"{settings.daemon_id}/{random.randbytes(RUN_BYTES).hex()}"
-    self_info = MemberInfo(member_id=run_id, address=outside.transport.address, zone=settings.zone)
+        raise SettingsError(f"unknown routing policy {settings.policy!r}", key="policy", expected=names)
+    incarnation_id = f"{settings.daemon_id}/{random.randbytes(INCARNATION_ID_BYTES).hex()}"
+    self_info = MemberInfo(member_id=incarnation_id, address=outside.transport.address, zone=settings.zone)
     membership = MembershipAgent(self_info, outside.transport, Random(random.random()))
-    configuration = ConfigurationService(outside.log, f"{run_id}/config", Random(random.random()))
+    configuration = ConfigurationService(outside.log, f"{incarnation_id}/config", Random(random.random()))
     directory = ReplicaDirectory()
     dispatcher = Dispatcher(
         outside.engine,
@@ -107,19 +111,21 @@
         Random(random.random()),
         owner=settings.daemon_id,
     )
-    leases = LeaseService(outside.log, run_id, lambda: live_members(membership), Random(random.random()))
+    leases = LeaseService(
+        outside.log, incarnation_id, lambda: list_live_members(membership), Random(random.random())
+    )
     return Parts(
-        run_id=run_id,
+        incarnation_id=incarnation_id,
         outside=outside,
         membership=membership,
         configuration=configuration,
         leases=leases,
-        claims=ClaimService(outside.log, run_id, membership.is_alive, Random(random.random())),
+        claims=ClaimService(outside.log, incarnation_id, membership.is_alive, Random(random.random())),
         lots=LotService(
             outside.log,
             dispatcher.generate,
             configuration.state.newest_version,
-            run_id,
+            incarnation_id,
             membership.is_alive,
             Random(random.random()),
         ),
@@ -129,14 +135,14 @@
     )
 
 
-def live_members(membership: MembershipAgent) -> Sequence[str]:
-    """Return the process runs that count as alive."""
-    alive = (MemberState.ALIVE, MemberState.SUSPECT)
-    return [member.member_id for member in membership.members() if member.state in alive]
+def list_live_members(membership: MembershipAgent) -> Sequence[str]:
+    """Return the incarnation ids of the members that are alive or suspected."""
+    live_states = (MemberState.ALIVE, MemberState.SUSPECT)
+    return [member.member_id for member in membership.members() if member.state in live_states]
 
 
-async def close_parts(parts: Parts) -> None:
-    """Stop all parts at once."""
+async def close_components(parts: Parts) -> None:
+    """Close all components, those that use others first."""
     await parts.rollouts.close()
     await parts.lots.close()
     await parts.claims.close()
--- a/passgate/server/rollouts.py
+++ b/passgate/server/rollouts.py
@@ -1,8 +1,8 @@
-"""Weight rollouts of this daemon: managers for each set of engines that pools share.
+"""Creates the managers that roll out weights on this daemon, one for each group of engines.
 
-Pools with the same selector are served by the same engines, whose orders must
-come under one fence, so they share one role and one manager, or one per zone when
-a pool asks for it.
+Pools with the same selector are served by the same engines.  As the orders to an engine must all carry the
+fence of one lease, these pools share one lease role and one manager, or one of each per zone if a pool is
+configured so.
 """
 
 from __future__ import annotations
@@ -21,49 +21,53 @@
 from passgate.state.configuration import ConfigurationService, ConfigurationState, PoolSpec
 from passgate.state.leases import LeaseService
 
-ROLE_PREFIX = "rollout/"
-ZONES_CHECK_S = 5.0
-"""Engines may appear in new zones; roles by zone are looked at again after this time."""
+ROLLOUT_ROLE_PREFIX = "rollout/"
+ZONE_CHECK_INTERVAL_S = 5.0
+"""How often managers by zone are updated, as engines may appear in new zones."""
 
 
-class GroupKey(msgspec.Struct, frozen=True):
-    """One set of engines under one role."""
+class EngineGroupKey(msgspec.Struct, frozen=True):
+    """Identifies a group of engines that one manager orders."""
 
     selector: str
-    """In its plain form."""
+    """Label selector of the engines, in normal form."""
     zone: str
-    """Empty when one manager orders the engines of all zones."""
+    """Zone of the engines; empty for the engines of all zones."""
 
     @property
     def role(self) -> str:
-        """Return the role whose holder orders these engines."""
-        return ROLE_PREFIX + self.selector + (f"/{self.zone}" if self.zone else "")
+        """Return the lease role whose holder orders these engines."""
+        return ROLLOUT_ROLE_PREFIX + self.selector + (f"/{self.zone}" if self.zone else "")
 
 
 class EngineGroup:
-    """Engines behind pools of one selector; the source that a manager reads."""
+    """Provides a rollout manager with the replicas and target versions of its group."""
 
-    def __init__(self, key: GroupKey, configuration: ConfigurationState, directory: ReplicaDirectory) -> None:
+    def __init__(
+        self, key: EngineGroupKey, configuration: ConfigurationState, directory: ReplicaDirectory
+    ) -> None:
         self._key = key
         self._configuration = configuration
         self._directory = directory
-        self._any_pool = PoolSpec(selector=key.selector, role=MachineRole.ENGINE, model="any")
+        self._selecting_pool = PoolSpec(selector=key.selector, role=MachineRole.ENGINE, model="any")
+        """Selects the engines in the directory, whatever models the pools serve."""
         self.pools: tuple[PoolSpec, ...] = ()
+        """Pools of the group, set by the service; the targets are those of their models."""
 
     def replicas(self) -> list[ReplicaView]:
-        """Return the replicas under this role that are not leaving."""
-        return [view for view in self._all_replicas() if self._key.zone in ("", view.zone)]
+        """Return the live replicas of the group."""
+        return [view for view in self._list_live_replicas() if self._key.zone in ("", view.zone)]
 
-    def other_zones(self) -> list[ReplicaView]:
-        """Return the replicas that other zones' managers lead."""
-        return [view for view in self._all_replicas() if self._key.zone not in ("", view.zone)]
+    def list_replicas_of_other_zones(self) -> list[ReplicaView]:
+        """Return the live replicas of the same selector in other zones; empty for a group of all zones."""
+        return [view for view in self._list_live_replicas() if self._key.zone not in ("", view.zone)]
 
     def targets(self) -> list[RolloutTarget]:
-        """Return the newest version that is not withdrawn of each model of the group."""
+        """Return for each model of the group its newest version that is not withdrawn."""
         by_model = {pool.model: pool for pool in self.pools}
-        return [self._target(by_model[model]) for model in sorted(by_model)]
+        return [self._make_target(by_model[model]) for model in sorted(by_model)]
 
-    def _all_replicas(self) -> list[ReplicaView]:
+    def _list_live_replicas(self) -> list[ReplicaView]:
         return [
             ReplicaView(
                 replica_id=replica.replica_id,
@@ -71,11 +75,11 @@
                 zone=replica.zone,
                 generation=replica.generation,
             )
-            for replica in self._directory.replicas(self._any_pool)
+            for replica in self._directory.replicas(self._selecting_pool)
             if replica.state is MachineState.LIVE
         ]
 
-    def _target(self, pool: PoolSpec) -> RolloutTarget:
+    def _make_target(self, pool: PoolSpec) -> RolloutTarget:
         versions = [
             item.spec for item in self._configuration.objects("ModelVersion") if item.spec.model == pool.model
         ]
@@ -89,7 +93,7 @@
 
 
 class RolloutService:
-    """Keeps the managers that configuration asks for."""
+    """Starts, updates and stops rollout managers as the configuration changes."""
 
     def __init__(
         self,
@@ -106,85 +110,86 @@
         self._directory = directory
         self._random = random
         self._settings = settings or RolloutSettings()
-        self._managers: dict[GroupKey, RolloutManager] = {}
-        self._groups: dict[GroupKey, EngineGroup] = {}
-        self._in_force: dict[GroupKey, RolloutSettings] = {}
-        self._closing: set[asyncio.Task[None]] = set()
-        self._watching: asyncio.Task[None] | None = None
-        self._running = False
+        self._manager_by_key: dict[EngineGroupKey, RolloutManager] = {}
+        self._group_by_key: dict[EngineGroupKey, EngineGroup] = {}
+        self._settings_by_key: dict[EngineGroupKey, RolloutSettings] = {}
+        self._stopping_tasks: set[asyncio.Task[None]] = set()
+        self._zone_check_task: asyncio.Task[None] | None = None
+        self._is_running = False
 
     def start(self) -> None:
-        """Begin to manage; call it once the configuration in force is known."""
-        self._running = True
-        self._configuration.subscribe(self._changed)
-        self._changed(self._configuration.state)
-        self._watching = asyncio.ensure_future(self._watch_zones())
+        """Start the managers; to be called once the active configuration is known."""
+        self._is_running = True
+        self._configuration.subscribe(self._update_managers)
+        self._update_managers(self._configuration.state)
+        self._zone_check_task = asyncio.ensure_future(self._check_zones_periodically())
 
     def progress(self) -> dict[str, list[RolloutProgress]]:
-        """Return the progress of the groups that this daemon leads, by role without its prefix."""
-        found = {
-            key.role.removeprefix(ROLE_PREFIX): manager.progress() for key, manager in self._managers.items()
+        """Return the progress of the groups that this daemon leads, by lease role without its prefix."""
+        progress_by_role = {
+            key.role.removeprefix(ROLLOUT_ROLE_PREFIX): manager.progress()
+            for key, manager in self._manager_by_key.items()
         }
-        return {role: progress for role, progress in found.items() if progress}
+        return {role: progress for role, progress in progress_by_role.items() if progress}
 
     async def drain(self, timeout_s: float) -> None:
-        """Let orders in flight end and hand all roles over."""
-        self._stop_watching()
-        await asyncio.gather(*(manager.stop(timeout_s) for manager in self._managers.values()))
+        """Wait up to ``timeout_s`` for orders in flight, then release all leases."""
+        self._stop_updating()
+        await asyncio.gather(*(manager.stop(timeout_s) for manager in self._manager_by_key.values()))
 
     async def close(self) -> None:
-        """Stop at once."""
-        self._stop_watching()
-        managers, self._managers = list(self._managers.values()), {}
-        await asyncio.gather(*(manager.close() for manager in managers), *self._closing)
+        """Stop all managers at once."""
+        self._stop_updating()
+        managers, self._manager_by_key = list(self._manager_by_key.values()), {}
+        await asyncio.gather(*(manager.close() for manager in managers), *self._stopping_tasks)
 
-    def _stop_watching(self) -> None:
-        self._running = False
-        if self._watching is not None:
-            self._watching.cancel()
+    def _stop_updating(self) -> None:
+        self._is_running = False
+        if self._zone_check_task is not None:
+            self._zone_check_task.cancel()
 
-    async def _watch_zones(self) -> None:
+    async def _check_zones_periodically(self) -> None:
         while True:
-            await asyncio.sleep(ZONES_CHECK_S)
-            pools = _pools_by_selector(self._configuration.state).values()
+            await asyncio.sleep(ZONE_CHECK_INTERVAL_S)
+            pools = _group_pools_by_selector(self._configuration.state).values()
             if any(pool.rollout.by_zone for shared in pools for pool in shared):
-                self._changed(self._configuration.state)
+                self._update_managers(self._configuration.state)
 
-    def _changed(self, state: ConfigurationState) -> None:
-        if not self._running:
+    def _update_managers(self, state: ConfigurationState) -> None:
+        if not self._is_running:
             return
-        wanted: dict[GroupKey, tuple[PoolSpec, ...]] = {}
-        for selector, pools in _pools_by_selector(state).items():
-            wanted |= dict.fromkeys(self._keys(selector, pools), pools)
-        for key in self._managers.keys() - wanted.keys():
-            self._remove(key)
-        for key, pools in wanted.items():
-            self._update(key, pools)
-
-    def _keys(self, selector: str, pools: tuple[PoolSpec, ...]) -> list[GroupKey]:
+        pools_by_key: dict[EngineGroupKey, tuple[PoolSpec, ...]] = {}
+        for selector, pools in _group_pools_by_selector(state).items():
+            pools_by_key |= dict.fromkeys(self._make_keys(selector, pools), pools)
+        for key in self._manager_by_key.keys() - pools_by_key.keys():
+            self._stop_manager(key)
+        for key, pools in pools_by_key.items():
+            self._update_manager(key, pools)
+
+    def _make_keys(self, selector: str, pools: tuple[PoolSpec, ...]) -> list[EngineGroupKey]:
         if not any(pool.rollout.by_zone for pool in pools):
-            return [GroupKey(selector, "")]
-        group = EngineGroup(GroupKey(selector, ""), self._configuration.state, self._directory)
-        return [GroupKey(selector, zone) for zone in sorted({view.zone for view in group.replicas()})]
+            return [EngineGroupKey(selector, "")]
+        group = EngineGroup(EngineGroupKey(selector, ""), self._configuration.state, self._directory)
+        return [EngineGroupKey(selector, zone) for zone in sorted({view.zone for view in group.replicas()})]
 
-    def _update(self, key: GroupKey, pools: tuple[PoolSpec, ...]) -> None:
+    def _update_manager(self, key: EngineGroupKey, pools: tuple[PoolSpec, ...]) -> None:
         settings = self._settings_for(pools)
-        if key in self._managers and self._in_force[key] != settings:
-            self._remove(key)
-        if key not in self._managers:
-            self._add(key, settings)
-        self._groups[key].pools = pools
-        self._managers[key].notify()
+        if key in self._manager_by_key and self._settings_by_key[key] != settings:
+            self._stop_manager(key)
+        if key not in self._manager_by_key:
+            self._start_manager(key, settings)
+        self._group_by_key[key].pools = pools
+        self._manager_by_key[key].notify()
 
     def _settings_for(self, pools: tuple[PoolSpec, ...]) -> RolloutSettings:
-        """Return the settings with the strictest floors of the pools."""
+        """Return the settings with the highest capacity floors of the pools."""
         return msgspec.structs.replace(
             self._settings,
             capacity_floor=max(pool.rollout.capacity_floor for pool in pools),
             zone_capacity_floor=max(pool.rollout.zone_capacity_floor for pool in pools),
         )
 
-    def _add(self, key: GroupKey, settings: RolloutSettings) -> None:
+    def _start_manager(self, key: EngineGroupKey, settings: RolloutSettings) -> None:
         group = EngineGroup(key, self._configuration.state, self._directory)
         manager = RolloutManager(
             key.role,
@@ -193,27 +198,27 @@
             group,
             settings,
             Random(self._random.random()),
-            other_zones=group.other_zones if key.zone else None,
+            other_zones=group.list_replicas_of_other_zones if key.zone else None,
         )
-        self._groups[key] = group
-        self._managers[key] = manager
-        self._in_force[key] = settings
+        self._group_by_key[key] = group
+        self._manager_by_key[key] = manager
+        self._settings_by_key[key] = settings
         manager.start()
 
-    def _remove(self, key: GroupKey) -> None:
-        manager = self._managers.pop(key)
-        del self._groups[key], self._in_force[key]
+    def _stop_manager(self, key: EngineGroupKey) -> None:
+        manager = self._manager_by_key.pop(key)
+        del self._group_by_key[key], self._settings_by_key[key]
         task = asyncio.ensure_future(manager.stop(0.0))
-        self._closing.add(task)
-        task.add_done_callback(self._closing.discard)
+        self._stopping_tasks.add(task)
+        task.add_done_callback(self._stopping_tasks.discard)
 
 
-def _pools_by_selector(state: ConfigurationState) -> dict[str, tuple[PoolSpec, ...]]:
-    """Return the engine pools of each selector, in the selector's plain form."""
-    found: dict[str, tuple[PoolSpec, ...]] = {}
+def _group_pools_by_selector(state: ConfigurationState) -> dict[str, tuple[PoolSpec, ...]]:
+    """Return the engine pools by selector, in the selector's normal form."""
+    pools_by_selector: dict[str, tuple[PoolSpec, ...]] = {}
     for pool in state.objects("Pool"):
         assert isinstance(pool.spec, PoolSpec)
         if pool.spec.role is MachineRole.ENGINE:
             selector = str(Selector.parse(pool.spec.selector))
-            found[selector] = (*found.get(selector, ()), pool.spec)
-    return found
+            pools_by_selector[selector] = (*pools_by_selector.get(selector, ()), pool.spec)
+    return pools_by_selector
--- a/passgate/server/routes.py
+++ b/passgate/server/routes.py
@@ -1,4 +1,4 @@
-"""Route tables of the callers' and operators' ports; the OpenAPI document is made from them."""
+"""Route tables of the callers' and the operators' port; the OpenAPI document is generated from them."""
 
 from __future__ import annotations
 
@@ -14,32 +14,35 @@
 
 
 class Operation(msgspec.Struct, frozen=True, kw_only=True):
-    """One method of a route, as documented."""
+    """One HTTP method of a route and its documentation."""
 
     method: str
     summary: str
     request: Any = None
-    """Type of the JSON body."""
+    """Type of the JSON body; None when there is no JSON body."""
     answer: Any = None
-    """Type of the JSON answer; none for bytes that are passed through."""
+    """Type of the JSON answer; None when the answer is not JSON of a known type."""
     status: int = 200
+    """Status of a successful answer."""
     query: tuple[str, ...] = ()
+    """Names of the query parameters."""
     headers: tuple[str, ...] = ()
+    """Names of the request headers."""
 
 
 class Route(msgspec.Struct, frozen=True, kw_only=True):
-    """One path; ``{name}`` matches one segment, ``{name...}`` the rest."""
+    """One path with its handler; in the path ``{name}`` matches one segment, ``{name...}`` the rest."""
 
     name: str
     path: str
     handler: type[ApiHandler]
     operations: tuple[Operation, ...]
 
-    def pattern(self) -> str:
-        """Return the regular expression that tornado matches.
+    def to_regex(self) -> str:
+        """Return the path as a regular expression for tornado.
 
         >>> from passgate.server.health import HealthHandler
-        >>> Route(name="x", path="/a/{b}/{c...}", handler=HealthHandler, operations=()).pattern()
+        >>> Route(name="x", path="/a/{b}/{c...}", handler=HealthHandler, operations=()).to_regex()
         '/a/([^/]+)/(.*)'
         """
         parts = []
@@ -62,15 +65,17 @@
     "X-Passgate-Caller",
     "X-Request-Id",
 )
-PLAIN_HEADERS = ("X-Passgate-Caller", "X-Request-Id")
-OPEN_LOT_HEADERS = ("Idempotency-Key", "X-Passgate-Priority", "X-Passgate-Selector", *PLAIN_HEADERS)
+COMMON_HEADERS = ("X-Passgate-Caller", "X-Request-Id")
+OPEN_LOT_HEADERS = ("Idempotency-Key", "X-Passgate-Priority", "X-Passgate-Selector", *COMMON_HEADERS)
 
 HEALTH_ROUTES = (
     Route(
         name="healthz",
         path="/healthz",
         handler=health.HealthHandler,
-        operations=(Operation(method="GET", summary="The process answers.", answer=wire.HealthAnswer),),
+        operations=(
+            Operation(method="GET", summary="200 while the process answers.", answer=wire.HealthAnswer),
+        ),
     ),
     Route(
         name="readyz",
@@ -88,7 +93,7 @@
         operations=(
             Operation(
                 method="POST",
-                summary="Complete a prompt, whole or as server-sent events.",
+                summary="Complete a prompt, as one answer or as server-sent events.",
                 request=wire.CompletionRequest,
                 answer=wire.CompletionAnswer,
                 headers=CALL_HEADERS,
@@ -102,7 +107,7 @@
         operations=(
             Operation(
                 method="POST",
-                summary="Answer a conversation, whole or as server-sent events.",
+                summary="Answer a conversation, as one answer or as server-sent events.",
                 request=wire.ChatCompletionRequest,
                 answer=wire.ChatCompletionAnswer,
                 headers=CALL_HEADERS,
@@ -142,8 +147,10 @@
         path="/v1/lots/{lot_id}",
         handler=lots.LotHandler,
         operations=(
-            Operation(method="GET", summary="Show how far a lot is.", answer=LotInfo, headers=PLAIN_HEADERS),
-            Operation(method="DELETE", summary="Cancel a lot.", answer=wire.Done, headers=PLAIN_HEADERS),
+            Operation(
+                method="GET", summary="Show the state of a lot.", answer=LotInfo, headers=COMMON_HEADERS
+            ),
+            Operation(method="DELETE", summary="Cancel a lot.", answer=wire.Done, headers=COMMON_HEADERS),
         ),
     ),
     Route(
@@ -153,10 +160,10 @@
         operations=(
             Operation(
                 method="GET",
-                summary="Read finished samples by cursor.",
+                summary="Read finished samples from a cursor on.",
                 answer=SamplesPage,
                 query=("cursor", "limit", "wait_s", "trainer_version"),
-                headers=PLAIN_HEADERS,
+                headers=COMMON_HEADERS,
             ),
         ),
     ),
@@ -170,7 +177,7 @@
                 summary="Acknowledge samples.",
                 request=wire.SampleIds,
                 answer=wire.Done,
-                headers=PLAIN_HEADERS,
+                headers=COMMON_HEADERS,
             ),
         ),
     ),
@@ -184,7 +191,7 @@
                 summary="Have withdrawn samples produced again.",
                 request=wire.ReplaceSamplesRequest,
                 answer=wire.SampleIds,
-                headers=PLAIN_HEADERS,
+                headers=COMMON_HEADERS,
             ),
         ),
     ),
@@ -197,7 +204,7 @@
                 method="GET",
                 summary="List the versions of a model.",
                 answer=wire.VersionList,
-                headers=PLAIN_HEADERS,
+                headers=COMMON_HEADERS,
             ),
             Operation(
                 method="POST",
@@ -205,7 +212,7 @@
                 request=wire.PublishVersionRequest,
                 answer=wire.ChangeAnswer,
                 status=201,
-                headers=PLAIN_HEADERS,
+                headers=COMMON_HEADERS,
             ),
         ),
     ),
@@ -225,7 +232,7 @@
             ),
             Operation(
                 method="POST",
-                summary="Put several objects, in order, up to the first error.",
+                summary="Create or replace several objects, in order, up to the first error.",
                 request=wire.ApplyRequest,
                 answer=wire.ApplyAnswer,
             ),
@@ -269,31 +276,35 @@
         path="/v1/watch",
         handler=operators.WatchHandler,
         operations=(
-            Operation(method="GET", summary="Which daemon has which revision.", answer=wire.WatchAnswer),
+            Operation(
+                method="GET",
+                summary="List the configuration revision of each daemon.",
+                answer=wire.WatchAnswer,
+            ),
         ),
     ),
     Route(
         name="metrics",
         path="/metrics",
         handler=health.MetricsHandler,
-        operations=(Operation(method="GET", summary="Metrics in Prometheus' text format."),),
+        operations=(Operation(method="GET", summary="Metrics in the text format of Prometheus."),),
     ),
 )
 
 
 def make_application(routes: tuple[Route, ...], context: ServerContext) -> Application:
-    """Return the tornado application of one port."""
+    """Return the tornado application of one port: its routes and the health routes."""
     handlers = [
-        (route.pattern(), route.handler, {"context": context, "route_name": route.name})
+        (route.to_regex(), route.handler, {"context": context, "route_name": route.name})
         for route in routes + HEALTH_ROUTES
     ]
     return Application(
         handlers,
         default_handler_class=health.UnknownPathHandler,
         default_handler_args={"context": context, "route_name": "unknown"},
-        log_function=_log_nothing,
+        log_function=_skip_access_log,
     )
 
 
-def _log_nothing(handler: RequestHandler) -> None:
-    """Requests are counted, not logged."""
+def _skip_access_log(handler: RequestHandler) -> None:
+    """Write no access log, as requests are counted in the metrics."""
--- a/passgate/server/text_tokens.py
+++ b/passgate/server/text_tokens.py
@@ -1,9 +1,8 @@
-"""Mapping between text and token identifiers for callers that send text.
+"""Conversion between text and token identifiers for callers that send text.
 
-Engines take token identifiers.  A text prompt is mapped to one token for each
-byte of its UTF-8 form, and output tokens below 256 are mapped back the same
-way; any other token shows as U+FFFD.  Callers that need a real vocabulary send
-``prompt`` as token identifiers and read ``token_ids``.
+Engines take token identifiers.  A text prompt is encoded as one token for each byte of its UTF-8 encoding.
+Output tokens below 256 are decoded the same way; any other token becomes U+FFFD.  Callers that use the
+model's vocabulary send ``prompt`` as token identifiers and read ``token_ids``.
 
 >>> encode_text("né")
 (110, 195, 169)
@@ -18,12 +17,12 @@
 
 from passgate.server.wire import ChatMessage
 
-BYTE_TOKENS = 256
-OTHER_TOKEN_BYTES = "\ufffd".encode()
+BYTE_TOKEN_COUNT = 256
+REPLACEMENT_CHARACTER_BYTES = "\ufffd".encode()
 
 
 def encode_text(text: str) -> tuple[int, ...]:
-    """Return one token per byte of the text's UTF-8 form; lone surrogates become ``?``."""
+    """Return one token per byte of the text's UTF-8 encoding; lone surrogates become ``?``."""
     return tuple(text.encode("utf-8", errors="replace"))
 
 
@@ -34,12 +33,15 @@
 
 
 class TextDecoder:
-    """Turns output tokens into text piece by piece, keeping characters whole."""
+    """Decodes the tokens of one output incrementally; a character is returned with its last byte."""
 
     def __init__(self) -> None:
         self._decoder = codecs.getincrementaldecoder("utf-8")(errors="replace")
 
     def decode(self, tokens: Iterable[int], final: bool = False) -> str:
-        """Return the text that these further tokens complete."""
-        parts = (bytes((token,)) if 0 <= token < BYTE_TOKENS else OTHER_TOKEN_BYTES for token in tokens)
-        return self._decoder.decode(b"".join(parts), final)
+        """Return the text of the next tokens; ``final`` ends the output, an incomplete character included."""
+        encoded = (
+            bytes((token,)) if 0 <= token < BYTE_TOKEN_COUNT else REPLACEMENT_CHARACTER_BYTES
+            for token in tokens
+        )
+        return self._decoder.decode(b"".join(encoded), final)
--- a/passgate/server/wire.py
+++ b/passgate/server/wire.py
@@ -1,8 +1,7 @@
-"""JSON bodies of the callers' and operators' interfaces.
+"""JSON bodies of the callers' and the operators' HTTP interface.
 
-Unknown fields of completion requests are ignored, because clients of the
-OpenAI form send sampling fields that engines here do not know; all other
-bodies refuse unknown fields.
+Unknown fields of completion requests are ignored, because clients of the OpenAI API send sampling fields
+that the engines do not support; other request bodies with unknown fields are rejected.
 """
 
 from __future__ import annotations
@@ -16,33 +15,34 @@
 
 
 class ErrorAnswer(msgspec.Struct, frozen=True):
-    """Body of every answer that carries an error of passgate."""
+    """Body of every error answer."""
 
     error: ErrorBody
     request_id: str
+    """The caller's X-Request-Id or, if it sent none, the daemon's identifier of the request."""
 
 
 # --- completions -------------------------------------------------------------------
 
 
 class CompletionFields(msgspec.Struct, frozen=True, kw_only=True):
-    """Fields that both forms of completion request share."""
+    """Fields that text and chat completion requests share."""
 
     model: str = ""
-    """Model to use; may be left out when a selector is given."""
+    """Model to use; optional when there is a selector."""
     selector: str = ""
-    """Label selector over pools; the header X-Passgate-Selector goes before it."""
+    """Label selector over pools; the header X-Passgate-Selector takes precedence."""
     version_selector: str = ""
-    """Label selector over model versions; no token comes from a version older than the newest match."""
+    """Label selector over model versions; no token is produced by a version older than the newest match."""
     minimum_version: int = 0
     """Oldest weight version that may produce any token."""
     max_tokens: int | None = None
-    """Most tokens to produce; 16 when left out."""
+    """Maximum number of output tokens; 16 by default."""
     seed: int | None = None
     n: int = 1
     """Only 1 is supported."""
     stream: bool = False
-    """Answer piece by piece as server-sent events."""
+    """Answer with server-sent events, one per chunk of tokens."""
 
 
 class CompletionRequest(CompletionFields, frozen=True, kw_only=True):
@@ -64,7 +64,7 @@
 
     messages: list[ChatMessage]
     max_completion_tokens: int | None = None
-    """Newer name of ``max_tokens``; goes before it."""
+    """Newer name of ``max_tokens``; takes precedence over it."""
 
 
 class Usage(msgspec.Struct, frozen=True, kw_only=True):
@@ -76,30 +76,30 @@
 
 
 class Provenance(msgspec.Struct, frozen=True, kw_only=True):
-    """What truly produced an answer."""
+    """Pool, replica and weight versions that produced an answer."""
 
     request_id: str
     model: str
     pool: str
     weight_versions: tuple[VersionSpan, ...]
-    """Token ranges with the weight version that the engine reported for each."""
+    """Token ranges, each with the weight version that the engine reported for it."""
     replica_id: str
     attempts: int
 
 
 class CompletionChoice(msgspec.Struct, frozen=True, kw_only=True):
-    """The output of a completion, or one piece of it when streamed."""
+    """The output of a completion, or one chunk of it when streamed."""
 
     index: int = 0
     text: str
     token_ids: tuple[int, ...]
     weight_version: int | UnsetType = UNSET
-    """In a streamed piece: the version that produced it."""
+    """Weight version that produced a streamed chunk."""
     finish_reason: str | None = None
 
 
 class CompletionAnswer(msgspec.Struct, frozen=True, kw_only=True):
-    """Answer of ``POST /v1/completions``, whole or a streamed piece."""
+    """Answer of ``POST /v1/completions``, or one chunk of a streamed answer."""
 
     id: str
     object: str = "text_completion"
@@ -109,11 +109,11 @@
     choices: tuple[CompletionChoice, ...]
     usage: Usage | UnsetType = UNSET
     passgate: Provenance | UnsetType = UNSET
-    """Present in a whole answer and in the last piece of a stream."""
+    """Absent in all chunks of a stream but the last."""
 
 
 class ChatAnswerMessage(msgspec.Struct, frozen=True, kw_only=True):
-    """Message (whole answer) or delta (streamed piece) of a chat completion."""
+    """Message of a chat completion, or the part of it in one streamed chunk."""
 
     role: str = "assistant"
     content: str
@@ -131,7 +131,7 @@
 
 
 class ChatCompletionAnswer(msgspec.Struct, frozen=True, kw_only=True):
-    """Answer of ``POST /v1/chat/completions``, whole or a streamed piece."""
+    """Answer of ``POST /v1/chat/completions``, or one chunk of a streamed answer."""
 
     id: str
     object: str = "chat.completion"
@@ -149,16 +149,19 @@
     """Body of ``POST /v1/lots``."""
 
     lot_id: str = ""
-    """Name chosen by the trainer; opening it again is harmless.  Left out: derived from Idempotency-Key."""
+    """Name that the trainer gives to the lot; a repetition returns the open lot.
+
+    Without it the name is derived from the header Idempotency-Key, if there is one.
+    """
     model: str = ""
     selector: str = ""
     priority_class: str = "training"
     staleness_bound: int
-    """Most versions that a sample may be behind the trainer's version at hand-over."""
+    """Maximum number of versions that a sample may be behind the trainer's when it is delivered."""
     trainer_version: int
-    """Weight version that the trainer is at; 0 means the newest one configured."""
+    """Weight version that the trainer has; 0 means the newest one configured."""
     deadline_s: float | None = None
-    """Seconds from now after which the lot is worthless."""
+    """Seconds from now after which missing samples fail."""
     prompts: tuple[PromptSpec, ...]
 
 
@@ -169,15 +172,15 @@
 
 
 class ReplaceSamplesRequest(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Body of ``POST /v1/lots/{lot_id}/replace``; samples within the bound are left alone."""
+    """Body of ``POST /v1/lots/{lot_id}/replace``; samples within the staleness bound are not replaced."""
 
     sample_ids: tuple[str, ...]
     trainer_version: int | None = None
-    """Version that the trainer is at."""
+    """Weight version that the trainer has."""
 
 
 class Done(msgspec.Struct, frozen=True, kw_only=True):
-    """Answer to a change that has nothing else to say."""
+    """Answer of a change that returns no other value."""
 
     done: bool = True
 
@@ -195,7 +198,7 @@
 
     model: str
     newest: int
-    """Newest version that is not withdrawn; 0 when there is none."""
+    """Newest version that is not withdrawn; 0 if there is none."""
     versions: tuple[ConfigObjectView, ...]
 
 
@@ -217,7 +220,7 @@
     """Answer of ``GET /v1/config`` and ``GET /v1/config/{kind}``."""
 
     revision: int
-    """Revision of the whole configuration on the answering daemon."""
+    """Revision of the configuration that is active on the answering daemon."""
     objects: tuple[ConfigObjectView, ...]
 
 
@@ -227,7 +230,7 @@
     labels: Labels = {}
     spec: msgspec.Raw
     expected_revision: int | None = None
-    """Revision that is replaced; 0 means that the object must not exist; left out means any."""
+    """Revision that the change replaces; 0 requires that the object does not exist, None accepts any."""
 
 
 class ApplyObject(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
@@ -241,13 +244,13 @@
 
 
 class ApplyRequest(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Body of ``POST /v1/config``: objects to put, in order."""
+    """Body of ``POST /v1/config``: objects to create or replace, in order."""
 
     objects: tuple[ApplyObject, ...]
 
 
 class ChangeAnswer(msgspec.Struct, frozen=True, kw_only=True):
-    """An accepted change, on the log for good."""
+    """Answer of a change that is on the log."""
 
     kind: str
     name: str
@@ -255,7 +258,7 @@
 
 
 class ApplyResult(msgspec.Struct, frozen=True, kw_only=True):
-    """Outcome of one object of ``POST /v1/config``."""
+    """Outcome of one object of ``POST /v1/config``: its new revision, or an error."""
 
     kind: str
     name: str
@@ -264,26 +267,26 @@
 
 
 class ApplyAnswer(msgspec.Struct, frozen=True, kw_only=True):
-    """Answer of ``POST /v1/config``; objects before the first error are in force."""
+    """Answer of ``POST /v1/config``: outcomes up to the first error; earlier objects are changed."""
 
     results: tuple[ApplyResult, ...]
 
 
 class DaemonView(msgspec.Struct, frozen=True, kw_only=True):
-    """What is known of one daemon."""
+    """State of one daemon as another daemon knows it."""
 
     daemon_id: str
     zone: str
     member_state: str
-    """What membership believes: alive, suspect, dead or left."""
+    """State in the membership of the answering daemon: alive, suspect, dead or left."""
     reached: bool
-    """Whether the daemon itself answered; else ``revision`` and ``life`` are not known."""
+    """Whether the daemon answered; if not, ``life``, ``revision`` and ``labels`` are unknown."""
     life: str = ""
-    """State of the daemon's life, see the chart ``daemon``."""
+    """State of the daemon's lifecycle, see the state chart ``daemon``."""
     revision: int = 0
-    """Configuration revision in force on the daemon."""
+    """Configuration revision that is active on the daemon."""
     behind: int | None = None
-    """Revisions between the newest known one and the daemon's."""
+    """Number of revisions from the daemon's to the newest known one; None if it did not answer."""
     labels: Labels = {}
 
 
@@ -291,7 +294,7 @@
     """Answer of ``GET /v1/watch``."""
 
     revision: int
-    """Newest revision known to the answering daemon."""
+    """Newest revision that any of the daemons reports."""
     daemons: tuple[DaemonView, ...]
 
 
--- a/tests/test_server_callers.py
+++ b/tests/test_server_callers.py
@@ -13,11 +13,11 @@
 COMPLETIONS = "/v1/completions"
 BODY = {"model": "m", "prompt": "hello", "max_tokens": 6}
 LONG_TOKENS = 1_500_000
-"""Output that no socket buffer holds."""
-KEY = {"Idempotency-Key": "order-17"}
+"""Output that is larger than the socket buffers."""
+KEY_HEADERS = {"Idempotency-Key": "order-17"}
 
 
-def test_whole_completion_names_its_versions(run_cluster):
+def test_completion_reports_weight_versions_and_request_ids(run_cluster):
     async def scenario(cluster):
         daemon = await cluster.start()
         await cluster.configure(daemon)
@@ -39,7 +39,7 @@
     run_cluster(scenario)
 
 
-def test_streams_give_pieces_then_provenance_then_done(run_cluster):
+def test_streams_end_with_provenance_and_done(run_cluster):
     async def scenario(cluster):
         daemon = await cluster.start()
         await cluster.configure(daemon)
@@ -51,32 +51,32 @@
         }
         for path, body in ((COMPLETIONS, {**BODY, "stream": True}), ("/v1/chat/completions", chat)):
             answer = await cluster.post(daemon, path, body)
-            *pieces, last, done = answer.events
+            *chunks, last_chunk, done = answer.events
             assert done == "[DONE]"
             tokens = [
-                token for piece in pieces for token in msgspec.json.decode(piece)["choices"][0]["token_ids"]
+                token for chunk in chunks for token in msgspec.json.decode(chunk)["choices"][0]["token_ids"]
             ]
-            provenance = msgspec.json.decode(last)["passgate"]
+            provenance = msgspec.json.decode(last_chunk)["passgate"]
             assert provenance["weight_versions"] == [{"start": 0, "end": len(tokens), "version": 3}]
 
     run_cluster(scenario)
 
 
-def test_a_failed_stream_has_no_done_mark(run_cluster):
+def test_a_failed_stream_ends_with_an_error_and_without_done(run_cluster):
     async def scenario(cluster):
         daemon = await cluster.start()
         await cluster.configure(daemon)
         cluster.engine.hold = asyncio.Event()
         headers = {"X-Passgate-Deadline-Ms": "150"}
-        streamed = {**BODY, "stream": True}
-        answer = await cluster.post(daemon, COMPLETIONS, streamed, headers)
+        stream_body = {**BODY, "stream": True}
+        answer = await cluster.post(daemon, COMPLETIONS, stream_body, headers)
         assert msgspec.json.decode(answer.events[-1])["error"]["code"] == "deadline_exceeded"
         assert "[DONE]" not in answer.events
 
     run_cluster(scenario)
 
 
-def test_a_key_runs_once_over_all_daemons(run_cluster):
+def test_an_idempotency_key_runs_once_across_daemons(run_cluster):
     async def scenario(cluster):
         first = await cluster.start("d1")
         second = await cluster.start("d2")
@@ -85,18 +85,18 @@
         await cluster.until(lambda: second.parts.configuration.state.revision == revision)
         for path, body in ((COMPLETIONS, BODY), (COMPLETIONS, {**BODY, "stream": True})):
             headers = {"Idempotency-Key": f"key-{body.get('stream', False)}"}
-            ran = len(cluster.engine.requests)
+            runs_before = len(cluster.engine.requests)
             answers = [await cluster.post(daemon, path, body, headers) for daemon in (first, second, first)]
             assert [answer.status for answer in answers] == [200, 200, 200]
-            assert len(cluster.engine.requests) == ran + 1
+            assert len(cluster.engine.requests) == runs_before + 1
         assert answers[0].events[-1] == answers[1].events[-1] == "[DONE]"
-        other = await cluster.post(second, COMPLETIONS, {**BODY, "seed": 9}, headers)
-        assert (other.status, other.error["code"]) == (422, "key_reused")
+        other_request = await cluster.post(second, COMPLETIONS, {**BODY, "seed": 9}, headers)
+        assert (other_request.status, other_request.error["code"]) == (422, "key_reused")
 
     run_cluster(scenario)
 
 
-def test_app_call_is_forwarded_whole_and_at_most_once(run_cluster):
+def test_app_calls_are_forwarded_unchanged_and_run_at_most_once_per_key(run_cluster):
     async def scenario(cluster):
         daemon = await cluster.start()
         await cluster.configure(daemon)
@@ -107,32 +107,32 @@
         assert cluster.app.requests[0].path == "/verdict%2Fa?line=4"
         selected = {"X-Passgate-Selector": "tier in (line)"}
         assert (await cluster.post(daemon, "/v1/apps/-/v", b"", selected)).status == 207
-        ran = len(cluster.app.requests)
+        runs_before = len(cluster.app.requests)
         for _ in range(2):
-            assert (await cluster.post(daemon, path, b"photo", KEY)).status == 207
-        assert len(cluster.app.requests) == ran + 1
+            assert (await cluster.post(daemon, path, b"photo", KEY_HEADERS)).status == 207
+        assert len(cluster.app.requests) == runs_before + 1
         assert not cluster.app.requests[-1].repeatable
 
     run_cluster(scenario)
 
 
-def test_a_lost_answer_of_a_claimed_call_is_never_run_again(run_cluster):
+def test_a_not_repeatable_call_with_unknown_outcome_is_never_run_again(run_cluster):
     async def scenario(cluster):
         daemon = await cluster.start()
         await cluster.configure(daemon)
         cluster.app.failure = BackendUnreachable("answer lost", execution=ExecutionStatus.UNKNOWN)
-        marked = {"X-Passgate-Not-Repeatable": "true", "X-Request-Id": "r1"}
-        first = await cluster.post(daemon, "/v1/apps/linha/v", b"", marked)
+        not_repeatable = {"X-Passgate-Not-Repeatable": "true", "X-Request-Id": "r1"}
+        first = await cluster.post(daemon, "/v1/apps/linha/v", b"", not_repeatable)
         assert first.error["execution"] == "unknown"
         cluster.app.failure = None
-        again = await cluster.post(daemon, "/v1/apps/linha/v", b"", marked)
+        again = await cluster.post(daemon, "/v1/apps/linha/v", b"", not_repeatable)
         assert (again.status, again.error["code"]) == (409, "outcome_unknown")
         assert len(cluster.app.requests) == 1
 
     run_cluster(scenario)
 
 
-def test_without_the_log_claimed_calls_are_refused_and_others_run(run_cluster):
+def test_while_the_log_is_down_only_calls_with_a_key_are_refused(run_cluster):
     async def scenario(cluster):
         daemon = await cluster.start(limits=LimitSettings(durability_timeout_s=0.3))
         await cluster.configure(daemon)
@@ -140,7 +140,7 @@
         plain = await cluster.post(daemon, COMPLETIONS, BODY)
         assert plain.status == 200
         for path in (COMPLETIONS, "/v1/apps/linha/v"):
-            refused = await cluster.post(daemon, path, BODY, KEY)
+            refused = await cluster.post(daemon, path, BODY, KEY_HEADERS)
             assert (refused.status, refused.error["code"]) == (503, "durability_unavailable")
             assert refused.error["execution"] == "not_run"
             assert int(refused.headers["Retry-After"]) >= 1
@@ -150,8 +150,8 @@
     run_cluster(scenario)
 
 
-def test_a_caller_that_leaves_cancels_repeatable_work_only(run_cluster):
-    async def leave(daemon, headers):
+def test_a_disconnect_cancels_only_repeatable_work(run_cluster):
+    async def start_stream_and_disconnect(daemon, headers):
         host, port = daemon.caller_address.split(":")
         reader, writer = await asyncio.open_connection(host, int(port))
         body = msgspec.json.encode({**BODY, "stream": True})
@@ -164,13 +164,13 @@
         daemon = await cluster.start()
         await cluster.configure(daemon)
         cluster.engine.hold = asyncio.Event()
-        await leave(daemon, "")
+        await start_stream_and_disconnect(daemon, "")
         await cluster.until(lambda: cluster.engine.cancelled)
-        await cluster.until(daemon.context.gate.idle)
-        await leave(daemon, "Idempotency-Key: k\r\n")
-        assert not daemon.context.gate.idle()
+        await cluster.until(daemon.context.gate.is_idle)
+        await start_stream_and_disconnect(daemon, "Idempotency-Key: k\r\n")
+        assert not daemon.context.gate.is_idle()
         cluster.engine.hold.set()
-        await cluster.until(daemon.context.gate.idle)
+        await cluster.until(daemon.context.gate.is_idle)
         assert len(set(cluster.engine.cancelled)) == 1
         stored = await cluster.post(daemon, COMPLETIONS, {**BODY, "stream": True}, {"Idempotency-Key": "k"})
         assert stored.events[-1] == "[DONE]"
@@ -179,7 +179,7 @@
     run_cluster(scenario)
 
 
-def test_bad_requests_are_typed_and_never_run(run_cluster):
+def test_invalid_requests_get_typed_errors_and_never_run(run_cluster):
     async def scenario(cluster):
         daemon = await cluster.start(limits=LimitSettings(max_body_bytes=2000))
         await cluster.configure(daemon)
@@ -212,33 +212,33 @@
         wrong_method = await cluster.get(daemon, COMPLETIONS)
         assert wrong_method.status == 405
         assert cluster.engine.requests == []
-        assert daemon.context.gate.idle()
+        assert daemon.context.gate.is_idle()
 
     run_cluster(scenario)
 
 
-def test_slow_and_endless_bodies_are_ended_while_others_are_served(run_cluster):
+def test_slow_and_oversized_bodies_are_rejected_while_others_are_served(run_cluster):
     async def scenario(cluster):
         limits = LimitSettings(max_body_bytes=1000, body_timeout_s=0.2)
         daemon = await cluster.start(limits=limits)
         await cluster.configure(daemon)
         head = f"POST {COMPLETIONS} HTTP/1.1\r\nHost: x\r\n".encode()
-        slow = asyncio.ensure_future(
+        slow_body = asyncio.ensure_future(
             cluster.raw(daemon.caller_address, head + b"Content-Length: 50\r\n\r\n{")
         )
         chunk = b"200\r\n" + b"x" * 512 + b"\r\n"
-        endless = await cluster.raw(
+        oversized_body = await cluster.raw(
             daemon.caller_address, head + b"Transfer-Encoding: chunked\r\n\r\n" + chunk * 3
         )
-        assert b" 413 " in endless and b"payload_too_large" in endless
+        assert b" 413 " in oversized_body and b"payload_too_large" in oversized_body
         assert (await cluster.post(daemon, COMPLETIONS, BODY)).status == 200
-        assert b" 408 " in await slow
-        await cluster.until(daemon.context.gate.idle)
+        assert b" 408 " in await slow_body
+        await cluster.until(daemon.context.gate.is_idle)
 
     run_cluster(scenario)
 
 
-def test_caller_credentials_name_the_caller(run_cluster):
+def test_the_credential_identifies_the_caller(run_cluster):
     async def scenario(cluster):
         credentials = CredentialSettings(callers={"linha-app": Credential("t0ken")})
         daemon = await cluster.start(credentials=credentials)
@@ -246,8 +246,8 @@
         for headers in ({}, {"Authorization": "Bearer wrong"}, {"Authorization": "Bearer t\xf6ken"}):
             answer = await cluster.post(daemon, COMPLETIONS, BODY, headers)
             assert (answer.status, answer.error["code"]) == (401, "unauthorized")
-        own = {"Authorization": "Bearer t0ken", "X-Passgate-Caller": "another"}
-        assert (await cluster.post(daemon, COMPLETIONS, BODY, own)).status == 200
+        valid_headers = {"Authorization": "Bearer t0ken", "X-Passgate-Caller": "another"}
+        assert (await cluster.post(daemon, COMPLETIONS, BODY, valid_headers)).status == 200
         assert cluster.engine.requests[0].caller == "linha-app"
 
     run_cluster(scenario)
@@ -274,8 +274,8 @@
 HEADER_VALUES = st.text(st.characters(min_codepoint=33, max_codepoint=126), max_size=12)
 
 
-def asks_for_newer_weights(body):
-    """Whether a well-formed field asks for weights that the engine says to lack only by running."""
+def requires_unavailable_version(body):
+    """Return whether a valid field requires a newer version than the engine has, known only by running."""
     version = body.get("minimum_version") if isinstance(body, dict) else None
     return isinstance(version, int) and version > FakeEngine().version
 
@@ -293,25 +293,25 @@
         max_size=20,
     )
 )
-def test_any_input_is_answered_typed(run_cluster, inputs):
+def test_arbitrary_input_gets_a_result_or_a_typed_error(run_cluster, inputs):
     async def scenario(cluster):
         daemon = await cluster.start()
         await cluster.configure(daemon)
         for body, headers in inputs:
             answer = await cluster.post(daemon, COMPLETIONS, body, headers)
-            if asks_for_newer_weights(body) and answer.status >= 500:
+            if requires_unavailable_version(body) and answer.status >= 500:
                 assert (answer.status, answer.error["code"]) == (502, "version_too_old")
                 assert answer.error["execution"] == "ran"
                 continue
             assert answer.status == 200 or (
                 400 <= answer.status < 500 and answer.error["execution"] == "not_run"
             )
-        assert daemon.context.gate.idle()
+        assert daemon.context.gate.is_idle()
 
     run_cluster(scenario)
 
 
-def test_a_caller_that_never_reads_is_cut_off(run_cluster):
+def test_the_connection_of_a_caller_that_does_not_read_is_closed(run_cluster):
     async def scenario(cluster):
         daemon = await cluster.start(limits=LimitSettings(write_timeout_s=0.3, max_output_tokens=LONG_TOKENS))
         await cluster.configure(daemon)
@@ -323,47 +323,47 @@
         writer.write(head.encode() + body)
         await cluster.until(lambda: cluster.engine.requests)
         writer.transport.pause_reading()
-        await cluster.until(daemon.context.gate.idle)
+        await cluster.until(daemon.context.gate.is_idle)
         writer.close()
 
     run_cluster(scenario)
 
 
-def test_floods_past_the_hard_limit_and_other_protocols_end_their_connection_only(run_cluster):
+def test_oversized_headers_and_other_protocols_close_only_their_connection(run_cluster):
     async def scenario(cluster):
         daemon = await cluster.start()
         await cluster.configure(daemon)
-        flood = b"GET /healthz HTTP/1.1\r\nHost: x\r\n" + b"X-Flood: " + b"x" * 200_000 + b"\r\n\r\n"
-        others = (b"\x16\x03\x01\x02\x00", b"HELO there\r\n\r\n", b"GET / HTTP/9.9\r\n\r\n")
-        for data in (flood, *others):
+        oversized_head = b"GET /healthz HTTP/1.1\r\nHost: x\r\n" + b"X-Flood: " + b"x" * 200_000 + b"\r\n\r\n"
+        other_protocols = (b"\x16\x03\x01\x02\x00", b"HELO there\r\n\r\n", b"GET / HTTP/9.9\r\n\r\n")
+        for data in (oversized_head, *other_protocols):
             answer = await cluster.raw(daemon.caller_address, data, eof=True)
             assert b" 200 " not in answer
-        length = b"POST /v1/completions HTTP/1.1\r\nHost: x\r\nContent-Length: -5\r\n\r\n"
-        assert b" 200 " not in await cluster.raw(daemon.caller_address, length, eof=True)
+        negative_length = b"POST /v1/completions HTTP/1.1\r\nHost: x\r\nContent-Length: -5\r\n\r\n"
+        assert b" 200 " not in await cluster.raw(daemon.caller_address, negative_length, eof=True)
         assert (await cluster.post(daemon, COMPLETIONS, BODY)).status == 200
-        await cluster.until(daemon.context.gate.idle)
+        await cluster.until(daemon.context.gate.is_idle)
 
     run_cluster(scenario)
 
 
-def test_the_answer_of_a_claimed_call_that_outlasts_its_deadline_is_kept(run_cluster):
+def test_the_outcome_of_a_keyed_call_that_exceeds_its_deadline_is_stored(run_cluster):
     async def scenario(cluster):
         daemon = await cluster.start()
         await cluster.configure(daemon)
         cluster.app.hold = asyncio.Event()
-        path, hasty = "/v1/apps/linha/v", {**KEY, "X-Passgate-Deadline-Ms": "150"}
-        late = await cluster.post(daemon, path, b"photo", hasty)
-        assert (late.status, late.error["code"], late.error["execution"]) == (
+        path, short_deadline = "/v1/apps/linha/v", {**KEY_HEADERS, "X-Passgate-Deadline-Ms": "150"}
+        timed_out = await cluster.post(daemon, path, b"photo", short_deadline)
+        assert (timed_out.status, timed_out.error["code"], timed_out.error["execution"]) == (
             504,
             "deadline_exceeded",
             "unknown",
         )
-        running = await cluster.post(daemon, path, b"photo", hasty)
+        running = await cluster.post(daemon, path, b"photo", short_deadline)
         assert (running.status, running.error["code"]) == (409, "request_in_progress")
         cluster.app.hold.set()
-        await cluster.until(daemon.context.gate.idle)
-        kept = await cluster.post(daemon, path, b"photo", hasty)
-        assert (kept.status, kept.body) == (207, b"verdict of photo")
+        await cluster.until(daemon.context.gate.is_idle)
+        stored = await cluster.post(daemon, path, b"photo", short_deadline)
+        assert (stored.status, stored.body) == (207, b"verdict of photo")
         assert len(cluster.app.requests) == 1
 
     run_cluster(scenario)
--- a/tests/test_server_lots.py
+++ b/tests/test_server_lots.py
@@ -5,8 +5,8 @@
 TRAINER = {"X-Passgate-Caller": "trainer-a"}
 
 
-async def read_all(cluster, daemons, lot_id):
-    """Read a lot to its end, each page through the next daemon."""
+async def read_all_samples(cluster, daemons, lot_id):
+    """Read all samples of a lot, each page from the next daemon in turn."""
     cursor, samples, turn = 0, [], 0
     while True:
         path = f"/v1/lots/{lot_id}/samples?cursor={cursor}&limit=2&wait_s=5&trainer_version=3"
@@ -30,7 +30,7 @@
         lot_id = opened.json["lot_id"]
         again = await cluster.post(daemons[1], "/v1/lots", LOT, {**TRAINER, "Idempotency-Key": "step-1"})
         assert again.json["lot_id"] == lot_id
-        samples = await read_all(cluster, daemons, lot_id)
+        samples = await read_all_samples(cluster, daemons, lot_id)
         assert sorted(sample["index"] for sample in samples) == list(range(6))
         assert all(sample["spans"] == [{"start": 0, "end": 4, "version": 3}] for sample in samples)
         assert {sample["finish_reason"] for sample in samples} == {FinishReason.LENGTH.value}
@@ -43,20 +43,20 @@
     run_cluster(scenario)
 
 
-def test_another_callers_lot_is_not_found(run_cluster):
+def test_the_lot_of_another_caller_is_not_found(run_cluster):
     async def scenario(cluster):
         daemon = await cluster.start()
         await cluster.configure(daemon)
         opened = await cluster.post(daemon, "/v1/lots", {**LOT, "lot_id": "l1"}, TRAINER)
         assert opened.json["lot_id"] == "l1"
-        stranger = {"X-Passgate-Caller": "trainer-b"}
+        other_caller = {"X-Passgate-Caller": "trainer-b"}
         for method, path in (("GET", ""), ("DELETE", ""), ("GET", "/samples"), ("POST", "/acknowledge")):
             answer = await cluster.call(
                 daemon.caller_address,
                 method,
                 f"/v1/lots/l1{path}",
                 {"sample_ids": ["l1/0"]} if method == "POST" else None,
-                stranger,
+                other_caller,
             )
             assert (answer.status, answer.error["code"]) == (404, "not_found")
         assert (await cluster.get(daemon, "/v1/lots/l2", headers=TRAINER)).status == 404
@@ -64,12 +64,12 @@
     run_cluster(scenario)
 
 
-def test_bad_lot_input_is_typed(run_cluster):
+def test_invalid_lot_requests_get_typed_errors(run_cluster):
     async def scenario(cluster):
         daemon = await cluster.start()
         await cluster.configure(daemon)
         address = daemon.caller_address
-        bad = [
+        invalid_bodies = [
             {**LOT, "prompts": []},
             {**LOT, "staleness_bound": -1},
             {**LOT, "lot_id": "../x"},
@@ -79,7 +79,7 @@
             {**LOT, "prompts": [{"prompt": [-1], "max_tokens": 1}]},
             {**LOT, "colour": "red"},
         ]
-        for body in bad:
+        for body in invalid_bodies:
             answer = await cluster.call(address, "POST", "/v1/lots", body, TRAINER)
             assert (answer.status, answer.error["execution"]) == (400, "not_run"), body
         await cluster.call(address, "POST", "/v1/lots", {**LOT, "lot_id": "l1"}, TRAINER)
@@ -93,8 +93,10 @@
         ):
             answer = await cluster.call(address, "GET", f"/v1/lots/l1/samples?{query}", headers=TRAINER)
             assert (answer.status, answer.error["execution"]) == (400, "not_run"), query
-        bad_id = {"sample_ids": ["other/0"]}
-        assert (await cluster.call(address, "POST", "/v1/lots/l1/acknowledge", bad_id, TRAINER)).status == 400
+        foreign_id = {"sample_ids": ["other/0"]}
+        assert (
+            await cluster.call(address, "POST", "/v1/lots/l1/acknowledge", foreign_id, TRAINER)
+        ).status == 400
 
     run_cluster(scenario)
 
@@ -107,8 +109,8 @@
         for _ in range(2):
             answer = await cluster.post(daemon, path, {"version": 4, "uri": "w/4"}, TRAINER)
             assert answer.status == 201, answer.body
-        other = await cluster.post(daemon, path, {"version": 4, "uri": "w/else"}, TRAINER)
-        assert (other.status, other.error["code"]) == (409, "revision_conflict")
+        conflicting = await cluster.post(daemon, path, {"version": 4, "uri": "w/else"}, TRAINER)
+        assert (conflicting.status, conflicting.error["code"]) == (409, "revision_conflict")
         listed = await cluster.get(daemon, path)
         assert listed.json["newest"] == 4
         assert [view["spec"]["version"] for view in listed.json["versions"]] == [4, 3]
--- a/tests/test_server_operators.py
+++ b/tests/test_server_operators.py
@@ -9,7 +9,7 @@
 APP_2 = MachineInfo(machine_id="a2", role=MachineRole.APP, address="127.0.0.1:3", zone="z")
 
 
-def test_objects_are_put_listed_by_selector_and_deleted(run_cluster):
+def test_objects_can_be_put_listed_by_selector_and_deleted(run_cluster):
     async def scenario(cluster):
         daemon = await cluster.start()
         await cluster.configure(daemon)
@@ -24,21 +24,23 @@
     run_cluster(scenario)
 
 
-def test_conflict_names_the_revision_it_lost_to(run_cluster):
+def test_a_conflict_reports_the_current_revision(run_cluster):
     async def scenario(cluster):
         first = await cluster.start("d1")
         second = await cluster.start("d2")
-        won = await cluster.call(first.operator_address, "PUT", POOL, {"spec": SPEC, "expected_revision": 0})
-        lost = await cluster.call(
+        accepted = await cluster.call(
+            first.operator_address, "PUT", POOL, {"spec": SPEC, "expected_revision": 0}
+        )
+        rejected = await cluster.call(
             second.operator_address, "PUT", POOL, {"spec": SPEC, "expected_revision": 0}
         )
-        assert (lost.status, lost.error["code"]) == (409, "revision_conflict")
-        assert lost.error["details"]["revision"] == str(won.json["revision"])
+        assert (rejected.status, rejected.error["code"]) == (409, "revision_conflict")
+        assert rejected.error["details"]["revision"] == str(accepted.json["revision"])
 
     run_cluster(scenario)
 
 
-def test_apply_stops_at_the_first_error_and_says_which_are_in_force(run_cluster):
+def test_apply_stops_at_the_first_error_and_reports_earlier_objects(run_cluster):
     async def scenario(cluster):
         daemon = await cluster.start()
         objects = [
@@ -55,7 +57,7 @@
     run_cluster(scenario)
 
 
-def test_a_change_without_the_log_is_refused_and_old_values_stay(run_cluster):
+def test_a_change_while_the_log_is_down_is_refused_without_effect(run_cluster):
     async def scenario(cluster):
         daemon = await cluster.start(limits=LimitSettings(durability_timeout_s=0.3))
         await cluster.configure(daemon)
@@ -68,7 +70,7 @@
     run_cluster(scenario)
 
 
-def test_watch_asks_the_daemons_themselves(run_cluster):
+def test_watch_requests_the_status_of_each_daemon(run_cluster):
     async def scenario(cluster):
         first = await cluster.start("d1")
         second = await cluster.start("d2", labels={"rack": "r2"})
@@ -79,25 +81,25 @@
         assert views["d1"]["behind"] == 0 and views["d1"]["life"] == "ready"
         assert views["d2"]["labels"] == {"rack": "r2"} and views["d2"]["reached"]
         await second.close()
-        gone = await cluster.call(first.operator_address, "GET", "/v1/watch")
-        assert [view["reached"] for view in gone.json["daemons"]] == [False, True]
+        after_close = await cluster.call(first.operator_address, "GET", "/v1/watch")
+        assert [view["reached"] for view in after_close.json["daemons"]] == [False, True]
 
     run_cluster(scenario)
 
 
-def test_a_daemon_without_the_log_takes_the_configuration_from_peers(run_cluster):
+def test_a_daemon_that_cannot_read_the_log_gets_the_configuration_from_peers(run_cluster):
     async def scenario(cluster):
         first = await cluster.start("d1")
         second = await cluster.start("d2")
         cluster.log_clients["d2"].down = True
         await cluster.configure(first)
-        wanted = first.parts.configuration.state.revision
-        await cluster.until(lambda: second.parts.configuration.state.revision == wanted)
+        revision = first.parts.configuration.state.revision
+        await cluster.until(lambda: second.parts.configuration.state.revision == revision)
 
     run_cluster(scenario)
 
 
-def test_a_new_daemon_serves_nothing_before_it_knows_the_configuration(run_cluster):
+def test_a_new_daemon_refuses_requests_until_it_knows_the_configuration(run_cluster):
     async def scenario(cluster):
         first = await cluster.start("d1")
         await cluster.configure(first)
@@ -106,8 +108,12 @@
         assert (await cluster.call(second.operator_address, "GET", "/readyz")).status == 503
         assert (await cluster.call(second.operator_address, "GET", "/healthz")).status == 200
         body = {"model": "m", "prompt": "x"}
-        early = await cluster.post(second, "/v1/completions", body)
-        assert (early.status, early.error["code"], early.error["execution"]) == (503, "not_ready", "not_run")
+        refused = await cluster.post(second, "/v1/completions", body)
+        assert (refused.status, refused.error["code"], refused.error["execution"]) == (
+            503,
+            "not_ready",
+            "not_run",
+        )
         cluster.log_clients["d2"].down = False
         await cluster.until(second.context.ready)
         assert second.parts.configuration.state.revision == first.parts.configuration.state.revision
@@ -115,14 +121,14 @@
     run_cluster(scenario)
 
 
-def test_operators_port_needs_the_credential_which_is_never_logged(run_cluster, caplog):
+def test_operators_port_requires_the_credential_and_never_logs_it(run_cluster, caplog):
     async def scenario(cluster):
         daemon = await cluster.start(credentials=CredentialSettings(operators=Credential(SECRET)))
         address = daemon.operator_address
         for path in ("/v1/config", "/v1/watch", "/metrics"):
             assert (await cluster.call(address, "GET", path)).status == 401
-            right = {"Authorization": f"Bearer {SECRET}"}
-            assert (await cluster.call(address, "GET", path, headers=right)).status == 200
+            valid_headers = {"Authorization": f"Bearer {SECRET}"}
+            assert (await cluster.call(address, "GET", path, headers=valid_headers)).status == 200
         assert (await cluster.call(address, "GET", "/readyz")).status == 200
         await daemon.stop()
 
@@ -131,7 +137,7 @@
     assert SECRET not in json.dumps([str(record.__dict__) for record in caplog.records])
 
 
-def test_metrics_count_answers(run_cluster):
+def test_metrics_count_answers_and_errors(run_cluster):
     async def scenario(cluster):
         daemon = await cluster.start()
         await cluster.configure(daemon)
@@ -143,22 +149,26 @@
     run_cluster(scenario)
 
 
-def test_a_new_daemon_that_reads_a_lagging_log_replica_asks_its_peers(run_cluster):
+def test_a_new_daemon_that_reads_a_lagging_log_replica_gets_missing_records_from_peers(run_cluster):
     async def scenario(cluster):
         first = await cluster.start("d1")
         await cluster.configure(first)
         cluster.client_of("d2").hidden_records = 1
-        seen = []
+        was_ready_at_changes = []
         second = await cluster.start("d2", wait=False)
-        second.parts.configuration.subscribe(lambda state: seen.append(second.context.ready()))
+        second.parts.configuration.subscribe(
+            lambda state: was_ready_at_changes.append(second.context.ready())
+        )
         await cluster.until(second.context.ready)
         assert second.parts.configuration.state.revision == first.parts.configuration.state.revision
-        assert not any(seen), "no revision may come into force after the daemon said that it is ready"
+        assert not any(was_ready_at_changes), (
+            "the configuration must not change after the daemon became ready"
+        )
 
     run_cluster(scenario)
 
 
-def test_failing_background_work_is_logged_and_goes_on(run_cluster, caplog):
+def test_failed_background_work_is_logged_and_restarted(run_cluster, caplog):
     async def scenario(cluster):
         daemon = await cluster.start()
         machines, cluster.machines.listed = cluster.machines.listed, None
--- a/tests/test_server_stop.py
+++ b/tests/test_server_stop.py
@@ -1,13 +1,13 @@
 import asyncio
 
-from passgate.server.gate import RequestGate
+from passgate.server.gate import AdmissionController
 from passgate.settings import StopSettings
 
 COMPLETIONS = "/v1/completions"
 BODY = {"model": "m", "prompt": "hello", "max_tokens": 6}
 
 
-def test_planned_stop_cuts_nothing_off(run_cluster):
+def test_graceful_shutdown_interrupts_no_request(run_cluster):
     async def scenario(cluster):
         stop_settings = StopSettings(notice_s=0.3, leave_timeout_s=0.0)
         daemon = await cluster.start(stop=stop_settings)
@@ -15,15 +15,15 @@
         address = daemon.caller_address
         cluster.engine.hold = asyncio.Event()
         cluster.app.hold = asyncio.Event()
-        streamed = {**BODY, "stream": True}
-        stream = asyncio.ensure_future(cluster.call(address, "POST", COMPLETIONS, streamed))
+        stream_body = {**BODY, "stream": True}
+        stream = asyncio.ensure_future(cluster.call(address, "POST", COMPLETIONS, stream_body))
         call = asyncio.ensure_future(cluster.call(address, "POST", "/v1/apps/linha/v", b"photo"))
         await cluster.until(lambda: daemon.context.gate.in_flight == 2)
 
         stopping = asyncio.ensure_future(daemon.stop())
         await cluster.until(lambda: daemon.life.state == "announcing")
         assert (await cluster.call(daemon.operator_address, "GET", "/readyz")).status == 503
-        arriving = asyncio.ensure_future(cluster.call(address, "POST", COMPLETIONS, BODY))
+        late_call = asyncio.ensure_future(cluster.call(address, "POST", COMPLETIONS, BODY))
         await cluster.until(lambda: len(cluster.engine.requests) == 2)
 
         await cluster.until(lambda: daemon.life.state == "finishing")
@@ -36,14 +36,14 @@
         cluster.app.hold.set()
         assert (await stream).events[-1] == "[DONE]"
         assert (await call).status == 207
-        assert (await arriving).status == 200
+        assert (await late_call).status == 200
         assert await stopping is True
         assert daemon.life.state == "stopped"
 
     run_cluster(scenario)
 
 
-def test_work_whose_caller_left_is_finished_before_the_stop(run_cluster):
+def test_shutdown_waits_for_keyed_work_whose_caller_disconnected(run_cluster):
     async def scenario(cluster):
         daemon = await cluster.start()
         await cluster.configure(daemon)
@@ -65,7 +65,7 @@
     run_cluster(scenario)
 
 
-def test_a_stop_that_had_to_cut_off_says_so(run_cluster):
+def test_a_shutdown_that_interrupts_a_request_reports_it(run_cluster):
     async def scenario(cluster):
         stop = StopSettings(notice_s=0.0, drain_timeout_s=0.2, leave_timeout_s=0.0)
         daemon = await cluster.start(stop=stop)
@@ -79,7 +79,7 @@
     run_cluster(scenario)
 
 
-class _Stream:
+class _FakeStream:
     def __init__(self):
         self.sending = True
         self.is_closed = False
@@ -94,27 +94,27 @@
         self.is_closed = True
 
 
-def test_unsent_bytes_of_a_finished_answer_keep_the_daemon_up_for_a_bounded_time():
-    asyncio.run(_leave_with_unsent_bytes())
+def test_unsent_bytes_delay_the_idle_state_until_the_write_timeout():
+    asyncio.run(_release_with_unsent_bytes())
 
 
-async def _leave_with_unsent_bytes():
-    gate = RequestGate(max_in_flight=10, retry_after_s=1.0, write_timeout_s=0.05)
-    stream = _Stream()
-    gate.enter()
-    gate.leave(stream)
-    assert gate.in_flight == 0
-    assert not gate.idle()
+async def _release_with_unsent_bytes():
+    admission = AdmissionController(max_in_flight=10, retry_after_s=1.0, write_timeout_s=0.05)
+    stream = _FakeStream()
+    admission.enter()
+    admission.leave(stream)
+    assert admission.in_flight == 0
+    assert not admission.is_idle()
     stream.sending = False
-    assert gate.idle()
-    never_read = _Stream()
-    gate.enter()
-    gate.leave(never_read)
-    assert await gate.wait_idle(5.0)
-    assert never_read.is_closed
+    assert admission.is_idle()
+    unread_stream = _FakeStream()
+    admission.enter()
+    admission.leave(unread_stream)
+    assert await admission.wait_idle(5.0)
+    assert unread_stream.is_closed
 
 
-def test_a_stop_while_starting_ends_at_once(run_cluster):
+def test_shutdown_of_a_starting_daemon_is_immediate(run_cluster):
     async def scenario(cluster):
         cluster.client_of("d1").down = True
         daemon = await cluster.start("d1", wait=False)
@@ -124,7 +124,7 @@
     run_cluster(scenario)
 
 
-def test_kept_lots_are_handed_over_and_finished_elsewhere(run_cluster):
+def test_shutdown_releases_lots_that_another_daemon_finishes(run_cluster):
     async def scenario(cluster):
         first = await cluster.start("d1")
         await cluster.configure(first)
