--- a/passgate/demo.py
+++ b/passgate/demo.py
@@ -1,9 +1,9 @@
-"""``passgate demo``: both deployments of the examples on this machine, over real sockets.
+"""``passgate demo``: runs both example deployments on this machine, over real sockets.
 
-For each deployment it starts the stand-ins of the outside systems and three
-daemons, configures them, lets trainers and applications work, kills one daemon
-and stops another as planned, and then judges what the callers were given.  The
-last lines of its output are one JSON object for each deployment.
+For each deployment it starts the emulated external systems (stand-ins) and one daemon per zone, configures
+them, runs emulated trainers and applications, kills one daemon and shuts another one down gracefully.  Then
+it checks the results that the callers received.  The last lines of its output are one JSON object for each
+deployment.
 """
 
 from __future__ import annotations
@@ -34,121 +34,136 @@
 
 DEPLOYMENTS = ("olhar", "huon")
 DURATION_S = 32.0
-REST_S = 10.0
-"""Open interactive calls get this long to end after the last arrival."""
-SHORTEST_DURATION_S = 10.0
+DRAIN_S = 10.0
+"""Time for open interactive calls to end after the last arrival."""
+MIN_DURATION_S = 10.0
 KILL_AT_SHARE = 0.25
-KILLED_FOR_S = 1.5
+"""Share of the duration after which one daemon is killed."""
+DOWNTIME_S = 1.5
+"""Time until the killed daemon is started again."""
 STOP_AT_SHARE = 0.55
-DEMO_TRAIN_S = 4.0
-DEMO_MAX_TOKENS = 160
-DEMO_READ_WAIT_S = 2.0
-PROGRESS_S = 0.25
+"""Share of the duration after which another daemon is shut down."""
+TRAIN_S = 4.0
+MAX_TOKENS = 160
+READ_WAIT_S = 2.0
+PROGRESS_INTERVAL_S = 0.25
 P99_SHARE = 0.99
-STORE_CALL_TIMEOUT_S = 5.0
-EXIT_VIOLATIONS = 1
-DIGITS = 3
+STORE_WEIGHTS_TIMEOUT_S = 5.0
+VIOLATIONS_EXIT_CODE = 1
+FRACTION_DIGITS = 3
 
 
 class DeploymentResult(msgspec.Struct, frozen=True, kw_only=True):
-    """Last line of the demonstration for one deployment."""
+    """Results of one deployment, printed as the last line of output."""
 
     deployment: str
     duration_s: float
     steps: int
     samples_delivered: int
     samples_lost: int
+    """Samples missing from lots that passgate reported as finished."""
     samples_doubled: int
+    """Samples received again for the same slot."""
     samples_over_staleness: int
+    """Samples that exceeded the staleness bound."""
     samples_failed: int
-    """Slots that passgate itself declared as failed."""
+    """Slots that passgate itself reported as failed."""
     calls_answered: int
     calls_given_up: int
+    """Calls without an answer after their last attempt or at the end of the run."""
     calls_late: int
+    """Calls answered correctly, but after their deadline."""
     outcomes_lost: int
-    """Not-repeatable calls whose only run's outcome was lost with its daemon."""
+    """Not-repeatable calls for which passgate reported that the outcome of their only run is lost."""
     answers_wrong: int
+    """Samples and answers with wrong content."""
     interactive_p50_ms: float
     interactive_p99_ms: float
     p99_ms_by_callers: dict[str, float]
-    """The same for each kind of caller; generated answers take longer than calls of applications."""
+    """The same for each stream of callers; generated answers take longer than calls of applications."""
     trainer_idle_share: float
     staleness_p99: int
+    """Versions that samples were behind their trainer when delivered."""
     refused_not_run: int
+    """Attempts that passgate reported as not run."""
     not_run_that_ran: int
+    """Attempts reported as not run that a replica started nevertheless."""
     run_more_than_once: int
     """Not-repeatable calls with more than one effect."""
     planned_stop_exit_code: int | None
+    """Exit code of the daemon that was shut down; None when it had to be killed."""
     violations: int
+    """Number of violated guarantees; the command fails when there is any."""
     errors: dict[str, int]
-    """Typed errors that callers saw before their retries, by code."""
+    """Typed errors that callers received, retried attempts included, by code."""
 
 
 def demo_parameters(name: str) -> DeploymentParameters:
-    """Return a deployment at its size of today, with training steps short enough to show several."""
+    """Return an example deployment with shorter training steps, so that a run has several of them."""
     parameters = load_deployment(name)
-    trainers = tuple(_short_steps(trainer) for trainer in parameters.trainers)
+    trainers = tuple(_shorten_steps(trainer) for trainer in parameters.trainers)
     return msgspec.structs.replace(parameters, trainers=trainers)
 
 
-def _short_steps(trainer: TrainerParameters) -> TrainerParameters:
+def _shorten_steps(trainer: TrainerParameters) -> TrainerParameters:
     return msgspec.structs.replace(
         trainer,
-        train_s=DEMO_TRAIN_S,
-        max_tokens=min(trainer.max_tokens, DEMO_MAX_TOKENS),
-        read_wait_s=DEMO_READ_WAIT_S,
+        train_s=TRAIN_S,
+        max_tokens=min(trainer.max_tokens, MAX_TOKENS),
+        read_wait_s=READ_WAIT_S,
         publish_every_steps=1,
     )
 
 
 class DeploymentRun:
-    """One deployment from start to verdict."""
+    """One run of a deployment, from the start of its processes to the results."""
 
     def __init__(self, name: str, directory: Path, http: HttpClient, seed: int, duration_s: float) -> None:
         self.parameters = demo_parameters(name)
         self._http = http
         self._duration_s = duration_s
         self._processes = DeploymentProcesses(self.parameters, http, directory, seed)
-        self._storing: set[asyncio.Task[None]] = set()
+        self._store_tasks: set[asyncio.Task[None]] = set()
         self._not_run_ids: list[str] = []
-        self._planned_stop_exit_code: int | None = None
+        self._shutdown_exit_code: int | None = None
         self._callers = Callers(
             self.parameters,
-            self._client,
+            self._make_client,
             self._store_weights,
             seed,
             pool_of=lambda model: pool_of_model(self.parameters, model),
         )
-        self.phase = "starting"
+        self.status = "starting"
+        """What the run does now, for the progress display."""
 
     @property
     def tally(self) -> Tally:
-        """Outcomes so far."""
+        """Outcomes that the callers have recorded so far."""
         return self._callers.tally
 
     async def run(self) -> DeploymentResult:
-        """Start everything, run callers and faults, and judge."""
+        """Start all processes, run callers and faults, and return the results; stops all processes."""
         try:
             await self._processes.start()
-            self.phase = "running"
-            faults = asyncio.ensure_future(self._faults())
-            await self._callers.run(self._duration_s, REST_S)
-            self.phase = "judging"
+            self.status = "running"
+            faults = asyncio.ensure_future(self._inject_faults())
+            await self._callers.run(self._duration_s, DRAIN_S)
+            self.status = "checking results"
             await faults
-            return await self._judge()
+            return await self._make_result()
         finally:
             await self._processes.stop_all()
-            self.phase = "done"
+            self.status = "done"
 
-    def _client(self, caller: str) -> CallerClient:
-        return _LateAddresses(self._http, self._processes, caller, self._not_run_ids.append)
+    def _make_client(self, caller: str) -> CallerClient:
+        return _LazyAddressClient(self._http, self._processes, caller, self._not_run_ids.append)
 
     # --- weights -------------------------------------------------------------------------
 
     def _store_weights(self, model: str, version: int) -> None:
         task = asyncio.ensure_future(self._put_weights(model, version))
-        self._storing.add(task)
-        task.add_done_callback(self._storing.discard)
+        self._store_tasks.add(task)
+        task.add_done_callback(self._store_tasks.discard)
 
     async def _put_weights(self, model: str, version: int) -> None:
         assert self._processes.stand_ins is not None
@@ -158,33 +173,36 @@
             url=f"http://{self._processes.stand_ins.platform}/v1/weights/{model}/{version}",
             body=msgspec.json.encode({"size_bytes": size_bytes}),
             send=SendPolicy.REPEAT,
-            timeout_s=STORE_CALL_TIMEOUT_S,
+            timeout_s=STORE_WEIGHTS_TIMEOUT_S,
         )
         await self._http.fetch(call)
 
     # --- faults --------------------------------------------------------------------------
 
-    async def _faults(self) -> None:
-        """Kill the second zone's daemon and restart it; later stop the third's as planned."""
-        _, killed, stopped = self.parameters.zones
+    async def _inject_faults(self) -> None:
+        """Kill and restart the daemon of the second zone, then shut down and restart that of the third.
+
+        The deployment must have three zones.
+        """
+        _, killed_zone, stopped_zone = self.parameters.zones
         processes = self._processes
         await asyncio.sleep(self._duration_s * KILL_AT_SHARE)
-        self.phase = f"{killed} killed"
-        await processes.daemons[killed].kill()
-        await asyncio.sleep(KILLED_FOR_S)
-        await processes.daemons[killed].start()
-        await processes.wait_ready(killed)
-        self.phase = f"{killed} back"
-        await asyncio.sleep(self._duration_s * (STOP_AT_SHARE - KILL_AT_SHARE) - KILLED_FOR_S)
-        self.phase = f"{stopped} stopping"
-        self._planned_stop_exit_code = await processes.daemons[stopped].stop()
-        await processes.daemons[stopped].start()
-        await processes.wait_ready(stopped)
-        self.phase = "running"
-
-    # --- verdict -------------------------------------------------------------------------
-
-    async def _judge(self) -> DeploymentResult:
+        self.status = f"{killed_zone} killed"
+        await processes.daemons[killed_zone].kill()
+        await asyncio.sleep(DOWNTIME_S)
+        await processes.daemons[killed_zone].start()
+        await processes.wait_ready(killed_zone)
+        self.status = f"{killed_zone} restarted"
+        await asyncio.sleep(self._duration_s * (STOP_AT_SHARE - KILL_AT_SHARE) - DOWNTIME_S)
+        self.status = f"{stopped_zone} shutting down"
+        self._shutdown_exit_code = await processes.daemons[stopped_zone].stop()
+        await processes.daemons[stopped_zone].start()
+        await processes.wait_ready(stopped_zone)
+        self.status = "running"
+
+    # --- results -------------------------------------------------------------------------
+
+    async def _make_result(self) -> DeploymentResult:
         assert self._processes.stand_ins is not None
         state = await StandInAdmin(self._http, self._processes.stand_ins.admin).state()
         trainers, arrivals = self.tally.trainers, self.tally.arrivals
@@ -194,7 +212,7 @@
         doubled = sum(trainer.doubled for trainer in trainers)
         over_staleness = sum(trainer.over_staleness for trainer in trainers)
         wrong = sum(item.wrong for item in [*trainers, *arrivals])
-        cut_off = self._planned_stop_exit_code != 0
+        unclean_stop = self._shutdown_exit_code != 0
         repeated = len(state.repeated_effects)
         return DeploymentResult(
             deployment=self.parameters.name,
@@ -210,25 +228,25 @@
             calls_late=sum(stream.late for stream in arrivals),
             outcomes_lost=sum(stream.outcome_lost for stream in arrivals),
             answers_wrong=wrong,
-            interactive_p50_ms=round(latencies.p50_ms, DIGITS),
-            interactive_p99_ms=round(latencies.p99_ms, DIGITS),
+            interactive_p50_ms=round(latencies.p50_ms, FRACTION_DIGITS),
+            interactive_p99_ms=round(latencies.p99_ms, FRACTION_DIGITS),
             p99_ms_by_callers={
-                stream.name: round(LatencySummary.of(stream.latencies_s).p99_ms, DIGITS)
+                stream.name: round(LatencySummary.of(stream.latencies_s).p99_ms, FRACTION_DIGITS)
                 for stream in arrivals
             },
-            trainer_idle_share=round(_mean([trainer.idle_share() for trainer in trainers]), DIGITS),
+            trainer_idle_share=round(_mean([trainer.idle_share() for trainer in trainers]), FRACTION_DIGITS),
             staleness_p99=_staleness_p99(self.tally),
             refused_not_run=len(self._not_run_ids),
             not_run_that_ran=not_run_that_ran,
             run_more_than_once=repeated,
-            planned_stop_exit_code=self._planned_stop_exit_code,
-            errors=_errors(self.tally),
-            violations=lost + doubled + over_staleness + wrong + not_run_that_ran + repeated + cut_off,
+            planned_stop_exit_code=self._shutdown_exit_code,
+            errors=_sum_errors(self.tally),
+            violations=lost + doubled + over_staleness + wrong + not_run_that_ran + repeated + unclean_stop,
         )
 
 
-class _LateAddresses(CallerClient):
-    """A client made before the daemons' addresses are known."""
+class _LazyAddressClient(CallerClient):
+    """A client that is created before the daemons' addresses are known, and reads them at its first call."""
 
     def __init__(
         self, http: HttpClient, processes: DeploymentProcesses, caller: str, on_not_run: Callable[[str], None]
@@ -238,7 +256,7 @@
 
     @property
     def daemon(self) -> str:
-        """Address of the daemon that the next call goes to."""
+        """Address of the daemon that receives the next call."""
         if not self._addresses:
             self._addresses = list(self._processes.callers.values())
         return super().daemon
@@ -248,7 +266,7 @@
     return sum(values) / len(values) if values else 0.0
 
 
-def _errors(tally: Tally) -> dict[str, int]:
+def _sum_errors(tally: Tally) -> dict[str, int]:
     total: Counter[str] = Counter()
     for caller in [*tally.trainers, *tally.arrivals]:
         total.update(caller.errors)
@@ -256,24 +274,24 @@
 
 
 def _staleness_p99(tally: Tally) -> int:
-    counts: dict[int, int] = {}
+    count_by_staleness: dict[int, int] = {}
     for trainer in tally.trainers:
         for behind, count in trainer.staleness.items():
-            counts[behind] = counts.get(behind, 0) + count
-    wanted = P99_SHARE * sum(counts.values())
-    seen = 0
-    for behind in sorted(counts):
-        seen += counts[behind]
-        if seen >= wanted:
+            count_by_staleness[behind] = count_by_staleness.get(behind, 0) + count
+    target_count = P99_SHARE * sum(count_by_staleness.values())
+    cumulative_count = 0
+    for behind in sorted(count_by_staleness):
+        cumulative_count += count_by_staleness[behind]
+        if cumulative_count >= target_count:
             return behind
     return 0
 
 
-def _show_progress(progress: Progress, task: TaskID, run: DeploymentRun, elapsed_s: float) -> None:
+def _update_progress(progress: Progress, task: TaskID, run: DeploymentRun, elapsed_s: float) -> None:
     tally = run.tally
     samples = sum(trainer.delivered for trainer in tally.trainers)
     answers = sum(stream.answered for stream in tally.arrivals)
-    status = f"{run.phase}: {samples} samples, {answers} answers"
+    status = f"{run.status}: {samples} samples, {answers} answers"
     progress.update(task, completed=elapsed_s, status=status)
 
 
@@ -289,40 +307,42 @@
         TextColumn("{task.fields[status]}"),
     )
     with Progress(*columns, console=console) as progress:
-        tasks = [progress.add_task(name, total=duration_s, status="") for name in names]
-        pairs = zip(tasks, runs, strict=True)
-        watching = [asyncio.ensure_future(_watch(progress, task, run)) for task, run in pairs]
+        task_ids = [progress.add_task(name, total=duration_s, status="") for name in names]
+        pairs = zip(task_ids, runs, strict=True)
+        progress_tasks = [
+            asyncio.ensure_future(_update_progress_periodically(progress, task, run)) for task, run in pairs
+        ]
         try:
             async with asyncio.TaskGroup() as group:
-                results = [group.create_task(run.run()) for run in runs]
-        except* PassgateError as failed:
-            raise _first_failure(failed) from None
+                run_tasks = [group.create_task(run.run()) for run in runs]
+        except* PassgateError as failures:
+            raise _first_failure(failures) from None
         finally:
-            for watcher in watching:
-                watcher.cancel()
+            for progress_task in progress_tasks:
+                progress_task.cancel()
             http.close()
-    return [result.result() for result in results]
+    return [run_task.result() for run_task in run_tasks]
 
 
-async def _watch(progress: Progress, task: TaskID, run: DeploymentRun) -> None:
+async def _update_progress_periodically(progress: Progress, task: TaskID, run: DeploymentRun) -> None:
     elapsed_s = 0.0
     while True:
-        _show_progress(progress, task, run, elapsed_s)
-        await asyncio.sleep(PROGRESS_S)
-        if run.phase != "starting":
-            elapsed_s += PROGRESS_S
+        _update_progress(progress, task, run, elapsed_s)
+        await asyncio.sleep(PROGRESS_INTERVAL_S)
+        if run.status != "starting":
+            elapsed_s += PROGRESS_INTERVAL_S
 
 
-def _first_failure(failed: BaseExceptionGroup) -> PassgateError:
+def _first_failure(failures: BaseExceptionGroup) -> PassgateError:
     """Return the first typed error of a group."""
-    first = failed.exceptions[0]
+    first = failures.exceptions[0]
     if isinstance(first, BaseExceptionGroup):
         return _first_failure(first)
     assert isinstance(first, PassgateError)
     return first
 
 
-def _table(results: list[DeploymentResult]) -> Table:
+def _make_table(results: list[DeploymentResult]) -> Table:
     table = Table("measure", *(result.deployment for result in results), title="passgate demo")
     for name in DeploymentResult.__struct_fields__[1:]:
         table.add_row(name, *(str(getattr(result, name)) for result in results))
@@ -330,13 +350,13 @@
 
 
 def demo(seed: int = 1, duration_s: float = DURATION_S, deployment: str = "", keep_logs: str = "") -> None:
-    """Run both example deployments on this machine; exit code 1 when a promise was broken.
+    """Run both example deployments on this machine; exits with code 1 when a guarantee was violated.
 
     Args:
-        seed: seed of the emulated outside systems and callers.
-        duration_s: seconds in which callers work.
+        seed: seed of the emulated external systems and callers.
+        duration_s: seconds for which the callers send requests, at least 10.
         deployment: run only this one, olhar or huon.
-        keep_logs: new directory that keeps the logs of all processes.
+        keep_logs: directory to create for the logs of all processes; they are deleted by default.
     """
     names = (deployment,) if deployment else DEPLOYMENTS
     console = Console(stderr=True)
@@ -346,11 +366,11 @@
             directory.mkdir(parents=True)
         else:
             directory = Path(stack.enter_context(tempfile.TemporaryDirectory(prefix="passgate-demo-")))
-        work: Coroutine[Any, Any, list[DeploymentResult]]
-        work = _run_all(names, seed, max(SHORTEST_DURATION_S, duration_s), directory, console)
-        results = asyncio.run(work)
-    Console().print(_table(results))
+        all_runs: Coroutine[Any, Any, list[DeploymentResult]]
+        all_runs = _run_all(names, seed, max(MIN_DURATION_S, duration_s), directory, console)
+        results = asyncio.run(all_runs)
+    Console().print(_make_table(results))
     for result in results:
         print(msgspec.json.encode(result).decode())
     if any(result.violations for result in results):
-        raise SystemExit(EXIT_VIOLATIONS)
+        raise SystemExit(VIOLATIONS_EXIT_CODE)
--- a/passgate/demo_deployment.py
+++ b/passgate/demo_deployment.py
@@ -1,6 +1,6 @@
-"""Processes of one demonstrated deployment: stand-ins and one daemon per zone.
+"""Starts the processes of an example deployment: the stand-ins and one daemon per zone.
 
-The demonstration is a tool and may start processes; daemons never do.
+The stand-ins are one process that emulates the external systems: log, platform, engines and applications.
 """
 
 from __future__ import annotations
@@ -32,10 +32,10 @@
 LOOPBACK = "127.0.0.1"
 START_TIMEOUT_S = 20.0
 STOP_TIMEOUT_S = 60.0
-POLL_S = 0.05
-FIRST_PORT = 20_000
-LAST_PORT = 32_000
-READY_CALL_TIMEOUT_S = 2.0
+POLL_INTERVAL_S = 0.05
+MIN_PORT = 20_000
+MAX_PORT = 32_000
+READINESS_CALL_TIMEOUT_S = 2.0
 STATUS_OK = 200
 SERVICE_LABEL = "service"
 STOP_NOTICE_S = 1.5
@@ -44,27 +44,30 @@
 def free_addresses(count: int) -> list[str]:
     """Return loopback addresses with ports that are free now.
 
-    They lie below the ports that systems use for outgoing connections, so that a daemon
-    which is started again finds its port free.
+    The ports are below the system's ephemeral ports, so that no outgoing connection takes the port of a
+    daemon while it restarts.
     """
-    with contextlib.ExitStack() as held:
+    with contextlib.ExitStack() as open_sockets:
         ports: list[int] = []
         while len(ports) < count:
-            port = random.randint(FIRST_PORT, LAST_PORT)
-            item = held.enter_context(socket.socket())
+            port = random.randint(MIN_PORT, MAX_PORT)
+            bound_socket = open_sockets.enter_context(socket.socket())
             with contextlib.suppress(OSError):
-                item.bind((LOOPBACK, port))
+                bound_socket.bind((LOOPBACK, port))
                 ports.append(port)
         return [f"{LOOPBACK}:{port}" for port in ports]
 
 
 def write_yaml(path: Path, value: Any) -> None:
-    """Write a typed value as YAML."""
+    """Write a typed value to a YAML file."""
     path.write_text(yaml.safe_dump(msgspec.to_builtins(value), sort_keys=False), encoding="utf-8")
 
 
 class Process:
-    """One child process whose output goes to a file."""
+    """One child process of this Python interpreter; its output goes to a file.
+
+    ``kill``, ``stop`` and ``process_id`` require that it has been started.
+    """
 
     def __init__(self, name: str, arguments: list[str], output: Path) -> None:
         self.name = name
@@ -73,7 +76,7 @@
         self._process: asyncio.subprocess.Process | None = None
 
     async def start(self) -> None:
-        """Start the process; its output is appended to the file."""
+        """Start the process, also once more after it ended; its output is appended to the file."""
         with self._output.open("ab") as stream:
             self._process = await asyncio.create_subprocess_exec(
                 sys.executable, *self._arguments, stdout=stream, stderr=stream
@@ -81,28 +84,28 @@
 
     @property
     def running(self) -> bool:
-        """Whether the process runs."""
+        """Whether the process has been started and has not ended."""
         return self._process is not None and self._process.returncode is None
 
     @property
     def process_id(self) -> int:
-        """Identifier of the process, once it is started."""
+        """Identifier of the process, also after it ended."""
         assert self._process is not None
         return self._process.pid
 
     def output(self) -> str:
-        """Return the last lines of the output, for error messages."""
+        """Return the last five lines of the output, for error messages."""
         return "\n".join(self._output.read_text(errors="replace").splitlines()[-5:])
 
     async def kill(self) -> None:
-        """Kill the process without a word."""
+        """Send SIGKILL, and wait for the end of the process."""
         assert self._process is not None
         with contextlib.suppress(ProcessLookupError):
             self._process.kill()
         await self._process.wait()
 
     async def stop(self, timeout_s: float = STOP_TIMEOUT_S) -> int | None:
-        """Ask the process to stop and return its exit code; None when it had to be killed."""
+        """Send SIGTERM and return the exit code; kill the process after ``timeout_s`` and return None."""
         assert self._process is not None
         with contextlib.suppress(ProcessLookupError):
             self._process.send_signal(signal.SIGTERM)
@@ -115,7 +118,7 @@
 
 
 class DeploymentProcesses:
-    """Everything that runs for one deployment."""
+    """The processes of one deployment and their addresses."""
 
     def __init__(
         self, parameters: DeploymentParameters, http: HttpClient, directory: Path, seed: int
@@ -125,17 +128,24 @@
         self._directory = directory / parameters.name
         self._directory.mkdir()
         self._seed = seed
-        self._stand_ins: Process | None = None
+        self._stand_ins_process: Process | None = None
         self.stand_ins: StandInAddresses | None = None
         self.daemons: dict[str, Process] = {}
         self.callers: dict[str, str] = {}
-        """Zone to the callers' address of its daemon."""
+        """By zone: the address of its daemon's callers' port."""
         self.operators: dict[str, str] = {}
+        """By zone: the address of its daemon's operators' port."""
 
     # --- start -------------------------------------------------------------------------
 
     async def start(self) -> None:
-        """Start stand-ins and daemons, configure them, and wait until all are ready."""
+        """Start stand-ins and daemons, and wait until all daemons are ready and configured.
+
+        Raises:
+            PlatformError: a process ended early or was not ready in time.
+            TimeoutError: the stand-ins did not listen, or the configuration was not active, in time.
+            PassgateError: the configuration was rejected.
+        """
         await self._start_stand_ins()
         self._prepare_daemons()
         for daemon in self.daemons.values():
@@ -149,28 +159,29 @@
         addresses_file = self._directory / "addresses.json"
         arguments = ["-m", "passgate.emulator.standins_server", "--deployment", str(parameters_file)]
         arguments += ["--addresses-file", str(addresses_file), "--seed", str(self._seed)]
-        self._stand_ins = Process("stand-ins", arguments, self._directory / "stand-ins.log")
-        await self._stand_ins.start()
+        self._stand_ins_process = Process("stand-ins", arguments, self._directory / "stand-ins.log")
+        await self._stand_ins_process.start()
         async with asyncio.timeout(START_TIMEOUT_S):
             while not addresses_file.exists():
-                if not self._stand_ins.running:
-                    raise PlatformError(f"the stand-ins ended: {self._stand_ins.output()}")
-                await asyncio.sleep(POLL_S)
+                if not self._stand_ins_process.running:
+                    raise PlatformError(f"the stand-ins' process ended: {self._stand_ins_process.output()}")
+                await asyncio.sleep(POLL_INTERVAL_S)
         self.stand_ins = msgspec.json.decode(addresses_file.read_bytes(), type=StandInAddresses)
 
     def _prepare_daemons(self) -> None:
         zones = self.parameters.zones
-        peers = free_addresses(len(zones) * 3)
+        addresses = free_addresses(len(zones) * 3)
         for index, zone in enumerate(zones):
-            caller, operator, peer = (peers[index + kind * len(zones)] for kind in range(3))
+            caller, operator, peer = (addresses[index + port * len(zones)] for port in range(3))
             self.callers[zone], self.operators[zone] = caller, operator
-            settings = self._settings(zone, caller, operator, peer, tuple(peers[2 * len(zones) :]))
+            settings = self._make_settings(zone, caller, operator, peer, tuple(addresses[2 * len(zones) :]))
             settings_file = self._directory / f"{zone}.yaml"
             write_yaml(settings_file, settings)
             arguments = ["-m", "passgate", "serve", "--settings", str(settings_file)]
             self.daemons[zone] = Process(zone, arguments, self._directory / f"{zone}.log")
 
-    def _settings(self, zone: str, caller: str, operator: str, peer: str, seeds: tuple[str, ...]) -> Any:
+    def _make_settings(self, zone: str, caller: str, operator: str, peer: str, seeds: tuple[str, ...]) -> Any:
+        """Return the settings of a daemon as a dictionary for YAML, without credentials."""
         assert self.stand_ins is not None
         settings = Settings(
             daemon_id=f"{zone}-1",
@@ -190,22 +201,29 @@
         return values
 
     async def wait_ready(self, zone: str) -> None:
-        """Wait until the daemon of a zone is ready."""
+        """Wait until the daemon of a zone is ready.
+
+        Raises:
+            PlatformError: it ended, or was not ready within START_TIMEOUT_S.
+        """
         url = f"http://{self.operators[zone]}/readyz"
-        call = HttpCall(method="GET", url=url, send=SendPolicy.REPEAT, timeout_s=READY_CALL_TIMEOUT_S)
+        call = HttpCall(method="GET", url=url, send=SendPolicy.REPEAT, timeout_s=READINESS_CALL_TIMEOUT_S)
         deadline_s = monotonic_s() + START_TIMEOUT_S
         while True:
             if not self.daemons[zone].running:
                 raise PlatformError(f"daemon {zone} ended: {self.daemons[zone].output()}")
             if monotonic_s() > deadline_s:
-                raise PlatformError(f"daemon {zone} is not ready: {self.daemons[zone].output()}")
+                raise PlatformError(f"daemon {zone} was not ready in time: {self.daemons[zone].output()}")
             with contextlib.suppress(PassgateError):
                 if (await self._http.fetch(call)).status == STATUS_OK:
                     return
-            await asyncio.sleep(POLL_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
     async def _configure(self) -> None:
-        """Put pools and boot versions on the log through one daemon; all daemons take them up."""
+        """Put pools and boot versions through one daemon, and wait until they are active on all daemons.
+
+        Objects that exist already are left as they are.
+        """
         client = OperatorClient(self._http, next(iter(self.operators.values())))
         answer = await client.apply(configuration_objects(self.parameters))
         for result in answer.results:
@@ -219,39 +237,41 @@
                 reached = [view for view in watch.daemons if view.reached and view.behind == 0]
                 if len(reached) == len(self.daemons):
                     return
-                await asyncio.sleep(POLL_S)
+                await asyncio.sleep(POLL_INTERVAL_S)
 
-    # --- end ---------------------------------------------------------------------------
+    # --- stop --------------------------------------------------------------------------
 
     async def stop_all(self) -> None:
-        """End all processes, daemons at once."""
+        """Kill the daemons and stop the stand-ins."""
         for daemon in self.daemons.values():
             if daemon.running:
                 await daemon.kill()
-        if self._stand_ins is not None and self._stand_ins.running:
-            await self._stand_ins.stop(5.0)
+        if self._stand_ins_process is not None and self._stand_ins_process.running:
+            await self._stand_ins_process.stop(5.0)
 
 
 def pool_of_model(parameters: DeploymentParameters, model: str) -> str:
-    """Return the name of the pool that serves a model, or of the application pool for ``""``."""
+    """Return the name of the pool that serves a model; for an empty model that of the application pool."""
     return f"{parameters.engines.name}-{model}" if model else parameters.apps.name
 
 
 def configuration_objects(parameters: DeploymentParameters) -> tuple[ApplyObject, ...]:
-    """Return the pools and boot versions of a deployment."""
+    """Return the pools of a deployment and the weight versions with which its engines boot."""
     engines = f"{SERVICE_LABEL}={parameters.engines.name}"
     apps = PoolSpec(selector=f"{SERVICE_LABEL}={parameters.apps.name}", role=MachineRole.APP)
-    objects = [_object("Pool", parameters.apps.name, {"for": "callers"}, apps)]
+    objects = [_make_object("Pool", parameters.apps.name, {"for": "callers"}, apps)]
     for model in parameters.engines.models:
         pool = PoolSpec(selector=engines, role=MachineRole.ENGINE, model=model.name)
-        objects.append(_object("Pool", pool_of_model(parameters, model.name), {"model": model.name}, pool))
+        objects.append(
+            _make_object("Pool", pool_of_model(parameters, model.name), {"model": model.name}, pool)
+        )
         version = ModelVersionSpec(model=model.name, version=model.boot_version)
         name = f"{model.name}-{model.boot_version}"
-        objects.append(_object("ModelVersion", name, {"model": model.name}, version))
+        objects.append(_make_object("ModelVersion", name, {"model": model.name}, version))
     return tuple(objects)
 
 
-def _object(kind: str, name: str, labels: dict[str, str], spec: Any) -> ApplyObject:
+def _make_object(kind: str, name: str, labels: dict[str, str], spec: Any) -> ApplyObject:
     return ApplyObject(
         kind=kind, name=name, labels=labels, spec=msgspec.Raw(msgspec.json.encode(spec)), expected_revision=0
     )
--- a/tests/test_demo.py
+++ b/tests/test_demo.py
@@ -10,20 +10,24 @@
 from passgate.errors import PlatformError
 from passgate.state.specs import decode_spec
 
-NEEDED = (
+REQUIRED_FIELDS = (
     "samples_delivered samples_lost samples_doubled samples_over_staleness answers_wrong interactive_p99_ms "
     "trainer_idle_share staleness_p99 refused_not_run not_run_that_ran violations"
 )
 
 
-def test_the_last_line_holds_all_that_is_asked_for():
-    assert set(NEEDED.split()) <= set(DeploymentResult.__struct_fields__)
+def test_the_result_has_all_required_figures():
+    assert set(REQUIRED_FIELDS.split()) <= set(DeploymentResult.__struct_fields__)
 
 
 @pytest.mark.parametrize("name", DEPLOYMENTS)
-def test_deployments_keep_their_size_of_today_and_their_objects_are_valid(name):
-    parameters, today = demo_parameters(name), load_deployment(name)
-    assert (parameters.engines, parameters.apps, parameters.zones) == (today.engines, today.apps, today.zones)
+def test_demo_deployments_keep_their_size_and_have_valid_configuration(name):
+    parameters, original = demo_parameters(name), load_deployment(name)
+    assert (parameters.engines, parameters.apps, parameters.zones) == (
+        original.engines,
+        original.apps,
+        original.zones,
+    )
     objects = configuration_objects(parameters)
     for item in objects:
         decode_spec(item.kind, bytes(item.spec), strict=True)
@@ -32,22 +36,22 @@
     assert pool_of_model(parameters, "") in names
 
 
-def test_staleness_percentile_counts_samples_of_all_trainers():
+def test_staleness_percentile_covers_samples_of_all_trainers():
     first = TrainerTally(name="a", staleness={0: 95, 1: 3})
     second = TrainerTally(name="b", staleness={2: 2})
     assert _staleness_p99(Tally(trainers=[first, second])) == 2
     assert _staleness_p99(Tally()) == 0
 
 
-def test_a_process_that_ends_too_early_is_named_with_its_output(tmp_path, monkeypatch):
+def test_the_error_for_an_ended_daemon_contains_its_zone_and_output(tmp_path, monkeypatch):
     async def scenario():
         http = HttpClient()
         run = DeploymentRun("olhar", tmp_path, http, seed=1, duration_s=1.0)
         processes = run._processes
-        broken = Process("caruaru", ["-c", "raise SystemExit('bad start')"], tmp_path / "caruaru.log")
-        processes.daemons["caruaru"] = broken
+        ended_process = Process("caruaru", ["-c", "raise SystemExit('bad start')"], tmp_path / "caruaru.log")
+        processes.daemons["caruaru"] = ended_process
         processes.operators["caruaru"] = "127.0.0.1:1"
-        await broken.start()
+        await ended_process.start()
         with pytest.raises(PlatformError, match="daemon caruaru ended: bad start"):
             await processes.wait_ready("caruaru")
         http.close()
