--- a/passgate/server/answer_forms.py
+++ b/passgate/server/answer_forms.py
@@ -64,9 +64,9 @@
 
     @abc.abstractmethod
     def build_last_chunk_of_stored(self, body: bytes, written_tokens: int) -> Answer:
-        """Return the last chunk of a stream whose result is a stored_answer answer that is not streamed.
+        """Return the last chunk of a stream whose result is a stored answer that was not streamed.
 
-        ``body`` is the stored_answer JSON; the chunk holds its tokens after the first ``written_tokens``.
+        ``body`` is the JSON of the stored answer; the chunk has its tokens from ``written_tokens`` on.
         """
 
     @abc.abstractmethod
@@ -109,7 +109,7 @@
     """Builds the answers of ``/v1/completions``."""
 
     def build_last_chunk_of_stored(self, body: bytes, written_tokens: int) -> CompletionAnswer:
-        """Return the stored_answer answer with only its tokens after the first ``written_tokens``."""
+        """Return the stored answer with only its tokens after the first ``written_tokens``."""
         stored_answer = msgspec.json.decode(body, type=CompletionAnswer)
         tokens = stored_answer.choices[0].token_ids[written_tokens:]
         text = self._decoder.decode(tokens, final=True)
@@ -147,7 +147,7 @@
     """Builds the answers of ``/v1/chat/completions``."""
 
     def build_last_chunk_of_stored(self, body: bytes, written_tokens: int) -> ChatCompletionAnswer:
-        """Return the stored_answer answer with only its tokens after the first ``written_tokens``."""
+        """Return the stored answer with only its tokens after the first ``written_tokens``."""
         stored_answer = msgspec.json.decode(body, type=ChatCompletionAnswer)
         tokens = stored_answer.choices[0].token_ids[written_tokens:]
         delta = ChatAnswerMessage(content=self._decoder.decode(tokens, final=True))
--- a/passgate/server/apps.py
+++ b/passgate/server/apps.py
@@ -93,6 +93,10 @@
 
         The call goes on when the caller disconnects or the deadline passes; a repetition with the same
         key gets its outcome.
+
+        Raises:
+            DeadlineExceeded: the call is still running at its deadline.
+            PassgateError: the claim or the call failed.
         """
         digest = request_digest(
             request.pool.encode(), request.method.encode(), request.path.encode(), request.body
--- a/passgate/server/daemon.py
+++ b/passgate/server/daemon.py
@@ -104,7 +104,7 @@
         Requests are refused as not run until the active configuration is known.
 
         Raises:
-            SettingsError: an address can not be listened on.
+            SettingsError: the daemon cannot listen on one of its addresses.
         """
         self.caller_address = self._listen(CALLER_ROUTES, self.settings.caller_address)
         self.operator_address = self._listen(OPERATOR_ROUTES, self.settings.operator_address)
@@ -135,6 +135,7 @@
         server = HTTPServer(
             make_application(routes, self.context),
             max_header_size=limits.max_header_bytes * HARD_HEADER_LIMIT_FACTOR,
+            # Above the limit that ApiHandler enforces, as tornado answers without a typed error.
             max_body_size=limits.max_body_bytes * 2**20,
             idle_connection_timeout=limits.idle_connection_timeout_s,
         )
@@ -193,7 +194,7 @@
     async def _poll_machine_list(self) -> None:
         """Apply the platform's machine list to the replica directory, and join daemons that it names.
 
-        While the list can not be read, the replicas of the last one stay in the directory.
+        While the list cannot be read, the replicas of the last one stay in the directory.
         """
         is_readable = True
         while True:
@@ -214,10 +215,10 @@
             await asyncio.sleep(MACHINE_LIST_POLL_INTERVAL_S)
 
     def _join_unknown_daemons(self, addresses: list[str]) -> None:
-        known = {member.address for member in self.parts.membership.members()}
-        unknown = [address for address in addresses if address not in known]
-        if unknown and self.life.within("running"):
-            self.parts.membership.join(unknown)
+        known_addresses = {member.address for member in self.parts.membership.members()}
+        unknown_addresses = [address for address in addresses if address not in known_addresses]
+        if unknown_addresses and self.life.within("running"):
+            self.parts.membership.join(unknown_addresses)
 
     async def _watch_log(self) -> None:
         """Move the lifecycle between ready and degraded as reads of the log fail and succeed."""
@@ -234,6 +235,7 @@
                 self._log_change("log_back")
 
     async def _measure_loop_lag(self) -> None:
+        """Set the metric that shows how late timers of the event loop run."""
         while True:
             due_s = clock.monotonic_s() + LOOP_LAG_INTERVAL_S
             await asyncio.sleep(LOOP_LAG_INTERVAL_S)
@@ -334,6 +336,7 @@
 
 
 StopSignalInstaller = Callable[[Callable[[], None]], None]
+"""Registers a function to be called when the process is requested to stop."""
 
 
 async def run_daemon(
--- a/passgate/server/gate.py
+++ b/passgate/server/gate.py
@@ -49,7 +49,7 @@
         self._admitted_count = 0
         self._write_timeout_s = write_timeout_s
         self._flush_deadline_s_by_stream: dict[ClientStream, float] = {}
-        """For each stream with unsent bytes of a finished answer: when it is closed (loop time)."""
+        """For each stream with unsent bytes of a finished answer: when it is closed (monotonic clock)."""
         self._detached_tasks: set[asyncio.Task[Any]] = set()
         self.is_closing_connections = False
         """Set when shutdown begins: answers carry ``Connection: close``."""
--- a/passgate/server/lots.py
+++ b/passgate/server/lots.py
@@ -183,7 +183,7 @@
     """``/v1/lots/{lot_id}/replace``: replaces delivered samples that became stale before they arrived."""
 
     async def post(self, lot_id: str) -> None:
-        """Have withdrawn samples produced again; answer with the identifiers of those replaced_ids."""
+        """Have withdrawn samples produced again; answer with the identifiers of those replaced."""
         body = self.decode_body(ReplaceSamplesRequest)
         await self.get_own_lot(lot_id)
         lots = self.context.services.lots
--- a/passgate/server/openapi.py
+++ b/passgate/server/openapi.py
@@ -25,14 +25,14 @@
 STREAMED_ROUTES = frozenset(("completions", "chat_completions"))
 HEADER_DESCRIPTIONS = {
     "Idempotency-Key": "Key of one logical request. The request runs at most once for a caller and key, "
-    "whichever daemon is asked; a repeat gets the stored answer. On lots: names the lot.",
+    "on whichever daemon; a repetition gets the stored answer. When a lot is opened: determines its name.",
     "X-Passgate-Not-Repeatable": "true: the request runs at most once. Without Idempotency-Key the "
     "caller's X-Request-Id is the key.",
-    "X-Passgate-Deadline-Ms": "Milliseconds from now after which the answer is worthless.",
+    "X-Passgate-Deadline-Ms": "Time in milliseconds within which the caller needs the answer.",
     "X-Passgate-Priority": "Name of a priority class.",
     "X-Passgate-Selector": "Label selector over pools, for example: tier=gold,zone in (a,b),!canary",
     "X-Passgate-Caller": "Name of the caller, for fairness and ownership of lots; ignored when credentials "
-    "name the caller.",
+    "identify the caller.",
     "X-Request-Id": "Identifier for logs, echoed in the answer.",
 }
 
@@ -121,7 +121,7 @@
         "responses": {
             str(operation.status): _describe_answer(route, operation, references),
             "default": {
-                "description": "Typed error; Retry-After is set when a later try may succeed.",
+                "description": "Typed error; Retry-After is set when a later attempt may succeed.",
                 "content": {JSON_CONTENT_TYPE: {"schema": references[wire.ErrorAnswer]}},
             },
         },
@@ -134,7 +134,7 @@
 
 def _describe_answer(route: Route, operation: Operation, references: dict[Any, Any]) -> dict[str, Any]:
     if operation.answer is None:
-        return {"description": "Passed through.", "content": {"*/*": {}}}
+        return {"description": "Body without a fixed schema.", "content": {"*/*": {}}}
     content: dict[str, Any] = {JSON_CONTENT_TYPE: {"schema": references[operation.answer]}}
     if route.name in STREAMED_ROUTES:
         content[EVENT_STREAM_CONTENT_TYPE] = {"schema": references[operation.answer]}
--- a/passgate/server/operators.py
+++ b/passgate/server/operators.py
@@ -58,9 +58,7 @@
 def check_kind(kind: str) -> None:
     """Check that a kind exists; raises NotFound that lists the known kinds."""
     if kind not in OBJECT_KINDS:
-        raise NotFound(
-            f"configuration kind {kind!r} does not exist", kind=kind, known=", ".join(OBJECT_KINDS)
-        )
+        raise NotFound(f"unknown configuration kind {kind!r}", kind=kind, known=", ".join(OBJECT_KINDS))
 
 
 class ConfigCollectionHandler(ConfigHandlerBase):
@@ -104,7 +102,7 @@
         check_kind(kind)
         item = self.state.get(kind, name)
         if item is None:
-            raise NotFound(f"{kind} {name!r} does not exist", kind=kind, name=name)
+            raise NotFound(f"there is no {kind} with the name {name!r}", kind=kind, name=name)
         self.answer_json(make_object_view(item))
 
     async def put(self, kind: str, name: str) -> None:
--- a/passgate/server/options.py
+++ b/passgate/server/options.py
@@ -76,7 +76,7 @@
     if not 0 < timeout_s <= limits.max_deadline_s:
         max_ms = limits.max_deadline_s * MS_PER_S
         raise InvalidRequest(
-            f"{DEADLINE_HEADER} must be above 0 and at most {max_ms:g} milliseconds",
+            f"{DEADLINE_HEADER} must be a number of milliseconds above 0 and at most {max_ms:g}",
             header=DEADLINE_HEADER,
         )
     return timeout_s
@@ -118,7 +118,7 @@
 
     Raises:
         InvalidRequest: both are empty.
-        SelectorSyntaxError: the selector can not be parsed.
+        SelectorSyntaxError: the selector cannot be parsed.
         NoMatchingPool: no engine pool matches.
     """
     if not selector and not model:
@@ -143,7 +143,7 @@
 
     Raises:
         InvalidRequest: the name is ``-`` and the selector is empty.
-        SelectorSyntaxError: the selector can not be parsed.
+        SelectorSyntaxError: the selector cannot be parsed.
         NoMatchingPool: there is no such application pool.
     """
     if name == "-":
@@ -154,7 +154,7 @@
         return state.select_pool(Selector.parse(selector), MachineRole.APP)
     pool = state.get("Pool", name)
     if pool is None or pool.spec.role is not MachineRole.APP:
-        raise NoMatchingPool(f"application pool {name!r} does not exist", pool=name)
+        raise NoMatchingPool(f"unknown application pool {name!r}", pool=name)
     return pool
 
 
@@ -172,7 +172,7 @@
     if name in DEFAULT_PRIORITY_CLASSES:
         return
     if name and state.get("PriorityClass", name) is None:
-        raise NotFound(f"priority class {name!r} does not exist", priority_class=name)
+        raise NotFound(f"unknown priority class {name!r}", priority_class=name)
 
 
 def resolve_minimum_version(
@@ -185,7 +185,7 @@
 
     Raises:
         InvalidRequest: ``minimum_version`` is negative.
-        SelectorSyntaxError: the selector can not be parsed.
+        SelectorSyntaxError: the selector cannot be parsed.
         NotFound: no version matches the selector.
     """
     if minimum_version < 0:
--- a/passgate/server/rollouts.py
+++ b/passgate/server/rollouts.py
@@ -64,8 +64,8 @@
 
     def targets(self) -> list[RolloutTarget]:
         """Return for each model of the group its newest version that is not withdrawn."""
-        by_model = {pool.model: pool for pool in self.pools}
-        return [self._make_target(by_model[model]) for model in sorted(by_model)]
+        pool_by_model = {pool.model: pool for pool in self.pools}
+        return [self._make_target(pool_by_model[model]) for model in sorted(pool_by_model)]
 
     def _list_live_replicas(self) -> list[ReplicaView]:
         return [
@@ -152,10 +152,11 @@
         while True:
             await asyncio.sleep(ZONE_CHECK_INTERVAL_S)
             pools = _group_pools_by_selector(self._configuration.state).values()
-            if any(pool.rollout.by_zone for shared in pools for pool in shared):
+            if any(pool.rollout.by_zone for group_pools in pools for pool in group_pools):
                 self._update_managers(self._configuration.state)
 
     def _update_managers(self, state: ConfigurationState) -> None:
+        """Start, update and stop managers so that there is one for each group of the configuration."""
         if not self._is_running:
             return
         pools_by_key: dict[EngineGroupKey, tuple[PoolSpec, ...]] = {}
@@ -167,12 +168,14 @@
             self._update_manager(key, pools)
 
     def _make_keys(self, selector: str, pools: tuple[PoolSpec, ...]) -> list[EngineGroupKey]:
+        """Return one key, or one per zone of the live engines if a pool of the selector is by zone."""
         if not any(pool.rollout.by_zone for pool in pools):
             return [EngineGroupKey(selector, "")]
         group = EngineGroup(EngineGroupKey(selector, ""), self._configuration.state, self._directory)
         return [EngineGroupKey(selector, zone) for zone in sorted({view.zone for view in group.replicas()})]
 
     def _update_manager(self, key: EngineGroupKey, pools: tuple[PoolSpec, ...]) -> None:
+        """Notify the manager of its pools; starts it first, or replaces it when its settings differ."""
         settings = self._settings_for(pools)
         if key in self._manager_by_key and self._settings_by_key[key] != settings:
             self._stop_manager(key)
--- a/passgate/server/text_tokens.py
+++ b/passgate/server/text_tokens.py
@@ -39,7 +39,7 @@
         self._decoder = codecs.getincrementaldecoder("utf-8")(errors="replace")
 
     def decode(self, tokens: Iterable[int], final: bool = False) -> str:
-        """Return the text of the next tokens; ``final`` ends the output, an incomplete character included."""
+        """Return the text of the next tokens; with ``final`` an incomplete character becomes U+FFFD."""
         encoded = (
             bytes((token,)) if 0 <= token < BYTE_TOKEN_COUNT else REPLACEMENT_CHARACTER_BYTES
             for token in tokens
