--- a/passgate/server/apps.py
+++ b/passgate/server/apps.py
@@ -6,7 +6,7 @@
 
 from passgate.errors import DeadlineExceeded, InvalidRequest
 from passgate.schema import AppRequest, AppResponse
-from passgate.server.base import JSON_CONTENT_TYPE, CallerHandler
+from passgate.server.base_handlers import JSON_CONTENT_TYPE, CallerHandler
 from passgate.server.options import (
     CallOptions,
     check_priority_class,
--- a/passgate/server/completions.py
+++ b/passgate/server/completions.py
@@ -12,8 +12,8 @@
 
 from passgate.errors import InvalidRequest, PassgateError
 from passgate.schema import GenerateChunk, GenerateRequest, GenerateResult
-from passgate.server.answer_forms import AnswerBuilder, ChatAnswerBuilder, CompletionAnswerBuilder
-from passgate.server.base import JSON_CONTENT_TYPE, CallerHandler
+from passgate.server.answer_builders import AnswerBuilder, ChatAnswerBuilder, CompletionAnswerBuilder
+from passgate.server.base_handlers import JSON_CONTENT_TYPE, CallerHandler
 from passgate.server.options import (
     CallOptions,
     check_priority_class,
--- a/passgate/server/health.py
+++ b/passgate/server/health.py
@@ -4,7 +4,7 @@
 
 from passgate import metrics
 from passgate.errors import NotFound
-from passgate.server.base import ApiHandler, OperatorHandler
+from passgate.server.base_handlers import ApiHandler, OperatorHandler
 from passgate.server.wire import HealthAnswer
 
 NOT_READY_STATUS = 503
--- a/passgate/server/lots.py
+++ b/passgate/server/lots.py
@@ -8,7 +8,7 @@
 import re
 
 from passgate.errors import InvalidRequest, NotFound
-from passgate.server.base import CallerHandler
+from passgate.server.base_handlers import CallerHandler
 from passgate.server.options import (
     IDEMPOTENCY_KEY_HEADER,
     IDEMPOTENCY_KEY_PATTERN,
--- a/passgate/server/models.py
+++ b/passgate/server/models.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from passgate.errors import InvalidRequest, RevisionConflict
-from passgate.server.base import CallerHandler
+from passgate.server.base_handlers import CallerHandler
 from passgate.server.config_views import make_object_view
 from passgate.server.wire import ChangeAnswer, PublishVersionRequest, VersionList
 from passgate.state.configuration import ModelVersionSpec
--- a/passgate/server/operators.py
+++ b/passgate/server/operators.py
@@ -6,7 +6,7 @@
 
 from passgate.errors import InvalidRequest, NotFound, PassgateError
 from passgate.selectors import Selector
-from passgate.server.base import OperatorHandler
+from passgate.server.base_handlers import OperatorHandler
 from passgate.server.config_views import make_object_view
 from passgate.server.wire import (
     ApplyAnswer,
--- a/passgate/server/routes.py
+++ b/passgate/server/routes.py
@@ -8,7 +8,7 @@
 from tornado.web import Application, RequestHandler
 
 from passgate.server import apps, completions, health, lots, models, operators, wire
-from passgate.server.base import ApiHandler
+from passgate.server.base_handlers import ApiHandler
 from passgate.server.context import ServerContext
 from passgate.state.lots import LotInfo, SamplesPage
 
