--- a/passgate/server/daemon.py
+++ b/passgate/server/daemon.py
@@ -266,7 +266,7 @@
         self._log_change("stop_announced", notice_s=stop.notice_s)
         await asyncio.sleep(stop.notice_s)
         self.life.send("announced")
-        self.context.gate.is_draining = True
+        self.context.gate.refusing = True
         self._log_change("stop_draining", in_flight=self.context.gate.in_flight)
         is_clean = await self._finish_work(stop.drain_timeout_s)
         self.life.send("finished")
--- a/passgate/server/gate.py
+++ b/passgate/server/gate.py
@@ -55,7 +55,7 @@
         """Set when shutdown begins: answers carry ``Connection: close``."""
         self.starting = False
         """Set until the active configuration is known: requests are refused as not run."""
-        self.is_draining = False
+        self.refusing = False
         """Set after the notice period of a shutdown: new requests are refused as not run."""
 
     @property
@@ -71,7 +71,7 @@
             Draining: the daemon is shutting down, and its notice period has passed.
             Overloaded: ``max_in_flight`` requests are admitted.
         """
-        if self.is_draining:
+        if self.refusing:
             raise Draining("the daemon is shutting down", retry_after_s=self._retry_after_s)
         if self.starting:
             raise NotReady("the daemon is starting", retry_after_s=self._retry_after_s)
