--- a/passgate/demo_deployment.py
+++ b/passgate/demo_deployment.py
@@ -39,6 +39,7 @@
 STATUS_OK = 200
 SERVICE_LABEL = "service"
 STOP_NOTICE_S = 1.5
+"""Notice period of the daemons' shutdown."""
 
 
 def free_addresses(count: int) -> list[str]:
@@ -64,7 +65,7 @@
 
 
 class Process:
-    """One child process of this Python interpreter; its output goes to a file.
+    """One child process that runs this Python interpreter; its output goes to a file.
 
     ``kill``, ``stop`` and ``process_id`` require that it has been started.
     """
@@ -130,7 +131,9 @@
         self._seed = seed
         self._stand_ins_process: Process | None = None
         self.stand_ins: StandInAddresses | None = None
+        """Addresses at which the stand-ins listen, once they are started."""
         self.daemons: dict[str, Process] = {}
+        """By zone: the process of its daemon."""
         self.callers: dict[str, str] = {}
         """By zone: the address of its daemon's callers' port."""
         self.operators: dict[str, str] = {}
--- a/passgate/server/wire.py
+++ b/passgate/server/wire.py
@@ -149,10 +149,7 @@
     """Body of ``POST /v1/lots``."""
 
     lot_id: str = ""
-    """Name that the trainer gives to the lot; a repetition returns the open lot.
-
-    Without it the name is derived from the header Idempotency-Key, if there is one.
-    """
+    """Name that the trainer gives to the lot; by default derived from the header Idempotency-Key, if set."""
     model: str = ""
     selector: str = ""
     priority_class: str = "training"
@@ -303,4 +300,6 @@
 
     daemon_id: str
     state: str
+    """State of the daemon's lifecycle, see the state chart ``daemon``."""
     ready: bool
+    """Whether load balancers should send requests to the daemon."""
