--- a/passgate/emulator/admin_client.py
+++ b/passgate/emulator/admin_client.py
@@ -1,4 +1,4 @@
-"""Client of the stand-ins' administration port."""
+"""HTTP client of the emulator's administration server."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from passgate.clients.curl import HttpClient
 from passgate.clients.replies import decode_body, decode_error
 from passgate.emulator.admin_messages import (
+    EmulatorState,
     FaultCommand,
     FaultKind,
+    RunStarts,
     SeenRun,
-    SeenRuns,
     StandInAddresses,
-    StandInState,
 )
 from passgate.errors import PlatformError
 
@@ -24,34 +24,37 @@
 
 
 class StandInAdmin:
-    """Injects faults into running stand-ins and reads their counters."""
+    """Injects faults into running emulator servers and reads their addresses and counters.
+
+    Each method raises PlatformError if the answer's status is not 200.
+    """
 
     def __init__(self, http: HttpClient, address: str, credential: str | None = None) -> None:
         self._http = http
-        self._base = f"http://{address}/admin"
+        self._base_url = f"http://{address}/admin"
         self._headers = wire.authorization(credential)
 
     async def addresses(self) -> StandInAddresses:
-        """Return where everything listens; raises PlatformError."""
+        """Return the addresses of all emulator servers."""
         return decode_body(await self._send("GET", "/addresses"), StandInAddresses)
 
-    async def state(self, prefix: str = "") -> StandInState:
-        """Return counters; request identifiers only with ``prefix``; raises PlatformError."""
-        return decode_body(await self._send("GET", f"/state?prefix={quote(prefix)}"), StandInState)
+    async def state(self, prefix: str = "") -> EmulatorState:
+        """Return the counters of all emulator servers, by request only for identifiers with ``prefix``."""
+        return decode_body(await self._send("GET", f"/state?prefix={quote(prefix)}"), EmulatorState)
 
     async def runs(self, after: int = 0) -> tuple[SeenRun, ...]:
-        """Return the starts of requests on back ends but the first ``after``; raises PlatformError."""
-        return decode_body(await self._send("GET", f"/runs?after={after}"), SeenRuns).runs
+        """Return all starts of requests on back ends except the first ``after``."""
+        return decode_body(await self._send("GET", f"/runs?after={after}"), RunStarts).runs
 
     async def inject(self, kind: FaultKind, target: str = "", value: float = 1.0, argument: str = "") -> None:
-        """Inject one fault; raises PlatformError when the stand-ins refuse it."""
+        """Inject one fault; see :class:`FaultKind` for the meaning of the arguments."""
         command = FaultCommand(kind=kind, target=target, value=value, argument=argument)
         await self._send("POST", "/faults", msgspec.json.encode(command))
 
     async def _send(self, method: str, path: str, body: bytes | None = None) -> HttpAnswer:
         call = HttpCall(
             method=method,
-            url=self._base + path,
+            url=self._base_url + path,
             body=body,
             headers=self._headers,
             send=SendPolicy.ONCE if body else SendPolicy.REPEAT,
@@ -60,6 +63,8 @@
         answer = await self._http.fetch(call)
         if answer.status != 200:
             error = decode_error(answer)
-            message = "stand-ins refused" if error is None else error.message
+            message = (
+                "the administration request failed without an error body" if error is None else error.message
+            )
             raise PlatformError(message, status=answer.status)
         return answer
--- a/passgate/emulator/admin_messages.py
+++ b/passgate/emulator/admin_messages.py
@@ -1,4 +1,4 @@
-"""What the stand-ins' administration port takes and tells.
+"""JSON bodies of the emulator's administration server.
 
 >>> msgspec.json.decode(b'{"kind": "crash", "target": "linha-0"}', type=FaultCommand).target
 'linha-0'
@@ -14,65 +14,67 @@
 
 
 class StandInAddresses(msgspec.Struct, frozen=True, kw_only=True):
-    """Where one deployment's outside world listens; machines by their identifiers."""
+    """Addresses (``host:port``) of the servers of one emulated deployment."""
 
     deployment: str
     zones: tuple[str, ...]
     process_id: int
     admin: str
     platform: str
-    """Machine list and weight store."""
+    """Server of the machine list and the weight store; its machines are reached without network delays."""
     logs: dict[str, str]
-    """Zone to the log as that zone reaches it."""
+    """Zone to the log server for daemons of that zone, with that zone's delays and network partitions."""
     engines: dict[str, str]
+    """Machine identifier to address; without network delays, as in ``apps``."""
     apps: dict[str, str]
     zone_platforms: dict[str, str] = {}
-    """Zone to a platform whose machine list leads through the emulated network of that zone."""
+    """Zone to a platform server whose machine list has addresses with that zone's network delays."""
 
 
 class FaultKind(enum.Enum):
-    """Faults that can be injected; ``target`` names a server unless told otherwise."""
+    """Faults that can be injected; ``target`` is a server's name unless said otherwise."""
 
     CRASH = "crash"
-    """Close the port abruptly and lose all state; back after ``value`` seconds."""
+    """Reset an engine's or app's connections and lose its requests; restart it after ``value`` seconds."""
     SLOW = "slow"
-    """Make an engine or app ``value`` times as slow; 1 ends it."""
+    """Make an engine or app take ``value`` times as long; 1 ends it."""
     DRAIN = "drain"
-    """An engine or app itself refuses new work; ``value`` 0 ends it."""
+    """Make an engine or app refuse new requests; ``value`` 0 ends it."""
     LEAVE = "leave"
-    """Mark a machine as leaving in the machine list (seen after its lag)."""
+    """Mark a machine as leaving in the machine list; as all marks, readers see it after the list's lag."""
     GONE = "gone"
     """Mark a machine as gone in the machine list."""
     RETURN = "return"
     """Put a machine back into the machine list under a new generation."""
     SWAP_FAILURE = "swap_failure"
-    """Let an engine's next weight swap fail; ``argument`` names a ``SwapFailure``."""
+    """Make the next ``value`` weight swaps of an engine fail as the ``SwapFailure`` in ``argument`` says."""
     DELAY = "delay"
-    """Answer every request of a server ``value`` seconds later."""
+    """Delay every request to a server by ``value`` seconds; 0 ends it."""
     UNAVAILABLE = "unavailable"
-    """A server refuses every request as not run; ``value`` 0 ends it."""
+    """Make a server answer every request with 503, as not run; ``value`` 0 ends it."""
     LOSE_ANSWERS = "lose_answers"
-    """Carry out the next ``value`` requests of a server and close instead of answering."""
+    """Execute the next ``value`` requests to a server (an engine only starts them), but close the connection
+    instead of answering."""
     DROP_REQUESTS = "drop_requests"
-    """Close the connections of the next ``value`` requests unread."""
+    """Close the connection of the next ``value`` requests to a server without executing them."""
     CUT_STREAMS = "cut_streams"
-    """Close the next ``value`` streams of an engine after their first event."""
+    """Close the connections of ``value`` streams of an engine, each after its next event."""
     CROSS_ANSWERS = "cross_answers"
-    """Answer the next ``value`` requests under another request's identifier."""
+    """Answer the next ``value`` calls of an app with the identifier of another request."""
     ISOLATE = "isolate"
-    """Cut the zone ``target`` off from back ends and platform elsewhere; ``value`` 0 ends it."""
+    """Partition the network around the zone ``target``; ``value`` 0 ends it."""
     LOG_DOWN = "log_down"
-    """The log refuses everything; ``value`` 0 ends it."""
+    """Make the log refuse all calls; ``value`` 0 ends it."""
     LOG_SLOW = "log_slow"
-    """The log takes ``value`` more seconds."""
+    """Add ``value`` seconds to each append and read of the log; 0 ends it."""
     LOG_LAG = "log_lag"
-    """Reads of the zone ``target`` may be served ``value`` seconds late."""
+    """Serve some reads of the zone ``target`` from a log replica ``value`` seconds behind; 0 ends it."""
     LOG_LOSE_ANSWERS = "log_lose_answers"
-    """The next ``value`` appends take effect and their answers are lost."""
+    """Lose the answers of the log's next ``value`` appends, which still take effect."""
     STORE_DOWN = "store_down"
-    """The weight store is down; ``value`` 0 ends it."""
+    """Make the weight store unavailable; ``value`` 0 ends it."""
     MACHINE_LIST_DOWN = "machine_list_down"
-    """The machine list is down; ``value`` 0 ends it."""
+    """Make the machine list unavailable; ``value`` 0 ends it."""
 
 
 class FaultCommand(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
@@ -85,7 +87,7 @@
 
 
 class LogTotals(msgspec.Struct, frozen=True, kw_only=True):
-    """What the log did."""
+    """Counters of the log since its start."""
 
     appends: int
     records: int
@@ -94,31 +96,33 @@
     read_bytes: int
 
 
-class StandInState(msgspec.Struct, frozen=True, kw_only=True):
-    """Answer of ``GET /admin/state?prefix=P``; run counts only of identifiers that begin with P."""
+class EmulatorState(msgspec.Struct, frozen=True, kw_only=True):
+    """Answer of ``GET /admin/state?prefix=P``; counts by request only of identifiers that begin with P."""
 
     runs: dict[str, int]
-    """Times that a back end began to execute, by request identifier."""
+    """Request identifier to the number of times that a back end started the request."""
     repeated_effects: tuple[str, ...]
-    """Effects that happened more than once."""
+    """Side effects of non-repeatable calls that happened more than once."""
     servers: dict[str, ServerCounters]
+    """Server name to its counters."""
     log: LogTotals
     store_bytes: int
+    """Bytes that the weight store has sent to engines."""
 
 
 class SeenRun(msgspec.Struct, frozen=True, kw_only=True):
-    """One start of one request on one back end."""
+    """A back end started to execute a request."""
 
     time_s: float
-    """Seconds on the machine's monotonic clock, which all its processes share."""
+    """Time of the start on the host's monotonic clock, which all its processes share."""
     request_id: str
-    """Identifier that passgate gave to the back end."""
+    """Identifier with which passgate sent the request to the back end."""
     replica_id: str
     work: str
-    """Digest of what was asked for: see ``emulator.run_feed``."""
+    """Digest of the request's content: see ``emulator.run_feed``."""
 
 
-class SeenRuns(msgspec.Struct, frozen=True, kw_only=True):
-    """Answer of ``GET /admin/runs?after=N``: all starts but the first N."""
+class RunStarts(msgspec.Struct, frozen=True, kw_only=True):
+    """Answer of ``GET /admin/runs?after=N``: all starts except the first N."""
 
     runs: tuple[SeenRun, ...]
--- a/passgate/emulator/admin_server.py
+++ b/passgate/emulator/admin_server.py
@@ -1,10 +1,10 @@
-"""The stand-ins' administration port: injects faults, reads counters, says where all listens."""
+"""HTTP server by which tests and checks inject faults into an emulated deployment and read its counters."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
 
-from passgate.emulator.admin_messages import FaultCommand, FaultKind, LogTotals, SeenRuns, StandInState
+from passgate.emulator.admin_messages import EmulatorState, FaultCommand, FaultKind, LogTotals, RunStarts
 from passgate.emulator.app_server import AppServer
 from passgate.emulator.engine_events import SwapFailure
 from passgate.emulator.engine_server import EngineServer
@@ -16,14 +16,14 @@
 
 
 class AdminServer(StandInServer):
-    """Administration of one deployment's stand-ins."""
+    """Administration server of one deployment's emulator servers."""
 
-    def __init__(self, standins: StandIns, credential: str | None = None) -> None:
+    def __init__(self, emulator: StandIns, credential: str | None = None) -> None:
         super().__init__("admin", credential)
-        self.standins = standins
+        self.emulator = emulator
 
     def routes(self) -> list[tuple]:
-        """Return the administration's routes."""
+        """Return the routes below ``/admin``."""
         arguments = {"server": self}
         return [
             (r"/admin/addresses", _AddressesHandler, arguments),
@@ -39,36 +39,36 @@
 
 class _AddressesHandler(_AdminHandler):
     async def get(self) -> None:
-        self.reply(self.server.standins.addresses())
+        self.reply(self.server.emulator.addresses())
 
 
 class _StateHandler(_AdminHandler):
     async def get(self) -> None:
-        self.reply(read_state(self.server.standins, self.get_query_argument("prefix", "")))
+        self.reply(read_state(self.server.emulator, self.get_query_argument("prefix", "")))
 
 
 class _RunsHandler(_AdminHandler):
     async def get(self) -> None:
         after = int(self.get_query_argument("after", "0"))
-        self.reply(SeenRuns(runs=tuple(self.server.standins.runs.seen[after:])))
+        self.reply(RunStarts(runs=tuple(self.server.emulator.run_feed.seen[after:])))
 
 
 class _FaultsHandler(_AdminHandler):
     async def post(self) -> None:
         command = self.body_as(FaultCommand)
-        inject(self.server.standins, command)
+        inject(self.server.emulator, command)
         self.reply(command)
 
 
-def read_state(standins: StandIns, prefix: str) -> StandInState:
-    """Return the counters of all stand-ins."""
-    world = standins.world
+def read_state(emulator: StandIns, prefix: str) -> EmulatorState:
+    """Return all counters, by request only for identifiers that begin with ``prefix``."""
+    world = emulator.world
     ids = {record.request_id for record in world.ledger.records if record.request_id.startswith(prefix)}
     log = world.log.counters
-    return StandInState(
+    return EmulatorState(
         runs={request_id: world.ledger.runs(request_id) for request_id in sorted(ids)},
         repeated_effects=tuple(world.ledger.repeated_single_effects()),
-        servers={name: _counters(server, prefix) for name, server in standins.servers.items()},
+        servers={name: _counters_of(server, prefix) for name, server in emulator.servers.items()},
         log=LogTotals(
             appends=log.appends,
             records=log.records,
@@ -80,7 +80,7 @@
     )
 
 
-def _counters(server: StandInServer, prefix: str) -> ServerCounters:
+def _counters_of(server: StandInServer, prefix: str) -> ServerCounters:
     counters = server.counters
     received = {name: count for name, count in counters.received.items() if name.startswith(prefix)}
     return ServerCounters(
@@ -88,96 +88,104 @@
     )
 
 
-def inject(standins: StandIns, command: FaultCommand) -> None:
-    """Carry out a fault command; raises NotFound for an unknown target."""
-    if command.kind in _WORLD_FAULTS:
-        _WORLD_FAULTS[command.kind](standins, command)
+def inject(emulator: StandIns, command: FaultCommand) -> None:
+    """Apply a fault.
+
+    A machine identifier that the machine list does not know is ignored, as is an unknown zone.
+
+    Raises:
+        NotFound: no server has the target's name, or it does not support this kind of fault.
+        MalformedBody: ``argument`` is not a ``SwapFailure``.
+    """
+    if command.kind in _WORLD_FAULT_HANDLERS:
+        _WORLD_FAULT_HANDLERS[command.kind](emulator, command)
         return
-    server = standins.servers.get(command.target)
+    server = emulator.servers.get(command.target)
     if server is None:
-        raise NotFound("no such server", target=command.target)
-    if command.kind in _CONNECTION_FAULTS:
+        raise NotFound("no server has the target's name", target=command.target)
+    if command.kind in _CONNECTION_FAULT_FIELDS:
         _set_connection_fault(server, command)
     else:
-        _set_backend_fault(standins, server, command)
+        _set_backend_fault(emulator, server, command)
 
 
 def _set_connection_fault(server: StandInServer, command: FaultCommand) -> None:
-    name = _CONNECTION_FAULTS[command.kind]
-    kind = type(getattr(server.faults, name))
-    setattr(server.faults, name, kind(command.value))
+    name = _CONNECTION_FAULT_FIELDS[command.kind]
+    # a command's value is a float; the field may be a bool or an int
+    field_type = type(getattr(server.faults, name))
+    setattr(server.faults, name, field_type(command.value))
 
 
-def _set_backend_fault(standins: StandIns, server: StandInServer, command: FaultCommand) -> None:
+def _set_backend_fault(emulator: StandIns, server: StandInServer, command: FaultCommand) -> None:
     if not isinstance(server, EngineServer | AppServer):
-        raise NotFound("the target is neither engine nor app", target=command.target)
+        raise NotFound("the target is neither an engine nor an app", target=command.target)
     match command.kind:
         case FaultKind.CRASH:
-            standins.crash(command.target, command.value)
+            emulator.crash(command.target, command.value)
         case FaultKind.SLOW:
-            standins.backend(command.target).set_slow_factor(command.value)
+            emulator.backend(command.target).set_slow_factor(command.value)
         case FaultKind.DRAIN:
-            standins.set_draining(command.target, bool(command.value))
+            emulator.set_draining(command.target, bool(command.value))
         case FaultKind.SWAP_FAILURE:
-            _arm_swap_failure(standins, command)
+            _arm_swap_failure(emulator, command)
 
 
-def _arm_swap_failure(standins: StandIns, command: FaultCommand) -> None:
-    engine = standins.world.engines.get(command.target)
+def _arm_swap_failure(emulator: StandIns, command: FaultCommand) -> None:
+    engine = emulator.world.engines.get(command.target)
     if engine is None:
-        raise NotFound("no such engine", target=command.target)
+        raise NotFound("no engine has the target's name", target=command.target)
     try:
         failure = SwapFailure(command.argument)
     except ValueError as error:
-        raise MalformedBody("no such swap failure", argument=command.argument) from error
+        raise MalformedBody("the argument is not a swap failure", argument=command.argument) from error
     engine.model.arm_swap_failure(failure, int(command.value))
 
 
-def _isolate(standins: StandIns, command: FaultCommand) -> None:
-    network = standins.world.network
+def _isolate(emulator: StandIns, command: FaultCommand) -> None:
+    network = emulator.world.network
     if command.value:
         network.isolate(command.target)
     else:
         network.rejoin(command.target)
 
 
-def _set_log_down(standins: StandIns, command: FaultCommand) -> None:
-    standins.world.log.faults.down = bool(command.value)
+def _set_log_down(emulator: StandIns, command: FaultCommand) -> None:
+    emulator.world.log.faults.down = bool(command.value)
 
 
-def _set_log_slow(standins: StandIns, command: FaultCommand) -> None:
-    standins.world.log.faults.extra_s = command.value
+def _set_log_slow(emulator: StandIns, command: FaultCommand) -> None:
+    emulator.world.log.faults.extra_s = command.value
 
 
-def _set_log_lag(standins: StandIns, command: FaultCommand) -> None:
-    standins.world.log.faults.reader_lag_s[command.target] = command.value
+def _set_log_lag(emulator: StandIns, command: FaultCommand) -> None:
+    emulator.world.log.faults.reader_lag_s[command.target] = command.value
 
 
-def _lose_log_answers(standins: StandIns, command: FaultCommand) -> None:
-    standins.world.log.faults.lose_next_answers = int(command.value)
+def _lose_log_answers(emulator: StandIns, command: FaultCommand) -> None:
+    emulator.world.log.faults.lose_next_answers = int(command.value)
 
 
-def _set_store_down(standins: StandIns, command: FaultCommand) -> None:
-    standins.world.store.available = not command.value
+def _set_store_down(emulator: StandIns, command: FaultCommand) -> None:
+    emulator.world.store.available = not command.value
 
 
-def _set_machine_list_down(standins: StandIns, command: FaultCommand) -> None:
-    standins.world.machine_list.available = not command.value
+def _set_machine_list_down(emulator: StandIns, command: FaultCommand) -> None:
+    emulator.world.machine_list.available = not command.value
 
 
-def _mark_leaving(standins: StandIns, command: FaultCommand) -> None:
-    standins.world.machine_list.mark_leaving(command.target)
+def _mark_leaving(emulator: StandIns, command: FaultCommand) -> None:
+    emulator.world.machine_list.mark_leaving(command.target)
 
 
-def _mark_gone(standins: StandIns, command: FaultCommand) -> None:
-    standins.world.machine_list.mark_gone(command.target)
+def _mark_gone(emulator: StandIns, command: FaultCommand) -> None:
+    emulator.world.machine_list.mark_gone(command.target)
 
 
-def _mark_live(standins: StandIns, command: FaultCommand) -> None:
-    standins.world.machine_list.mark_live(command.target)
+def _return_machine(emulator: StandIns, command: FaultCommand) -> None:
+    emulator.world.machine_list.mark_live(command.target)
 
 
-_WORLD_FAULTS = {
+_WORLD_FAULT_HANDLERS = {
     FaultKind.ISOLATE: _isolate,
     FaultKind.LOG_DOWN: _set_log_down,
     FaultKind.LOG_SLOW: _set_log_slow,
@@ -187,9 +195,9 @@
     FaultKind.MACHINE_LIST_DOWN: _set_machine_list_down,
     FaultKind.LEAVE: _mark_leaving,
     FaultKind.GONE: _mark_gone,
-    FaultKind.RETURN: _mark_live,
+    FaultKind.RETURN: _return_machine,
 }
-_CONNECTION_FAULTS = {
+_CONNECTION_FAULT_FIELDS = {
     FaultKind.DELAY: "delay_s",
     FaultKind.UNAVAILABLE: "unavailable",
     FaultKind.LOSE_ANSWERS: "lose_answers",
--- a/passgate/emulator/arrivals.py
+++ b/passgate/emulator/arrivals.py
@@ -1,8 +1,9 @@
-"""Supervisors and franchisees: open arrivals with a daily shape and the season's surge.
+"""Emulated interactive callers: calls that arrive at random, whether or not earlier ones were answered.
 
-Arrivals form a Poisson process whose rate follows :func:`rate_per_s`, drawn by
-thinning.  A caller retries a failed attempt, not before the time that a refusal
-names, and always under the idempotency key of its first attempt.
+Arrivals form a Poisson process with the rate :func:`arrival_rate_per_s`, drawn by thinning.  A failed
+attempt is repeated after the error's ``retry_after_s``, or else after an exponential backoff, unless the
+error says that the outcome of a non-repeatable call is unknown.  All attempts of a non-repeatable call
+carry the same idempotency key.
 """
 
 from __future__ import annotations
@@ -30,24 +31,26 @@
 from passgate.emulator.parameters import ArrivalParameters, CallKind, ModelParameters
 from passgate.emulator.prompts import PromptSource
 from passgate.emulator.service import Service
-from passgate.emulator.tally import ArrivalTally
+from passgate.emulator.tally import ArrivalOutcomes
 from passgate.errors import ExecutionStatus, OutcomeUnknown, PassgateError
 from passgate.schema import AppRequest, GenerateRequest
 
-FIRST_BACKOFF_S = 0.1
-CALLER_SLACK_S = 0.5
-"""A caller waits this much longer than the deadline that it sent along."""
+INITIAL_BACKOFF_S = 0.1
+TIMEOUT_MARGIN_S = 0.5
+"""Added to the deadline that the caller sends with a request; then it stops waiting for the answer."""
 
 
 class AppCallBody(msgspec.Struct, frozen=True, kw_only=True):
     """JSON body of a call to an emulated application."""
 
     order: str
-    """Unique for each call, the same in all of its attempts."""
+    """Identifies the call; the same in all of its attempts."""
     items: int
 
 
 class _Call(msgspec.Struct, frozen=True, kw_only=True):
+    """One call, made in one or more attempts; an app gets the items, a model the prompt and the seed."""
+
     name: str
     arrived_s: float
     repeatable: bool
@@ -56,71 +59,79 @@
     items: int = 0
 
 
-def rate_per_s(parameters: ArrivalParameters, at_s: float) -> float:
-    """Return the arrival rate at ``at_s`` seconds after the start.
+def arrival_rate_per_s(parameters: ArrivalParameters, at_s: float) -> float:
+    """Return the arrival rate ``at_s`` after the start: a daily sine curve, raised during the surge.
 
     >>> calls = ArrivalParameters(name="c", kind=CallKind.APP, rate_per_s=10.0, daily_amplitude=0.5,
     ...                           day_s=400.0, surge_factor=3.0, surge_start_s=100.0, surge_end_s=200.0)
-    >>> rate_per_s(calls, 0.0), rate_per_s(calls, 100.0)
+    >>> arrival_rate_per_s(calls, 0.0), arrival_rate_per_s(calls, 100.0)
     (10.0, 45.0)
     """
-    shape = 1.0 + parameters.daily_amplitude * math.sin(2 * math.pi * at_s / parameters.day_s)
-    surging = parameters.surge_start_s <= at_s < parameters.surge_end_s
-    return parameters.rate_per_s * shape * (parameters.surge_factor if surging else 1.0)
+    daily_factor = 1.0 + parameters.daily_amplitude * math.sin(2 * math.pi * at_s / parameters.day_s)
+    in_surge = parameters.surge_start_s <= at_s < parameters.surge_end_s
+    return parameters.rate_per_s * daily_factor * (parameters.surge_factor if in_surge else 1.0)
 
 
 class ArrivalStream:
-    """One stream of interactive calls; :meth:`run` goes on until its time is over."""
+    """One stream of interactive calls to one model, or to the application service if ``model`` is None.
+
+    ``record_event`` receives each attempt and its result for later checks.
+    """
 
     def __init__(
         self,
         parameters: ArrivalParameters,
         model: ModelParameters | None,
         pool: str,
-        service: Service,
+        client: Service,
         random: Random,
-        record: Callable[[AnyEvent], None] | None = None,
+        record_event: Callable[[AnyEvent], None] | None = None,
     ) -> None:
         self.parameters = parameters
-        self.tally = ArrivalTally(name=parameters.name)
+        self.tally = ArrivalOutcomes(name=parameters.name)
         self._model = model
         self._pool = pool
-        self._service = service
+        self._client = client
         self._random = random
-        self._record = record or _ignore
+        self._record_event = record_event or _discard_event
         self._prompts = PromptSource(model, random) if model is not None else None
-        self._open: dict[asyncio.Task[None], None] = {}
-        self._defect: BaseException | None = None
+        self._open_calls: dict[asyncio.Task[None], None] = {}
+        self._unexpected_error: BaseException | None = None
 
-    async def run(self, duration_s: float, rest_s: float = 60.0) -> None:
-        """Let calls arrive for ``duration_s``, then wait up to ``rest_s`` for open ones."""
+    async def run(self, duration_s: float, drain_timeout_s: float = 60.0) -> None:
+        """Make calls for ``duration_s``, wait up to ``drain_timeout_s`` for open ones, then cancel those.
+
+        Raises the last exception of a call that was not a PassgateError.
+        """
         async for call in self._arrivals(duration_s):
-            task = asyncio.ensure_future(self._serve(call))
-            self._open[task] = None
-            task.add_done_callback(self._note_end)
-        if self._open:
-            await asyncio.wait(list(self._open), timeout=rest_s)
-        self.tally.pending = len(self._open)
-        for task in list(self._open):
+            task = asyncio.ensure_future(self._run_call(call))
+            self._open_calls[task] = None
+            task.add_done_callback(self._on_call_done)
+        if self._open_calls:
+            await asyncio.wait(list(self._open_calls), timeout=drain_timeout_s)
+        self.tally.pending = len(self._open_calls)
+        for task in list(self._open_calls):
             task.cancel()
-        if self._defect is not None:
-            raise self._defect
+        if self._unexpected_error is not None:
+            raise self._unexpected_error
 
-    def _note_end(self, task: asyncio.Task[None]) -> None:
-        del self._open[task]
+    def _on_call_done(self, task: asyncio.Task[None]) -> None:
+        del self._open_calls[task]
         if not task.cancelled() and task.exception() is not None:
-            self._defect = task.exception()
+            self._unexpected_error = task.exception()
 
     async def _arrivals(self, duration_s: float) -> AsyncIterator[_Call]:
         started_s = monotonic_s()
         parameters = self.parameters
-        highest = parameters.rate_per_s * (1 + parameters.daily_amplitude) * max(1.0, parameters.surge_factor)
-        at_s = self._random.expovariate(highest)
+        max_rate = (
+            parameters.rate_per_s * (1 + parameters.daily_amplitude) * max(1.0, parameters.surge_factor)
+        )
+        at_s = self._random.expovariate(max_rate)
         while at_s < duration_s:
             await asyncio.sleep(max(0.0, started_s + at_s - monotonic_s()))
-            if self._random.random() * highest < rate_per_s(parameters, at_s):
+            if self._random.random() * max_rate < arrival_rate_per_s(parameters, at_s):
                 yield self._new_call()
-            at_s += self._random.expovariate(highest)
+            at_s += self._random.expovariate(max_rate)
 
     def _new_call(self) -> _Call:
         self.tally.arrived += 1
@@ -139,7 +150,7 @@
 
     # --- one call ------------------------------------------------------------------------
 
-    async def _serve(self, call: _Call) -> None:
+    async def _run_call(self, call: _Call) -> None:
         for attempt in range(self.parameters.attempts):
             wait_s = await self._attempt(call, attempt)
             if wait_s is None:
@@ -149,24 +160,29 @@
         self.tally.given_up += 1
 
     async def _attempt(self, call: _Call, attempt: int) -> float | None:
-        """Try once; return the time to wait before the next try, or None when there is an end."""
+        """Send the call once; return the wait before the next attempt, or None if there must be none.
+
+        None means that an answer arrived, correct or not, or that the outcome of a non-repeatable call is
+        unknown.
+        """
         request_id = f"{call.name}-{attempt}"
         self.tally.attempts += 1
-        backoff_s = FIRST_BACKOFF_S * 2**attempt * self._random.uniform(0.5, 1.0)
+        backoff_s = INITIAL_BACKOFF_S * 2**attempt * self._random.uniform(0.5, 1.0)
         try:
-            async with asyncio.timeout(self.parameters.deadline_s + CALLER_SLACK_S):
-                right = await self._send(call, request_id)
+            async with asyncio.timeout(self.parameters.deadline_s + TIMEOUT_MARGIN_S):
+                correct = await self._send(call, request_id)
         except TimeoutError:
             self.tally.unknown += 1
-            self.tally.note_error("caller_timeout")
-            self._record(RequestAbandoned(time_s=monotonic_s(), request_id=request_id))
+            self.tally.count_error("caller_timeout")
+            self._record_event(RequestAbandoned(time_s=monotonic_s(), request_id=request_id))
             return backoff_s
         except PassgateError as error:
-            return self._note_failure(request_id, error, backoff_s)
-        self._note_answer(call, right)
+            return self._record_failure(request_id, error, backoff_s)
+        self._record_answer(call, correct)
         return None
 
     async def _send(self, call: _Call, request_id: str) -> bool:
+        """Return whether the answer is correct; raises PassgateError."""
         if self.parameters.kind == CallKind.APP:
             return await self._send_app(call, request_id)
         return await self._send_generate(call, request_id)
@@ -187,15 +203,15 @@
         invoked = AppInvoked(
             time_s=monotonic_s(),
             request_id=request_id,
-            daemon=self._service.daemon,
+            daemon=self._client.daemon,
             expected_digest=answer_digest(expected),
-            key=_key(call) or "",
+            key=_idempotency_key(call) or "",
             repeatable=call.repeatable,
         )
-        self._record(invoked)
-        response = await self._service.call_app(request, _key(call))
+        self._record_event(invoked)
+        response = await self._client.call_app(request, _idempotency_key(call))
         digest = answer_digest(response.body)
-        self._record(AppCompleted(time_s=monotonic_s(), request_id=request_id, answer_digest=digest))
+        self._record_event(AppCompleted(time_s=monotonic_s(), request_id=request_id, answer_digest=digest))
         return response.status == 200 and response.body == expected
 
     async def _send_generate(self, call: _Call, request_id: str) -> bool:
@@ -216,17 +232,17 @@
         invoked = GenerateInvoked(
             time_s=monotonic_s(),
             request_id=request_id,
-            daemon=self._service.daemon,
+            daemon=self._client.daemon,
             model=request.model,
             prompt=request.prompt,
             max_tokens=request.max_tokens,
             seed=request.seed,
             expected_length=length,
-            key=_key(call) or "",
+            key=_idempotency_key(call) or "",
             repeatable=call.repeatable,
         )
-        self._record(invoked)
-        result = await self._service.generate(request, _key(call))
+        self._record_event(invoked)
+        result = await self._client.generate(request, _idempotency_key(call))
         completed = GenerateCompleted(
             time_s=monotonic_s(),
             request_id=request_id,
@@ -235,13 +251,13 @@
             spans=result.spans,
             finish_reason=result.finish_reason,
         )
-        self._record(completed)
+        self._record_event(completed)
         return verify(request, result, self._model.lengths) is Verdict.RIGHT
 
     # --- outcomes -----------------------------------------------------------------------------
 
-    def _note_answer(self, call: _Call, right: bool) -> None:
-        if not right:
+    def _record_answer(self, call: _Call, correct: bool) -> None:
+        if not correct:
             self.tally.wrong += 1
             return
         latency_s = monotonic_s() - call.arrived_s
@@ -250,12 +266,12 @@
         if latency_s > self.parameters.deadline_s:
             self.tally.late += 1
 
-    def _note_failure(self, request_id: str, error: PassgateError, backoff_s: float) -> float | None:
-        self.tally.note_error(error.code)
+    def _record_failure(self, request_id: str, error: PassgateError, backoff_s: float) -> float | None:
+        self.tally.count_error(error.code)
         failed = RequestFailed(
             time_s=monotonic_s(), request_id=request_id, error=error.code, execution=error.execution
         )
-        self._record(failed)
+        self._record_event(failed)
         if error.execution is ExecutionStatus.NOT_RUN:
             self.tally.refused += 1
             self.tally.not_run_ids.append(request_id)
@@ -268,13 +284,13 @@
 
 
 def answer_digest(body: bytes) -> str:
-    """Return the digest of an application's answer that histories hold."""
+    """Return the digest of an application's answer, as recorded in events."""
     return xxhash.xxh64_hexdigest(body)
 
 
-def _key(call: _Call) -> str | None:
+def _idempotency_key(call: _Call) -> str | None:
     return None if call.repeatable else call.name
 
 
-def _ignore(event: AnyEvent) -> None:
+def _discard_event(event: AnyEvent) -> None:
     pass
--- a/passgate/emulator/callers.py
+++ b/passgate/emulator/callers.py
@@ -1,8 +1,8 @@
-"""All callers of one deployment: its trainers and its interactive streams.
+"""All emulated callers of one deployment: its trainers and its streams of interactive calls.
 
 ::
 
-    callers = Callers(world.parameters, service_for, world.publish, seed=1)
+    callers = Callers(world.parameters, make_client, world.publish, seed=1)
     tally = await callers.run(duration_s=600.0)
 """
 
@@ -19,81 +19,87 @@
 from passgate.emulator.tally import Tally
 from passgate.emulator.trainer import Trainer
 
-ServiceFor = Callable[[str], Service]
-"""Returns the service as the named caller reaches it."""
+ClientFactory = Callable[[str], Service]
+"""Returns a client of passgate for the named caller."""
 
 
 class Callers:
-    """Callers of a deployment; trainers begin with the models' boot versions.
+    """The callers of a deployment and their outcomes so far.
 
-    ``pool_of`` maps a model name, or ``""`` for the application service, to the
-    name of its pool; by default the pool has the name of the model or service.
+    Trainers start at their models' boot versions.  ``store_weights`` puts a version of a model into the
+    weight store.  ``pool_of`` returns the pool of a model, or of the application service for ``""``; by
+    default the pool has the name of the model or service.
     """
 
     def __init__(
         self,
         parameters: DeploymentParameters,
-        service_for: ServiceFor,
+        make_client: ClientFactory,
         store_weights: Callable[[str, int], None],
         seed: int,
-        record: Callable[[AnyEvent], None] | None = None,
+        record_event: Callable[[AnyEvent], None] | None = None,
         pool_of: Callable[[str], str] | None = None,
     ) -> None:
         self.parameters = parameters
-        self._service_for = service_for
+        self._make_client = make_client
         self._store_weights = store_weights
         self._seed = seed
-        self._record = record
+        self._record_event = record_event
         self._pool_of = pool_of or self._default_pool
-        self.trainers = [self._trainer(trainer) for trainer in parameters.trainers]
-        self.streams = [self._stream(arrivals) for arrivals in parameters.arrivals]
+        self.trainers = [self._make_trainer(trainer) for trainer in parameters.trainers]
+        self.streams = [self._make_stream(arrivals) for arrivals in parameters.arrivals]
 
     @property
     def tally(self) -> Tally:
-        """Outcomes so far."""
+        """Outcomes so far; the lists are new, but their items go on counting."""
         return Tally(
             trainers=[trainer.tally for trainer in self.trainers],
             arrivals=[stream.tally for stream in self.streams],
         )
 
-    async def run(self, duration_s: float, rest_s: float = 60.0) -> Tally:
-        """Let all callers work for ``duration_s``; open interactive calls get ``rest_s`` more."""
+    async def run(self, duration_s: float, drain_timeout_s: float = 60.0) -> Tally:
+        """Run all callers for ``duration_s``, then wait up to ``drain_timeout_s`` for interactive calls.
+
+        Raises the exception of a trainer or stream that failed unexpectedly, though not before
+        ``duration_s`` is over.
+        """
         trainers = [asyncio.ensure_future(trainer.run()) for trainer in self.trainers]
-        streams = [asyncio.ensure_future(stream.run(duration_s, rest_s)) for stream in self.streams]
+        streams = [asyncio.ensure_future(stream.run(duration_s, drain_timeout_s)) for stream in self.streams]
         try:
             await asyncio.wait(trainers, timeout=duration_s) if trainers else await asyncio.sleep(duration_s)
-            await _stop(trainers)
+            await _cancel_all(trainers)
             await asyncio.gather(*streams)
         finally:
-            await _stop([*trainers, *streams])
+            await _cancel_all([*trainers, *streams])
         return self.tally
 
-    def _trainer(self, parameters: TrainerParameters) -> Trainer:
+    def _make_trainer(self, parameters: TrainerParameters) -> Trainer:
         return Trainer(
             parameters,
             self.parameters.model(parameters.model),
             self._pool_of(parameters.model),
-            self._service_for(parameters.name),
+            self._make_client(parameters.name),
             self._store_weights,
             Random(f"{self._seed}/{parameters.name}"),
-            self._record,
+            self._record_event,
         )
 
-    def _stream(self, parameters: ArrivalParameters) -> ArrivalStream:
+    def _make_stream(self, parameters: ArrivalParameters) -> ArrivalStream:
         return ArrivalStream(
             parameters,
             self.parameters.model(parameters.model) if parameters.model else None,
             self._pool_of(parameters.model),
-            self._service_for(parameters.name),
+            self._make_client(parameters.name),
             Random(f"{self._seed}/{parameters.name}"),
-            self._record,
+            self._record_event,
         )
 
     def _default_pool(self, model: str) -> str:
         return model or self.parameters.apps.name
 
 
-async def _stop(tasks: list[asyncio.Future]) -> None:
+async def _cancel_all(tasks: list[asyncio.Future]) -> None:
+    """Cancel tasks and wait for them; raises the first exception of one that failed by itself."""
     for task in tasks:
         task.cancel()
     for outcome in await asyncio.gather(*tasks, return_exceptions=True):
--- a/passgate/emulator/log_server.py
+++ b/passgate/emulator/log_server.py
@@ -1,6 +1,6 @@
-"""Serves the platform's log over HTTP, with long poll.
+"""Emulator server of the platform's log: appends by POST, reads by long poll.
 
-The model is any :class:`passgate.interfaces.LogClient`.
+It serves any :class:`passgate.interfaces.LogClient`.
 """
 
 from __future__ import annotations
@@ -16,11 +16,15 @@
 
 
 class LogServer(StandInServer):
-    """The log behind one port."""
+    """Serves the log as one client of it sees it, on one port.
 
-    def __init__(self, name: str, model: LogClient, credential: str | None = None) -> None:
+    The connection of an append with unknown outcome is closed without an answer.  A read is
+    cancelled when its caller disconnects.
+    """
+
+    def __init__(self, name: str, log_client: LogClient, credential: str | None = None) -> None:
         super().__init__(name, credential)
-        self.model = model
+        self.log_client = log_client
 
     def routes(self) -> list[tuple]:
         """Return the log's route."""
@@ -33,7 +37,7 @@
     async def post(self, stream: str) -> None:
         call = self.body_as(wire.AppendCall)
         try:
-            offset = await self.server.model.append(stream, call.payloads, APPEND_TIMEOUT_S)
+            offset = await self.server.log_client.append(stream, call.payloads, APPEND_TIMEOUT_S)
         except LogAppendUnknown:
             self.drop_connection()
             return
@@ -46,5 +50,5 @@
         offset = int(self.get_query_argument("offset", "0"))
         limit = min(int(self.get_query_argument("limit", "100")), MAX_LIMIT)
         wait_s = min(float(self.get_query_argument("wait_s", "0")), MAX_WAIT_S)
-        batch = await self.server.model.read(stream, offset, limit, wait_s)
+        batch = await self.server.log_client.read(stream, offset, limit, wait_s)
         self.reply(wire.ReadAnswer(entries=batch.entries, end_offset=batch.end_offset))
--- a/passgate/emulator/machine_list.py
+++ b/passgate/emulator/machine_list.py
@@ -1,4 +1,4 @@
-"""The platform's lagging list of live and leaving machines.
+"""Emulation of the platform's list of machines, whose readers see changes only after a lag.
 
 >>> machines = EmulatedMachineList(MachineListParameters(lag_s=2.0))
 """
@@ -16,30 +16,32 @@
 from passgate.schema import MachineInfo, MachineState
 
 
-class _Change(msgspec.Struct):
+class _PendingChange(msgspec.Struct):
+    """New state of a machine and the time from which readers see it."""
+
     visible_s: float
     machine: MachineInfo
 
 
 class EmulatedMachineList:
-    """Implements ``interfaces.MachineList``; changes become readable after the lag."""
+    """Implements ``interfaces.MachineList``; machines that are gone stay listed as such."""
 
     def __init__(self, parameters: MachineListParameters) -> None:
         self.lag_s = parameters.lag_s
         self.available = True
         self._current: dict[str, MachineInfo] = {}
         self._visible: dict[str, MachineInfo] = {}
-        self._pending: deque[_Change] = deque()
+        self._pending_changes: deque[_PendingChange] = deque()
 
     def register(self, machine: MachineInfo) -> None:
-        """Add a machine that readers see at once, for the start of a world."""
+        """Add or replace a machine, visible to readers at once; meant for the start of a run."""
         self._current[machine.machine_id] = machine
         self._visible[machine.machine_id] = machine
 
     def put(self, machine: MachineInfo) -> None:
-        """Add a machine or replace its entry."""
+        """Add a machine or replace its entry, visible to readers after the lag."""
         self._current[machine.machine_id] = machine
-        self._pending.append(_Change(monotonic_s() + self.lag_s, machine))
+        self._pending_changes.append(_PendingChange(monotonic_s() + self.lag_s, machine))
 
     def mark_leaving(self, machine_id: str) -> None:
         """Mark a machine as leaving; unknown identifiers are ignored."""
@@ -50,19 +52,19 @@
         self._mark(machine_id, MachineState.GONE)
 
     def mark_live(self, machine_id: str) -> None:
-        """Put a machine back under a new generation; unknown identifiers are ignored."""
+        """Mark a machine as live under its next generation; unknown identifiers are ignored."""
         machine = self._current.get(machine_id)
         if machine is not None:
             generation = machine.generation + 1
             self.put(msgspec.structs.replace(machine, state=MachineState.LIVE, generation=generation))
 
     async def machines(self) -> Sequence[MachineInfo]:
-        """Return the list as it was ``lag_s`` ago; raises PlatformError when it is down."""
+        """Return the list as it was ``lag_s`` ago; raises PlatformError if it is unavailable."""
         if not self.available:
-            raise PlatformError("the machine list is down", reason="unavailable")
+            raise PlatformError("the machine list is unavailable", reason="unavailable")
         now_s = monotonic_s()
-        while self._pending and self._pending[0].visible_s <= now_s:
-            machine = self._pending.popleft().machine
+        while self._pending_changes and self._pending_changes[0].visible_s <= now_s:
+            machine = self._pending_changes.popleft().machine
             self._visible[machine.machine_id] = machine
         return tuple(self._visible.values())
 
--- a/passgate/emulator/memory_clients.py
+++ b/passgate/emulator/memory_clients.py
@@ -1,8 +1,7 @@
-"""Clients of emulated back ends in virtual time, over the emulated network.
+"""In-process clients of the emulated engines and apps, over the emulated network.
 
-They implement ``interfaces.EngineClient`` and ``interfaces.AppClient``.  Their
-errors are truthful about execution: "not run" only when the connection could
-not be opened, was refused, or the back end's own refusal arrived.
+They implement ``interfaces.EngineClient`` and ``interfaces.AppClient``.  An error's execution status is
+"not run" only if no connection could be opened or the back end's refusal arrived.
 """
 
 from __future__ import annotations
@@ -29,7 +28,7 @@
 
 Backend = TypeVar("Backend")
 
-_RESETS = (EndReason.CRASHED, EndReason.REPLACED)
+_CONNECTION_RESET_REASONS = (EndReason.CRASHED, EndReason.REPLACED)
 
 
 class BackendRegistry:
@@ -49,15 +48,15 @@
 
     def engine(self, address: str) -> EmulatedEngine:
         """Return the engine at an address; raises BackendUnreachable (not run)."""
-        return _found(self.engines.get(address), address)
+        return _require(self.engines.get(address), address)
 
     def app(self, address: str) -> EmulatedApp:
         """Return the application replica at an address; raises BackendUnreachable (not run)."""
-        return _found(self.apps.get(address), address)
+        return _require(self.apps.get(address), address)
 
 
 class MemoryEngineClient:
-    """``interfaces.EngineClient`` of callers in one zone."""
+    """Implements ``interfaces.EngineClient`` for callers in one zone."""
 
     def __init__(self, registry: BackendRegistry, network: Network, zone: str) -> None:
         self._registry = registry
@@ -65,15 +64,19 @@
         self._zone = zone
 
     async def generate(self, address: str, request: GenerateRequest) -> AsyncIterator[GenerateChunk]:
-        """Stream the output of one request; see ``interfaces.EngineClient``."""
+        """Stream the output of one request; see ``interfaces.EngineClient``.
+
+        Closing the iterator early cancels the request after the network delay, but not if a network
+        partition separates the zones then.
+        """
         engine = self._registry.engine(address)
-        stream = await self._open(engine, request)
+        stream = await self._open_stream(engine, request)
         finished = False
-        received = False
+        has_received = False
         try:
             while not finished:
-                chunk = await self._receive(engine, stream, received)
-                received = True
+                chunk = await self._receive_chunk(engine, stream, has_received)
+                has_received = True
                 finished = chunk.finish_reason is not None
                 yield chunk
         finally:
@@ -81,10 +84,10 @@
                 self._send_close(engine, stream)
 
     async def cancel(self, address: str, request_id: str) -> None:
-        """Ask an engine to stop working on a request; failures are ignored."""
+        """Ask an engine to stop working on a request; if it can not be reached, nothing happens."""
         try:
             engine = self._registry.engine(address)
-            await self._reach(engine)
+            await self._connect(engine)
         except BackendUnreachable:
             return
         engine.cancel(request_id)
@@ -92,15 +95,15 @@
     async def load_report(self, address: str) -> LoadReport:
         """Return the engine's latest report; raises BackendUnreachable."""
         engine = self._registry.engine(address)
-        await self._reach(engine)
+        await self._connect(engine)
         report = engine.load_report()
         await self._network.deliver(engine.zone, self._zone)
         return report
 
     async def cache_events(self, address: str, after_sequence: int) -> Sequence[CacheEvent]:
-        """Return later cache events, perhaps with gaps; raises BackendUnreachable."""
+        """Return the cache events after a sequence number, maybe with gaps; raises BackendUnreachable."""
         engine = self._registry.engine(address)
-        await self._reach(engine)
+        await self._connect(engine)
         events = engine.cache_events(after_sequence)
         await self._network.deliver(engine.zone, self._zone)
         return events
@@ -108,17 +111,17 @@
     async def order(self, address: str, order: EngineOrder) -> OrderResult:
         """Send a control order; raises OrderRefused or BackendUnreachable."""
         engine = self._registry.engine(address)
-        await self._reach(engine)
+        await self._connect(engine)
         try:
             return engine.order(order)
         finally:
             await self._network.deliver(engine.zone, self._zone)
 
-    async def _reach(self, backend: EmulatedEngine) -> None:
-        await _reach(self._network, self._zone, backend)
+    async def _connect(self, backend: EmulatedEngine) -> None:
+        await _connect(self._network, self._zone, backend)
 
-    async def _open(self, engine: EmulatedEngine, request: GenerateRequest) -> EngineStream:
-        await self._reach(engine)
+    async def _open_stream(self, engine: EmulatedEngine, request: GenerateRequest) -> EngineStream:
+        await self._connect(engine)
         try:
             return engine.open(request)
         except BackendRefused as error:
@@ -126,20 +129,26 @@
         await self._network.deliver(engine.zone, self._zone)
         raise refusal
 
-    async def _receive(self, engine: EmulatedEngine, stream: EngineStream, received: bool) -> GenerateChunk:
-        execution = ExecutionStatus.RAN if received else ExecutionStatus.UNKNOWN
+    async def _receive_chunk(
+        self, engine: EmulatedEngine, stream: EngineStream, has_received: bool
+    ) -> GenerateChunk:
+        execution = ExecutionStatus.RAN if has_received else ExecutionStatus.UNKNOWN
         item = await stream.get()
         try:
             await self._network.deliver(engine.zone, self._zone, item.sent_s)
         except BackendUnreachable as error:
             raise BackendUnreachable(str(error), execution=execution) from error
-        if self._network.loses_connection():
-            raise BackendUnreachable("connection lost", execution=execution)
+        if self._network.draw_connection_loss():
+            raise BackendUnreachable("connection lost during the stream", execution=execution)
         if isinstance(item.content, GenerateChunk):
             return item.content
-        if item.content in _RESETS:
-            raise BackendUnreachable(f"connection reset: {item.content.value}", execution=execution)
-        raise IncompleteAnswer(f"stream ended: {item.content.value}", execution=execution)
+        if item.content in _CONNECTION_RESET_REASONS:
+            raise BackendUnreachable(
+                f"connection reset by the engine: {item.content.value}", execution=execution
+            )
+        raise IncompleteAnswer(
+            f"stream ended without finish reason: {item.content.value}", execution=execution
+        )
 
     def _send_close(self, engine: EmulatedEngine, stream: EngineStream) -> None:
         if self._network.is_cut(self._zone, engine.zone):
@@ -149,7 +158,7 @@
 
 
 class MemoryAppClient:
-    """``interfaces.AppClient`` of callers in one zone."""
+    """Implements ``interfaces.AppClient`` for callers in one zone."""
 
     def __init__(self, registry: BackendRegistry, network: Network, zone: str) -> None:
         self._registry = registry
@@ -157,9 +166,14 @@
         self._zone = zone
 
     async def call(self, address: str, request: AppRequest) -> AppResponse:
-        """Forward one call; the run goes on when the caller stops waiting."""
+        """Send one call; the replica goes on executing it if the caller stops waiting.
+
+        Raises:
+            BackendRefused: the replica refused the call before running it.
+            BackendUnreachable: ``execution`` is ``not_run`` only if no connection could be opened.
+        """
         app = self._registry.app(address)
-        await _reach(self._network, self._zone, app)
+        await _connect(self._network, self._zone, app)
         try:
             answer = app.submit(request)
         except BackendRefused as error:
@@ -167,27 +181,28 @@
             raise error
         response = await asyncio.shield(answer)
         await self._network.deliver(app.zone, self._zone)
-        if response is None or self._network.loses_connection():
-            raise BackendUnreachable("connection reset", execution=ExecutionStatus.UNKNOWN)
+        if response is None or self._network.draw_connection_loss():
+            raise BackendUnreachable("connection reset before the answer", execution=ExecutionStatus.UNKNOWN)
         return response
 
     async def load_report(self, address: str) -> LoadReport:
         """Return the replica's latest report; raises BackendUnreachable."""
         app = self._registry.app(address)
-        await _reach(self._network, self._zone, app)
+        await _connect(self._network, self._zone, app)
         report = app.load_report()
         await self._network.deliver(app.zone, self._zone)
         return report
 
 
-async def _reach(network: Network, zone: str, backend: EmulatedEngine | EmulatedApp) -> None:
+async def _connect(network: Network, zone: str, backend: EmulatedEngine | EmulatedApp) -> None:
+    """Open a connection and wait until a request arrives; raises BackendUnreachable."""
     await network.connect(zone, backend.zone)
     await network.deliver(zone, backend.zone)
     if not backend.up:
-        raise BackendUnreachable("connection refused", execution=ExecutionStatus.NOT_RUN)
+        raise BackendUnreachable("the back end refused the connection", execution=ExecutionStatus.NOT_RUN)
 
 
-def _found(backend: Backend | None, address: str) -> Backend:
+def _require(backend: Backend | None, address: str) -> Backend:
     if backend is None:
         raise BackendUnreachable(f"nothing listens at {address}", execution=ExecutionStatus.NOT_RUN)
     return backend
--- a/passgate/emulator/platform_server.py
+++ b/passgate/emulator/platform_server.py
@@ -1,7 +1,7 @@
-"""Serves the platform's machine list and weight store over HTTP.
+"""Emulator server of the platform's machine list and weight store.
 
-The models are a :class:`passgate.interfaces.MachineList` and a
-:class:`passgate.interfaces.WeightStore` that can also be changed.
+It serves any :class:`passgate.interfaces.MachineList` and :class:`passgate.interfaces.WeightStore` that
+can also be written to.
 """
 
 from __future__ import annotations
@@ -14,8 +14,8 @@
 from passgate.schema import MachineInfo
 
 
-class ChangeableMachineList(MachineList, Protocol):
-    """A machine list that machines register with."""
+class WritableMachineList(MachineList, Protocol):
+    """Machine list that can be changed through the server."""
 
     def put(self, machine: MachineInfo) -> None:
         """Add a machine or replace its entry."""
@@ -26,29 +26,29 @@
         ...
 
 
-class ChangeableWeightStore(WeightStore, Protocol):
-    """A weight store that trainers publish to."""
+class WritableWeightStore(WeightStore, Protocol):
+    """Weight store that trainers publish to through the server."""
 
     def publish(self, model: str, version: int, size_bytes: int) -> None:
-        """Put a version into the store."""
+        """Add a version of a model with the size of its weights; no weights are stored."""
         ...
 
 
 class PlatformServer(StandInServer):
-    """Machine list and weight store behind one port."""
+    """Serves the machine list and the weight store on one port, compressed for clients that accept gzip."""
 
     compresses = True
 
     def __init__(
         self,
         name: str,
-        machines: ChangeableMachineList,
-        weights: ChangeableWeightStore,
+        machine_list: WritableMachineList,
+        weight_store: WritableWeightStore,
         credential: str | None = None,
     ) -> None:
         super().__init__(name, credential)
-        self.machines = machines
-        self.weights = weights
+        self.machine_list = machine_list
+        self.weight_store = weight_store
 
     def routes(self) -> list[tuple]:
         """Return the platform's routes."""
@@ -67,28 +67,28 @@
 
 class _MachinesHandler(_PlatformHandler):
     async def get(self) -> None:
-        self.reply(wire.MachinesAnswer(machines=tuple(await self.server.machines.machines())))
+        self.reply(wire.MachinesAnswer(machines=tuple(await self.server.machine_list.machines())))
 
 
 class _MachineHandler(_PlatformHandler):
     async def put(self, machine_id: str) -> None:
         machine = self.body_as(MachineInfo)
-        self.server.machines.put(machine)
+        self.server.machine_list.put(machine)
         self.reply(machine)
 
 
 class _LeavingHandler(_PlatformHandler):
     async def post(self, machine_id: str) -> None:
-        self.server.machines.mark_leaving(machine_id)
+        self.server.machine_list.mark_leaving(machine_id)
         self.reply(wire.MachineAnswer(machine_id=machine_id))
 
 
 class _WeightHandler(_PlatformHandler):
     async def get(self, model: str, version: str) -> None:
-        size_bytes = await self.server.weights.size_bytes(model, int(version))
+        size_bytes = await self.server.weight_store.size_bytes(model, int(version))
         self.reply(wire.WeightAnswer(size_bytes=size_bytes))
 
     async def put(self, model: str, version: str) -> None:
         call = self.body_as(wire.WeightAnswer)
-        self.server.weights.publish(model, int(version), call.size_bytes)
+        self.server.weight_store.publish(model, int(version), call.size_bytes)
         self.reply(call)
--- a/passgate/emulator/prompts.py
+++ b/passgate/emulator/prompts.py
@@ -1,4 +1,4 @@
-"""Prompts of emulated callers: a prefix shared by a model's callers, then their own tokens.
+"""Random prompts of emulated callers: a prefix that all prompts of a model share, then random tokens.
 
 >>> source = PromptSource(ModelParameters(name="m", system_prompt_tokens=4, prompt_tokens=3), Random(1))
 >>> first, second = source.prompt(), source.prompt()
@@ -15,22 +15,25 @@
 
 
 class PromptSource:
-    """Draws prompts of one model."""
+    """Generates prompts and sampling seeds for one model.
+
+    The shared prefix depends only on the model's name and the prefix length, not on ``random``.
+    """
 
     def __init__(self, model: ModelParameters, random: Random) -> None:
         self._random = random
-        self._tokens = model.prompt_tokens
+        self._token_count = model.prompt_tokens
         prefix_random = Random(f"system prompt of {model.name}")
-        self._prefix = _draw(prefix_random, model.system_prompt_tokens)
+        self._prefix = _draw_tokens(prefix_random, model.system_prompt_tokens)
 
     def prompt(self) -> tuple[int, ...]:
-        """Return a new prompt."""
-        return self._prefix + _draw(self._random, self._tokens)
+        """Return a new random prompt with the model's prefix."""
+        return self._prefix + _draw_tokens(self._random, self._token_count)
 
     def seed(self) -> int:
-        """Return a new sampling seed."""
+        """Return a new random sampling seed, from 0 to 2**31 - 1."""
         return self._random.getrandbits(31)
 
 
-def _draw(random: Random, count: int) -> tuple[int, ...]:
+def _draw_tokens(random: Random, count: int) -> tuple[int, ...]:
     return tuple(int(random.random() * VOCABULARY_TOKENS) for _ in range(count))
--- a/passgate/emulator/shared_log.py
+++ b/passgate/emulator/shared_log.py
@@ -1,7 +1,7 @@
-"""Stand-in of the shared log in memory, with its faults, for tests in virtual time.
+"""In-memory emulation of the shared log for tests in virtual time, with faults.
 
-Faults are fields that a test sets while the log is used: calls refused, calls that
-get no answer, appends done late, history dropped, a client cut off.
+A test may change the faults, which are attributes, at any time: refused calls, calls without an answer,
+appends that take effect late, limited bandwidth, dropped history, clients that the log does not answer.
 
 >>> from passgate.clock import run_virtual
 >>> async def use():
@@ -36,33 +36,37 @@
 )
 
 ANSWER_S = 0.004
+"""Duration of a call without faults, half of it before its effect."""
 ANSWER_TIMEOUT_S = 1.2
-SEPARATOR = b"\x00"
-KEYED_PREFIX = "keyed."
-NEWEST_PAGE = 500
-"""Records on one page of the newest ones."""
-MOST_QUEUED_S = 2.0
-"""Reads that would wait longer for their bytes are refused."""
+"""Time after which a client gives up a call that gets no answer."""
+KEY_SEPARATOR = b"\x00"
+KEYED_TOPIC_PREFIX = "keyed."
+"""Prefix of the names of keyed topics."""
+RECORDS_PER_SNAPSHOT_PAGE = 500
+MAX_READ_QUEUE_S = 2.0
+"""Longest wait of a read for earlier reads' bytes; a read that would wait longer is refused."""
 
 
 class SharedLogFaults(msgspec.Struct, kw_only=True):
-    """What goes wrong at present."""
+    """Active faults; all off by default."""
 
     refusing: bool = False
-    """Calls are refused; nothing is done."""
+    """Calls are refused and have no effect."""
     silent: bool = False
-    """Calls get no answer and do nothing."""
+    """Calls get no answer; those that arrive while it is set have no effect."""
     lost_answers: float = 0.0
-    """Share of appends that are done and not answered."""
+    """Probability that an append takes effect but gets no answer."""
     late_s: tuple[float, float] = (0.0, 0.0)
-    """When an append whose answer is lost is done, after it was sent."""
+    """Range of the delay after which an append whose answer is lost takes effect."""
     slow_s: float = 0.0
-    """Added to the time of each answer."""
+    """Added to the duration of each call."""
     read_bytes_per_s: float = math.inf
-    """Bytes that all reads together get; one whose caller has left is sent all the same."""
+    """Bandwidth that all reads share; bytes for a reader that has stopped waiting use it as well."""
 
 
 class _Partition:
+    """Records of one partition; ``first`` is the offset of the oldest one kept."""
+
     def __init__(self) -> None:
         self.first = 0
         self.records: list[bytes] = []
@@ -86,41 +90,44 @@
 
 
 class MemorySharedLog:
-    """The log itself; each daemon has a client of its own."""
+    """The log service; each daemon uses it through a client of its own.
+
+    Its own methods take effect at once and are not subject to the faults, except ``transfer``.
+    """
 
     def __init__(self, seed: int = 0, *, parts: int = 4) -> None:
         self.faults = SharedLogFaults()
         self.parts = parts
-        """Partitions of each topic that is not keyed."""
+        """Number of partitions of each topic that is not keyed."""
         self.groups = LogGroups(monotonic_s)
         self.cut_off: set[str] = set()
-        """Clients whose calls get no answer."""
+        """Names of the clients whose calls get no answer."""
         self.calls = 0
         self.bytes_read = 0
-        self._sent_until_s = 0.0
-        """Loop time until which the bytes of the reads so far take."""
+        self._bandwidth_free_s = 0.0
+        """Loop time at which the bytes of all reads so far have been sent."""
         self.random = random.Random(seed)
         self._partitions: dict[tuple[str, int], _Partition] = {}
-        self._keyed: dict[str, dict[str, bytes]] = {}
+        self._newest_by_topic: dict[str, dict[str, bytes]] = {}
 
     def client(self, name: str) -> MemorySharedLogClient:
         """Return the client of one daemon."""
         return MemorySharedLogClient(self, name)
 
     def partition(self, topic: str, part: int) -> _Partition:
-        """Return a partition, made on its first use."""
+        """Return a partition, which is created on first use."""
         return self._partitions.setdefault((topic, part), _Partition())
 
     def put_keyed(self, topic: str, key: str, value: bytes) -> None:
-        """Write a key, as the operator and replicas do."""
-        self.add(topic, 0, [key.encode() + SEPARATOR + value])
+        """Append a value for a key of a keyed topic; an empty value deletes the key."""
+        self.add(topic, 0, [key.encode() + KEY_SEPARATOR + value])
 
     def add(self, topic: str, part: int, records: Sequence[bytes]) -> int:
-        """Append records; those of a keyed topic also become the newest of their keys."""
-        if topic.startswith(KEYED_PREFIX):
-            newest = self._keyed.setdefault(topic, {})
+        """Append records and return the offset of the first; those of a keyed topic update their keys."""
+        if topic.startswith(KEYED_TOPIC_PREFIX):
+            newest = self._newest_by_topic.setdefault(topic, {})
             for record in records:
-                key, _, value = record.partition(SEPARATOR)
+                key, _, value = record.partition(KEY_SEPARATOR)
                 if value:
                     newest[key.decode()] = value
                 else:
@@ -128,30 +135,35 @@
         return self.partition(topic, part).append(records)
 
     def newest(self, topic: str) -> dict[str, bytes]:
-        """Return the newest value of each key."""
-        return dict(self._keyed.get(topic, {}))
+        """Return the newest value of each key of a keyed topic."""
+        return dict(self._newest_by_topic.get(topic, {}))
 
     async def transfer(self, size: int) -> None:
-        """Send bytes to a reader; raises LogUnavailable when too many wait or come too late."""
+        """Wait until the shared bandwidth has sent ``size`` bytes to a reader.
+
+        Raises:
+            LogUnavailable: the bytes would be queued for more than ``MAX_READ_QUEUE_S``, or the reader's
+                timeout passed before they had been sent.
+        """
         self.bytes_read += size
         now_s = monotonic_s()
-        begins_s = max(now_s, self._sent_until_s)
-        if begins_s - now_s > MOST_QUEUED_S:
-            raise LogUnavailable("too many bytes wait", status=503)
-        self._sent_until_s = begins_s + size / self.faults.read_bytes_per_s
-        wait_s = self._sent_until_s - now_s
+        start_s = max(now_s, self._bandwidth_free_s)
+        if start_s - now_s > MAX_READ_QUEUE_S:
+            raise LogUnavailable("too many bytes of other reads are queued", status=503)
+        self._bandwidth_free_s = start_s + size / self.faults.read_bytes_per_s
+        wait_s = self._bandwidth_free_s - now_s
         await asyncio.sleep(min(wait_s, ANSWER_TIMEOUT_S))
         if wait_s > ANSWER_TIMEOUT_S:
-            raise LogUnavailable("no answer")
+            raise LogUnavailable("the read timed out before its bytes were sent")
 
     def drop_history(self, topic: str) -> None:
-        """Forget all records so far; newest values of keys stay."""
+        """Remove all records of a topic's partition 0; the newest values of keys remain."""
         partition = self.partition(topic, 0)
         partition.drop_before(partition.end)
 
 
-def _first_bytes(records: Sequence[bytes], max_bytes: int) -> tuple[bytes, ...]:
-    """Return the first records that make up at most ``max_bytes``, and one at least."""
+def _take_up_to(records: Sequence[bytes], max_bytes: int) -> tuple[bytes, ...]:
+    """Return the first records that have at most ``max_bytes`` in all, but at least one."""
     size = 0
     for count, record in enumerate(records):
         size += len(record)
@@ -169,21 +181,22 @@
 
     async def append(self, topic: str, part: int, records: Sequence[bytes], *, at: int | None = None) -> int:
         """Append all records or none; see :class:`SharedLog`."""
-        await self._reach(LogAppendUnknown)
+        await self._send_call(LogAppendUnknown)
         faults = self._log.faults
         if faults.lost_answers and self._log.random.random() < faults.lost_answers:
             late_s = self._log.random.uniform(*faults.late_s)
-            asyncio.get_running_loop().call_later(late_s, self._do, topic, part, list(records), at)
+            asyncio.get_running_loop().call_later(late_s, self._append_late, topic, part, list(records), at)
             await asyncio.sleep(ANSWER_TIMEOUT_S)
-            raise LogAppendUnknown("no answer")
+            raise LogAppendUnknown("the log did not answer an append")
         partition = self._log.partition(topic, part)
         if at is not None and at != partition.end:
             raise AppendConflict(partition.end)
         offset = self._log.add(topic, part, records)
-        await self._answer(LogAppendUnknown)
+        await self._send_answer(LogAppendUnknown)
         return offset
 
-    def _do(self, topic: str, part: int, records: list[bytes], at: int | None) -> None:
+    def _append_late(self, topic: str, part: int, records: list[bytes], at: int | None) -> None:
+        """Append the records unless ``at`` differs from the partition's end by now."""
         partition = self._log.partition(topic, part)
         if at is None or at == partition.end:
             self._log.add(topic, part, records)
@@ -192,76 +205,80 @@
         self, topic: str, part: int, start: int, *, wait_s: float, max_bytes: int = MAX_PAGE_BYTES
     ) -> LogPage:
         """Return records from an offset; see :class:`SharedLog`."""
-        await self._reach(LogUnavailable)
+        await self._send_call(LogUnavailable)
         partition = self._log.partition(topic, part)
-        until_s = monotonic_s() + wait_s
-        while partition.end <= start and (left_s := until_s - monotonic_s()) > 0:
+        deadline_s = monotonic_s() + wait_s
+        while partition.end <= start and (left_s := deadline_s - monotonic_s()) > 0:
             try:
                 await asyncio.wait_for(partition.changed.wait(), left_s)
             except TimeoutError:
                 break
         if start < partition.first:
             raise HistoryGone(partition.first)
-        records = _first_bytes(partition.records[start - partition.first :], max_bytes)
+        records = _take_up_to(partition.records[start - partition.first :], max_bytes)
         await self._log.transfer(sum(len(record) for record in records))
         page = LogPage(start=start, end=partition.end, records=records, first=partition.first)
-        await self._answer(LogUnavailable)
+        await self._send_answer(LogUnavailable)
         return page
 
     async def newest(self, topic: str, part: int, *, most_pages: int | None = None) -> KeyedSnapshot:
         """Return the newest record of every key; see :class:`SharedLog`."""
-        await self._reach(LogUnavailable)
+        await self._send_call(LogUnavailable)
         records = tuple(KeyedRecord(key=key, value=value) for key, value in self._log.newest(topic).items())
-        wanted = records if most_pages is None else records[: most_pages * NEWEST_PAGE]
+        returned = records if most_pages is None else records[: most_pages * RECORDS_PER_SNAPSHOT_PAGE]
         next_offset = self._log.partition(topic, part).end
-        await self._log.transfer(sum(len(record.value) for record in wanted))
-        return KeyedSnapshot(records=wanted, next_offset=next_offset, more=len(wanted) < len(records))
+        await self._log.transfer(sum(len(record.value) for record in returned))
+        return KeyedSnapshot(records=returned, next_offset=next_offset, more=len(returned) < len(records))
 
     async def join(
         self, group: str, member: str, topics: Sequence[str], *, lifetime_s: float, generation: int
     ) -> GroupShare:
-        """Join a group or stay in it; see :class:`SharedLog`."""
-        await self._reach(LogUnavailable)
+        """Join a group or renew the membership; see :class:`SharedLog`."""
+        await self._send_call(LogUnavailable)
         partitions = [(topic, part) for topic in topics for part in range(self._log.parts)]
-        share = self._log.groups.join(group, member, partitions, lifetime_s=lifetime_s, generation=generation)
-        await self._answer(LogUnavailable)
-        held = frozenset(GroupPartition(topic, part) for topic, part in share.partitions)
-        return GroupShare(generation=share.generation, partitions=held)
+        assignment = self._log.groups.join(
+            group, member, partitions, lifetime_s=lifetime_s, generation=generation
+        )
+        await self._send_answer(LogUnavailable)
+        assigned = frozenset(GroupPartition(topic, part) for topic, part in assignment.partitions)
+        return GroupShare(generation=assignment.generation, partitions=assigned)
 
     async def leave(self, group: str, member: str) -> None:
-        """Leave a group at once."""
-        await self._reach(LogUnavailable)
+        """Leave a group, which moves the member's partitions to the others."""
+        await self._send_call(LogUnavailable)
         self._log.groups.leave(group, member)
-        await self._answer(LogUnavailable)
+        await self._send_answer(LogUnavailable)
 
     async def members(self, group: str) -> dict[GroupPartition, str]:
-        """Return the member of each partition; see :class:`SharedLog`."""
-        await self._reach(LogUnavailable)
-        owners = self._log.groups.owners(group)
-        await self._answer(LogUnavailable)
-        return {GroupPartition(topic, part): member for (topic, part), member in owners.items()}
+        """Return the member that holds each partition; see :class:`SharedLog`."""
+        await self._send_call(LogUnavailable)
+        holders = self._log.groups.owners(group)
+        await self._send_answer(LogUnavailable)
+        return {GroupPartition(topic, part): member for (topic, part), member in holders.items()}
 
     def decode_keyed(self, record: bytes) -> KeyedRecord:
-        """Split a record of a keyed topic."""
-        key, _, value = record.partition(SEPARATOR)
+        """Decode a raw record of a keyed topic."""
+        key, _, value = record.partition(KEY_SEPARATOR)
         return KeyedRecord(key=key.decode(), value=value)
 
     def encode_keyed(self, record: KeyedRecord) -> bytes:
-        """Return a record of a keyed topic."""
-        return record.key.encode() + SEPARATOR + record.value
+        """Encode a record of a keyed topic."""
+        return record.key.encode() + KEY_SEPARATOR + record.value
 
-    async def _reach(self, failure: type[LogUnavailable] | type[LogAppendUnknown]) -> None:
+    async def _send_call(self, failure: type[LogUnavailable] | type[LogAppendUnknown]) -> None:
+        """Deliver the call; raises LogUnavailable if the log refuses it, ``failure`` if the log is silent."""
         self._log.calls += 1
         await asyncio.sleep(ANSWER_S / 2 + self._log.faults.slow_s / 2)
         if self._log.faults.refusing:
-            raise LogUnavailable("refused")
-        await self._silence(failure)
+            raise LogUnavailable("the log refused the call")
+        await self._raise_if_unanswered(failure)
 
-    async def _answer(self, failure: type[LogUnavailable] | type[LogAppendUnknown]) -> None:
+    async def _send_answer(self, failure: type[LogUnavailable] | type[LogAppendUnknown]) -> None:
+        """Deliver the answer; raises ``failure`` if the log is silent by then."""
         await asyncio.sleep(ANSWER_S / 2 + self._log.faults.slow_s / 2)
-        await self._silence(failure)
+        await self._raise_if_unanswered(failure)
 
-    async def _silence(self, failure: type[LogUnavailable] | type[LogAppendUnknown]) -> None:
+    async def _raise_if_unanswered(self, failure: type[LogUnavailable] | type[LogAppendUnknown]) -> None:
         if self._log.faults.silent or self._name in self._log.cut_off:
             await asyncio.sleep(ANSWER_TIMEOUT_S)
-            raise failure("no answer")
+            raise failure("the log did not answer the call")
--- a/passgate/emulator/standins_server.py
+++ b/passgate/emulator/standins_server.py
@@ -1,8 +1,8 @@
-"""Hosts a whole deployment's outside world in one process, on loopback.
+"""Runs all emulator servers of one deployment in one process, on the loopback interface.
 
-``python -m passgate.emulator.standins_server --deployment olhar --addresses-file FILE``
-writes one JSON line with every address once all ports listen, serves until
-SIGTERM or SIGINT, and takes faults on its administration port.
+``python -m passgate.emulator.standins_server --deployment olhar --addresses-file FILE`` writes one JSON line
+with all addresses (:class:`StandInAddresses`) to standard output and to FILE once all ports listen, serves
+until SIGTERM or SIGINT, and accepts faults on its administration port.
 """
 
 from __future__ import annotations
@@ -25,49 +25,50 @@
 from passgate.emulator.log_server import LogServer
 from passgate.emulator.network import SAME_PROCESS
 from passgate.emulator.parameters import DeploymentParameters, load_deployment
-from passgate.emulator.platform_server import ChangeableMachineList, PlatformServer
+from passgate.emulator.platform_server import PlatformServer, WritableMachineList
 from passgate.emulator.run_feed import RunFeed
 from passgate.emulator.wire import StandInServer
 from passgate.emulator.world import EmulatedWorld
 from passgate.schema import MachineInfo
 
-RESTART_CHECK_S = 0.05
+RESTART_POLL_S = 0.05
 LOG_PREFIX = "log/"
+"""Prefix of the names of the zones' log servers."""
 
 
 class StandIns:
-    """Servers around one emulated world; made and used inside a running loop.
+    """The HTTP servers of one emulated deployment; must be created and used inside a running event loop.
 
-    Each back end has one port without emulated network and one for each zone,
-    with that zone's delays and cuts.  Ports of one back end share faults and counters.
+    Each engine and app has one port without an emulated network and one for each zone, with the delays and
+    partitions between that zone and its own.  All ports of one of them share faults and counters.
     """
 
     def __init__(
         self, parameters: DeploymentParameters, seed: int = 1, credential: str | None = None
     ) -> None:
-        self.runs = RunFeed()
-        self.world = EmulatedWorld(parameters, seed, self.runs)
+        self.run_feed = RunFeed()
+        self.world = EmulatedWorld(parameters, seed, self.run_feed)
         self.servers: dict[str, StandInServer] = {}
         """Servers by name: machines by identifier, ``platform``, ``admin``, ``log/ZONE``."""
         self._credential = credential
-        self._zone_servers: dict[str, dict[str, StandInServer]] = {}
-        self._zone_platforms: dict[str, PlatformServer] = {}
-        self._restarts: set[asyncio.Task[None]] = set()
-        self.servers.update(self._backends(SAME_PROCESS))
-        self.servers["platform"] = self._platform(self.world.machine_list)
+        self._backend_servers_by_zone: dict[str, dict[str, StandInServer]] = {}
+        self._platform_server_by_zone: dict[str, PlatformServer] = {}
+        self._restart_tasks: set[asyncio.Task[None]] = set()
+        self.servers.update(self._make_backend_servers(SAME_PROCESS))
+        self.servers["platform"] = self._make_platform_server(self.world.machine_list)
         self.servers["admin"] = AdminServer(self, credential)
         for zone in parameters.zones:
             self._add_zone(zone)
 
     async def start(self) -> StandInAddresses:
-        """Listen on free ports and put the real addresses on the machine list."""
+        """Listen on free ports, put their addresses on the machine list and return them."""
         for server in self._all_servers():
             server.start()
         await self._register_addresses()
         return self.addresses()
 
     def addresses(self) -> StandInAddresses:
-        """Return where everything listens."""
+        """Return the addresses of all servers; valid after :meth:`start`."""
         servers = self.servers
         return StandInAddresses(
             deployment=self.world.parameters.name,
@@ -78,15 +79,15 @@
             logs={zone: servers[LOG_PREFIX + zone].address for zone in self.world.parameters.zones},
             engines={name: servers[name].address for name in self.world.engines},
             apps={name: servers[name].address for name in self.world.apps},
-            zone_platforms={zone: server.address for zone, server in self._zone_platforms.items()},
+            zone_platforms={zone: server.address for zone, server in self._platform_server_by_zone.items()},
         )
 
     def backend(self, machine_id: str) -> EmulatedEngine | EmulatedApp:
-        """Return an engine or app; raises KeyError when there is none."""
+        """Return an engine or app by its machine identifier; raises KeyError if there is none."""
         return self.world.engines.get(machine_id) or self.world.apps[machine_id]
 
     def set_draining(self, machine_id: str, draining: bool) -> None:
-        """Let an engine or app itself refuse, or take again, new work."""
+        """Make an engine or app refuse new requests, or accept them again."""
         backend = self.backend(machine_id)
         if isinstance(backend, EmulatedApp):
             backend.set_draining(draining)
@@ -94,17 +95,17 @@
             backend.model.control.draining = draining
 
     def crash(self, machine_id: str, restart_after_s: float) -> None:
-        """Crash an engine or app: connections are reset and its ports close until the restart."""
-        for server in self._ports(machine_id):
+        """Crash an engine or app: reset its connections and close its ports until the restart."""
+        for server in self._servers_of(machine_id):
             server.crash()
         self.backend(machine_id).crash(restart_after_s)
         task = asyncio.get_running_loop().create_task(self._restart(machine_id, restart_after_s))
-        self._restarts.add(task)
-        task.add_done_callback(self._restarts.discard)
+        self._restart_tasks.add(task)
+        task.add_done_callback(self._restart_tasks.discard)
 
     def close(self) -> None:
         """Close all ports and stop the emulation."""
-        for task in self._restarts:
+        for task in self._restart_tasks:
             task.cancel()
         for server in self._all_servers():
             server.close()
@@ -113,19 +114,25 @@
     async def _restart(self, machine_id: str, restart_after_s: float) -> None:
         await asyncio.sleep(restart_after_s)
         while not self.backend(machine_id).up:
-            await asyncio.sleep(RESTART_CHECK_S)
-        for server in self._ports(machine_id):
-            if not server.running:
+            await asyncio.sleep(RESTART_POLL_S)
+        for server in self._servers_of(machine_id):
+            if not server.is_listening:
                 server.start()
 
-    def _ports(self, machine_id: str) -> list[StandInServer]:
-        return [self.servers[machine_id], *(ports[machine_id] for ports in self._zone_servers.values())]
+    def _servers_of(self, machine_id: str) -> list[StandInServer]:
+        """Return the servers on all ports of an engine or app."""
+        return [
+            self.servers[machine_id],
+            *(servers[machine_id] for servers in self._backend_servers_by_zone.values()),
+        ]
 
     def _all_servers(self) -> list[StandInServer]:
-        zone_servers = [server for ports in self._zone_servers.values() for server in ports.values()]
-        return [*self.servers.values(), *zone_servers, *self._zone_platforms.values()]
+        zone_servers = [
+            server for servers in self._backend_servers_by_zone.values() for server in servers.values()
+        ]
+        return [*self.servers.values(), *zone_servers, *self._platform_server_by_zone.values()]
 
-    def _backends(self, zone: str) -> dict[str, StandInServer]:
+    def _make_backend_servers(self, zone: str) -> dict[str, StandInServer]:
         engine_client = self.world.engine_client(zone)
         app_client = self.world.app_client(zone)
         servers: dict[str, StandInServer] = {}
@@ -135,38 +142,41 @@
             servers[name] = AppServer(name, app_client, app.address)
         return servers
 
-    def _platform(self, machines: ChangeableMachineList) -> PlatformServer:
+    def _make_platform_server(self, machines: WritableMachineList) -> PlatformServer:
         return PlatformServer("platform", machines, self.world.store, self._credential)
 
     def _add_zone(self, zone: str) -> None:
         log_name = LOG_PREFIX + zone
         self.servers[log_name] = LogServer(log_name, self.world.log_client(zone), self._credential)
-        ports = self._backends(zone)
-        for name, server in ports.items():
-            server.share(self.servers[name])
-        self._zone_servers[zone] = ports
-        self._zone_platforms[zone] = self._platform(ZoneMachineList(self.world.machine_list, ports))
-        self._zone_platforms[zone].share(self.servers["platform"])
+        backend_servers = self._make_backend_servers(zone)
+        for name, server in backend_servers.items():
+            server.share_state_of(self.servers[name])
+        self._backend_servers_by_zone[zone] = backend_servers
+        self._platform_server_by_zone[zone] = self._make_platform_server(
+            ZoneMachineList(self.world.machine_list, backend_servers)
+        )
+        self._platform_server_by_zone[zone].share_state_of(self.servers["platform"])
 
     async def _register_addresses(self) -> None:
         for machine in await self.world.machine_list.machines():
             address = self.servers[machine.machine_id].address
             self.world.machine_list.register(msgspec.structs.replace(machine, address=address))
         for name, engine in self.world.engines.items():
-            for server in self._ports(name):
-                self.world.registry.engines[server.address] = engine  # as a source of weights
+            for server in self._servers_of(name):
+                # load orders name the engine that sends the weights by one of these addresses
+                self.world.registry.engines[server.address] = engine
 
 
 class ZoneMachineList:
-    """The machine list with the addresses by which one zone reaches the back ends."""
+    """The machine list with the addresses at which daemons of one zone reach the engines and apps."""
 
-    def __init__(self, machines: ChangeableMachineList, ports: dict[str, StandInServer]) -> None:
+    def __init__(self, machines: WritableMachineList, server_by_machine_id: dict[str, StandInServer]) -> None:
         self._machines = machines
-        self._ports = ports
+        self._server_by_machine_id = server_by_machine_id
 
     async def machines(self) -> Sequence[MachineInfo]:
-        """Return the list; raises PlatformError when it is down."""
-        return [self._as_reached(machine) for machine in await self._machines.machines()]
+        """Return the list; raises PlatformError if it is unavailable."""
+        return [self._with_zone_address(machine) for machine in await self._machines.machines()]
 
     def put(self, machine: MachineInfo) -> None:
         """Add a machine or replace its entry."""
@@ -176,35 +186,35 @@
         """Mark a machine as leaving."""
         self._machines.mark_leaving(machine_id)
 
-    def _as_reached(self, machine: MachineInfo) -> MachineInfo:
-        port = self._ports.get(machine.machine_id)
-        return machine if port is None else msgspec.structs.replace(machine, address=port.address)
+    def _with_zone_address(self, machine: MachineInfo) -> MachineInfo:
+        server = self._server_by_machine_id.get(machine.machine_id)
+        return machine if server is None else msgspec.structs.replace(machine, address=server.address)
 
 
-async def run_standins(
+async def serve_until_stopped(
     parameters: DeploymentParameters,
     addresses_file: str | None = None,
     seed: int = 1,
     credential: str | None = None,
 ) -> None:
-    """Serve a deployment's outside world until SIGTERM or SIGINT."""
+    """Run the emulator servers of a deployment until SIGTERM or SIGINT."""
     stop = asyncio.Event()
     for signal_number in (signal.SIGTERM, signal.SIGINT):
         asyncio.get_running_loop().add_signal_handler(signal_number, stop.set)
-    standins = StandIns(parameters, seed, credential)
-    line = msgspec.json.encode(await standins.start()).decode() + "\n"
+    emulator = StandIns(parameters, seed, credential)
+    line = msgspec.json.encode(await emulator.start()).decode() + "\n"
     print(line, end="", flush=True)
     if addresses_file is not None:
-        _write_whole(Path(addresses_file), line)
+        _write_atomically(Path(addresses_file), line)
     await stop.wait()
-    standins.close()
+    emulator.close()
 
 
-def _write_whole(path: Path, text: str) -> None:
-    # A reader that polls for the file never sees half of it.
-    part = path.with_name(path.name + ".part")
-    part.write_text(text)
-    part.replace(path)
+def _write_atomically(path: Path, content: str) -> None:
+    """Write a file by renaming a temporary one, so that a process polling for it never reads a part."""
+    temporary = path.with_name(path.name + ".part")
+    temporary.write_text(content)
+    temporary.replace(path)
 
 
 def main(
@@ -213,9 +223,9 @@
     seed: int = 1,
     credential_file: str | None = None,
 ) -> None:
-    """Serve a deployment (``olhar``, ``huon`` or a parameter file) until it is stopped."""
+    """Run the emulator servers of a deployment (``olhar``, ``huon`` or a parameter file) until stopped."""
     credential = None if credential_file is None else Path(credential_file).read_text().strip()
-    asyncio.run(run_standins(load_deployment(deployment), addresses_file, seed, credential))
+    asyncio.run(serve_until_stopped(load_deployment(deployment), addresses_file, seed, credential))
 
 
 if __name__ == "__main__":
--- a/passgate/emulator/tally.py
+++ b/passgate/emulator/tally.py
@@ -1,4 +1,4 @@
-"""Outcomes as emulated callers saw them."""
+"""Counters of what emulated callers received, and of the guarantees that this violates."""
 
 from __future__ import annotations
 
@@ -7,41 +7,42 @@
 from passgate.emulator.ledger import RunLedger
 
 
-class ArrivalTally(msgspec.Struct, kw_only=True):
+class ArrivalOutcomes(msgspec.Struct, kw_only=True):
     """Outcomes of one stream of interactive calls."""
 
     name: str
     arrived: int = 0
     answered: int = 0
-    """Calls with a right answer, in time or late."""
+    """Calls with a correct answer, in time or late."""
     late: int = 0
-    """Right answers after the call's deadline, counted from its arrival."""
+    """Calls whose correct answer came later after their arrival than the deadline of one attempt."""
     wrong: int = 0
+    """Violations: incorrect answers."""
     given_up: int = 0
     """Calls without an answer after their last attempt."""
     pending: int = 0
-    """Calls still open when the run ended."""
+    """Calls still unfinished when the run ended."""
     attempts: int = 0
     refused: int = 0
-    """Attempts that ended with a typed refusal."""
+    """Attempts with an error that reports them as not run."""
     unknown: int = 0
-    """Attempts that may have run and have no answer."""
+    """Attempts that timed out, or with an error that does not exclude that they ran."""
     outcome_lost: int = 0
-    """Not-repeatable calls of which passgate says that the outcome is lost."""
+    """Non-repeatable calls of which passgate reports that the outcome is unknown."""
     latencies_s: list[float] = []
-    """Arrival to right answer, of answered calls."""
+    """Time from arrival to answer of each answered call."""
     not_run_ids: list[str] = []
-    """Attempts that passgate declared as not run."""
+    """Identifiers of the attempts that passgate reported as not run."""
     errors: dict[str, int] = {}
-    """Typed errors by their code."""
+    """Error code, or ``caller_timeout``, to the number of attempts."""
 
-    def note_error(self, code: str) -> None:
+    def count_error(self, code: str) -> None:
         """Count a typed error."""
         self.errors[code] = self.errors.get(code, 0) + 1
 
-    def not_run_that_ran(self, ledger: RunLedger) -> list[str]:
-        """Return the attempts that were declared as not run and yet ran."""
-        return [request_id for request_id in self.not_run_ids if ledger.runs(request_id) > 0]
+    def not_run_that_ran(self, run_recorder: RunLedger) -> list[str]:
+        """Return the attempts that were reported as not run although a back end started them."""
+        return [request_id for request_id in self.not_run_ids if run_recorder.runs(request_id) > 0]
 
 
 class TrainerTally(msgspec.Struct, kw_only=True):
@@ -50,33 +51,39 @@
     name: str
     steps: int = 0
     version: int = 0
+    """Newest weight version of the trainer."""
     idle_s: float = 0.0
-    """Waited for a lot that was not whole."""
+    """Time spent waiting for a lot's samples."""
     scoring_s: float = 0.0
-    """Waited for scores of a lot that was whole."""
+    """Time spent waiting for scores of a complete lot."""
     train_s: float = 0.0
     lot_times_s: list[float] = []
-    """Opening to whole lot."""
+    """Time from opening to completion of each complete lot."""
     delivered: int = 0
+    """Samples received, without duplicates."""
     lost: int = 0
-    """Samples missing from lots that were declared finished."""
+    """Violations: samples missing from finished lots, neither delivered nor reported as failed."""
     doubled: int = 0
-    """Samples that arrived for a slot that had one already."""
+    """Violations: samples received for a prompt that had one already."""
     failed: int = 0
-    """Slots that passgate declared as failed."""
+    """Prompts of finished lots whose samples passgate reported as failed."""
     wrong: int = 0
+    """Violations: incorrect samples."""
     over_staleness: int = 0
+    """Violations: samples further behind the trainer's version than the lot's staleness bound."""
     replaced: int = 0
+    """Withdrawn samples that the trainer had not received and has had produced again."""
     staleness: dict[int, int] = {}
-    """Versions behind at hand-over to number of samples."""
+    """Number of versions behind the trainer at delivery to number of samples."""
     errors: dict[str, int] = {}
+    """Error code, or ``verdict_`` with the reason for an incorrect sample, to its count."""
 
-    def note_error(self, code: str) -> None:
+    def count_error(self, code: str) -> None:
         """Count a typed error."""
         self.errors[code] = self.errors.get(code, 0) + 1
 
     def idle_share(self) -> float:
-        """Return the share of time spent waiting for lots."""
+        """Return the share of the trainer's time that it spent waiting for samples."""
         total_s = self.idle_s + self.scoring_s + self.train_s
         return self.idle_s / total_s if total_s > 0 else 0.0
 
@@ -85,13 +92,13 @@
     """Outcomes of all callers of a run."""
 
     trainers: list[TrainerTally] = []
-    arrivals: list[ArrivalTally] = []
+    arrivals: list[ArrivalOutcomes] = []
 
-    def violations(self, ledger: RunLedger) -> int:
-        """Return how many broken promises callers and back ends can prove."""
-        total = len(ledger.repeated_single_effects())
+    def violations(self, run_recorder: RunLedger) -> int:
+        """Return the number of violated guarantees, as counted by the callers and on the back ends."""
+        total = len(run_recorder.repeated_single_effects())
         for trainer in self.trainers:
             total += trainer.lost + trainer.doubled + trainer.wrong + trainer.over_staleness
         for arrival in self.arrivals:
-            total += arrival.wrong + len(arrival.not_run_that_ran(ledger))
+            total += arrival.wrong + len(arrival.not_run_that_ran(run_recorder))
         return total
--- a/passgate/emulator/trainer.py
+++ b/passgate/emulator/trainer.py
@@ -1,4 +1,8 @@
-"""A trainer in a closed loop: waits for its lot, trains for a time, publishes new weights."""
+"""Emulated trainer: in each step, it collects the samples of a lot, trains, and may publish new weights.
+
+Scoring and training only take time.  The trainer checks each sample and counts what is lost, duplicated or
+incorrect.
+"""
 
 from __future__ import annotations
 
@@ -25,79 +29,85 @@
 
 Result = TypeVar("Result")
 
-FIRST_BACKOFF_S = 0.2
-LONGEST_BACKOFF_S = 5.0
+INITIAL_BACKOFF_S = 0.2
+MAX_BACKOFF_S = 5.0
+
 
+class _OpenLot(msgspec.Struct, kw_only=True):
+    """A lot and what the trainer has received of it, by the index of the prompt in the request."""
 
-class _Lot(msgspec.Struct, kw_only=True):
     lot_id: str
     request: LotRequest
     opened_s: float
     asked_version: int = 0
-    """Trainer's version when it last asked for a page."""
+    """The trainer's version when it last requested a page."""
     scored_s: float = 0.0
-    """When the last score of the samples so far is there."""
+    """Time at which all samples received so far are scored."""
     received: dict[int, DeliveredSample] = {}
     failed: set[int] = set()
 
 
 class Trainer:
-    """One trainer; :meth:`run` goes on until it is cancelled."""
+    """One trainer, which starts at its model's boot version.
+
+    ``store_weights`` puts a version of a model into the weight store; ``record_event`` receives each
+    submitted lot and each page of samples for later checks.
+    """
 
     def __init__(
         self,
         parameters: TrainerParameters,
         model: ModelParameters,
         pool: str,
-        service: Service,
+        client: Service,
         store_weights: Callable[[str, int], None],
         random: Random,
-        record: Callable[[AnyEvent], None] | None = None,
+        record_event: Callable[[AnyEvent], None] | None = None,
     ) -> None:
         self.parameters = parameters
         self.version = model.boot_version
         self.tally = TrainerTally(name=parameters.name, version=self.version)
         self._model = model
         self._pool = pool
-        self._service = service
+        self._client = client
         self._store_weights = store_weights
         self._random = random
-        self._record = record or _ignore
+        self._record_event = record_event or _discard_event
         self._prompts = PromptSource(model, random)
         self._scoring = ScoringService(parameters.scoring, random)
-        self._opened = 0
-        self._publishing: asyncio.Task[None] | None = None
-        self._collecting: deque[asyncio.Task[float]] = deque()
+        self._opened_lots = 0
+        self._announcement: asyncio.Task[None] | None = None
+        self._lot_collections: deque[asyncio.Task[float]] = deque()
 
     async def run(self, steps: int | None = None) -> None:
-        """Train for a number of steps, or until cancelled."""
+        """Run a number of steps, or until cancelled; lots open at the end stay open on the daemons."""
         try:
             while steps is None or self.tally.steps < steps:
-                await self._step()
+                await self._run_step()
         finally:
-            for task in (*self._collecting, self._publishing):
+            for task in (*self._lot_collections, self._announcement):
                 if task is not None:
                     task.cancel()
 
-    async def _step(self) -> None:
-        while len(self._collecting) <= self.parameters.lots_ahead:
-            self._collecting.append(asyncio.ensure_future(self._whole_lot()))
-        scored_s = await self._wait_idle(self._collecting[0])
-        self._collecting.popleft()
-        await self._wait_scores(scored_s)
+    async def _run_step(self) -> None:
+        while len(self._lot_collections) <= self.parameters.lots_ahead:
+            self._lot_collections.append(asyncio.ensure_future(self._collect_lot()))
+        scored_s = await self._wait_for_lot(self._lot_collections[0])
+        self._lot_collections.popleft()
+        await self._wait_for_scores(scored_s)
         await self._train()
         self.tally.steps += 1
         if self.tally.steps % self.parameters.publish_every_steps == 0:
             self._publish()
 
-    async def _wait_idle(self, lot: asyncio.Task[float]) -> float:
+    async def _wait_for_lot(self, collection: asyncio.Task[float]) -> float:
         started_s = monotonic_s()
         try:
-            return await lot
+            return await collection
         finally:
             self.tally.idle_s += monotonic_s() - started_s
 
-    async def _wait_scores(self, scored_s: float) -> None:
+    async def _wait_for_scores(self, scored_s: float) -> None:
         wait_s = scored_s - monotonic_s()
         if wait_s > 0:
             self.tally.scoring_s += wait_s
@@ -112,25 +122,25 @@
 
     # --- lots ------------------------------------------------------------------------
 
-    async def _whole_lot(self) -> float:
-        """Collect one lot and return when its last score is there."""
+    async def _collect_lot(self) -> float:
+        """Open a lot, read all its samples and return the time at which the last one is scored."""
         lot = self._new_lot()
-        await self._persist(lambda: self._service.open_lot(lot.request, lot.lot_id))
-        self._record_opening(lot)
+        await self._retry_until_success(lambda: self._client.open_lot(lot.request, lot.lot_id))
+        self._record_lot_submitted(lot)
         cursor = 0
         while True:
-            page = await self._persist(lambda: self._read(lot, cursor))  # noqa: B023 - awaited at once
-            self._take(lot, cursor, page)
+            page = await self._retry_until_success(lambda: self._read_page(lot, cursor))  # noqa: B023 - awaited at once
+            self._record_page(lot, cursor, page)
             cursor = page.next_cursor
-            await self._answer(lot, page)
+            await self._acknowledge_page(lot, page)
             if page.finished:
                 break
-        self._close(lot)
+        self._record_lot_outcome(lot)
         return lot.scored_s
 
-    def _new_lot(self) -> _Lot:
+    def _new_lot(self) -> _OpenLot:
         parameters = self.parameters
-        self._opened += 1
+        self._opened_lots += 1
         prompts: list[PromptSpec] = []
         for _ in range(parameters.prompts_per_step):
             prompt = self._prompts.prompt()
@@ -146,17 +156,19 @@
             deadline_s=parameters.deadline_s,
             prompts=tuple(prompts),
         )
-        return _Lot(lot_id=f"{parameters.name}-{self._opened}", request=request, opened_s=monotonic_s())
+        return _OpenLot(
+            lot_id=f"{parameters.name}-{self._opened_lots}", request=request, opened_s=monotonic_s()
+        )
 
-    async def _read(self, lot: _Lot, cursor: int) -> SamplesPage:
+    async def _read_page(self, lot: _OpenLot, cursor: int) -> SamplesPage:
         parameters = self.parameters
         lot.asked_version = self.version
-        return await self._service.read_lot(
+        return await self._client.read_lot(
             lot.lot_id, cursor, parameters.read_limit, parameters.read_wait_s, lot.asked_version
         )
 
-    def _take(self, lot: _Lot, cursor: int, page: SamplesPage) -> None:
-        self._record_page(lot, cursor, page)
+    def _record_page(self, lot: _OpenLot, cursor: int, page: SamplesPage) -> None:
+        self._record_page_received(lot, cursor, page)
         lot.failed.update(failure.index for failure in page.failed)
         for sample in page.samples:
             if sample.index in lot.received:
@@ -165,32 +177,33 @@
             lot.received[sample.index] = sample
             self.tally.delivered += 1
             lot.scored_s = max(lot.scored_s, self._scoring.submit(monotonic_s()))
-            self._judge(lot, sample)
+            self._check_sample(lot, sample)
 
-    def _judge(self, lot: _Lot, sample: DeliveredSample) -> None:
-        behind = max(0, lot.asked_version - min(span.version for span in sample.spans))
-        self.tally.staleness[behind] = self.tally.staleness.get(behind, 0) + 1
-        if behind > self.parameters.staleness_bound:
+    def _check_sample(self, lot: _OpenLot, sample: DeliveredSample) -> None:
+        staleness = max(0, lot.asked_version - min(span.version for span in sample.spans))
+        self.tally.staleness[staleness] = self.tally.staleness.get(staleness, 0) + 1
+        if staleness > self.parameters.staleness_bound:
             self.tally.over_staleness += 1
         spec = lot.request.prompts[sample.index]
-        request = as_generate(lot.request, spec)
+        request = to_generate_request(lot.request, spec)
         verdict = verify_output(
             request, sample.tokens, sample.spans, sample.finish_reason, self._model.lengths
         )
         if verdict is not Verdict.RIGHT:
             self.tally.wrong += 1
-            self.tally.note_error(f"verdict_{verdict.value}")
-
-    async def _answer(self, lot: _Lot, page: SamplesPage) -> None:
-        arrived = [sample.sample_id for sample in page.samples]
-        if arrived:
-            await self._persist(lambda: self._service.acknowledge(lot.lot_id, arrived))
-        lacking = [name for name in page.withdrawn if index_of(lot.lot_id, name) not in lot.received]
-        if lacking:
-            self.tally.replaced += len(lacking)
-            await self._persist(lambda: self._service.replace(lot.lot_id, lacking, self.version))
-
-    def _close(self, lot: _Lot) -> None:
+            self.tally.count_error(f"verdict_{verdict.value}")
+
+    async def _acknowledge_page(self, lot: _OpenLot, page: SamplesPage) -> None:
+        """Acknowledge a page's samples, and request those again that were withdrawn before they arrived."""
+        received = [sample.sample_id for sample in page.samples]
+        if received:
+            await self._retry_until_success(lambda: self._client.acknowledge(lot.lot_id, received))
+        missing = [name for name in page.withdrawn if index_of(lot.lot_id, name) not in lot.received]
+        if missing:
+            self.tally.replaced += len(missing)
+            await self._retry_until_success(lambda: self._client.replace(lot.lot_id, missing, self.version))
+
+    def _record_lot_outcome(self, lot: _OpenLot) -> None:
         failed = lot.failed - set(lot.received)
         self.tally.failed += len(failed)
         self.tally.lost += len(lot.request.prompts) - len(lot.received) - len(failed)
@@ -202,32 +215,35 @@
         self.version += 1
         self.tally.version = self.version
         self._store_weights(self.parameters.model, self.version)
-        if self._publishing is None or self._publishing.done():
-            self._publishing = asyncio.ensure_future(self._announce())
+        if self._announcement is None or self._announcement.done():
+            self._announcement = asyncio.ensure_future(self._announce_versions())
 
-    async def _announce(self) -> None:
+    async def _announce_versions(self) -> None:
+        """Announce the newest version, and again if a newer one was stored meanwhile."""
         announced = 0
         while announced < self.version:
             announced = self.version
-            await self._persist(lambda: self._service.publish_version(self.parameters.model, self.version))
+            await self._retry_until_success(
+                lambda: self._client.publish_version(self.parameters.model, self.version)
+            )
 
-    # --- persistence --------------------------------------------------------------------
+    # --- retries ------------------------------------------------------------------------
 
-    async def _persist(self, call: Callable[[], Awaitable[Result]]) -> Result:
-        """Repeat a call until it succeeds, as a trainer without its lot can do nothing else."""
-        backoff_s = FIRST_BACKOFF_S
+    async def _retry_until_success(self, call: Callable[[], Awaitable[Result]]) -> Result:
+        """Repeat a call after each PassgateError, since a trainer can not go on without its samples."""
+        backoff_s = INITIAL_BACKOFF_S
         while True:
             try:
                 return await call()
             except PassgateError as error:
-                self.tally.note_error(error.code)
+                self.tally.count_error(error.code)
                 wait_s = error.retry_after_s
             await asyncio.sleep(wait_s if wait_s is not None else backoff_s * self._random.uniform(0.5, 1.0))
-            backoff_s = min(2 * backoff_s, LONGEST_BACKOFF_S)
+            backoff_s = min(2 * backoff_s, MAX_BACKOFF_S)
 
-    # --- history --------------------------------------------------------------------------
+    # --- events ---------------------------------------------------------------------------
 
-    def _record_opening(self, lot: _Lot) -> None:
+    def _record_lot_submitted(self, lot: _OpenLot) -> None:
         prompts = tuple(
             LotPrompt(
                 prompt=spec.prompt,
@@ -247,24 +263,24 @@
             staleness_bound=lot.request.staleness_bound,
             prompts=prompts,
         )
-        self._record(event)
+        self._record_event(event)
 
-    def _record_page(self, lot: _Lot, cursor: int, page: SamplesPage) -> None:
+    def _record_page_received(self, lot: _OpenLot, cursor: int, page: SamplesPage) -> None:
         event = PageReceived(
             time_s=monotonic_s(),
             lot_id=lot.lot_id,
             cursor=cursor,
             next_cursor=page.next_cursor,
             trainer_version=lot.asked_version,
-            samples=tuple(_received(sample) for sample in page.samples),
+            samples=tuple(_to_received_sample(sample) for sample in page.samples),
             finished=page.finished,
             withdrawn=page.withdrawn,
             failed=tuple(failure.index for failure in page.failed),
         )
-        self._record(event)
+        self._record_event(event)
 
 
-def _received(sample: DeliveredSample) -> ReceivedSample:
+def _to_received_sample(sample: DeliveredSample) -> ReceivedSample:
     return ReceivedSample(
         sample_id=sample.sample_id,
         index=sample.index,
@@ -275,8 +291,8 @@
     )
 
 
-def as_generate(lot: LotRequest, spec: PromptSpec) -> GenerateRequest:
-    """Return the request whose output a slot of a lot must hold."""
+def to_generate_request(lot: LotRequest, spec: PromptSpec) -> GenerateRequest:
+    """Return the generate request whose output is the correct sample for a prompt of a lot."""
     return GenerateRequest(
         request_id="",
         caller=lot.caller,
@@ -288,5 +304,5 @@
     )
 
 
-def _ignore(event: AnyEvent) -> None:
+def _discard_event(event: AnyEvent) -> None:
     pass
--- a/passgate/emulator/world.py
+++ b/passgate/emulator/world.py
@@ -1,6 +1,6 @@
-"""One emulated deployment: network, platform, engines and applications.
+"""Emulated external systems of one deployment: network, log, machine list, weight store, engines, apps.
 
-Made inside a running loop, as its parts read the loop's time:
+They must be created inside a running event loop, since they read its time:
 
 >>> import asyncio
 >>> from passgate.clock import new_virtual_loop
@@ -35,12 +35,15 @@
 from passgate.schema import MachineInfo, MachineRole
 
 SERVICE_LABEL = "service"
-"""Label of back ends that names their group, for pool selectors."""
+"""Label of a machine with the name of its service, for pool selectors."""
 ZONE_LABEL = "zone"
 
 
 class EmulatedWorld:
-    """Everything outside of passgate, built from a deployment's parameters and a seed."""
+    """The external systems of a deployment; the same parameters and seed give the same random decisions.
+
+    ``ledger`` records which requests ran on back ends; by default it is a new one.
+    """
 
     def __init__(self, parameters: DeploymentParameters, seed: int, ledger: RunLedger | None = None) -> None:
         self.parameters = parameters
@@ -61,35 +64,35 @@
             self._add_app(index)
 
     def random(self, name: str) -> Random:
-        """Return a random source of this seed for one named part."""
+        """Return a random generator whose seed derives from this world's seed and a name."""
         return Random(f"{self.seed}/{name}")
 
     def engine_client(self, zone: str) -> MemoryEngineClient:
-        """Return the engine client of a daemon in ``zone``."""
+        """Return an engine client for a daemon in ``zone``."""
         return MemoryEngineClient(self.registry, self.network, zone)
 
     def app_client(self, zone: str) -> MemoryAppClient:
-        """Return the application client of a daemon in ``zone``."""
+        """Return an app client for a daemon in ``zone``."""
         return MemoryAppClient(self.registry, self.network, zone)
 
     def log_client(self, zone: str, name: str = "") -> MemoryLogClient:
-        """Return the log client of a daemon in ``zone``; ``name`` separates random sources."""
+        """Return a log client for a daemon in ``zone``; ``name`` derives the seed of its random faults."""
         return MemoryLogClient(self.log, self.network, zone, self.random(f"log/{zone}/{name}"))
 
     def publish(self, model: str, version: int) -> None:
-        """Put new weights of a model into the store, as its trainer does."""
+        """Add a version of a model to the weight store."""
         self.store.publish(model, version, self.parameters.model(model).weight_bytes)
 
     def peer(self, address: str) -> EmulatedEngine | None:
-        """Return the engine at an address, as a source of weights."""
+        """Return the engine at an address, from which another one can load weights, or None."""
         return self.registry.engines.get(address)
 
     async def carry(self, source_zone: str, target_zone: str) -> None:
-        """Wait for the network; raises BackendUnreachable across a lasting cut."""
+        """Wait for a message's network delay; raises BackendUnreachable if a partition lasts too long."""
         await self.network.deliver(source_zone, target_zone)
 
     def close(self) -> None:
-        """Stop all timers and transfers."""
+        """Stop the timers and weight transfers of all engines and apps."""
         for engine in self.engines.values():
             engine.close()
         for app in self.apps.values():
@@ -97,7 +100,7 @@
 
     def _add_engine(self, index: int) -> None:
         group = self.parameters.engines
-        machine = self._machine(MachineRole.ENGINE, group.name, index)
+        machine = self._make_machine(MachineRole.ENGINE, group.name, index)
         model = EngineModel(
             machine.machine_id,
             group.engine,
@@ -113,7 +116,7 @@
 
     def _add_app(self, index: int) -> None:
         group = self.parameters.apps
-        machine = self._machine(MachineRole.APP, group.name, index)
+        machine = self._make_machine(MachineRole.APP, group.name, index)
         model = AppModel(
             machine.machine_id, group.app, self.random(machine.machine_id), monotonic_s(), self.ledger
         )
@@ -122,14 +125,14 @@
         self.registry.add_app(app)
         self.machine_list.register(machine)
 
-    def _machine(self, role: MachineRole, group: str, index: int) -> MachineInfo:
+    def _make_machine(self, role: MachineRole, service: str, index: int) -> MachineInfo:
         zones = self.parameters.zones
         zone_index = index % len(zones)
         network = 1 if role is MachineRole.ENGINE else 2
         return MachineInfo(
-            machine_id=f"{group}-{index}",
+            machine_id=f"{service}-{index}",
             role=role,
             address=f"10.{zone_index}.{network}.{index + 1}:8000",
             zone=zones[zone_index],
-            labels={SERVICE_LABEL: group, ZONE_LABEL: zones[zone_index]},
+            labels={SERVICE_LABEL: service, ZONE_LABEL: zones[zone_index]},
         )
--- a/tests/test_emulator_world.py
+++ b/tests/test_emulator_world.py
@@ -1,4 +1,4 @@
-"""Emulated clients, network, log, weight store and faults in virtual time."""
+"""Tests of the emulated engines, apps, network, log, machine list, weight store and their faults."""
 
 import asyncio
 import contextlib
@@ -61,7 +61,7 @@
 NOT_RUN, UNKNOWN, RAN = ExecutionStatus.NOT_RUN, ExecutionStatus.UNKNOWN, ExecutionStatus.RAN
 
 
-def in_world(scenario, seed=1, faults=(), parameters=OLHAR):
+def run_in_world(scenario, seed=1, faults=(), parameters=OLHAR):
     async def run():
         world = EmulatedWorld(parameters, seed)
         schedule = FaultSchedule(world, faults)
@@ -79,7 +79,7 @@
         loop.close()
 
 
-def long_request(name="r") -> GenerateRequest:
+def make_long_request(name="r") -> GenerateRequest:
     prompt = tuple(range(100))
     seed = next(seed for seed in range(1000) if 300 < output_length(prompt, seed, MODEL.lengths) < 400)
     return GenerateRequest(
@@ -87,7 +87,7 @@
     )
 
 
-def app_request(name="a", **changes) -> AppRequest:
+def make_app_request(name="a", **changes) -> AppRequest:
     fields = {"caller": "c", "pool": "linha", "method": "POST", "path": "/", "body": name.encode()} | changes
     return AppRequest(request_id=name, **fields)
 
@@ -102,7 +102,7 @@
     return chunks, None
 
 
-def answer_verdict(request, chunks) -> Verdict:
+def verify_chunks(request, chunks) -> Verdict:
     tokens = tuple(token for chunk in chunks for token in chunk.tokens)
     spans = [VersionSpan(c.start, c.start + len(c.tokens), c.version) for c in chunks]
     return verify_output(request, tokens, spans, FinishReason.STOP, MODEL.lengths)
@@ -111,9 +111,9 @@
 # --- engines over the network --------------------------------------------------------------
 
 
-def test_whole_world_is_the_same_for_the_same_seed():
+def test_same_seed_gives_the_same_run():
     async def scenario(world):
-        requests = [msgspec.structs.replace(long_request(f"r{i}"), seed=i) for i in range(30)]
+        requests = [msgspec.structs.replace(make_long_request(f"r{i}"), seed=i) for i in range(30)]
         random = world.random("start")
 
         async def one(request):
@@ -124,14 +124,14 @@
         return await asyncio.gather(*map(one, requests)), world.ledger.records
 
     faults = [EngineCrash(2.0, ENGINE), ConnectionsLost(1.0, 0.05, 2.0), ZoneCut(2.0, "campina", 2.5)]
-    first, second = (in_world(scenario, 4, faults) for _ in range(2))
+    first, second = (run_in_world(scenario, 4, faults) for _ in range(2))
     assert first == second
     assert any(outcome[1] != "None" for outcome in first[0])
-    assert in_world(scenario, 5, faults) != first
+    assert run_in_world(scenario, 5, faults) != first
 
 
 @pytest.mark.parametrize(
-    ("fault", "execution", "pieces"),
+    ("fault", "execution", "has_chunks"),
     [
         (EngineCrash(0.0, ENGINE), NOT_RUN, False),
         (ZoneCut(0.0, "caruaru", 30.0), NOT_RUN, False),
@@ -141,67 +141,67 @@
         (ConnectionsLost(2.0, 1.0, 9.0), RAN, True),
     ],
 )
-def test_broken_stream_tells_truly_whether_it_ran(fault, execution, pieces):
+def test_error_of_a_broken_stream_has_the_correct_execution_status(fault, execution, has_chunks):
     async def scenario(world):
         await asyncio.sleep(0.5)
-        chunks, error = await collect(world, long_request(), zone="campina")
+        chunks, error = await collect(world, make_long_request(), zone="campina")
         return chunks, error, world.ledger.runs("r")
 
-    chunks, error, runs = in_world(scenario, faults=[fault])
+    chunks, error, runs = run_in_world(scenario, faults=[fault])
     assert isinstance(error, BackendUnreachable)
     assert error.execution is execution
-    assert bool(chunks) is pieces
+    assert bool(chunks) is has_chunks
     assert runs == (0 if execution is NOT_RUN else 1)
 
 
-def test_short_cut_only_delays_a_stream():
+def test_short_network_partition_only_delays_a_stream():
     async def scenario(world):
-        request = long_request()
+        request = make_long_request()
         chunks, error = await collect(world, request, zone="campina")
-        return answer_verdict(request, chunks), error
+        return verify_chunks(request, chunks), error
 
-    assert in_world(scenario, faults=[LinkCut(1.0, "campina", "caruaru", 2.0)]) == (Verdict.RIGHT, None)
+    assert run_in_world(scenario, faults=[LinkCut(1.0, "campina", "caruaru", 2.0)]) == (Verdict.RIGHT, None)
 
 
-def test_refusal_whose_answer_is_cut_off_is_not_called_not_run():
+def test_refusal_lost_in_a_partition_is_not_reported_as_not_run():
     async def scenario(world):
         world.engines[ENGINE].order(EngineOrder(order_id="o", kind=OrderKind.DRAIN, fence=1))
-        cut_s = world.network.delay_s("campina", "caruaru") / 2
-        asyncio.get_running_loop().call_later(cut_s, world.network.cut, "campina", "caruaru")
-        return (await collect(world, long_request(), zone="campina"))[1]
+        half_delay_s = world.network.delay_s("campina", "caruaru") / 2
+        asyncio.get_running_loop().call_later(half_delay_s, world.network.cut, "campina", "caruaru")
+        return (await collect(world, make_long_request(), zone="campina"))[1]
 
-    error = in_world(scenario)
+    error = run_in_world(scenario)
     assert isinstance(error, BackendUnreachable)
     assert error.execution is UNKNOWN
 
 
-def test_closing_the_stream_cancels_the_work():
+def test_closing_a_stream_cancels_its_request():
     async def scenario(world):
         engine = world.engines[ENGINE]
-        stream = world.engine_client("campina").generate(engine.address, long_request())
+        stream = world.engine_client("campina").generate(engine.address, make_long_request())
         await anext(stream)
         await stream.aclose()
         await asyncio.sleep(1.0)
         return engine.model.counters.cancelled, engine.model.batch.cache.used_blocks
 
-    assert in_world(scenario) == (1, 0)
+    assert run_in_world(scenario) == (1, 0)
 
 
-def test_closing_a_replaced_stream_leaves_the_new_one_alone():
+def test_closing_a_replaced_stream_does_not_cancel_the_new_one():
     async def scenario(world):
-        engine, request = world.engines[ENGINE], long_request()
-        old = world.engine_client("campina").generate(engine.address, request)
-        await anext(old)
-        answer = asyncio.ensure_future(collect(world, request))
+        engine, request = world.engines[ENGINE], make_long_request()
+        replaced = world.engine_client("campina").generate(engine.address, request)
+        await anext(replaced)
+        collection = asyncio.ensure_future(collect(world, request))
         await asyncio.sleep(0.1)
-        await old.aclose()
-        chunks, error = await answer
-        return answer_verdict(request, chunks), error
+        await replaced.aclose()
+        chunks, error = await collection
+        return verify_chunks(request, chunks), error
 
-    assert in_world(scenario) == (Verdict.RIGHT, None)
+    assert run_in_world(scenario) == (Verdict.RIGHT, None)
 
 
-def test_overlapping_cuts_end_with_the_last_one():
+def test_overlapping_partitions_end_with_the_last_one():
     async def scenario(world):
         await asyncio.sleep(2.5)
         during = world.network.is_cut("campina", "caruaru")
@@ -209,23 +209,23 @@
         return during, world.network.is_cut("campina", "caruaru")
 
     faults = [LinkCut(0.0, "campina", "caruaru", 2.0), ZoneCut(1.0, "caruaru", 3.0)]
-    assert in_world(scenario, faults=faults) == (True, False)
+    assert run_in_world(scenario, faults=faults) == (True, False)
 
 
-def test_lost_weights_end_a_stream_without_its_mark():
+def test_loss_of_weights_ends_a_stream_without_finish_reason():
     async def scenario(world):
         client, engine = world.engine_client("caruaru"), world.engines[ENGINE]
         world.publish(MODEL.name, 2)
-        await ordered(client, engine, OrderKind.STAGE_VERSION, 2)
+        await complete_order(client, engine, OrderKind.STAGE_VERSION, 2)
         asyncio.get_running_loop().call_later(1.0, lambda: asyncio.ensure_future(failing(client, engine)))
-        return (await collect(world, long_request()))[1]
+        return (await collect(world, make_long_request()))[1]
 
     async def failing(client, engine):
         with pytest.raises(OrderRefused):
-            await ordered(client, engine, OrderKind.ACTIVATE_VERSION, 2)
+            await complete_order(client, engine, OrderKind.ACTIVATE_VERSION, 2)
 
     fault = EngineSwapFailure(0.0, ENGINE, "loses_weights")
-    error = in_world(scenario, faults=[msgspec.convert(msgspec.to_builtins(fault), EngineSwapFailure)])
+    error = run_in_world(scenario, faults=[msgspec.convert(msgspec.to_builtins(fault), EngineSwapFailure)])
     assert isinstance(error, IncompleteAnswer)
     assert error.execution is RAN
 
@@ -233,7 +233,7 @@
 # --- weights -----------------------------------------------------------------------------------
 
 
-async def ordered(client, engine, kind, version, source="store", fence=1) -> float:
+async def complete_order(client, engine, kind, version, source="store", fence=1) -> float:
     order = EngineOrder(
         order_id=f"{kind.value}/{version}/{engine.replica_id}",
         kind=kind,
@@ -247,21 +247,21 @@
     return monotonic_s()
 
 
-def test_store_shares_its_rate_and_peers_relieve_it():
+def test_store_bandwidth_is_shared_and_transfers_between_engines_do_not_use_it():
     async def scenario(world):
         client, engines = world.engine_client("caruaru"), list(world.engines.values())
         world.publish(MODEL.name, 2)
-        from_store = [ordered(client, engine, OrderKind.STAGE_VERSION, 2) for engine in engines[:2]]
+        from_store = [complete_order(client, engine, OrderKind.STAGE_VERSION, 2) for engine in engines[:2]]
         both_s = max(await asyncio.gather(*from_store))
         sent = world.store.sent_bytes
-        first = ordered(client, engines[2], OrderKind.STAGE_VERSION, 2, engines[0].address)
+        first = complete_order(client, engines[2], OrderKind.STAGE_VERSION, 2, engines[0].address)
         first = asyncio.ensure_future(first)
         await asyncio.sleep(0.01)
-        await ordered(client, engines[3], OrderKind.STAGE_VERSION, 2, engines[2].address)
+        await complete_order(client, engines[3], OrderKind.STAGE_VERSION, 2, engines[2].address)
         chain_s = max(monotonic_s(), await first) - both_s
         return both_s, chain_s, sent, world.store.sent_bytes
 
-    both_s, chain_s, sent, sent_later = in_world(scenario)
+    both_s, chain_s, sent, sent_later = run_in_world(scenario)
     size, parameters = MODEL.weight_bytes, OLHAR.store
     assert sent == sent_later == 2 * size
     assert both_s == pytest.approx(2 * size / parameters.bytes_per_s + parameters.first_byte_s, rel=0.05)
@@ -269,31 +269,31 @@
     assert hop_s < chain_s < 1.2 * hop_s
 
 
-def test_engine_that_is_still_fetching_sends_on_only_what_it_has():
+def test_engine_forwards_weights_only_as_it_receives_them():
     async def scenario(world):
         client, engines = world.engine_client("caruaru"), list(world.engines.values())
         world.publish(MODEL.name, 2)
         world.store.set_rate(0.5e9)
-        first = asyncio.ensure_future(ordered(client, engines[0], OrderKind.STAGE_VERSION, 2))
+        first = asyncio.ensure_future(complete_order(client, engines[0], OrderKind.STAGE_VERSION, 2))
         await asyncio.sleep(0.01)
-        second_s = await ordered(client, engines[1], OrderKind.STAGE_VERSION, 2, engines[0].address)
+        second_s = await complete_order(client, engines[1], OrderKind.STAGE_VERSION, 2, engines[0].address)
         return await first, second_s, world.store.sent_bytes
 
-    first_s, second_s, sent = in_world(scenario)
+    first_s, second_s, sent = run_in_world(scenario)
     assert first_s <= second_s < 1.1 * first_s
     assert sent == MODEL.weight_bytes
 
 
 @pytest.mark.parametrize("source", ["store", "10.9.9.9:1", "modelos-1"])
-def test_failed_transfer_is_reported_by_the_repeated_order(source):
+def test_failed_transfer_is_reported_when_the_order_is_repeated(source):
     async def scenario(world):
         client, engine = world.engine_client("caruaru"), world.engines[ENGINE]
         world.publish(MODEL.name, 2)
         peer = world.engines.get(source)
-        await ordered(client, engine, OrderKind.STAGE_VERSION, 2, peer.address if peer else source)
+        await complete_order(client, engine, OrderKind.STAGE_VERSION, 2, peer.address if peer else source)
 
     with pytest.raises(OrderRefused) as caught:
-        in_world(scenario, faults=[StoreOutage(0.3, 5.0)])
+        run_in_world(scenario, faults=[StoreOutage(0.3, 5.0)])
     assert caught.value.details["reason"] == "transfer_failed"
 
 
@@ -308,18 +308,18 @@
 
     async def scenario(world):
         client, address = world.app_client("caruaru"), world.apps[APP].address
-        calls = [client.call(address, app_request(f"a{i}", repeatable=False)) for i in range(4)]
+        calls = [client.call(address, make_app_request(f"a{i}", repeatable=False)) for i in range(4)]
         outcomes = await asyncio.gather(*calls, return_exceptions=True)
         ran = next(i for i in range(4) if world.ledger.runs(f"a{i}"))
-        again = app_request("again", body=f"a{ran}".encode(), repeatable=False)
-        await client.call(address, again)
+        repetition = make_app_request("again", body=f"a{ran}".encode(), repeatable=False)
+        await client.call(address, repetition)
         return outcomes, [world.ledger.runs(f"a{i}") for i in range(4)], world.ledger
 
-    outcomes, runs, ledger = in_world(scenario, parameters=parameters)
+    outcomes, runs, ledger = run_in_world(scenario, parameters=parameters)
     assert sorted(runs) == [0, 0, 1, 1]
     for number, outcome in enumerate(outcomes):
         if runs[number]:
-            assert outcome.body == expected_app_body(app_request(f"a{number}"))
+            assert outcome.body == expected_app_body(make_app_request(f"a{number}"))
         else:
             assert isinstance(outcome, BackendRefused) and outcome.retry_after_s
     assert len(ledger.repeated_single_effects()) == 1
@@ -328,26 +328,26 @@
 def test_crashed_application_leaves_the_outcome_unknown():
     async def scenario(world):
         client, address = world.app_client("caruaru"), world.apps[APP].address
-        running = asyncio.ensure_future(client.call(address, app_request("a")))
+        running = asyncio.ensure_future(client.call(address, make_app_request("a")))
         await asyncio.sleep(0.01)
         with pytest.raises(BackendUnreachable) as refused:
-            await client.call(address, app_request("b"))
+            await client.call(address, make_app_request("b"))
         with pytest.raises(BackendUnreachable) as lost:
             await running
         await asyncio.sleep(6.0)
-        await client.call(address, app_request("c"))
+        await client.call(address, make_app_request("c"))
         return lost.value.execution, refused.value.execution, world.ledger.runs("b")
 
-    assert in_world(scenario, faults=[AppCrash(0.005, APP)]) == (UNKNOWN, NOT_RUN, 0)
+    assert run_in_world(scenario, faults=[AppCrash(0.005, APP)]) == (UNKNOWN, NOT_RUN, 0)
 
 
-def test_app_report_lags_tells_its_own_leaving_and_starts_anew_after_a_crash() -> None:
+def test_app_load_report_lags_includes_draining_and_restarts_after_a_crash() -> None:
     parameters = AppParameters(
         concurrency=2, service_mean_s=50.0, service_variation=0.1, report_interval_s=0.25, report_lag_s=0.25
     )
     app = AppModel("a", parameters, Random(3), now_s=0.0)
     for number in range(3):
-        app.submit(app_request(f"r{number}"), 1.0)
+        app.submit(make_app_request(f"r{number}"), 1.0)
     early, late = app.load_report(1.3), app.load_report(1.6)
     assert (early.running, early.waiting) == (0, 0)
     assert (late.running, late.waiting, late.leaving) == (2, 1, False)
@@ -356,18 +356,18 @@
     assert not app.load_report(2.1).leaving
     assert app.load_report(2.6).leaving
     app.crash(3.0, restart_after_s=1.0)
-    anew = app.load_report(4.5)
-    assert (anew.running, anew.waiting) == (0, 0)
-    assert anew.sequence < late.sequence
+    restarted = app.load_report(4.5)
+    assert (restarted.running, restarted.waiting) == (0, 0)
+    assert restarted.sequence < late.sequence
 
 
-def test_application_conserves_calls_and_never_waits_negatively():
+def test_app_accounts_for_every_call_and_wait_times_are_not_negative():
     app = AppModel("a", AppParameters(concurrency=2, max_waiting=3), Random(3), now_s=0.0)
     random, at_s = Random(4), 0.0
     for number in range(400):
         at_s += random.expovariate(30.0)
         with contextlib.suppress(BackendRefused):
-            app.submit(app_request(f"a{number}"), at_s)
+            app.submit(make_app_request(f"a{number}"), at_s)
         if number % 100 == 99:
             app.crash(at_s)
         app.advance(at_s)
@@ -382,7 +382,7 @@
 # --- log ------------------------------------------------------------------------------------------------
 
 
-def test_lost_answer_hides_an_append_that_took_effect():
+def test_append_with_a_lost_answer_takes_effect():
     async def scenario(world):
         client = world.log_client("caruaru")
         with pytest.raises(LogAppendUnknown):
@@ -391,10 +391,10 @@
         assert await client.append("s", [b"c"], 1.0) == 2
         return [entry.payload for entry in (await client.read("s", 0, 10, 0.0)).entries]
 
-    assert in_world(scenario, faults=[LogLosesAnswers(0.0, 1.0, 1.0)]) == [b"a", b"b", b"c"]
+    assert run_in_world(scenario, faults=[LogLosesAnswers(0.0, 1.0, 1.0)]) == [b"a", b"b", b"c"]
 
 
-def test_slow_append_takes_effect_after_its_caller_has_given_up():
+def test_slow_append_takes_effect_after_its_timeout():
     async def scenario(world):
         world.log.faults.extra_s = 3.0
         client = world.log_client("caruaru")
@@ -404,7 +404,7 @@
         await asyncio.sleep(5.0)
         return before, world.log.visible_end("s", 0.0, monotonic_s())
 
-    assert in_world(scenario) == (0, 1)
+    assert run_in_world(scenario) == (0, 1)
 
 
 @pytest.mark.parametrize(
@@ -415,7 +415,7 @@
         (LinkCut(0.0, "caruaru", PLATFORM_ZONE, 5.0), LogUnavailable),
     ],
 )
-def test_unreachable_log_appends_nothing_and_comes_back(fault, error):
+def test_unreachable_log_appends_nothing_and_recovers(fault, error):
     async def scenario(world):
         client = world.log_client("caruaru")
         await asyncio.sleep(0.1)
@@ -426,29 +426,29 @@
         await asyncio.sleep(6.0)
         return await client.append("s", [b"b"], 1.0)
 
-    assert in_world(scenario, faults=[fault]) == 0
+    assert run_in_world(scenario, faults=[fault]) == 0
 
 
-def test_append_that_meets_an_outage_under_way_is_unknown_and_absent():
+def test_append_in_transit_when_an_outage_begins_is_unknown_and_not_applied():
     async def scenario(world):
         with pytest.raises(LogAppendUnknown):
             await world.log_client("caruaru").append("s", [b"a"], 1.0)
         return world.log.visible_end("s", 0.0, monotonic_s())
 
-    assert in_world(scenario, faults=[LogOutage(0.002, 5.0)]) == 0
+    assert run_in_world(scenario, faults=[LogOutage(0.002, 5.0)]) == 0
 
 
-def test_outages_that_overlap_end_with_the_last_one():
+def test_overlapping_log_outages_end_with_the_last_one():
     async def scenario(world):
         await asyncio.sleep(2.5)
         during = world.log.faults.down
         await asyncio.sleep(2.0)
         return during, world.log.faults.down
 
-    assert in_world(scenario, faults=[LogOutage(0.0, 2.0), LogOutage(1.0, 3.0)]) == (True, False)
+    assert run_in_world(scenario, faults=[LogOutage(0.0, 2.0), LogOutage(1.0, 3.0)]) == (True, False)
 
 
-def test_reader_behind_lets_the_end_go_back_and_catches_up():
+def test_reads_of_a_lagging_zone_see_the_end_move_back_and_catch_up():
     async def scenario(world):
         client = world.log_client("campina")
         await world.log_client("caruaru").append("s", [b"a", b"b"], 1.0)
@@ -456,14 +456,14 @@
         waited = await client.read("s", 1, 10, 30.0)
         return ends, [entry.payload for entry in waited.entries], monotonic_s()
 
-    ends, payloads, at_s = in_world(scenario, faults=[LogReaderBehind(0.0, "campina", 4.0, 20.0)])
+    ends, payloads, at_s = run_in_world(scenario, faults=[LogReaderBehind(0.0, "campina", 4.0, 20.0)])
     assert set(ends) == {0, 2}
     assert any(later < earlier for earlier, later in zip(ends, ends[1:], strict=False))
     assert payloads == [b"b"]
     assert at_s < 5.0
 
 
-def test_waiting_read_ends_with_the_append():
+def test_long_poll_returns_at_the_append():
     async def scenario(world):
         reading = asyncio.ensure_future(world.log_client("campina").read("s", 0, 10, 30.0))
         await asyncio.sleep(3.0)
@@ -471,7 +471,7 @@
         batch = await reading
         return len(batch.entries), monotonic_s()
 
-    count, at_s = in_world(scenario)
+    count, at_s = run_in_world(scenario)
     assert count == 1
     assert 3.0 < at_s < 3.1
 
@@ -479,7 +479,7 @@
 # --- machine list ------------------------------------------------------------------------------------
 
 
-def test_machine_list_lags_and_the_machine_goes_after_its_notice():
+def test_machine_list_lags_and_a_leaving_machine_stops_after_its_notice():
     async def scenario(world):
         states = []
         for _ in range(2):
@@ -489,7 +489,7 @@
         await asyncio.sleep(10.0)
         return states, world.engines[ENGINE].up
 
-    states, up = in_world(scenario, faults=[MachineLeaves(0.0, ENGINE, notice_s=5.0)])
+    states, up = run_in_world(scenario, faults=[MachineLeaves(0.0, ENGINE, notice_s=5.0)])
     assert states == [MachineState.LIVE, MachineState.LEAVING]
     assert not up
 
@@ -501,10 +501,10 @@
         return listed[APP].state, listed[APP].generation, world.apps[APP].up
 
     fault = MachineLeaves(0.0, APP, notice_s=2.0, return_after_s=3.0)
-    assert in_world(scenario, faults=[fault]) == (MachineState.LIVE, 1, True)
+    assert run_in_world(scenario, faults=[fault]) == (MachineState.LIVE, 1, True)
 
 
-def test_platform_can_be_down():
+def test_unavailable_platform_raises_platform_errors():
     async def scenario(world):
         world.machine_list.available = False
         with pytest.raises(PlatformError):
@@ -512,21 +512,21 @@
         with pytest.raises(PlatformError):
             await world.store.size_bytes(MODEL.name, 99)
 
-    in_world(scenario)
+    run_in_world(scenario)
 
 
-def test_fault_of_an_unknown_replica_is_a_typed_error():
+def test_fault_of_an_unknown_replica_is_rejected():
     async def scenario(world):
         pass
 
     with pytest.raises(SettingsError):
-        in_world(scenario, faults=[EngineCrash(0.0, "nobody")])
+        run_in_world(scenario, faults=[EngineCrash(0.0, "nobody")])
 
 
-# --- theory -------------------------------------------------------------------------------------------
+# --- queueing theory ----------------------------------------------------------------------------------
 
 
-def test_queueing_theory_is_met_within_its_noise():
+def test_waiting_times_match_queueing_theory():
     for result in (application_wait(1, 0.5, 8_000, 1), application_wait(4, 0.7, 8_000, 1)):
         assert abs(result.error) < 3 * result.standard_error < 0.3
     result = engine_wait(0.5, 2_000, 1)
