--- a/passgate/emulator/faults.py
+++ b/passgate/emulator/faults.py
@@ -94,7 +94,7 @@
     probability: float
     duration_s: float
     partial: bool = False
-    """An append whose answer is lost writes only its first records, or none."""
+    """An append whose answer is lost may write only its first records, or none."""
 
 
 class LogReaderBehind(Fault, frozen=True, tag="log_reader_behind"):
--- a/passgate/emulator/log_model.py
+++ b/passgate/emulator/log_model.py
@@ -39,7 +39,7 @@
     lose_next_answers: int = 0
     """Number of next appends whose answers are lost."""
     partial_appends: bool = False
-    """An append whose answer is lost writes only its first records, or none."""
+    """An append whose answer is lost may write only its first records, or none."""
     reader_lag_s: dict[str, float] = {}
     """Zone to the additional lag of the read replica that serves some of its reads."""
     lagging_share: float = 0.5
--- a/passgate/emulator/tally.py
+++ b/passgate/emulator/tally.py
@@ -19,7 +19,7 @@
     wrong: int = 0
     """Violations: incorrect answers."""
     given_up: int = 0
-    """Calls without an answer after their last attempt."""
+    """Calls whose last attempt failed, except those in ``outcome_lost``."""
     pending: int = 0
     """Calls still unfinished when the run ended."""
     attempts: int = 0
@@ -55,10 +55,10 @@
     idle_s: float = 0.0
     """Time spent waiting for a lot's samples."""
     scoring_s: float = 0.0
-    """Time spent waiting for scores of a complete lot."""
+    """Time spent waiting for scores of a finished lot."""
     train_s: float = 0.0
     lot_times_s: list[float] = []
-    """Time from opening to completion of each complete lot."""
+    """Time from the opening of each finished lot until its last sample."""
     delivered: int = 0
     """Samples received, without duplicates."""
     lost: int = 0
--- a/tests/test_emulator_world.py
+++ b/tests/test_emulator_world.py
@@ -92,7 +92,7 @@
     return AppRequest(request_id=name, **fields)
 
 
-async def collect(world, request, replica=ENGINE, zone="caruaru"):
+async def collect_chunks(world, request, replica=ENGINE, zone="caruaru"):
     chunks = []
     try:
         async for chunk in world.engine_client(zone).generate(world.engines[replica].address, request):
@@ -116,12 +116,12 @@
         requests = [msgspec.structs.replace(make_long_request(f"r{i}"), seed=i) for i in range(30)]
         random = world.random("start")
 
-        async def one(request):
+        async def send(request):
             await asyncio.sleep(random.uniform(0, 3))
-            chunks, error = await collect(world, request, f"modelos-{random.randrange(5)}")
+            chunks, error = await collect_chunks(world, request, f"modelos-{random.randrange(5)}")
             return chunks, repr(error), monotonic_s()
 
-        return await asyncio.gather(*map(one, requests)), world.ledger.records
+        return await asyncio.gather(*map(send, requests)), world.ledger.records
 
     faults = [EngineCrash(2.0, ENGINE), ConnectionsLost(1.0, 0.05, 2.0), ZoneCut(2.0, "campina", 2.5)]
     first, second = (run_in_world(scenario, 4, faults) for _ in range(2))
@@ -144,7 +144,7 @@
 def test_error_of_a_broken_stream_has_the_correct_execution_status(fault, execution, has_chunks):
     async def scenario(world):
         await asyncio.sleep(0.5)
-        chunks, error = await collect(world, make_long_request(), zone="campina")
+        chunks, error = await collect_chunks(world, make_long_request(), zone="campina")
         return chunks, error, world.ledger.runs("r")
 
     chunks, error, runs = run_in_world(scenario, faults=[fault])
@@ -157,7 +157,7 @@
 def test_short_network_partition_only_delays_a_stream():
     async def scenario(world):
         request = make_long_request()
-        chunks, error = await collect(world, request, zone="campina")
+        chunks, error = await collect_chunks(world, request, zone="campina")
         return verify_chunks(request, chunks), error
 
     assert run_in_world(scenario, faults=[LinkCut(1.0, "campina", "caruaru", 2.0)]) == (Verdict.RIGHT, None)
@@ -168,7 +168,7 @@
         world.engines[ENGINE].order(EngineOrder(order_id="o", kind=OrderKind.DRAIN, fence=1))
         half_delay_s = world.network.delay_s("campina", "caruaru") / 2
         asyncio.get_running_loop().call_later(half_delay_s, world.network.cut, "campina", "caruaru")
-        return (await collect(world, make_long_request(), zone="campina"))[1]
+        return (await collect_chunks(world, make_long_request(), zone="campina"))[1]
 
     error = run_in_world(scenario)
     assert isinstance(error, BackendUnreachable)
@@ -192,7 +192,7 @@
         engine, request = world.engines[ENGINE], make_long_request()
         replaced = world.engine_client("campina").generate(engine.address, request)
         await anext(replaced)
-        collection = asyncio.ensure_future(collect(world, request))
+        collection = asyncio.ensure_future(collect_chunks(world, request))
         await asyncio.sleep(0.1)
         await replaced.aclose()
         chunks, error = await collection
@@ -217,10 +217,12 @@
         client, engine = world.engine_client("caruaru"), world.engines[ENGINE]
         world.publish(MODEL.name, 2)
         await complete_order(client, engine, OrderKind.STAGE_VERSION, 2)
-        asyncio.get_running_loop().call_later(1.0, lambda: asyncio.ensure_future(failing(client, engine)))
-        return (await collect(world, make_long_request()))[1]
+        asyncio.get_running_loop().call_later(
+            1.0, lambda: asyncio.ensure_future(fail_activation(client, engine))
+        )
+        return (await collect_chunks(world, make_long_request()))[1]
 
-    async def failing(client, engine):
+    async def fail_activation(client, engine):
         with pytest.raises(OrderRefused):
             await complete_order(client, engine, OrderKind.ACTIVATE_VERSION, 2)
 
@@ -253,17 +255,17 @@
         world.publish(MODEL.name, 2)
         from_store = [complete_order(client, engine, OrderKind.STAGE_VERSION, 2) for engine in engines[:2]]
         both_s = max(await asyncio.gather(*from_store))
-        sent = world.store.sent_bytes
+        sent_bytes = world.store.sent_bytes
         first = complete_order(client, engines[2], OrderKind.STAGE_VERSION, 2, engines[0].address)
         first = asyncio.ensure_future(first)
         await asyncio.sleep(0.01)
         await complete_order(client, engines[3], OrderKind.STAGE_VERSION, 2, engines[2].address)
         chain_s = max(monotonic_s(), await first) - both_s
-        return both_s, chain_s, sent, world.store.sent_bytes
+        return both_s, chain_s, sent_bytes, world.store.sent_bytes
 
-    both_s, chain_s, sent, sent_later = run_in_world(scenario)
+    both_s, chain_s, sent_bytes, sent_bytes_later = run_in_world(scenario)
     size, parameters = MODEL.weight_bytes, OLHAR.store
-    assert sent == sent_later == 2 * size
+    assert sent_bytes == sent_bytes_later == 2 * size
     assert both_s == pytest.approx(2 * size / parameters.bytes_per_s + parameters.first_byte_s, rel=0.05)
     hop_s = size / OLHAR.engines.engine.transfer_bytes_per_s
     assert hop_s < chain_s < 1.2 * hop_s
@@ -279,9 +281,9 @@
         second_s = await complete_order(client, engines[1], OrderKind.STAGE_VERSION, 2, engines[0].address)
         return await first, second_s, world.store.sent_bytes
 
-    first_s, second_s, sent = run_in_world(scenario)
+    first_s, second_s, sent_bytes = run_in_world(scenario)
     assert first_s <= second_s < 1.1 * first_s
-    assert sent == MODEL.weight_bytes
+    assert sent_bytes == MODEL.weight_bytes
 
 
 @pytest.mark.parametrize("source", ["store", "10.9.9.9:1", "modelos-1"])
