--- a/passgate/eligibility/cold_replicas.py
+++ b/passgate/eligibility/cold_replicas.py
@@ -101,7 +101,7 @@
             possibly_cold.until_s = min(possibly_cold.until_s, now_s + limit.lasts_s)
 
     def turned_cold(self, infos: Iterable[ReplicaInfo], now_s: float) -> None:
-        """Mark replicas that may have just become cold, until a later entry is read for each."""
+        """Mark replicas as possibly cold from now on, for the longest cold period or until a later entry."""
         for info in infos:
             limit = self.limit_of(info.service)
             if limit is not None:
