--- a/passgate/check/specification/evacuation.py
+++ b/passgate/check/specification/evacuation.py
@@ -63,9 +63,9 @@
 class _MergingZones(EvacuatedZones):
     """Mutant: what another daemon tells is added instead of taken as a whole."""
 
-    def learn(self, view: EvacuationView, *, peer: str, age_s: float) -> None:
+    def adopt_newer_view(self, view: EvacuationView, *, peer: str, age_s: float) -> None:
         offset = max(view.offset, self.view.offset)
-        super().learn(
+        super().adopt_newer_view(
             EvacuationView(offset=offset, zones=view.zones | self.view.zones), peer=peer, age_s=age_s
         )
 
@@ -73,33 +73,33 @@
 class _AnyPeerZones(EvacuatedZones):
     """Mutant: a view of another daemon counts also when it is older."""
 
-    def learn(self, view: EvacuationView, *, peer: str, age_s: float) -> None:
+    def adopt_newer_view(self, view: EvacuationView, *, peer: str, age_s: float) -> None:
         self._view = view
 
 
 class _AnySnapshotZones(EvacuatedZones):
     """Mutant: a snapshot counts also when it is older than what a daemon has told."""
 
-    def replace(self, zones: Iterable[str], next_offset: int) -> None:
+    def apply_snapshot(self, zones: Iterable[str], next_offset: int) -> None:
         self._view = EvacuationView(offset=next_offset, zones=frozenset(zones))
 
 
 class _KeepingZones(EvacuatedZones):
     """Mutant: a snapshot that lacks a record ends nothing."""
 
-    def replace(self, zones: Iterable[str], next_offset: int) -> None:
-        super().replace({*zones, *self.view.zones}, next_offset)
+    def apply_snapshot(self, zones: Iterable[str], next_offset: int) -> None:
+        super().apply_snapshot({*zones, *self.view.zones}, next_offset)
 
 
 class _ReplayingZones(EvacuatedZones):
     """Mutant: records that a newer view already contains are applied once more."""
 
-    def update(self, changes: Iterable[EvacuationChange], next_offset: int) -> None:
+    def apply_changes(self, changes: Iterable[EvacuationChange], next_offset: int) -> None:
         later = (
             EvacuationChange(offset=self.view.offset, zone=change.zone, evacuated=change.evacuated)
             for change in changes
         )
-        super().update(later, next_offset)
+        super().apply_changes(later, next_offset)
 
 
 _MUTANT_TYPES: dict[str, type[EvacuatedZones]] = {
@@ -146,23 +146,25 @@
     def _read(self, state: EvacuationModelState, daemon: Daemon) -> Daemon:
         zones, entry = self._zones(daemon), state.log[daemon.tail]
         change = EvacuationChange(offset=daemon.tail, zone=entry.zone, evacuated=entry.evacuated)
-        zones.update([change], daemon.tail + 1)
+        zones.apply_changes([change], daemon.tail + 1)
         return _moved(daemon._replace(tail=daemon.tail + 1), zones)
 
     def _with_snapshot(self, state: EvacuationModelState, daemon: Daemon, end: int) -> Daemon:
         zones = self._zones(daemon)
-        zones.replace(_standing(state.log[:end]), end)
+        zones.apply_snapshot(_standing(state.log[:end]), end)
         return _moved(daemon._replace(tail=end), zones)
 
     def _learned(self, daemon: Daemon, told: View) -> Daemon:
         zones = self._zones(daemon)
-        zones.learn(EvacuationView(offset=told.offset, zones=frozenset(told.zones)), peer="h:1", age_s=0.0)
+        zones.adopt_newer_view(
+            EvacuationView(offset=told.offset, zones=frozenset(told.zones)), peer="h:1", age_s=0.0
+        )
         return _moved(daemon._replace(told=None), zones)
 
     def _zones(self, daemon: Daemon) -> EvacuatedZones:
         """Return the running code's view of a daemon, which knows what this one knows."""
         zones = self._zones_type(self._decisions)
-        EvacuatedZones.replace(zones, daemon.view.zones, daemon.view.offset)
+        EvacuatedZones.apply_snapshot(zones, daemon.view.zones, daemon.view.offset)
         return zones
 
     def invariants(self) -> dict:
--- a/passgate/check/specification/leadership.py
+++ b/passgate/check/specification/leadership.py
@@ -18,7 +18,7 @@
 
 from passgate.check.specification.kernel import Mutant, Specification, Step
 from passgate.jobs.records import Batch, LeaderClaimed, WriterAlive
-from passgate.versions.lead_fold import LeadFold
+from passgate.versions.lead_fold import LeadershipProjection
 
 DAEMONS = 2
 MAX_TICKS = 4
@@ -57,11 +57,11 @@
     daemons: tuple[Daemon, ...] = (Daemon(applied=1, confirmed=0), Daemon(applied=1))
 
 
-class _ForgetfulFold(LeadFold):
+class _ForgetfulFold(LeadershipProjection):
     """Mutant: a claim counts although the leader was heard since."""
 
     def _claim(self, offset: int, entry: LeaderClaimed) -> None:
-        self.leader_heard = entry.seen
+        self.last_leader_offset = entry.seen
         super()._claim(offset, entry)
 
 
@@ -70,10 +70,10 @@
 
     def __init__(self, mutants: frozenset[str]) -> None:
         self.mutants = mutants
-        self._fold_type = _ForgetfulFold if "ignore_renewals" in mutants else LeadFold
+        self._fold_type = _ForgetfulFold if "ignore_renewals" in mutants else LeadershipProjection
         self.fold = functools.cache(self._fold)
 
-    def _fold(self, log: tuple[Entry, ...]) -> LeadFold:
+    def _fold(self, log: tuple[Entry, ...]) -> LeadershipProjection:
         fold = self._fold_type()
         for offset, entry in enumerate(log):
             holder = f"d{entry.writer}"
@@ -85,7 +85,7 @@
             fold.apply(offset, Batch(writer=holder, entries=(body,)), now_s=0.0)
         return fold
 
-    def view(self, state: LeadModelState, daemon: Daemon) -> LeadFold:
+    def view(self, state: LeadModelState, daemon: Daemon) -> LeadershipProjection:
         return self.fold(state.log[: daemon.applied])
 
     def transitions(self, state: LeadModelState) -> list[Step]:
@@ -137,7 +137,7 @@
         if fold.leader and state.now - daemon.heard < TAKEOVER_TICKS:
             return None
         return Entry(
-            writer=number, claim=True, after=fold.leader_fence, seen=fold.leader_heard, sent=state.now
+            writer=number, claim=True, after=fold.leader_fence, seen=fold.last_leader_offset, sent=state.now
         )
 
     def may_order(self, state: LeadModelState, number: int) -> bool:
--- a/passgate/check/specification/permits.py
+++ b/passgate/check/specification/permits.py
@@ -16,7 +16,7 @@
 from minicheck import Protocol
 
 from passgate.check.specification.kernel import Mutant, Specification, Step
-from passgate.eligibility.permits import PermitGrants
+from passgate.eligibility.permits import PermitAllocator
 
 BOUND = 1
 WINDOW_TICKS = 1
@@ -59,8 +59,8 @@
 
     def _grants(self, led: int, grants: tuple[int, ...], now: int) -> bool:
         """Whether the running code grants a permit, after what it has granted."""
-        books = PermitGrants(span_s=self._span)
-        books.lead(0, LONG_AGO if "no_wait" in self.mutants else led)
+        books = PermitAllocator(window_s=self._span)
+        books.set_leadership(0, LONG_AGO if "no_wait" in self.mutants else led)
         for at in (*grants, now):
             granted = books.grant("d", {REPLICA: BOUND}, count=1, now_s=at)
         return bool(granted)
--- a/passgate/check/specification/replica_lives.py
+++ b/passgate/check/specification/replica_lives.py
@@ -3,7 +3,7 @@
 One daemon reads the replica's report, gives one order at a time and may get no answer; an order
 without an answer, and a report, may arrive at any later time.  The replica may start again: it keeps
 its weights and counts orders from 0.  Discovery tells the daemon later, if at all.  The decisions are
-the running code's: :class:`ReplicaReport` and :class:`DoubtfulOrders`.
+the running code's: :class:`ReplicaReport` and :class:`UnconfirmedOrders`.
 
 Properties: ``versions_rise`` (no life goes back behind a version that it was ordered to) and
 ``own_version`` (the daemon believes of a life only what that life has told).  An order of the last life
@@ -18,8 +18,8 @@
 from minicheck import Protocol
 
 from passgate.check.specification.kernel import Mutant, Specification, Step
-from passgate.eligibility.replica_info import ReplicaLife
-from passgate.versions.doubtful_orders import DoubtfulOrders
+from passgate.eligibility.replica_info import ReplicaIncarnation
+from passgate.versions.doubtful_orders import UnconfirmedOrders
 from passgate.versions.loader import ReplicaReport
 
 LIVES = 2
@@ -70,8 +70,8 @@
     """Orders that the daemon awaits no more, and that may still arrive."""
 
 
-def _life(number: int) -> ReplicaLife:
-    return ReplicaLife("r", number)
+def _life(number: int) -> ReplicaIncarnation:
+    return ReplicaIncarnation("r", number)
 
 
 class _Model:
@@ -112,7 +112,7 @@
             model_versions={MODEL: report.version},
             born_unix_ms=report.life,
         )
-        if not told.is_of(_life(state.listed)) and "take_old_report" not in self._mutants:
+        if not told.is_from(_life(state.listed)) and "take_old_report" not in self._mutants:
             return state
         return state._replace(basis=report, believed=report.version)
 
@@ -139,11 +139,11 @@
         return state._replace(order=Order(state.listed, basis.orders_taken, state.wanted))
 
     def _may_follow(self, state: LivesModelState, basis: Report) -> bool:
-        doubtful = DoubtfulOrders()
+        doubtful = UnconfirmedOrders()
         if "forget_doubtful_orders" not in self._mutants:
             for order in state.waiting:
-                doubtful.note(_life(order.life), order.expected, now_s=0.0)
-        return doubtful.may_follow(_life(state.listed), basis.orders_taken, now_s=0.0)
+                doubtful.record(_life(order.life), order.expected, now_s=0.0)
+        return doubtful.allows_next_order(_life(state.listed), basis.orders_taken, now_s=0.0)
 
     def _carry_out(self, state: LivesModelState, order: Order) -> LivesModelState:
         if order.expected != state.orders_taken:
--- a/passgate/check/specification/usage_reports.py
+++ b/passgate/check/specification/usage_reports.py
@@ -17,9 +17,9 @@
 from minicheck import Protocol
 
 from passgate.check.specification.kernel import Mutant, Specification, Step
-from passgate.duties.usage_fold import UsageFold
+from passgate.duties.usage_fold import UsageProjection
 from passgate.jobs.records import Batch, LeaderClaimed, UsageCommitted, UsageCounted
-from passgate.versions.lead_fold import LeadFold
+from passgate.versions.lead_fold import LeadershipProjection
 
 DAEMONS = 2
 MAX_RECORDS = 5
@@ -70,19 +70,19 @@
     platform: Platform = Platform()
 
 
-class _LastCommitFold(UsageFold):
+class _LastCommitFold(UsageProjection):
     """Mutant: a later commit of a window replaces the first."""
 
     def _commit(self, entry: UsageCommitted) -> None:
-        self.through = None
+        self.last_committed_window = None
         super()._commit(entry)
 
 
 class _View(NamedTuple):
     """The folds of a prefix of the log."""
 
-    lead: LeadFold
-    usage: UsageFold
+    lead: LeadershipProjection
+    usage: UsageProjection
     counted: int
     """Requests of the window that were counted, late ones too."""
 
@@ -92,18 +92,18 @@
 
     def __init__(self, mutants: frozenset[str]) -> None:
         self.mutants = mutants
-        self._usage_type: type[UsageFold] = UsageFold
+        self._usage_type: type[UsageProjection] = UsageProjection
         if "last_commit_counts" in mutants:
             self._usage_type = _LastCommitFold
         self.view = functools.cache(self._view)
 
     def _view(self, log: tuple[Entry, ...]) -> _View:
-        lead, usage = LeadFold(), self._usage_type()
+        lead, usage = LeadershipProjection(), self._usage_type()
         for offset, entry in enumerate(log):
             writer = f"d{entry.writer}"
             body = _body(offset, entry)
             lead.apply(offset, Batch(writer=writer, entries=(body,)), now_s=0.0)
-            usage.apply(offset, writer, body, leads=lead.leader == writer)
+            usage.apply(offset, writer, body, by_leader=lead.leader == writer)
         return _View(lead, usage, sum(entry.kind == COUNT for entry in log))
 
     def transitions(self, state: ReportModelState) -> list[Step]:
@@ -139,7 +139,7 @@
         """Return what a daemon may send to the log besides counts."""
         if view.lead.leader != f"d{number}":
             return [Entry(writer=number, kind=CLAIM, value=view.lead.leader_fence)]
-        if view.usage.through is None:
+        if view.usage.last_committed_window is None:
             requests = view.usage.counts_of(WINDOW).get(TENANT, 0)
             return [Entry(writer=number, kind=COMMIT, value=requests)]
         return []
@@ -147,7 +147,7 @@
     def _sends(self, state: ReportModelState, view: _View, number: int) -> list[Step]:
         if view.lead.leader != f"d{number}" or len(state.calls) >= MAX_CALLS:
             return []
-        committed = view.usage.unreported.get(WINDOW)
+        committed = view.usage.unreported_counts_by_window.get(WINDOW)
         pending = state.daemons[number].pending
         if "trust_own_commit" in self.mutants and committed is None and pending is not None:
             committed = {TENANT: pending.value}
--- a/passgate/cli.py
+++ b/passgate/cli.py
@@ -69,7 +69,7 @@
     """
     from passgate.clock import DaemonEventLoop
     from passgate.logging_setup import configure_logging
-    from passgate.process_signals import handle_signals, hold_signals
+    from passgate.process_signals import block_signals, install_signal_handlers
     from passgate.server.daemon import run_daemon
     from passgate.settings import load_settings
 
@@ -77,12 +77,12 @@
     logger = configure_logging(loaded.log_level, loaded.daemon_id)
 
     def on_stop_signal(request_stop: Callable[[], None]) -> None:
-        handle_signals({signal.SIGTERM: request_stop, signal.SIGINT: request_stop})
+        install_signal_handlers({signal.SIGTERM: request_stop, signal.SIGINT: request_stop})
 
     raise_file_limit()
     with asyncio.Runner(loop_factory=DaemonEventLoop) as runner:
         stopped_completely = runner.run(run_daemon(loaded, logger, on_stop_signal))
-        hold_signals()  # closing the loop restores the default action, which would end the process
+        block_signals()  # closing the loop restores the default action, which would end the process
     if not stopped_completely:
         raise SystemExit(EXIT_FAILED)
 
--- a/passgate/clients/http_app.py
+++ b/passgate/clients/http_app.py
@@ -42,7 +42,7 @@
         answer = await self._http.fetch(control_get(address, wire.LOAD_PATH))
         if answer.status != OK_STATUS:
             raise control_call_error(answer)
-        return decode_body(answer, wire.AppLoadAnswer).report()
+        return decode_body(answer, wire.AppLoadAnswer).to_report()
 
 
 def _build_call(address: str, request: AppRequest) -> HttpCall:
--- a/passgate/clients/http_engine.py
+++ b/passgate/clients/http_engine.py
@@ -65,7 +65,7 @@
         transfer = self._http.start(_completion_call(address, request, self._stall_timeout_s))
         verifier = StreamVerifier(request)
         try:
-            if await transfer.head() != 200:
+            if await transfer.wait_for_head() != 200:
                 raise engine_failure(await transfer.read_all())
             _check_request_id(transfer, request.request_id)
             while not verifier.done:
--- a/passgate/clients/http_log.py
+++ b/passgate/clients/http_log.py
@@ -28,7 +28,7 @@
     def __init__(self, http: HttpClient, address: str, credential: str | None = None) -> None:
         self._http = http
         self._base_url = f"http://{address}/v1/streams"
-        self._headers = wire.authorization(credential)
+        self._headers = wire.authorization_headers(credential)
 
     async def append(self, stream: str, payloads: Sequence[bytes], timeout_s: float) -> int:
         """Append records and return the offset of the first; raises LogUnavailable or LogAppendUnknown."""
--- a/passgate/clients/http_platform.py
+++ b/passgate/clients/http_platform.py
@@ -29,7 +29,7 @@
     def __init__(self, http: HttpClient, address: str, credential: str | None = None) -> None:
         self._http = http
         self._base_url = f"http://{address}/v1"
-        self._headers = {**wire.authorization(credential), "Accept-Encoding": "gzip"}
+        self._headers = {**wire.authorization_headers(credential), "Accept-Encoding": "gzip"}
 
     async def _send(
         self, method: str, path: str, body: bytes | None = None, *, entity_tag: str = ""
--- a/passgate/clients/transfer.py
+++ b/passgate/clients/transfer.py
@@ -61,7 +61,7 @@
 class Transfer:
     """One HTTP transfer, started by :meth:`HttpClient.start`.
 
-    Await :meth:`head` for the status and headers, then :meth:`read` the body until it returns
+    Await :meth:`wait_for_head` for the status and headers, then :meth:`read` the body until it returns
     ``b""``.  Both raise the transfer's failure as a PassgateError with its execution status.  Call
     :meth:`abort` or :meth:`finish_unread` if the body is not read to its end.
     """
@@ -75,7 +75,7 @@
         self.status = 0
         self.headers = HTTPHeaders()
         self.received_bytes = 0
-        self.connect_s: float | None = None
+        self.connect_duration_s: float | None = None
         """Time that it took to open a new connection; None if an open one was reused."""
         self._socket_created_s = 0.0
         self._client = client
@@ -96,7 +96,7 @@
 
     # --- reading -----------------------------------------------------------------
 
-    async def head(self) -> int:
+    async def wait_for_head(self) -> int:
         """Wait for the status line and headers and return the status; raises PassgateError."""
         while not self._head_complete and not self._ended:
             await self._wait_for_change()
@@ -120,7 +120,7 @@
         Raises PassgateError; IncompleteAnswer if the body is too large, or if its length is not the
         declared one or was not declared although required.
         """
-        await self.head()
+        await self.wait_for_head()
         parts = []
         size = 0
         while part := await self.read():
@@ -234,7 +234,7 @@
         endpoints = ConnectionEndpoints(remote_ip, local_ip, remote_port, local_port)
         if self._new_descriptor is not None:
             self._connections.record(endpoints, self._new_descriptor)
-            self.connect_s = monotonic_s() - self._socket_created_s
+            self.connect_duration_s = monotonic_s() - self._socket_created_s
         elif self._connections.is_closed_by_server(endpoints):
             self._reused_connection_closed = True
             return pycurl.PREREQFUNC_ABORT
--- a/passgate/clients/wire.py
+++ b/passgate/clients/wire.py
@@ -111,7 +111,7 @@
     """Whether the replica accepts no new calls."""
 
     @classmethod
-    def of(cls, report: LoadReport) -> AppLoadAnswer:
+    def from_report(cls, report: LoadReport) -> AppLoadAnswer:
         """Return the answer with the fields of an application's report."""
         return cls(
             replica_id=report.replica_id,
@@ -121,7 +121,7 @@
             leaving=report.leaving,
         )
 
-    def report(self) -> LoadReport:
+    def to_report(self) -> LoadReport:
         """Return the report; its token and KV fields are 0."""
         return LoadReport(
             replica_id=self.replica_id,
@@ -229,6 +229,6 @@
     return quote(value, safe=PLAIN_HEADER_CHARACTERS)
 
 
-def authorization(credential: str | None) -> dict[str, str]:
+def authorization_headers(credential: str | None) -> dict[str, str]:
     """Return the headers with a bearer credential; empty without one."""
     return {} if credential is None else {"Authorization": f"Bearer {credential}"}
--- a/passgate/daemon/cold_sending.py
+++ b/passgate/daemon/cold_sending.py
@@ -14,12 +14,12 @@
 import msgspec
 
 from passgate.clock import monotonic_s
-from passgate.decisions import ColdReplicasChanged, DecisionLog, PermitsCounted
-from passgate.duties.usage_channel import CONTROL_PART
+from passgate.decisions import ColdReplicasChanged, DecisionLog, PermitCountsReported
+from passgate.duties.usage_channel import CONTROL_PARTITION
 from passgate.eligibility.cold_replicas import ColdLimit
-from passgate.eligibility.permit_grantor import PermitGrantor
-from passgate.eligibility.permit_peers import PERMITS_METHOD, TICK_S, PermitPeers
-from passgate.eligibility.permits import PermitTally
+from passgate.eligibility.permit_grantor import PermitIssuer
+from passgate.eligibility.permit_peers import CHECK_INTERVAL_S, PERMITS_METHOD, PermitClient
+from passgate.eligibility.permits import PermitCounters
 from passgate.gateway.replicas import ReplicaTable
 from passgate.gateway.routes import NO_VERSION, ConfigHolder
 from passgate.gateway.settings import GatewaySettings
@@ -41,8 +41,8 @@
     >>> from passgate.gateway.routes import ColdStart, GatewayConfig, Service
     >>> holder = ConfigHolder()
     >>> service = Service(name="s", cold_start=ColdStart(lasts_s=3.0, requests_per_s=16.0))
-    >>> _ = holder.offer(GatewayConfig(version=1, services=(service,)))
-    >>> ColdRateLimits(holder, lambda: (1.5, 5.0)).limit_for("s").most_per_s
+    >>> _ = holder.apply_if_newer(GatewayConfig(version=1, services=(service,)))
+    >>> ColdRateLimits(holder, lambda: (1.5, 5.0)).limit_for("s").max_requests_per_s
     29
     """
 
@@ -71,8 +71,10 @@
             self._computed_from = inputs
             self._limits = {
                 entry.name: ColdLimit(
-                    lasts_s=entry.cold_start.lasts_s,
-                    most_per_s=_whole_requests_per_s(entry.cold_start.requests_per_s * overshoot + slack),
+                    max_duration_s=entry.cold_start.lasts_s,
+                    max_requests_per_s=_whole_requests_per_s(
+                        entry.cold_start.requests_per_s * overshoot + slack
+                    ),
                 )
                 for entry in table.config.services
                 if entry.cold_start is not None
@@ -125,32 +127,32 @@
         self._log_age_s = log_age_s
         self._decisions = decisions
         self._limits = ColdRateLimits(config, lambda: (settings().cold_overshoot, settings().cold_slack))
-        replicas.cold.limit_of = self._limits.limit_for
-        self._issuer = PermitGrantor(
+        replicas.cold_replicas.limit_of = self._limits.limit_for
+        self._issuer = PermitIssuer(
             control.leadership,
-            leader=lambda: control.fold.leader,
+            find_leader=lambda: control.leadership_projection.leader,
             limit_of=self._limits.limit_for,
-            cold_ms=self._remaining_cold_ms,
-            tally=replicas.permits.tally,
+            list_cold_ms=self._remaining_cold_ms,
+            counters=replicas.permit_pool.counters,
             decisions=decisions,
         )
-        self._permit_client = PermitPeers(
+        self._permit_client = PermitClient(
             transport,
             self._issuer,
-            stock=replicas.permits,
-            cold=replicas.cold,
-            watcher=lambda: directory.member_of(CONTROL_PART),
-            others=lambda: directory.others(""),
+            permits=replicas.permit_pool,
+            cold=replicas.cold_replicas,
+            find_watcher=lambda: directory.holder_of(CONTROL_PARTITION),
+            list_others=lambda: directory.other_members(""),
             log_age_s=lambda: log_age_s() if self._limits.has_limits else 0.0,
         )
         self._last_reported_cold: list[str] = []
         """Cold replicas when they were last reported."""
-        self._last_reported_counts = PermitTally()
+        self._last_reported_counts = PermitCounters()
         """Permit counters when they were last reported."""
         self._last_report_s = 0.0
         self.peer_method = PERMITS_METHOD
         """Method name of the peer calls that :attr:`answer_peer` handles."""
-        self.answer_peer = self._permit_client.answer
+        self.answer_peer = self._permit_client.handle_request
         """Answers a permit request, given the sender's address and the encoded request.
 
         Raises msgspec.DecodeError for a payload that is no permit request.
@@ -160,7 +162,9 @@
         """Return the identifier of each cold replica and the milliseconds until it counts as warm."""
         now_s = monotonic_s()
         infos = [state.info for state in self._replicas.all()]
-        remaining_s = {info.replica_id: self._replicas.cold.left_s(info, now_s) for info in infos}
+        remaining_s = {
+            info.replica_id: self._replicas.cold_replicas.remaining_cold_s(info, now_s) for info in infos
+        }
         # An infinite time marks a possibly cold replica whose end is unknown; it is not passed on to peers.
         return {key: round(left_s * 1000) for key, left_s in remaining_s.items() if 0.0 < left_s < math.inf}
 
@@ -173,33 +177,35 @@
     async def _run_periodic_tasks(self) -> None:
         """Update the issuer, and once in REPORT_INTERVAL_S drop expired state and report, until cancelled."""
         while True:
-            self._issuer.tick()
+            self._issuer.update()
             now_s = monotonic_s()
             if now_s - self._last_report_s >= REPORT_INTERVAL_S:
                 self._last_report_s = now_s
                 self._drop_expired(now_s)
                 self._report_changes(now_s)
-            await asyncio.sleep(TICK_S)
+            await asyncio.sleep(CHECK_INTERVAL_S)
 
     def _drop_expired(self, now_s: float) -> None:
         """Drop the state of replicas that are warm or no longer listed, and expired permits."""
         replica_ids = {state.info.replica_id for state in self._replicas.all()}
-        self._replicas.cold.forget(replica_ids, now_s)
-        self._replicas.permits.forget_old(now_s)
+        self._replicas.cold_replicas.drop_expired(replica_ids, now_s)
+        self._replicas.permit_pool.drop_expired(now_s)
 
     def _report_changes(self, now_s: float) -> None:
         """Write the set of cold replicas and the permit counters if they changed since the last report."""
         infos = [state.info for state in self._replicas.all()]
-        cold = sorted(info.replica_id for info in infos if self._replicas.cold.is_cold(info, now_s))
+        cold = sorted(info.replica_id for info in infos if self._replicas.cold_replicas.is_cold(info, now_s))
         if cold != self._last_reported_cold:
             self._last_reported_cold = cold
             age_ms = round(self._log_age_s() * 1000, 1)
             listed = tuple(cold[:MAX_LISTED_REPLICAS])
             self._decisions.write(ColdReplicasChanged(cold=len(cold), replicas=listed, log_age_ms=age_ms))
-        counts = self._replicas.permits.tally
+        counts = self._replicas.permit_pool.counters
         if counts != self._last_reported_counts:
             current = msgspec.structs.asdict(counts)
             previous = msgspec.structs.asdict(self._last_reported_counts)
             self._last_reported_counts = msgspec.structs.replace(counts)
             increases = {name: count - previous[name] for name, count in current.items()}
-            self._decisions.write(PermitsCounted(leader=self._permit_client.leader, **increases))
+            self._decisions.write(
+                PermitCountsReported(leader=self._permit_client.leader_address, **increases)
+            )
--- a/passgate/daemon/control_topic.py
+++ b/passgate/daemon/control_topic.py
@@ -4,12 +4,12 @@
 
 from passgate.daemon.topics import LogTopics
 from passgate.decisions import DecisionLog
-from passgate.duties.folds import DutyFolds
-from passgate.duties.usage_channel import CONTROL_PART
+from passgate.duties.folds import DutyProjections
+from passgate.duties.usage_channel import CONTROL_PARTITION
 from passgate.gateway.settings import GatewaySettings
 from passgate.jobs.journal import Journal
-from passgate.jobs.liveness import Liveness
-from passgate.jobs.peers import JobPeers
+from passgate.jobs.liveness import LivenessProber
+from passgate.jobs.peers import JobPeerClient
 from passgate.sharedlog.group import GroupMember
 from passgate.sharedlog.log import SharedLog
 from passgate.versions.control import ControlTopic
@@ -24,8 +24,8 @@
     topics: LogTopics,
     writer: str,
     member: GroupMember,
-    peers: JobPeers,
-    duty_projections: DutyFolds,
+    peers: JobPeerClient,
+    duty_projections: DutyProjections,
     decisions: DecisionLog,
 ) -> ControlTopic:
     """Return the daemon's writer and follower of the control topic; neither runs yet.
@@ -53,9 +53,9 @@
         log,
         topics.control,
         journal,
-        lambda: any(partition < ELECTABLE_PARTITIONS for partition in member.held()),
+        lambda: any(partition < ELECTABLE_PARTITIONS for partition in member.assigned_partitions()),
         decisions,
         lease_s=settings.lease_s,
-        folds=(duty_projections,),
-        sign_of=Liveness(lambda owner: peers.life_at(owner, CONTROL_PART)).sign_of,
+        projections=(duty_projections,),
+        status_of=LivenessProber(lambda owner: peers.probe(owner, CONTROL_PARTITION)).status_of,
     )
--- a/passgate/daemon/gateway_daemon.py
+++ b/passgate/daemon/gateway_daemon.py
@@ -21,7 +21,7 @@
 from passgate.daemon.replica_table import make_replica_table
 from passgate.daemon.topics import LogTopics
 from passgate.decisions import (
-    ConfigurationInForce,
+    ConfigurationApplied,
     ConfigurationRejected,
     DaemonStarted,
     DecisionLog,
@@ -31,34 +31,34 @@
 )
 from passgate.discovery.service import Discovery, ReplicaDecoder
 from passgate.discovery.view import DiscoveryView
-from passgate.duties.calls import DutyCalls
-from passgate.duties.folds import DutyFolds
+from passgate.duties.calls import DutyClient
+from passgate.duties.folds import DutyProjections
 from passgate.duties.service import Duties
 from passgate.eligibility.evacuation import EvacuatedZones
 from passgate.errors import InvalidConfiguration
-from passgate.gateway.configuration_peers import CONFIGURATION_METHOD, ConfigurationPeers
+from passgate.gateway.configuration_peers import CONFIGURATION_METHOD, PeerConfigurationPoller
 from passgate.gateway.dialect import HeaderNames
 from passgate.gateway.forwarder import Forwarder
-from passgate.gateway.ingress import Handler, Ingress, probe_handler
+from passgate.gateway.ingress import Ingress, RequestHandler, make_probe_handler
 from passgate.gateway.metrics import GatewayMetrics
-from passgate.gateway.replica_call import ReplicaCaller
+from passgate.gateway.replica_call import ReplicaClient
 from passgate.gateway.routes import ConfigHolder, GatewayConfig
 from passgate.gateway.settings import GatewaySettings
 from passgate.gateway.stream_forwarder import StreamForwarder
-from passgate.jobs.peers import JobPeers
+from passgate.jobs.peers import JobPeerClient
 from passgate.jobs.records import writer_name
 from passgate.jobs.service import JobService
 from passgate.peers.transport import PeerTransport
-from passgate.quarantine.peers import CRASH_REPORTS_METHOD, CrashPeers
-from passgate.quarantine.service import Crashes
-from passgate.sharedlog.candidacy import Candidacy
-from passgate.sharedlog.counted import CountedLog
-from passgate.sharedlog.group import GroupDirectory, GroupMember, OtherZones, group_of_zone
+from passgate.quarantine.peers import CRASH_REPORTS_METHOD, CrashReportExchange
+from passgate.quarantine.service import CrashQuarantine
+from passgate.sharedlog.candidacy import GroupMembershipPolicy
+from passgate.sharedlog.counted import InstrumentedLog
+from passgate.sharedlog.group import GroupDirectory, GroupMember, OtherZoneDirectories, group_of_zone
 from passgate.sharedlog.log import SharedLog
 from passgate.sharedlog.member_names import member_name
 from passgate.sharedlog.tail import Freshness, KeyedTail, TailSettings
 from passgate.statecharts import Machine
-from passgate.versions.loader import Loader, ReplicaControl, WantedVersions, read_life
+from passgate.versions.loader import Loader, ReplicaControl, TargetVersions, read_incarnation
 
 WATCH_INTERVAL_S = 0.1
 """Time between checks of the initial state and of the age of the log's view."""
@@ -87,7 +87,7 @@
         replica_control: ReplicaControl,
         replica_decoder: ReplicaDecoder,
         peer_transport: PeerTransport,
-        duty_calls: DutyCalls | None = None,
+        duty_calls: DutyClient | None = None,
     ) -> None:
         """Create the parts; nothing runs until :meth:`run`.
 
@@ -108,31 +108,35 @@
         writer = writer_name(settings.daemon_id, self.start_id, peer_transport.address)
         self.metrics = GatewayMetrics()
         self.decisions = DecisionLog(settings.daemon_id, observe=self.metrics.observe)
-        log = CountedLog(log, self.metrics.count_log_call)
+        log = InstrumentedLog(log, self.metrics.count_log_call)
         self.config = ConfigHolder(settings.places)
-        self.evacuated = EvacuatedZones(self.decisions)
-        self.replicas = make_replica_table(settings, self.config, self.evacuated, self.metrics)
-        self.wanted = WantedVersions(self.decisions)
+        self.evacuated_zones = EvacuatedZones(self.decisions)
+        self.replicas = make_replica_table(settings, self.config, self.evacuated_zones, self.metrics)
+        self.target_versions = TargetVersions(self.decisions)
         self._discovery = Discovery(
             log,
             topics.replicas,
             replica_decoder,
             DiscoveryView(self.replicas, self.decisions),
             settings.daemon_id,
-            lambda: RELAY_PARTITION in self._group_member.held(),
+            lambda: RELAY_PARTITION in self._group_member.assigned_partitions(),
             self.decisions,
         )
         self._log = log
-        self._crash_quarantine = Crashes(
-            log, topics.crashes, self.replicas.set_aside, self.decisions, partial(read_life, replica_control)
+        self._crash_quarantine = CrashQuarantine(
+            log,
+            topics.crashes,
+            self.replicas.eject,
+            self.decisions,
+            partial(read_incarnation, replica_control),
         )
-        replica_client = ReplicaCaller(http, self.replicas, header_names, self._crash_quarantine.guard)
+        replica_client = ReplicaClient(http, self.replicas, header_names, self._crash_quarantine.guard)
         runner_factory = JobRunnerFactory(
-            replica_client, self.replicas, header_names, self.config, self.decisions, self.evacuated
+            replica_client, self.replicas, header_names, self.config, self.decisions, self.evacuated_zones
         )
         self._peer_transport = peer_transport
         member = member_name(settings.daemon_id, peer_transport.address, settings.cores)
-        membership_policy = Candidacy(settings.cores)
+        membership_policy = GroupMembershipPolicy(settings.cores)
         group = group_of_zone(topics.watch_group, settings.zone)
         self._group_member = GroupMember(
             log,
@@ -140,18 +144,22 @@
             member,
             topics.jobs,
             self.decisions,
-            candidacy=membership_policy,
-            least_lifetime_s=settings.group_lifetime_s,
+            membership_policy=membership_policy,
+            min_lifetime_s=settings.group_lifetime_s,
         )
         self._group_directory = GroupDirectory(log, group, topics.jobs, membership_policy)
         distances = self.replicas.distances
-        self._other_zones = OtherZones(
-            log, topics.watch_group, topics.jobs, distances.nearest_first, distances.fallback_zones
+        self._other_zones = OtherZoneDirectories(
+            log,
+            topics.watch_group,
+            topics.jobs,
+            distances.other_zones_nearest_first,
+            distances.fallback_zones,
         )
-        job_peers = JobPeers(
+        job_peers = JobPeerClient(
             peer_transport, self._group_directory, member, self.decisions, distances, self._other_zones
         )
-        self._duty_projections = duty_projections = DutyFolds()
+        self._duty_projections = duty_projections = DutyProjections()
         self._control_topic = make_control_topic(
             log,
             settings,
@@ -174,17 +182,17 @@
                 self.decisions,
                 config=self.config,
                 replicas=self.replicas,
-                evacuated=self.evacuated,
+                evacuated_zones=self.evacuated_zones,
                 member=member,
                 holder=settings.daemon_id,
             )
-        self._configuration_peers = ConfigurationPeers(
+        self._configuration_peers = PeerConfigurationPoller(
             peer_transport,
-            lambda: self._group_directory.others(member),
+            lambda: self._group_directory.other_members(member),
             self.config,
-            self.evacuated,
+            self.evacuated_zones,
             self._log_age_s,
-            self.put_config,
+            self.apply_configuration,
             self.decisions,
         )
         self.cold_permits = ColdPermitService(
@@ -197,8 +205,10 @@
             log_age_s=self._log_age_s,
             decisions=self.decisions,
         )
-        self._crash_report_exchange = CrashPeers(
-            peer_transport, lambda: self._group_directory.others(member), self._crash_quarantine.channel
+        self._crash_report_exchange = CrashReportExchange(
+            peer_transport,
+            lambda: self._group_directory.other_members(member),
+            self._crash_quarantine.report_log,
         )
         reports_usage = settings.duties is not None and settings.duties.usage
         usage_meter = self._duties.meter if self._duties is not None and reports_usage else None
@@ -208,7 +218,7 @@
         self.stream_forwarder = StreamForwarder(
             replica_client, self.replicas, header_names, self.decisions, self.config, usage_meter
         )
-        self.shards = make_job_partitions(
+        self.job_partitions = make_job_partitions(
             log,
             settings,
             topics,
@@ -221,20 +231,20 @@
             decisions=self.decisions,
         )
         self.jobs = JobService(
-            self.shards,
+            self.job_partitions,
             job_peers,
             self._control_topic.journal,
-            self.wanted.newest,
+            self.target_versions.newest,
             self._log_age_s,
             self.decisions,
         )
         self._version_loader = Loader(
-            self.wanted,
+            self.target_versions,
             self.replicas,
             self._control_topic.leadership,
             replica_control,
             settings.daemon_id,
-            self._control_topic.fold.newest_jobs,
+            self._control_topic.leadership_projection.newest_demand_by_model,
             self._crash_quarantine.guard,
             self.decisions,
         )
@@ -246,25 +256,25 @@
 
     # --- state read from the log ---------------------------------------------------
 
-    def put_config(self, config: GatewayConfig) -> None:
+    def apply_configuration(self, config: GatewayConfig) -> None:
         """Apply a configuration if its version is higher than that of the active one.
 
         An inconsistent configuration is rejected with a decision event and changes nothing.  Must not be
         called before :meth:`run`, which creates the server on which the new limits are set.
         """
         try:
-            newer = self.config.offer(config)
+            newer = self.config.apply_if_newer(config)
         except InvalidConfiguration as error:
             self.decisions.write(ConfigurationRejected(version=config.version, reason=str(error)))
             return
         if newer:
-            self.decisions.write(ConfigurationInForce(version=config.version, routes=len(config.routes)))
+            self.decisions.write(ConfigurationApplied(version=config.version, routes=len(config.routes)))
             limits = config.limits
             self._ingress.set_limits(
                 max_body_bytes=limits.max_body_bytes, idle_timeout_s=limits.idle_timeout_s
             )
 
-    def follow(self, topic: str, gap_s: float, replace: Callable, update: Callable) -> None:
+    def follow_keyed_topic(self, topic: str, gap_s: float, replace: Callable, update: Callable) -> None:
         """Register a keyed topic to follow; its reading begins with :meth:`run`.
 
         The first topic that is registered must be the operator's: its freshness is the age of the log's view.
@@ -303,20 +313,23 @@
 
         True once neither the log nor a peer has confirmed it as the newest for LOG_LOST_AFTER_S.
         """
-        return self._configuration_peers.age_s() >= LOG_LOST_AFTER_S
+        return self._configuration_peers.configuration_age_s() >= LOG_LOST_AFTER_S
 
     @property
     def configuration_expired(self) -> bool:
         """Whether requests must be refused: the settings demand it when the configuration is too old."""
         settings = self.settings
-        return settings.fail_closed and self._configuration_peers.age_s() > settings.configuration_age_s
+        return (
+            settings.fail_closed
+            and self._configuration_peers.configuration_age_s() > settings.configuration_age_s
+        )
 
     @property
     def stopping(self) -> bool:
         """Whether a graceful shutdown has begun."""
         return self.lifecycle.within("stopping")
 
-    def reload(self, settings: GatewaySettings) -> None:
+    def apply_settings(self, settings: GatewaySettings) -> None:
         """Apply changed settings; the addresses that the daemon listens on stay as they were."""
         changed = settings != self.settings
         self.settings = settings
@@ -329,10 +342,10 @@
             self.lifecycle.send("stop")
         self._stop_requested.set()
 
-    async def run(self, handler: Handler) -> None:
+    async def run(self, handler: RequestHandler) -> None:
         """Serve callers' requests with a handler until a graceful shutdown has ended."""
         self._ingress = Ingress(handler)
-        self._probe_ingress = Ingress(probe_handler(self.ready, self._collect_metrics))
+        self._probe_ingress = Ingress(make_probe_handler(self.ready, self._collect_metrics))
         self._ingress.listen(self.settings.front_address)
         self._probe_ingress.listen(self.settings.ready_address)
         self.decisions.write(self._started_event())
@@ -372,13 +385,13 @@
 
     def _collect_metrics(self) -> bytes:
         """Update the gauges and return all metrics in the text format of Prometheus."""
-        self.metrics.log_age.set(self._log_age_s())
-        self.metrics.evacuated_zones.set(len(self.evacuated))
-        self.metrics.evacuation_age.set(self._configuration_peers.evacuations_age_s())
+        self.metrics.log_age_seconds.set(self._log_age_s())
+        self.metrics.evacuated_zones.set(len(self.evacuated_zones))
+        self.metrics.evacuation_age_seconds.set(self._configuration_peers.evacuations_age_s())
         self.metrics.in_flight.set(self._ingress.in_flight)
-        self.metrics.jobs_owned.set(self.shards.running)
-        self.metrics.leads.set(self._control_topic.leadership.leads)
-        self.metrics.usage_late.set(self._duty_projections.usage.late)
+        self.metrics.jobs_owned.set(self.job_partitions.running_jobs)
+        self.metrics.is_leader.set(self._control_topic.leadership.leads)
+        self.metrics.late_usage_requests.set(self._duty_projections.usage.late_requests)
         return self.metrics.exposition()
 
     async def _run_when_configured(self) -> None:
@@ -388,9 +401,9 @@
         async with asyncio.TaskGroup() as group:
             group.create_task(self._group_member.run())
             group.create_task(self._control_topic.run())
-            group.create_task(self.shards.run())
-            group.create_task(self._group_directory.keep_known())
-            group.create_task(self._other_zones.keep_known())
+            group.create_task(self.job_partitions.run())
+            group.create_task(self._group_directory.keep_fresh())
+            group.create_task(self._other_zones.keep_fresh())
             group.create_task(self._version_loader.run())
             group.create_task(self._configuration_peers.run())
             group.create_task(self._crash_report_exchange.run())
@@ -403,11 +416,11 @@
         if self._duties is not None and method.startswith(DUTY_METHOD_PREFIX):
             return await self._duties.answer_peer(sender, method, payload)
         if method == CONFIGURATION_METHOD:
-            return self._configuration_peers.answer(payload)
+            return self._configuration_peers.handle_request(payload)
         if method == self.cold_permits.peer_method:
             return self.cold_permits.answer_peer(sender, payload)
         if method == CRASH_REPORTS_METHOD:
-            return self._crash_report_exchange.answer(payload)
+            return self._crash_report_exchange.handle_request(payload)
         return await self.jobs.answer_peer(sender, method, payload)
 
     async def _check_state_periodically(self) -> None:
@@ -434,7 +447,7 @@
 
     async def _release_ownership(self) -> None:
         """Release jobs and leadership on the log, then leave the group that watches partitions."""
-        confirmations = [*self.shards.stop(), self._control_topic.stop()]
+        confirmations = [*self.job_partitions.stop(), self._control_topic.release_leadership()]
         await asyncio.wait(confirmations, timeout=RELEASE_TIMEOUT_S)
         await self._group_member.leave()
 
--- a/passgate/daemon/job_partitions.py
+++ b/passgate/daemon/job_partitions.py
@@ -7,10 +7,10 @@
 from passgate.decisions import DecisionLog
 from passgate.gateway.routes import ConfigHolder
 from passgate.gateway.settings import GatewaySettings
-from passgate.jobs.bound_bodies import BoundBodies
-from passgate.jobs.peers import JobPeers
-from passgate.jobs.shards import JobShards, ShardSettings
-from passgate.sharedlog.candidacy import Candidacy
+from passgate.jobs.bound_bodies import RestrictedBodies
+from passgate.jobs.peers import JobPeerClient
+from passgate.jobs.shards import JobPartitions, JobPartitionSettings
+from passgate.sharedlog.candidacy import GroupMembershipPolicy
 from passgate.sharedlog.group import GroupMember
 from passgate.sharedlog.log import SharedLog
 
@@ -22,11 +22,11 @@
     writer: str,
     config: ConfigHolder,
     member: GroupMember,
-    membership_policy: Candidacy,
+    membership_policy: GroupMembershipPolicy,
     runner_factory: JobRunnerFactory,
-    peers: JobPeers,
+    peers: JobPeerClient,
     decisions: DecisionLog,
-) -> JobShards:
+) -> JobPartitions:
     """Return the partitions; none is followed until they run.
 
     Args:
@@ -41,25 +41,25 @@
         peers: asks other daemons about jobs.
         decisions: receives the decision events.
     """
-    shard_settings = ShardSettings(
+    shard_settings = JobPartitionSettings(
         topic=topics.jobs,
-        parts=settings.log_parts,
+        partition_count=settings.log_parts,
         writer=writer,
         record_bytes=settings.max_record_bytes,
         append_bytes=settings.max_append_bytes,
         retention_s=settings.job_retention_s,
     )
-    bodies = BoundBodies(
-        log, config.terms_for, settings.places, shard_settings, decisions, config.item_time_to_live_s
+    bodies = RestrictedBodies(
+        log, config.send_context_for, settings.places, shard_settings, decisions, config.item_time_to_live_s
     )
-    return JobShards(
+    return JobPartitions(
         log,
         shard_settings,
-        member.held,
+        member.assigned_partitions,
         runner_factory.make,
         peers,
         decisions,
-        may_own_new=lambda: membership_policy.wanted,
-        log_answers=member.answered,
-        bodies=bodies,
+        may_own_new=lambda: membership_policy.should_join,
+        log_answers=member.is_log_responding,
+        restricted_bodies=bodies,
     )
--- a/passgate/daemon/job_runner_factory.py
+++ b/passgate/daemon/job_runner_factory.py
@@ -8,18 +8,18 @@
 
 from passgate.decisions import DecisionLog
 from passgate.gateway.dialect import HeaderNames
-from passgate.gateway.replica_call import ReplicaCaller
+from passgate.gateway.replica_call import ReplicaClient
 from passgate.gateway.replicas import ReplicaTable
-from passgate.gateway.routes import ConfigHolder, WeightedChoice
+from passgate.gateway.routes import ConfigHolder, WeightedServicePicker
 from passgate.jobs.durations import OutputDurations
-from passgate.jobs.fold import JobFold, JobState
-from passgate.jobs.group_replicas import GroupReplicas
-from passgate.jobs.item_run import ItemTools
+from passgate.jobs.fold import JobProjection, JobState
+from passgate.jobs.group_replicas import GroupAffinity
+from passgate.jobs.item_run import ItemRunContext
 from passgate.jobs.journal import Journal
-from passgate.jobs.reward_call import RewardTools
+from passgate.jobs.reward_call import RewardCallContext
 from passgate.jobs.runner import JobRunner
-from passgate.jobs.silence import StreamSilence
-from passgate.jobs.waiting import WaitingLine
+from passgate.jobs.silence import StallDetector
+from passgate.jobs.waiting import WaitQueues
 
 
 class JobRunnerFactory:
@@ -27,7 +27,7 @@
 
     def __init__(
         self,
-        replica_client: ReplicaCaller,
+        replica_client: ReplicaClient,
         replicas: ReplicaTable,
         header_names: HeaderNames,
         config: ConfigHolder,
@@ -50,21 +50,21 @@
         self._config = config
         self._decisions = decisions
         self._evacuated_zones = evacuated_zones
-        self._wait_queue = WaitingLine()
+        self._wait_queue = WaitQueues()
         self._output_durations = OutputDurations()
-        self._stream_silence = StreamSilence()
-        self._reward_context = RewardTools(
+        self._stream_silence = StallDetector()
+        self._reward_context = RewardCallContext(
             find_route=config.find_route,
-            terms_for=config.terms_for,
+            find_send_context=config.send_context_for,
             caller=replica_client,
             replicas=replicas,
-            names=header_names,
+            header_names=header_names,
             decisions=decisions,
-            parts=WeightedChoice(),
-            lines=defaultdict(asyncio.Lock),
+            service_picker=WeightedServicePicker(),
+            slot_lock_by_regions=defaultdict(asyncio.Lock),
         )
 
-    def make(self, projection: JobFold, journal: Journal, job: JobState) -> JobRunner | None:
+    def make(self, projection: JobProjection, journal: Journal, job: JobState) -> JobRunner | None:
         """Return a runner of a job, which is not started; None if no active route matches the job's path.
 
         Args:
@@ -76,17 +76,17 @@
         route = self._config.find_route(spec.host, spec.path)
         if route is None:
             return None
-        context = ItemTools(
+        context = ItemRunContext(
             route=route,
             caller=self._replica_client,
             replicas=self._replicas,
-            names=self._header_names,
+            header_names=self._header_names,
             decisions=self._decisions,
-            waiting=self._wait_queue,
+            wait_queues=self._wait_queue,
             durations=self._output_durations,
-            rewards=self._reward_context,
-            silence=self._stream_silence,
-            terms_for=self._config.terms_for,
-            group_replicas=GroupReplicas(self._replicas, self._evacuated_zones),
+            reward_context=self._reward_context,
+            stall_detector=self._stream_silence,
+            find_send_context=self._config.send_context_for,
+            group_affinity=GroupAffinity(self._replicas, self._evacuated_zones),
         )
         return JobRunner(job, projection, journal, context)
--- a/passgate/daemon/planned_stop.py
+++ b/passgate/daemon/planned_stop.py
@@ -67,10 +67,10 @@
         started_s = monotonic_s()
         self._decisions.write(DaemonStopping(in_flight=self._ingress.in_flight))
         self._lifecycle.send("announced")
-        self._ingress.close_after_answers()
+        self._ingress.disable_keep_alive()
         await self._serve_until_released(started_s)
         # A request that started from here on could be cut off by the close, so it is refused as not run.
-        self._ingress.refuse_new()
+        self._ingress.refuse_new_requests()
         self._ingress.stop_listening()
         await self._wait_until_drained(monotonic_s() + DRAIN_TIMEOUT_S)
         self._lifecycle.send("finished")
--- a/passgate/daemon/replica_table.py
+++ b/passgate/daemon/replica_table.py
@@ -21,9 +21,11 @@
     replicas count as cold.
     """
     replicas = ReplicaTable(settings.places)
-    evacuated_zones.on_ended.append(lambda zone: replicas.turned_cold(zone, monotonic_s()))
-    replicas.rules.add(RegionRule(settings.places, metrics.count_region_send))
-    replicas.rules.add(EvacuationRule(evacuated_zones))
-    replicas.rules.add(KnownServiceRule(config.names_service))
-    metrics.show_kept_back(replicas.rules.kept_back)
+    evacuated_zones.on_evacuation_ended.append(
+        lambda zone: replicas.mark_zone_possibly_cold(zone, monotonic_s())
+    )
+    replicas.send_rules.add(RegionRule(settings.places, metrics.count_region_send))
+    replicas.send_rules.add(EvacuationRule(evacuated_zones))
+    replicas.send_rules.add(KnownServiceRule(config.has_service))
+    metrics.register_exclusions(replicas.send_rules.exclusion_counts)
     return replicas
--- a/passgate/decisions/cold_events.py
+++ b/passgate/decisions/cold_events.py
@@ -16,14 +16,14 @@
     """Age of this daemon's view of the log."""
 
 
-class PermitsBegan(Event, tag="permits_began"):
+class PermitIssuingStarted(Event, tag="permits_began"):
     """This daemon has led for long enough that it may issue permits from now on."""
 
     fence: int
     """Fencing number of its leadership."""
 
 
-class PermitsCounted(Event, tag="permits_counted"):
+class PermitCountsReported(Event, tag="permits_counted"):
     """Increases of the permit counters since the last event of this kind; reported at most once a second.
 
     The counters carry the names of the fields of :class:`passgate.eligibility.permits.PermitTally`.
--- a/passgate/decisions/daemon_events.py
+++ b/passgate/decisions/daemon_events.py
@@ -60,7 +60,7 @@
     reason: str
 
 
-class ConfigurationInForce(Event, tag="configuration_in_force"):
+class ConfigurationApplied(Event, tag="configuration_in_force"):
     """This daemon has applied a newer configuration."""
 
     version: int
@@ -68,7 +68,7 @@
     """Number of its routes."""
 
 
-class ConfigurationLearned(Event, tag="configuration_learned"):
+class ConfigurationReceivedFromPeer(Event, tag="configuration_learned"):
     """A newer configuration was received from a peer, as this daemon's view of the log is too old."""
 
     version: int
@@ -120,7 +120,7 @@
     state: str
 
 
-class EntryUnusable(Event, tag="entry_unusable"):
+class DiscoveryEntryRejected(Event, tag="entry_unusable"):
     """An entry of discovery was not used, as it describes no usable replica; reported at a limited rate."""
 
     key: str
@@ -130,7 +130,7 @@
     """Number of such entries since the last event of this kind, including this one."""
 
 
-class RelayChanged(Event, tag="relay_changed"):
+class RelayRoleChanged(Event, tag="relay_changed"):
     """This daemon has begun or ended to relay the list of replicas to other daemons."""
 
     relaying: bool
@@ -149,7 +149,7 @@
     """Time since the reading began."""
 
 
-class PartitionsHeld(Event, tag="partitions_held"):
+class PartitionsAssigned(Event, tag="partitions_held"):
     """The log's group has assigned other partitions of jobs to this daemon."""
 
     generation: int
@@ -158,7 +158,7 @@
     """Numbers of the assigned partitions."""
 
 
-class PeerFailed(Event, tag="peer_failed"):
+class JobPeerCallFailed(Event, tag="peer_failed"):
     """A call to a peer about the jobs of a partition has failed."""
 
     peer: str
--- a/passgate/decisions/job_events.py
+++ b/passgate/decisions/job_events.py
@@ -16,14 +16,14 @@
     elapsed_ms: float
 
 
-class JobBodiesLost(Event, tag="job_bodies_lost"):
+class JobBodiesUnusable(Event, tag="job_bodies_lost"):
     """The bodies of a region-restricted job are unusable: they can not be decoded or do not fit its items."""
 
     job_id: str
     reason: str
 
 
-class JobFreed(Event, tag="job_freed"):
+class JobOwnershipReleased(Event, tag="job_freed"):
     """This daemon releases a job that it owns, as the active configuration excludes the daemon's region."""
 
     job_id: str
@@ -41,7 +41,7 @@
     """Code of the error."""
 
 
-class JobOwned(Event, tag="job_owned"):
+class JobOwnershipClaimed(Event, tag="job_owned"):
     """This daemon's claim to own a job is on the log; the first claim of an epoch takes effect."""
 
     job_id: str
@@ -111,7 +111,7 @@
     """Number of answers with status 500 so far; only these count against the limit of the route."""
 
 
-class ItemListed(Event, tag="item_listed"):
+class ItemResultRecorded(Event, tag="item_listed"):
     """The result of an item was put to the log, which adds it to the job's results."""
 
     job_id: str
@@ -131,7 +131,7 @@
         return self.state == "succeeded" and self.attempts <= 1
 
 
-class JobWhole(Event, tag="job_whole"):
+class JobGroupsCompleted(Event, tag="job_whole"):
     """The groups of items that the caller of a job waits for are complete.
 
     Times begin when this daemon has read the job.  The fields from ``last_item`` on are about the item whose
@@ -165,7 +165,7 @@
     """Attempts that this daemon sent."""
 
 
-class JobRead(Event, tag="job_read"):
+class JobResultsRead(Event, tag="job_read"):
     """A caller has read results of a job."""
 
     job_id: str
@@ -193,7 +193,7 @@
     """Number of its items."""
 
 
-class JobEndFailed(Event, tag="job_end_failed"):
+class JobEndUnconfirmed(Event, tag="job_end_failed"):
     """A caller's request to end a job has failed; it may take effect nevertheless."""
 
     job_id: str
--- a/passgate/decisions/leader_events.py
+++ b/passgate/decisions/leader_events.py
@@ -22,14 +22,14 @@
     reason: str
 
 
-class VersionWanted(Event, tag="version_wanted"):
+class TargetVersionChanged(Event, tag="version_wanted"):
     """The operator has named a newer target version of a model's weights."""
 
     model: str
     version: int
 
 
-class OrderSent(Event, tag="order_sent"):
+class LoadOrderSent(Event, tag="order_sent"):
     """An order to load weights was sent to a replica, and was answered or has failed."""
 
     replica_id: str
@@ -43,7 +43,7 @@
     """HTTP status of the answer, or ``unanswered``."""
 
 
-class LoadHeld(Event, tag="load_held"):
+class VersionLoadsSuspended(Event, tag="load_held"):
     """Load orders for a version were suspended or resumed, as replicas crashed while they loaded it."""
 
     model: str
@@ -74,7 +74,7 @@
     """``accepted``, ``refused``, or ``unknown`` when the report may still be counted."""
 
 
-class ReplicaOrderSent(Event, tag="replicas_ordered"):
+class ReplicaCountOrderSent(Event, tag="replicas_ordered"):
     """An order for a number of replicas was sent to the platform, or has failed."""
 
     service: str
--- a/passgate/decisions/request_events.py
+++ b/passgate/decisions/request_events.py
@@ -85,7 +85,7 @@
     """Number of replicas that crashed while they ran such a request, as far as this daemon knows."""
 
 
-class CrashReported(Event, tag="crash_reported"):
+class CrashReportReceived(Event, tag="crash_reported"):
     """Another daemon has reported that a replica crashed while it ran a request."""
 
     replica_id: str
@@ -99,7 +99,7 @@
     """Age of the report by the wall clocks of both daemons; clock skew falsifies it."""
 
 
-class CrashReportsCleared(Event, tag="crash_reports_cleared"):
+class CrashReportCleared(Event, tag="crash_reports_cleared"):
     """A crash report was cleared: it is no longer in effect."""
 
     replica_id: str
@@ -108,7 +108,7 @@
     reason: str
 
 
-class LastChanceBegun(Event, tag="last_chance_begun"):
+class IsolatedRunStarted(Event, tag="last_chance_begun"):
     """A request that one more crash would quarantine begins an isolated run at a replica, or yields there.
 
     At most one such request runs at a replica at a time, so that a crash is attributed to the right one.
@@ -123,7 +123,7 @@
     """Whether the request runs there; if not, another one was announced earlier."""
 
 
-class ItemHeld(Event, tag="item_held"):
+class ItemQuarantined(Event, tag="item_held"):
     """An item is quarantined: it is sent to no replica for a while, as replicas crashed while they ran it."""
 
     job_id: str
--- a/passgate/discovery/relayed_list.py
+++ b/passgate/discovery/relayed_list.py
@@ -19,7 +19,7 @@
 from passgate.discovery.view import DiscoveryView, ReplicaUpdate
 from passgate.errors import LogError, MalformedRecord
 from passgate.sharedlog.log import KeyedRecord, LogPage, SharedLog
-from passgate.sharedlog.tail import FollowedTail, RecordTail, TailSettings
+from passgate.sharedlog.tail import OnDemandTail, RecordTail, TailSettings
 
 logger = logging.getLogger("passgate.discovery")
 
@@ -66,7 +66,7 @@
         self._decisions = decisions
         self._rng = rng
         settings = TailSettings(topic=changes_topic, gap_s=CHANGES_READ_PAUSE_S)
-        self._tail = FollowedTail(RecordTail(log, settings, self._apply_page))
+        self._tail = OnDemandTail(RecordTail(log, settings, self._apply_page))
         self.is_complete = False
         """Whether the list was read and no change has been missed since."""
         self._next_load_s = NEVER_S
@@ -106,11 +106,11 @@
         if now_s >= self._next_load_s:
             self._next_load_s = now_s + RELOAD_INTERVAL_S
             await self._load_parts()
-        self._tail.set(True)
+        self._tail.set_following(True)
 
     def stop(self) -> None:
         """Stop following; the list is read again when following resumes."""
-        self._tail.set(False)
+        self._tail.set_following(False)
         self.is_complete = False
         self._next_load_s = self._last_contact_s = NEVER_S
 
@@ -131,7 +131,7 @@
             return  # missing parts are read at the next attempt, once relays have written them
         self._next_load_s = monotonic_s() + self._rng.uniform(*RESYNC_INTERVAL_RANGE_S)
         # A part may list a replica that a later change has removed, so the changes are applied again.
-        self._tail.set(False)
+        self._tail.set_following(False)
         self._next_offset = self._tail.tail.next_offset = min(part.changes_from for part in parts)
         self.is_complete = True
 
--- a/passgate/discovery/service.py
+++ b/passgate/discovery/service.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from passgate.clock import monotonic_s
-from passgate.decisions import DecisionLog, DiscoveryLoaded, RelayChanged
+from passgate.decisions import DecisionLog, DiscoveryLoaded, RelayRoleChanged
 from passgate.discovery.relay import ReadProgress, Relay
 from passgate.discovery.relayed_list import RelayedList
 from passgate.discovery.view import DiscoveryView, ReplicaUpdate
@@ -220,7 +220,7 @@
         self.is_relaying = relaying
         if relaying:
             self._relay.start()
-        self._decisions.write(RelayChanged(relaying=relaying, replicas=len(self._view)))
+        self._decisions.write(RelayRoleChanged(relaying=relaying, replicas=len(self._view)))
 
     # --- direct reading ------------------------------------------------------------
 
--- a/passgate/discovery/unusable.py
+++ b/passgate/discovery/unusable.py
@@ -12,7 +12,7 @@
 
 from __future__ import annotations
 
-from passgate.decisions import DecisionLog, EntryUnusable
+from passgate.decisions import DecisionLog, DiscoveryEntryRejected
 
 KEY_LOG_INTERVAL_S = 60.0
 """Shortest time between two log lines about one key."""
@@ -49,7 +49,7 @@
             self._logged_at_s_by_key.clear()
         self._logged_at_s_by_key[key] = self._last_logged_s = now_s
         self._decisions.write(
-            EntryUnusable(
+            DiscoveryEntryRejected(
                 key=key[:MAX_LOGGED_CHARACTERS],
                 reason=reason[:MAX_LOGGED_CHARACTERS],
                 entries=self._unlogged_count,
--- a/passgate/discovery/view.py
+++ b/passgate/discovery/view.py
@@ -20,7 +20,7 @@
 
 GONE_RETENTION_S = 120.0
 """Time for which the state of a replica that is gone is kept; longer than usual outages of the log."""
-COME_BACK_S = 2.0
+RETURN_GRACE_S = 2.0
 """Time after an outage of the log within which replicas write entries again that expired meanwhile."""
 
 
@@ -102,16 +102,16 @@
         if update.info is None:
             return self._remove(update.replica_id)
         changed = had_lapsed or known is None or known.info != update.info
-        self._newest_start_ms_by_replica_id[update.replica_id] = update.info.born_unix_ms
+        self._newest_start_ms_by_replica_id[update.replica_id] = update.info.started_unix_ms
         self._log_listed(update.info, known)
-        self._replicas.entry_read(update.info, monotonic_s(), listed=update.listed)
+        self._replicas.apply_entry(update.info, monotonic_s(), listed=update.listed)
         return changed
 
     def _log_listed(self, info: ReplicaInfo, known: ReplicaState | None) -> None:
         """Log a replica that is new, was restarted, or started or stopped draining."""
         was_overwritten = info.replica_id in self._overwritten_replica_ids
         self._overwritten_replica_ids.discard(info.replica_id)
-        restarted = known is not None and known.life != info.life
+        restarted = known is not None and known.incarnation != info.incarnation
         self._log_change(info.replica_id, info.service, "restarted", restarted)
         if known is None and was_overwritten:
             return  # logged as unusable entry already; it may be overwritten every second
@@ -120,7 +120,7 @@
 
     def _is_outdated(self, info: ReplicaInfo) -> bool:
         """Whether an older incarnation wrote an entry, which arrived late."""
-        return info.born_unix_ms < self._newest_start_ms_by_replica_id.get(info.replica_id, 0)
+        return info.started_unix_ms < self._newest_start_ms_by_replica_id.get(info.replica_id, 0)
 
     def _mark_overwritten(self, replica_id: str) -> bool:
         """Remove a replica whose entry was overwritten; return whether it was in use."""
@@ -197,11 +197,11 @@
 
     def _may_have_lapsed(self, info: ReplicaInfo) -> bool:
         """Whether an entry may have been removed only because its replica could not reach the log."""
-        return not info.draining and monotonic_s() - self._log_returned_s < COME_BACK_S
+        return not info.draining and monotonic_s() - self._log_returned_s < RETURN_GRACE_S
 
     def remove_lapsed(self) -> list[ReplicaUpdate]:
         """Remove replicas whose entries did not return in time after an outage; return their updates."""
-        if not self._lapsed_by_replica_id or monotonic_s() - self._log_returned_s < COME_BACK_S:
+        if not self._lapsed_by_replica_id or monotonic_s() - self._log_returned_s < RETURN_GRACE_S:
             return []
         removals = [
             ReplicaUpdate(replica_id=replica_id, at=lapse.gone_offset)
--- a/passgate/duties/calls.py
+++ b/passgate/duties/calls.py
@@ -46,7 +46,7 @@
     fence: int
 
 
-class DutyCalls(Protocol):
+class DutyClient(Protocol):
     """Client for the platform's endpoints; its methods return an outcome and never raise PassgateError."""
 
     async def report_usage(self, report: UsageReport) -> DutyOutcome:
--- a/passgate/duties/clock_sync.py
+++ b/passgate/duties/clock_sync.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from passgate.clock import monotonic_s
-from passgate.duties.wall_clock import AgreedWallClock
+from passgate.duties.wall_clock import SynchronizedWallClock
 from passgate.errors import PeerError
 from passgate.peers.transport import PeerTransport
 from passgate.sharedlog.member_names import address_of
@@ -34,7 +34,10 @@
     """Requests the time of day from other daemons and answers their requests."""
 
     def __init__(
-        self, clock: AgreedWallClock, transport: PeerTransport, list_other_members: Callable[[], list[str]]
+        self,
+        clock: SynchronizedWallClock,
+        transport: PeerTransport,
+        list_other_members: Callable[[], list[str]],
     ) -> None:
         """Connect the clock; ``list_other_members`` returns the other daemons' names in any order."""
         self._clock = clock
--- a/passgate/duties/folds.py
+++ b/passgate/duties/folds.py
@@ -3,14 +3,14 @@
 from __future__ import annotations
 
 from passgate.duties.scaling_fold import ScalingProjection
-from passgate.duties.usage_fold import UsageFold
+from passgate.duties.usage_fold import UsageProjection
 
 
-class DutyFolds:
+class DutyProjections:
     """All duty projections of one daemon; its control topic applies the records to them."""
 
     def __init__(self) -> None:
-        self.usage = UsageFold()
+        self.usage = UsageProjection()
         self.scaling = ScalingProjection()
 
     def set_first_offset(self, first_offset: int) -> None:
@@ -18,7 +18,7 @@
         self.usage.set_first_offset(first_offset)
         self.scaling.set_first_offset(first_offset)
 
-    def apply(self, offset: int, writer: str, entry: object, *, leads: bool) -> None:
-        """Apply one entry of the record at an offset; ``leads``: its writer was the leader there."""
-        self.usage.apply(offset, writer, entry, leads=leads)
-        self.scaling.apply(offset, writer, entry, leads=leads)
+    def apply(self, offset: int, writer: str, entry: object, *, by_leader: bool) -> None:
+        """Apply one entry of the record at an offset; ``by_leader``: its writer was the leader there."""
+        self.usage.apply(offset, writer, entry, by_leader=by_leader)
+        self.scaling.apply(offset, writer, entry, by_leader=by_leader)
--- a/passgate/duties/meter.py
+++ b/passgate/duties/meter.py
@@ -46,10 +46,10 @@
         self._next_number = 0
 
     def now_s(self) -> float:
-        """Return the time of day, to be passed to :meth:`began` later."""
+        """Return the time of day, to be passed to :meth:`record_started` later."""
         return self._wall_clock_s()
 
-    def began(self, tenant: str | None, at_s: float) -> None:
+    def record_started(self, tenant: str | None, at_s: float) -> None:
         """Count a started request in the window in which it was sent; without a tenant it is ignored."""
         if tenant:
             self._counts_by_window.setdefault(self._windows.window_at(at_s), Counter())[tenant] += 1
--- a/passgate/duties/scaler.py
+++ b/passgate/duties/scaler.py
@@ -14,14 +14,14 @@
 import msgspec
 
 from passgate.clock import monotonic_s
-from passgate.decisions import DecisionLog, ReplicaOrderSent
-from passgate.duties.calls import CallRateLimiter, DutyCalls, DutyOutcome, ReplicaOrder
+from passgate.decisions import DecisionLog, ReplicaCountOrderSent
+from passgate.duties.calls import CallRateLimiter, DutyClient, DutyOutcome, ReplicaOrder
 from passgate.duties.scaling_fold import ReplicaPool, ScalingDecision, ScalingProjection
 from passgate.duties.scaling_policy import ZoneReplicas, replicas_needed, spread_replicas
 from passgate.gateway.replicas import ReplicaState, ReplicaTable
 from passgate.gateway.routes import ConfigHolder, ScalingRule, Service
 from passgate.jobs.journal import Journal
-from passgate.jobs.records import JobNoted, ReplicasDecided, ReplicasOrdered
+from passgate.jobs.records import ReplicasDecided, ReplicasOrdered, WeightDemand
 from passgate.versions.leadership import Leadership
 
 DECISION_INTERVAL_S = 0.5
@@ -52,11 +52,11 @@
         projection: ScalingProjection,
         journal: Journal,
         leadership: Leadership,
-        client: DutyCalls,
+        client: DutyClient,
         rate_limiter: CallRateLimiter,
         config: ConfigHolder,
         replicas: ReplicaTable,
-        newest_demand_by_model: Mapping[str, JobNoted],
+        newest_demand_by_model: Mapping[str, WeightDemand],
         decisions: DecisionLog,
         *,
         evacuated_zones: Container[str],
@@ -162,7 +162,7 @@
             )
         )
         self._decisions.write(
-            ReplicaOrderSent(
+            ReplicaCountOrderSent(
                 service=pool.service,
                 zone=pool.zone,
                 spot=pool.spot,
--- a/passgate/duties/scaling_fold.py
+++ b/passgate/duties/scaling_fold.py
@@ -6,11 +6,11 @@
 >>> from passgate.jobs.records import ReplicasDecided, ReplicasOrdered
 >>> projection = ScalingProjection()
 >>> decided = ReplicasDecided(service="s", zone="z", spot=True, count=3)
->>> projection.apply(7, "d1.a", decided, leads=True)
+>>> projection.apply(7, "d1.a", decided, by_leader=True)
 >>> projection.unanswered_decisions()
 [ScalingDecision(pool=ReplicaPool(service='s', zone='z', spot=True), count=3, fence=7)]
 >>> ordered = ReplicasOrdered(service="s", zone="z", spot=True, decided=7)
->>> projection.apply(8, "d1.a", ordered, leads=True)
+>>> projection.apply(8, "d1.a", ordered, by_leader=True)
 >>> projection.unanswered_decisions()
 []
 """
@@ -49,10 +49,10 @@
     def set_first_offset(self, first_offset: int) -> None:
         """Do nothing: a decision that was removed from the log is simply made again."""
 
-    def apply(self, offset: int, writer: str, entry: object, *, leads: bool) -> None:
-        """Apply one entry of the record at an offset; ``leads``: its writer was the leader there."""
+    def apply(self, offset: int, writer: str, entry: object, *, by_leader: bool) -> None:
+        """Apply one entry of the record at an offset; ``by_leader``: its writer was the leader there."""
         match entry:
-            case ReplicasDecided() if leads:
+            case ReplicasDecided() if by_leader:
                 pool = _pool_of(entry)
                 self.decision_by_pool[pool] = ScalingDecision(pool=pool, count=entry.count, fence=offset)
             case ReplicasOrdered():
--- a/passgate/duties/service.py
+++ b/passgate/duties/service.py
@@ -8,14 +8,14 @@
 
 from passgate.clock import monotonic_s
 from passgate.decisions import DecisionLog
-from passgate.duties.calls import CallRateLimiter, DutyCalls
+from passgate.duties.calls import CallRateLimiter, DutyClient
 from passgate.duties.clock_sync import CLOCK_METHOD, ClockSync
-from passgate.duties.folds import DutyFolds
+from passgate.duties.folds import DutyProjections
 from passgate.duties.meter import UsageMeter
 from passgate.duties.scaler import Scaler
 from passgate.duties.usage_channel import RECORD_COUNTS_METHOD, UsageForwarder
 from passgate.duties.usage_reporter import UsageReporter
-from passgate.duties.wall_clock import AgreedWallClock
+from passgate.duties.wall_clock import SynchronizedWallClock
 from passgate.duties.windows import UsageWindows
 from passgate.errors import PeerCallFailed
 from passgate.gateway.replicas import ReplicaTable
@@ -36,16 +36,16 @@
     def __init__(
         self,
         settings: DutySettings,
-        client: DutyCalls,
+        client: DutyClient,
         control: ControlTopic,
-        projections: DutyFolds,
+        projections: DutyProjections,
         transport: PeerTransport,
         directory: GroupDirectory,
         decisions: DecisionLog,
         *,
         config: ConfigHolder,
         replicas: ReplicaTable,
-        evacuated: Container[str],
+        evacuated_zones: Container[str],
         member: str,
         holder: str,
     ) -> None:
@@ -61,17 +61,17 @@
             decisions: log of decisions.
             config: the active configuration.
             replicas: the replicas that are present.
-            evacuated: zones in which no replica counts and none is ordered.
+            evacuated_zones: zones in which no replica counts and none is ordered.
             member: this daemon's name in the directory.
             holder: this daemon's name in calls to the platform.
         """
         self._reports_usage = settings.usage
         windows = UsageWindows(length_s=settings.usage_window_s)
-        clock = AgreedWallClock(time.time, monotonic_s)
+        clock = SynchronizedWallClock(time.time, monotonic_s)
         journal = control.journal
-        self._clock_sync = ClockSync(clock, transport, lambda: directory.others(member))
+        self._clock_sync = ClockSync(clock, transport, lambda: directory.other_members(member))
         self._usage_forwarder = UsageForwarder(
-            transport, journal, lambda: control.fold.leader, directory.member_of
+            transport, journal, lambda: control.leadership_projection.leader, directory.holder_of
         )
         self.meter = UsageMeter(journal.writer, windows, clock.now_s, self._usage_forwarder.send)
         rate_limiter = CallRateLimiter(settings.calls_per_s * RATE_LIMIT_SHARE)
@@ -97,9 +97,9 @@
                 rate_limiter,
                 config,
                 replicas,
-                control.fold.newest_jobs,
+                control.leadership_projection.newest_demand_by_model,
                 decisions,
-                evacuated_zones=evacuated,
+                evacuated_zones=evacuated_zones,
                 holder=holder,
             )
 
--- a/passgate/duties/usage_channel.py
+++ b/passgate/duties/usage_channel.py
@@ -25,7 +25,7 @@
 """Timeout of a forwarded request; shorter, so that the original sender still gets its response."""
 APPEND_TIMEOUT_S = 2.0
 """Time for an own append before it counts as failed and the counts are sent again."""
-CONTROL_PART = 0
+CONTROL_PARTITION = 0
 """Partition whose watchers follow the control topic and so know the leader."""
 
 
@@ -78,7 +78,7 @@
         if leader and await self._request_append(address_of(leader), request, REQUEST_TIMEOUT_S):
             return True
         self._reported_leader = ""
-        watcher = await self._find_watcher(CONTROL_PART)
+        watcher = await self._find_watcher(CONTROL_PARTITION)
         if watcher is not None and await self._request_append(
             address_of(watcher), request, REQUEST_TIMEOUT_S
         ):
--- a/passgate/duties/usage_fold.py
+++ b/passgate/duties/usage_fold.py
@@ -4,14 +4,14 @@
 holds, so every later leader sends the same report.
 
 >>> from passgate.jobs.records import UsageCommitted, UsageCounted
->>> projection = UsageFold()
+>>> projection = UsageProjection()
 >>> count = UsageCounted(meter="d1.a", number=0, window=7, counts={"orchard": 2})
 >>> for offset, writer in enumerate(("d1.a", "d2.a")):
-...     projection.apply(offset, writer, count, leads=False)
+...     projection.apply(offset, writer, count, by_leader=False)
 >>> projection.counts_of(7)
 {'orchard': 2}
->>> projection.apply(2, "d2.a", UsageCommitted(window=7, counts={"orchard": 2}), leads=True)
->>> projection.unreported, projection.through
+>>> projection.apply(2, "d2.a", UsageCommitted(window=7, counts={"orchard": 2}), by_leader=True)
+>>> projection.unreported_counts_by_window, projection.last_committed_window
 ({7: {'orchard': 2}}, 7)
 """
 
@@ -21,7 +21,7 @@
 
 import msgspec
 
-from passgate.jobs.records import Counts, UsageCommitted, UsageCounted, UsageReported
+from passgate.jobs.records import CountByTenant, UsageCommitted, UsageCounted, UsageReported
 
 MAX_OPEN_WINDOWS = 720
 """Uncommitted windows that are kept; the oldest are dropped first."""
@@ -33,15 +33,15 @@
     """Meter and number of each count that was added."""
 
 
-class UsageFold:
+class UsageProjection:
     """Counts of open windows, and committed reports."""
 
     def __init__(self) -> None:
-        self.through: int | None = None
+        self.last_committed_window: int | None = None
         """Newest committed window; no older window is committed any more."""
-        self.unreported: dict[int, Counts] = {}
+        self.unreported_counts_by_window: dict[int, CountByTenant] = {}
         """Window to its committed counts, until the platform is known to have accepted the report."""
-        self.late = 0
+        self.late_requests = 0
         """Requests that were counted after their window had been committed."""
         self.is_history_truncated = False
         """Whether older records of the topic were removed before this daemon read them."""
@@ -51,19 +51,19 @@
         """Record the offset of the first record that is read."""
         self.is_history_truncated = first_offset > 0
 
-    def apply(self, offset: int, writer: str, entry: object, *, leads: bool) -> None:
-        """Apply one entry of the record at an offset; ``leads``: its writer was the leader there."""
+    def apply(self, offset: int, writer: str, entry: object, *, by_leader: bool) -> None:
+        """Apply one entry of the record at an offset; ``by_leader``: its writer was the leader there."""
         match entry:
             case UsageCounted():
                 self._add_counts(entry)
-            case UsageCommitted() if leads:
+            case UsageCommitted() if by_leader:
                 self._commit(entry)
             case UsageReported():
-                self.unreported.pop(entry.window, None)
+                self.unreported_counts_by_window.pop(entry.window, None)
 
     def _add_counts(self, entry: UsageCounted) -> None:
-        if self.through is not None and entry.window <= self.through:
-            self.late += sum(entry.counts.values())
+        if self.last_committed_window is not None and entry.window <= self.last_committed_window:
+            self.late_requests += sum(entry.counts.values())
             return
         window = self._open_windows.setdefault(entry.window, _OpenWindow(Counter(), set()))
         count_id = (entry.meter, entry.number)
@@ -74,14 +74,14 @@
             del self._open_windows[min(self._open_windows)]
 
     def _commit(self, entry: UsageCommitted) -> None:
-        if self.through is not None and entry.window <= self.through:
+        if self.last_committed_window is not None and entry.window <= self.last_committed_window:
             return
-        self.through = entry.window
-        self.unreported[entry.window] = entry.counts
+        self.last_committed_window = entry.window
+        self.unreported_counts_by_window[entry.window] = entry.counts
         for window in [window for window in self._open_windows if window <= entry.window]:
             del self._open_windows[window]
 
-    def counts_of(self, window: int) -> Counts:
+    def counts_of(self, window: int) -> CountByTenant:
         """Return the counts of a window that is not committed, by tenant."""
         open_window = self._open_windows.get(window)
         return dict(open_window.counts) if open_window is not None else {}
--- a/passgate/duties/usage_reporter.py
+++ b/passgate/duties/usage_reporter.py
@@ -11,8 +11,8 @@
 
 from passgate.clock import monotonic_s
 from passgate.decisions import DecisionLog, UsageReportSent, UsageWindowCommitted
-from passgate.duties.calls import CallRateLimiter, DutyCalls, DutyOutcome, UsageReport
-from passgate.duties.usage_fold import UsageFold
+from passgate.duties.calls import CallRateLimiter, DutyClient, DutyOutcome, UsageReport
+from passgate.duties.usage_fold import UsageProjection
 from passgate.duties.windows import UsageWindows
 from passgate.jobs.journal import Journal
 from passgate.jobs.records import UsageCommitted, UsageReported
@@ -36,10 +36,10 @@
 
     def __init__(
         self,
-        projection: UsageFold,
+        projection: UsageProjection,
         journal: Journal,
         leadership: Leadership,
-        client: DutyCalls,
+        client: DutyClient,
         rate_limiter: CallRateLimiter,
         windows: UsageWindows,
         wall_clock_s: Callable[[], float],
@@ -101,8 +101,8 @@
 
     def _oldest_uncommitted_window(self) -> int:
         """Return the oldest window whose report is not committed."""
-        if self._projection.through is not None:
-            return self._projection.through + 1
+        if self._projection.last_committed_window is not None:
+            return self._projection.last_committed_window + 1
         if self._first_led_window is None:
             self._first_led_window = self._windows.window_at(self._wall_clock_s())
         first_counted = self._projection.first_uncommitted_window()
@@ -112,13 +112,20 @@
         """Send the oldest report that is not known to be accepted."""
         now_s = monotonic_s()
         fence = self._leadership.fence
-        if not self._projection.unreported or now_s < self._next_send_s or fence == self._refused_fence:
+        if (
+            not self._projection.unreported_counts_by_window
+            or now_s < self._next_send_s
+            or fence == self._refused_fence
+        ):
             return
         if not self._rate_limiter.try_acquire(now_s):
             return
-        window = min(self._projection.unreported)
+        window = min(self._projection.unreported_counts_by_window)
         report = UsageReport(
-            window=window, counts=self._projection.unreported[window], holder=self._holder, fence=fence
+            window=window,
+            counts=self._projection.unreported_counts_by_window[window],
+            holder=self._holder,
+            fence=fence,
         )
         outcome = await self._client.report_usage(report)
         self._decisions.write(UsageReportSent(window=window, fence=fence, outcome=outcome.value))
@@ -127,7 +134,7 @@
     def _handle_outcome(self, window: int, fence: int, outcome: DutyOutcome) -> None:
         match outcome:
             case DutyOutcome.ACCEPTED:
-                self._projection.unreported.pop(window, None)
+                self._projection.unreported_counts_by_window.pop(window, None)
                 self._journal.put(UsageReported(window=window))
                 self._retry_pause_s = FIRST_RETRY_PAUSE_S
             case DutyOutcome.REFUSED:
--- a/passgate/duties/wall_clock.py
+++ b/passgate/duties/wall_clock.py
@@ -3,7 +3,7 @@
 The daemon reads the machine's clock once and then advances by the monotonic clock.  At intervals it moves
 to the median of its own and other daemons' clocks, which corrects a wrong reading at the start.
 
->>> clock = AgreedWallClock(wall_s=lambda: 100.0, monotonic_s=lambda: 7.0)
+>>> clock = SynchronizedWallClock(wall_s=lambda: 100.0, monotonic_s=lambda: 7.0)
 >>> clock.now_s()
 100.0
 >>> clock.adjust_to_median([103.0, 102.9], at_monotonic_s=7.0)
@@ -20,7 +20,7 @@
 """Fewest clocks of other daemons; with the own one, a single wrong clock can't shift the median."""
 
 
-class AgreedWallClock:
+class SynchronizedWallClock:
     """The time of day as agreed among daemons."""
 
     def __init__(self, wall_s: Callable[[], float], monotonic_s: Callable[[], float]) -> None:
--- a/passgate/eligibility/cold_replicas.py
+++ b/passgate/eligibility/cold_replicas.py
@@ -5,10 +5,10 @@
 It then counts as cold until an entry that was certainly written later is read.  Replicas of services
 without a limit are never cold.
 
->>> limits = {"s": ColdLimit(lasts_s=3.0, most_per_s=29)}
+>>> limits = {"s": ColdLimit(max_duration_s=3.0, max_requests_per_s=29)}
 >>> cold = ColdReplicas(limits.get)
 >>> info = ReplicaInfo(replica_id="r", service="s", address="h:1", zone="z", slots=4, cold_ms=2000)
->>> cold.entry_read(info, now_s=10.0)
+>>> cold.apply_entry(info, now_s=10.0)
 >>> cold.is_cold(info, now_s=11.9), cold.is_cold(info, now_s=12.1)
 (True, False)
 """
@@ -31,9 +31,9 @@
 class ColdLimit(msgspec.Struct, frozen=True, kw_only=True):
     """Limit on the requests that a cold replica of a service may get."""
 
-    lasts_s: float
+    max_duration_s: float
     """Longest time for which a replica stays cold."""
-    most_per_s: int
+    max_requests_per_s: int
     """Most requests that one replica may get in any second, from all daemons together."""
 
 
@@ -61,18 +61,22 @@
         self._possibly_cold_by_id: dict[str, _PossiblyCold] = {}
         """Replica ID to the period in which the replica is possibly cold."""
 
-    def entry_read(self, info: ReplicaInfo, now_s: float, *, listed: bool = False) -> None:
+    def apply_entry(self, info: ReplicaInfo, now_s: float, *, from_full_list: bool = False) -> None:
         """Apply a discovery entry that was just read.
 
         Args:
             info: the entry.
             now_s: loop time.
-            listed: whether the entry is part of a full list.  It may then have been written before the
-                replica became possibly cold, so it does not end that period.
+            from_full_list: whether the entry is part of a full list.  It may then have been written before
+                the replica became possibly cold, so it does not end that period.
         """
         replica_id = info.replica_id
         possibly_cold = self._possibly_cold_by_id.get(replica_id)
-        if possibly_cold is not None and not listed and now_s - possibly_cold.since_s >= MAX_ENTRY_DELAY_S:
+        if (
+            possibly_cold is not None
+            and not from_full_list
+            and now_s - possibly_cold.since_s >= MAX_ENTRY_DELAY_S
+        ):
             del self._possibly_cold_by_id[replica_id]
         if info.cold_ms > 0:
             self._cold_until_s_by_id[replica_id] = now_s + info.cold_ms / 1000
@@ -85,12 +89,12 @@
             self._cold_until_s_by_id.get(replica_id, DISTANT_PAST_S), now_s + remaining_s
         )
 
-    def unreachable(self, info: ReplicaInfo, now_s: float) -> None:
+    def mark_unreachable(self, info: ReplicaInfo, now_s: float) -> None:
         """Mark a replica that could not be reached as possibly cold; it may restart cold at any time."""
         if self.limit_of(info.service) is not None:
             self._possibly_cold_by_id[info.replica_id] = _PossiblyCold(since_s=now_s, until_s=math.inf)
 
-    def reached(self, info: ReplicaInfo, now_s: float) -> None:
+    def record_response(self, info: ReplicaInfo, now_s: float) -> None:
         """Record a response: a replica that was unreachable has restarted by now if it has at all.
 
         It is possibly cold for at most the service's longest cold period from now on.
@@ -98,27 +102,27 @@
         possibly_cold = self._possibly_cold_by_id.get(info.replica_id)
         limit = self.limit_of(info.service)
         if possibly_cold is not None and limit is not None:
-            possibly_cold.until_s = min(possibly_cold.until_s, now_s + limit.lasts_s)
+            possibly_cold.until_s = min(possibly_cold.until_s, now_s + limit.max_duration_s)
 
-    def turned_cold(self, infos: Iterable[ReplicaInfo], now_s: float) -> None:
+    def mark_possibly_cold(self, infos: Iterable[ReplicaInfo], now_s: float) -> None:
         """Mark replicas as possibly cold from now on, for the longest cold period or until a later entry."""
         for info in infos:
             limit = self.limit_of(info.service)
             if limit is not None:
                 self._possibly_cold_by_id[info.replica_id] = _PossiblyCold(
-                    since_s=now_s, until_s=now_s + limit.lasts_s
+                    since_s=now_s, until_s=now_s + limit.max_duration_s
                 )
 
     @property
-    def any(self) -> bool:
+    def any_may_be_cold(self) -> bool:
         """Whether any replica is recorded as cold or possibly cold."""
         return bool(self._cold_until_s_by_id or self._possibly_cold_by_id)
 
     def is_cold(self, info: ReplicaInfo, now_s: float) -> bool:
         """Whether a replica is cold or possibly cold."""
-        return self.any and self.left_s(info, now_s) > 0.0
+        return self.any_may_be_cold and self.remaining_cold_s(info, now_s) > 0.0
 
-    def left_s(self, info: ReplicaInfo, now_s: float) -> float:
+    def remaining_cold_s(self, info: ReplicaInfo, now_s: float) -> float:
         """Return for how long a replica still counts as cold; 0 if it is warm, infinite if unreachable."""
         if self.limit_of(info.service) is None:
             return 0.0
@@ -130,7 +134,7 @@
             0.0,
         )
 
-    def forget(self, listed_ids: set[str], now_s: float) -> None:
+    def drop_expired(self, listed_ids: set[str], now_s: float) -> None:
         """Drop periods that are over and those of replicas that discovery no longer lists."""
         for replica_id in [
             key
--- a/passgate/eligibility/cold_rule.py
+++ b/passgate/eligibility/cold_rule.py
@@ -1,29 +1,29 @@
 """Send rule: a request to a cold replica needs a permit.
 
 >>> from passgate.eligibility.cold_replicas import ColdLimit
->>> from passgate.eligibility.rules import ANY_REQUEST
->>> cold = ColdReplicas({"s": ColdLimit(lasts_s=3.0, most_per_s=29)}.get)
->>> permits = PermitStock()
+>>> from passgate.eligibility.rules import ANY_REGION_REQUEST
+>>> cold = ColdReplicas({"s": ColdLimit(max_duration_s=3.0, max_requests_per_s=29)}.get)
+>>> permits = PermitPool()
 >>> rule = ColdRule(cold, permits)
 >>> info = ReplicaInfo(replica_id="r", service="s", address="h:1", zone="z", slots=4, cold_ms=2000)
->>> cold.entry_read(info, now_s=0.0)
->>> rule.allows(info, ANY_REQUEST, now_s=0.1)
+>>> cold.apply_entry(info, now_s=0.0)
+>>> rule.allows(info, ANY_REGION_REQUEST, now_s=0.1)
 False
 >>> permits.add({"r": 1}, requested_s=0.1, now_s=0.2)
->>> rule.allows(info, ANY_REQUEST, now_s=0.2)
+>>> rule.allows(info, ANY_REGION_REQUEST, now_s=0.2)
 True
->>> round(rule.record_send(info, ANY_REQUEST, now_s=0.2), 3)
+>>> round(rule.record_send(info, ANY_REGION_REQUEST, now_s=0.2), 3)
 0.5
->>> rule.allows(info, ANY_REQUEST, now_s=0.2), rule.allows(info, ANY_REQUEST, now_s=3.0)
+>>> rule.allows(info, ANY_REGION_REQUEST, now_s=0.2), rule.allows(info, ANY_REGION_REQUEST, now_s=3.0)
 (False, True)
 """
 
 from __future__ import annotations
 
 from passgate.eligibility.cold_replicas import ColdReplicas
-from passgate.eligibility.permits import MAX_SEND_DELAY_S, PermitStock
+from passgate.eligibility.permits import MAX_SEND_DELAY_S, PermitPool
 from passgate.eligibility.replica_info import ReplicaInfo
-from passgate.eligibility.rules import SendKind, SendTerms
+from passgate.eligibility.rules import SendContext, SendKind
 
 
 class ColdRule:
@@ -31,17 +31,17 @@
 
     name = "cold"
 
-    def __init__(self, cold: ColdReplicas, permits: PermitStock) -> None:
+    def __init__(self, cold: ColdReplicas, permits: PermitPool) -> None:
         self._cold = cold
         self._permits = permits
 
-    def allows(self, replica: ReplicaInfo, context: SendTerms, now_s: float) -> bool:
+    def allows(self, replica: ReplicaInfo, context: SendContext, now_s: float) -> bool:
         """Whether the replica is warm or a permit for it is held."""
         return not self._needs_permit(replica, context, now_s) or self._permits.has_permit(
             replica.replica_id, now_s
         )
 
-    def record_send(self, replica: ReplicaInfo, context: SendTerms, now_s: float) -> float | None:
+    def record_send(self, replica: ReplicaInfo, context: SendContext, now_s: float) -> float | None:
         """Use up a permit if one is needed; it must be held.
 
         Returns:
@@ -51,16 +51,16 @@
             return self._permits.use_permit(replica.replica_id, now_s) + MAX_SEND_DELAY_S
         return None
 
-    def has_room(self, replica: ReplicaInfo, context: SendTerms, now_s: float) -> bool:
+    def may_claim_permit(self, replica: ReplicaInfo, context: SendContext, now_s: float) -> bool:
         """Whether a permit is left that no recently chosen request has claimed; true if none is needed."""
         if not self._needs_permit(replica, context, now_s):
             return True
         return self._permits.has_unclaimed_permit(replica.replica_id, now_s)
 
-    def chosen(self, replica: ReplicaInfo, context: SendTerms, now_s: float) -> None:
+    def claim_permit(self, replica: ReplicaInfo, context: SendContext, now_s: float) -> None:
         """Claim a permit for the request for which the replica was chosen, if it needs one."""
         if self._needs_permit(replica, context, now_s):
             self._permits.claim_permit(replica.replica_id, now_s)
 
-    def _needs_permit(self, replica: ReplicaInfo, context: SendTerms, now_s: float) -> bool:
+    def _needs_permit(self, replica: ReplicaInfo, context: SendContext, now_s: float) -> bool:
         return context.kind is SendKind.REQUEST and self._cold.is_cold(replica, now_s)
--- a/passgate/eligibility/evacuation.py
+++ b/passgate/eligibility/evacuation.py
@@ -4,8 +4,8 @@
 the higher offset is right as a whole, so a view is replaced and never merged with another one.
 
 >>> zones = EvacuatedZones(DecisionLog("d1", write=len))
->>> zones.replace({"z1"}, next_offset=7)
->>> zones.learn(EvacuationView(offset=5), peer="h:1", age_s=0.1)
+>>> zones.apply_snapshot({"z1"}, next_offset=7)
+>>> zones.adopt_newer_view(EvacuationView(offset=5), peer="h:1", age_s=0.1)
 >>> "z1" in zones, zones.view.offset
 (True, 7)
 """
@@ -18,7 +18,7 @@
 
 from passgate.decisions import DecisionLog, EvacuationEnded, ZoneEvacuated
 from passgate.eligibility.replica_info import ReplicaInfo
-from passgate.eligibility.rules import SendTerms
+from passgate.eligibility.rules import SendContext
 
 SOURCE_LOG, SOURCE_PEER = "log", "peer"
 """Values of `source` in decision lines: the operator's topic, or another daemon."""
@@ -58,7 +58,7 @@
     def __init__(self, decisions: DecisionLog) -> None:
         self._decisions = decisions
         self._view = EvacuationView(offset=0)
-        self.on_ended: list[Callable[[str], None]] = []
+        self.on_evacuation_ended: list[Callable[[str], None]] = []
         """Callbacks that get each zone whose evacuation has ended; its replicas may be cold."""
 
     @property
@@ -74,7 +74,7 @@
         """Return the number of evacuated zones."""
         return len(self._view.zones)
 
-    def replace(self, zones: Iterable[str], next_offset: int) -> None:
+    def apply_snapshot(self, zones: Iterable[str], next_offset: int) -> None:
         """Apply a snapshot of the operator's topic, unless a newer view is known.
 
         An evacuation that the snapshot lacks has ended.
@@ -84,7 +84,7 @@
                 EvacuationView(offset=next_offset, zones=frozenset(zones)), _ViewSource(name=SOURCE_LOG)
             )
 
-    def update(self, changes: Iterable[EvacuationChange], next_offset: int) -> None:
+    def apply_changes(self, changes: Iterable[EvacuationChange], next_offset: int) -> None:
         """Apply records of the operator's topic; those that the view already contains are skipped."""
         zones = set(self._view.zones)
         for change in changes:
@@ -97,7 +97,7 @@
         offset = max(next_offset, self._view.offset)
         self._set_view(EvacuationView(offset=offset, zones=frozenset(zones)), _ViewSource(name=SOURCE_LOG))
 
-    def learn(self, view: EvacuationView, *, peer: str, age_s: float) -> None:
+    def adopt_newer_view(self, view: EvacuationView, *, peer: str, age_s: float) -> None:
         """Replace the view by another daemon's if that is newer.
 
         Args:
@@ -114,7 +114,7 @@
             self._write_decision(ZoneEvacuated, zone, source)
         for zone in sorted(before - view.zones):
             self._write_decision(EvacuationEnded, zone, source)
-            for callback in self.on_ended:
+            for callback in self.on_evacuation_ended:
                 callback(zone)
 
     def _write_decision(
@@ -139,9 +139,9 @@
     def __init__(self, evacuated: EvacuatedZones) -> None:
         self._evacuated = evacuated
 
-    def allows(self, replica: ReplicaInfo, context: SendTerms, now_s: float) -> bool:
+    def allows(self, replica: ReplicaInfo, context: SendContext, now_s: float) -> bool:
         """Whether the replica's zone is not evacuated."""
         return replica.zone not in self._evacuated
 
-    def record_send(self, replica: ReplicaInfo, context: SendTerms, now_s: float) -> None:
+    def record_send(self, replica: ReplicaInfo, context: SendContext, now_s: float) -> None:
         """Do nothing; the rule counts no sends."""
--- a/passgate/eligibility/known_service.py
+++ b/passgate/eligibility/known_service.py
@@ -3,7 +3,7 @@
 Another writer of the discovery topic may list a replica of a service that does not exist.
 
 >>> replica = ReplicaInfo(replica_id="r", service="unlisted", address="h:1", zone="z", slots=4)
->>> KnownServiceRule({"app"}.__contains__).allows(replica, SendTerms(), now_s=0.0)
+>>> KnownServiceRule({"app"}.__contains__).allows(replica, SendContext(), now_s=0.0)
 False
 """
 
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 
 from passgate.eligibility.replica_info import ReplicaInfo
-from passgate.eligibility.rules import SendTerms
+from passgate.eligibility.rules import SendContext
 
 
 class KnownServiceRule:
@@ -23,9 +23,9 @@
     def __init__(self, is_known: Callable[[str], bool]) -> None:
         self._is_known = is_known
 
-    def allows(self, replica: ReplicaInfo, context: SendTerms, now_s: float) -> bool:
+    def allows(self, replica: ReplicaInfo, context: SendContext, now_s: float) -> bool:
         """Whether the active configuration names the replica's service."""
         return self._is_known(replica.service)
 
-    def record_send(self, replica: ReplicaInfo, context: SendTerms, now_s: float) -> None:
+    def record_send(self, replica: ReplicaInfo, context: SendContext, now_s: float) -> None:
         """Do nothing; the rule counts no sends."""
--- a/passgate/eligibility/permit_grantor.py
+++ b/passgate/eligibility/permit_grantor.py
@@ -8,9 +8,9 @@
 import msgspec
 
 from passgate.clock import monotonic_s
-from passgate.decisions import DecisionLog, PermitsBegan
+from passgate.decisions import DecisionLog, PermitIssuingStarted
 from passgate.eligibility.cold_replicas import ColdLimit
-from passgate.eligibility.permits import PermitGrants, PermitTally
+from passgate.eligibility.permits import PermitAllocator, PermitCounters
 
 
 class PermitRequest(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
@@ -47,39 +47,39 @@
         ...
 
 
-class PermitGrantor:
+class PermitIssuer:
     """Responds to permit requests: grants permits while this daemon leads, else names the leader."""
 
     def __init__(
         self,
         lease: LeaderLease,
-        leader: Callable[[], str],
+        find_leader: Callable[[], str],
         limit_of: Callable[[str], ColdLimit | None],
-        cold_ms: Callable[[], dict[str, int]],
-        tally: PermitTally,
+        list_cold_ms: Callable[[], dict[str, int]],
+        counters: PermitCounters,
         decisions: DecisionLog,
     ) -> None:
         """Create the issuer.
 
         Args:
             lease: the leader's lease.
-            leader: returns the name of the leader as far as this daemon knows it.
+            find_leader: returns the name of the leader as far as this daemon knows it.
             limit_of: returns the limit of a service, or None.
-            cold_ms: returns the IDs of the cold replicas, each with the time for which it stays cold.
-            tally: counters of permits.
+            list_cold_ms: returns the IDs of the cold replicas, each with the time for which it stays cold.
+            counters: counters of permits.
             decisions: log of decision lines.
         """
         self._lease = lease
-        self._find_leader = leader
+        self._find_leader = find_leader
         self._limit_of = limit_of
-        self._list_cold_ms = cold_ms
-        self._counts = tally
+        self._list_cold_ms = list_cold_ms
+        self._counts = counters
         self._decisions = decisions
-        self._allocator = PermitGrants()
+        self._allocator = PermitAllocator()
         self._announced_fence: int | None = None
-        """Fence for which a `PermitsBegan` line was written last."""
+        """Fence for which a `PermitIssuingStarted` line was written last."""
 
-    def tick(self) -> None:
+    def update(self) -> None:
         """Update the leadership, drop expired grants, and write a decision line once grants may begin.
 
         To be called often: a new leader may grant only some time after the call that finds it leading.
@@ -92,15 +92,15 @@
             and self._announced_fence != self._lease.fence
         ):
             self._announced_fence = self._lease.fence
-            self._decisions.write(PermitsBegan(fence=self._lease.fence))
+            self._decisions.write(PermitIssuingStarted(fence=self._lease.fence))
 
     def _update_leadership(self, now_s: float) -> bool:
         """Pass on to the allocator whether this daemon leads, and return it."""
         may_order = self._lease.may_order()
-        self._allocator.lead(self._lease.fence if may_order else None, now_s)
+        self._allocator.set_leadership(self._lease.fence if may_order else None, now_s)
         return may_order
 
-    def answer(self, requester: str, request: PermitRequest) -> PermitResponse:
+    def handle_request(self, requester: str, request: PermitRequest) -> PermitResponse:
         """Return the response to a permit request of the daemon at an address."""
         if not self._update_leadership(monotonic_s()):
             return PermitResponse(leader=self._find_leader())
@@ -108,7 +108,7 @@
         for replica_id, service in request.service_by_replica_id.items():
             limit = self._limit_of(service)
             if limit is not None:
-                limit_by_replica_id[replica_id] = limit.most_per_s
+                limit_by_replica_id[replica_id] = limit.max_requests_per_s
         granted = self._allocator.grant(requester, limit_by_replica_id, request.count, monotonic_s())
         self._counts.given += sum(granted.values())
         self._counts.refused += request.count > 0 and not granted
--- a/passgate/eligibility/permit_peers.py
+++ b/passgate/eligibility/permit_peers.py
@@ -17,8 +17,8 @@
 
 from passgate.clock import monotonic_s
 from passgate.eligibility.cold_replicas import ColdReplicas
-from passgate.eligibility.permit_grantor import PermitGrantor, PermitRequest, PermitResponse
-from passgate.eligibility.permits import PERMIT_LIFETIME_S, PermitStock
+from passgate.eligibility.permit_grantor import PermitIssuer, PermitRequest, PermitResponse
+from passgate.eligibility.permits import PERMIT_LIFETIME_S, PermitPool
 from passgate.errors import PeerError
 from passgate.peers.transport import PeerTransport
 from passgate.sharedlog.member_names import address_of
@@ -37,7 +37,7 @@
 """Most permits in one request, so that one daemon cannot take the rate of many cold replicas."""
 REQUESTED_PER_USED_PERMIT = 2
 """Permits to request for each one used since the last request; a small factor lets few expire unused."""
-TICK_S = 0.1
+CHECK_INTERVAL_S = 0.1
 """Interval of the checks of the leadership and of the age of the log's view."""
 STALE_LOG_AGE_S = 1.3
 """Age of the view of the log from which it counts as stale; without news it is confirmed every second."""
@@ -47,17 +47,17 @@
 """Most daemons to which one request is sent, one after the other."""
 
 
-class PermitPeers:
+class PermitClient:
     """Requests permits for this daemon as they are needed, and responds to other daemons' requests."""
 
     def __init__(
         self,
         transport: PeerTransport,
-        issuer: PermitGrantor,
-        stock: PermitStock,
+        issuer: PermitIssuer,
+        permits: PermitPool,
         cold: ColdReplicas,
-        watcher: Callable[[], Awaitable[str | None]],
-        others: Callable[[], list[str]],
+        find_watcher: Callable[[], Awaitable[str | None]],
+        list_others: Callable[[], list[str]],
         log_age_s: Callable[[], float],
     ) -> None:
         """Create the client; it has at most one request in flight.
@@ -65,20 +65,20 @@
         Args:
             transport: sends requests to other daemons.
             issuer: this daemon's permit issuer, which responds in case it leads.
-            stock: the permits that this daemon holds.
+            permits: the permits that this daemon holds.
             cold: the cold replicas as this daemon knows them.
-            watcher: returns the name of a daemon that probably knows the leader, or None.
-            others: returns the names of other daemons, in any order.
+            find_watcher: returns the name of a daemon that probably knows the leader, or None.
+            list_others: returns the names of other daemons, in any order.
             log_age_s: returns the age of this daemon's view of the log.
         """
         self._transport = transport
         self._issuer = issuer
-        self._permits = stock
+        self._permits = permits
         self._cold = cold
-        self._find_watcher = watcher
-        self._list_others = others
+        self._find_watcher = find_watcher
+        self._list_others = list_others
         self._log_age_s = log_age_s
-        self.leader = ""
+        self.leader_address = ""
         """Address of the daemon that responded as leader last; empty if none did."""
         self._used_at_last_request = 0
         """Value of the counter of used permits at the last request."""
@@ -90,7 +90,7 @@
         """Send requests as permits or the list of cold replicas are needed, until cancelled."""
         while True:
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(TICK_S):
+                async with asyncio.timeout(CHECK_INTERVAL_S):
                     await self._permits.permits_requested.wait()
             if self._permits.requested_services_by_id or self._must_request_cold():
                 await self._request_once()
@@ -106,9 +106,9 @@
         request = self._make_request()
         response = await self._request_from_leader(request)
         if response is None:
-            self._permits.tally.unanswered += 1
+            self._permits.counters.unanswered += 1
         elif request.count and not response.granted:
-            self._permits.tally.wanting += 1
+            self._permits.counters.wanting += 1
         was_granted = response is not None and bool(response.granted)
         self._request_interval_s = (
             MIN_REQUEST_INTERVAL_S
@@ -121,7 +121,7 @@
         if include_cold:
             self._cold_requested_s = monotonic_s()
         service_by_replica_id = self._permits.take_requested()
-        used = self._permits.tally.used
+        used = self._permits.counters.used
         count = (
             min(REQUESTED_PER_USED_PERMIT * (used - self._used_at_last_request) + 1, MAX_PERMITS_PER_REQUEST)
             if service_by_replica_id
@@ -143,17 +143,17 @@
             tried.add(address)
             response = await self._request_from(address, request)
             if response is not None and response.granted is not None:
-                self.leader = address
+                self.leader_address = address
                 return response
             if response is not None:
                 candidates.appendleft(address_of(response.leader))
-        self.leader = ""
+        self.leader_address = ""
         return None
 
     async def _leader_candidates(self) -> list[str]:
         """Return addresses of daemons to try, the most probable leader first."""
-        if self.leader:
-            return [self.leader]
+        if self.leader_address:
+            return [self.leader_address]
         watcher = await self._find_watcher()
         return [
             self._transport.address,
@@ -164,7 +164,7 @@
         """Send a request to one daemon and apply its response; None if there is no readable one."""
         requested_s = monotonic_s()
         if address == self._transport.address:
-            response = self._issuer.answer(address, request)
+            response = self._issuer.handle_request(address, request)
         else:
             try:
                 payload = msgspec.json.encode(request)
@@ -181,11 +181,11 @@
             self._cold.record_reported_cold(replica_id, remaining_ms / 1000, now_s)
         return response
 
-    def answer(self, sender: str, payload: bytes) -> bytes:
+    def handle_request(self, sender: str, payload: bytes) -> bytes:
         """Return the encoded response to another daemon's request.
 
         Raises:
             msgspec.DecodeError: the payload is no permit request.
         """
         request = msgspec.json.decode(payload, type=PermitRequest)
-        return msgspec.json.encode(self._issuer.answer(sender, request))
+        return msgspec.json.encode(self._issuer.handle_request(sender, request))
--- a/passgate/eligibility/permits.py
+++ b/passgate/eligibility/permits.py
@@ -4,8 +4,8 @@
 grant.  A request leaves at most MAX_SEND_DELAY_S after its permit's expiry.  So all requests of one second
 use permits of one GRANT_WINDOW_S, in which no more are granted than the replica's limit.
 
->>> allocator = PermitGrants()
->>> allocator.lead(1, now_s=0.0)
+>>> allocator = PermitAllocator()
+>>> allocator.set_leadership(1, now_s=0.0)
 >>> limits = {"r": 3}
 >>> allocator.grant("a", limits, count=2, now_s=1.0), allocator.grant("a", limits, count=2, now_s=2.0)
 ({}, {'r': 2})
@@ -94,20 +94,20 @@
         return max(min(available, share - granted[requester]), available - reserved_for_others, 0)
 
 
-class PermitGrants:
+class PermitAllocator:
     """Grants permits within the limit of each replica; grants none unless this daemon has led for a while.
 
     The caller must ask it for grants only while this daemon holds the leader's lease.
     """
 
-    def __init__(self, span_s: float = GRANT_WINDOW_S) -> None:
-        self._window_s = span_s
+    def __init__(self, window_s: float = GRANT_WINDOW_S) -> None:
+        self._window_s = window_s
         self._fence: int | None = None
         self._leading_since_s = math.inf
         """Loop time since which this daemon has led under ``_fence``; infinite before it first leads."""
         self._grants_by_replica_id: dict[str, _ReplicaGrants] = {}
 
-    def lead(self, fence: int | None, now_s: float) -> None:
+    def set_leadership(self, fence: int | None, now_s: float) -> None:
         """Record under which fence this daemon leads now; None, which changes nothing, if it does not."""
         if fence is not None and fence != self._fence:
             self._fence = fence
@@ -188,7 +188,7 @@
     return limit
 
 
-class PermitTally(msgspec.Struct):
+class PermitCounters(msgspec.Struct):
     """Counters of one daemon's permits and permit requests; each only increases."""
 
     got: int = 0
@@ -206,7 +206,7 @@
     """Requests for permits that this daemon answered as permit issuer without granting any."""
 
 
-class PermitStock:
+class PermitPool:
     """The permits that a daemon holds, and the replicas for which it needs more."""
 
     def __init__(self) -> None:
@@ -218,7 +218,7 @@
         """ID of each replica that lacked a permit since the last permit request, to its service."""
         self.permits_requested = asyncio.Event()
         """Set while ``requested_services_by_id`` is not empty."""
-        self.tally = PermitTally()
+        self.counters = PermitCounters()
 
     def add(self, granted: Mapping[str, int], requested_s: float, now_s: float) -> None:
         """Add granted permits; those that have already expired are only counted.
@@ -230,13 +230,13 @@
         """
         expires_s = requested_s + PERMIT_LIFETIME_S
         for replica_id, count in granted.items():
-            self.tally.got += count
+            self.counters.got += count
             if now_s >= expires_s:
-                self.tally.expired += count
+                self.counters.expired += count
                 continue
             self._expiry_times_s_by_id.setdefault(replica_id, deque()).extend([expires_s] * count)
 
-    def want(self, replica_id: str, service: str) -> None:
+    def request_permit(self, replica_id: str, service: str) -> None:
         """Request a permit for a replica to which a request would be sent if there were one."""
         self.requested_services_by_id[replica_id] = service
         self.permits_requested.set()
@@ -271,12 +271,12 @@
         """
         self._count_valid(replica_id, now_s)  # drops expired permits
         expires_s = self._expiry_times_s_by_id[replica_id].popleft()
-        self.tally.used += 1
+        self.counters.used += 1
         if self._count_claims(replica_id, now_s):
             self._claim_times_s_by_id[replica_id].popleft()
         return expires_s
 
-    def forget_old(self, now_s: float) -> None:
+    def drop_expired(self, now_s: float) -> None:
         """Drop expired permits and claims."""
         for replica_id in list(self._expiry_times_s_by_id):
             if not self._count_valid(replica_id, now_s):
@@ -292,7 +292,7 @@
             return 0
         while expiry_times_s and expiry_times_s[0] <= now_s:
             expiry_times_s.popleft()
-            self.tally.expired += 1
+            self.counters.expired += 1
         return len(expiry_times_s)
 
     def _count_claims(self, replica_id: str, now_s: float) -> int:
--- a/passgate/eligibility/places.py
+++ b/passgate/eligibility/places.py
@@ -1,6 +1,6 @@
 """Zones and the regions that they belong to, from the settings.
 
->>> places = Places(zone="a1", regions={"a1": "a", "a2": "a", "b1": "b"})
+>>> places = Topology(zone="a1", region_by_zone={"a1": "a", "a2": "a", "b1": "b"})
 >>> places.region, places.region_of("b1"), places.region_of("unknown")
 ('a', 'b', '')
 """
@@ -13,12 +13,12 @@
 """Region of a zone that the settings do not name; no list of allowed regions contains it."""
 
 
-class Places(msgspec.Struct, frozen=True, kw_only=True):
+class Topology(msgspec.Struct, frozen=True, kw_only=True):
     """The zone of this daemon and the region of each zone."""
 
     zone: str
     """Zone of this daemon."""
-    regions: dict[str, str] = {}
+    region_by_zone: dict[str, str] = {}
     """Zone to region."""
 
     @property
@@ -28,4 +28,4 @@
 
     def region_of(self, zone: str) -> str:
         """Return the region of a zone, or `UNKNOWN_REGION`."""
-        return self.regions.get(zone, UNKNOWN_REGION)
+        return self.region_by_zone.get(zone, UNKNOWN_REGION)
--- a/passgate/eligibility/regions.py
+++ b/passgate/eligibility/regions.py
@@ -3,9 +3,9 @@
 A route and a tenant may each name allowed regions.  A request may be served only in regions that both
 allow, and nowhere if they have none in common.
 
->>> common_regions(frozenset({"a", "b"}), frozenset({"b", "c"})) == {"b"}
+>>> intersect_regions(frozenset({"a", "b"}), frozenset({"b", "c"})) == {"b"}
 True
->>> common_regions(frozenset(), frozenset()) is None, common_regions(frozenset({"a"}), frozenset())
+>>> intersect_regions(frozenset(), frozenset()) is None, intersect_regions(frozenset({"a"}), frozenset())
 (True, frozenset({'a'}))
 """
 
@@ -13,15 +13,15 @@
 
 from collections.abc import Callable
 
-from passgate.eligibility.places import Places
+from passgate.eligibility.places import Topology
 from passgate.eligibility.replica_info import ReplicaInfo
-from passgate.eligibility.rules import SendKind, SendTerms
+from passgate.eligibility.rules import SendContext, SendKind
 
 SendCounter = Callable[[str, bool], None]
 """Called with the region that a request was sent to, and whether it differs from this daemon's region."""
 
 
-def common_regions(*restrictions: frozenset[str]) -> frozenset[str] | None:
+def intersect_regions(*restrictions: frozenset[str]) -> frozenset[str] | None:
     """Return the regions that all restrictions allow.
 
     An empty restriction allows any region.  The result is None if any region is allowed, and empty if
@@ -34,10 +34,10 @@
     return allowed
 
 
-def may_be_in(allowed_regions: frozenset[str] | None, region: str) -> bool:
+def is_region_allowed(allowed_regions: frozenset[str] | None, region: str) -> bool:
     """Whether a region is among the allowed ones; None allows any region.
 
-    >>> may_be_in(None, "a"), may_be_in(frozenset({"b"}), "a")
+    >>> is_region_allowed(None, "a"), is_region_allowed(frozenset({"b"}), "a")
     (True, False)
     """
     return allowed_regions is None or region in allowed_regions
@@ -48,16 +48,18 @@
 
     name = "regions"
 
-    def __init__(self, topology: Places, count_send: SendCounter) -> None:
+    def __init__(self, topology: Topology, count_send: SendCounter) -> None:
         """Create the rule; ``count_send`` is called for each request sent, region-restricted or not."""
         self._topology = topology
         self._count_send = count_send
 
-    def allows(self, replica: ReplicaInfo, context: SendTerms, now_s: float) -> bool:
+    def allows(self, replica: ReplicaInfo, context: SendContext, now_s: float) -> bool:
         """Whether the replica's region is allowed; the unknown region is allowed only without restriction."""
-        return context.regions is None or may_be_in(context.regions, self._topology.region_of(replica.zone))
+        return context.allowed_regions is None or is_region_allowed(
+            context.allowed_regions, self._topology.region_of(replica.zone)
+        )
 
-    def record_send(self, replica: ReplicaInfo, context: SendTerms, now_s: float) -> None:
+    def record_send(self, replica: ReplicaInfo, context: SendContext, now_s: float) -> None:
         """Count a request by the region of its replica; control messages are not counted."""
         if context.kind is SendKind.REQUEST:
             region = self._topology.region_of(replica.zone)
--- a/passgate/eligibility/replica_info.py
+++ b/passgate/eligibility/replica_info.py
@@ -1,9 +1,9 @@
 """A replica as discovery lists it, and the incarnation of a replica: one run of its process.
 
->>> incarnation = ReplicaLife("r1", 1_700_000_000_000)
->>> incarnation.text()
+>>> incarnation = ReplicaIncarnation("r1", 1_700_000_000_000)
+>>> incarnation.to_text()
 'r1@1700000000000'
->>> ReplicaLife.from_text(incarnation.text()) == incarnation
+>>> ReplicaIncarnation.from_text(incarnation.to_text()) == incarnation
 True
 """
 
@@ -15,7 +15,7 @@
 """Separates the replica ID from the start time in the text form of an incarnation."""
 
 
-class ReplicaLife(msgspec.Struct, frozen=True, cache_hash=True):
+class ReplicaIncarnation(msgspec.Struct, frozen=True, cache_hash=True):
     """One run of a replica's process.
 
     A replica that restarts may keep its replica ID but loses its state, so daemons key what they observe
@@ -23,17 +23,17 @@
     """
 
     replica_id: str
-    born_unix_ms: int = 0
+    started_unix_ms: int = 0
     """Start time in Unix milliseconds; 0 if not reported, in which case replica IDs are never reused."""
 
-    def text(self) -> str:
+    def to_text(self) -> str:
         """Return the text form for records; the replica ID alone if no start time is reported."""
-        if not self.born_unix_ms and START_TIME_SEPARATOR not in self.replica_id:
+        if not self.started_unix_ms and START_TIME_SEPARATOR not in self.replica_id:
             return self.replica_id
-        return f"{self.replica_id}{START_TIME_SEPARATOR}{self.born_unix_ms}"
+        return f"{self.replica_id}{START_TIME_SEPARATOR}{self.started_unix_ms}"
 
     @classmethod
-    def from_text(cls, text: str) -> ReplicaLife:
+    def from_text(cls, text: str) -> ReplicaIncarnation:
         """Return the incarnation of a text form."""
         replica_id, separator, started = text.rpartition(START_TIME_SEPARATOR)
         if separator and started.isdecimal():
@@ -57,12 +57,12 @@
     """Whether the platform may preempt it at short notice."""
     model_versions: dict[str, int] = {}
     """Model name to the version of the weights that it holds."""
-    born_unix_ms: int = msgspec.field(name="born_unix_ms", default=0)
+    started_unix_ms: int = msgspec.field(name="born_unix_ms", default=0)
     """Start time in Unix milliseconds; 0 if not reported."""
     cold_ms: int = 0
     """Time for which it stays cold, from the writing of this entry; 0 if it is warm."""
 
     @property
-    def life(self) -> ReplicaLife:
+    def incarnation(self) -> ReplicaIncarnation:
         """The incarnation that wrote this entry."""
-        return ReplicaLife(self.replica_id, self.born_unix_ms)
+        return ReplicaIncarnation(self.replica_id, self.started_unix_ms)
--- a/passgate/eligibility/rules.py
+++ b/passgate/eligibility/rules.py
@@ -4,7 +4,7 @@
 is sent, so that no send bypasses a rule that changed its verdict after the choice.
 
 >>> replica = ReplicaInfo(replica_id="r", service="s", address="h:1", zone="z", slots=4, draining=True)
->>> SendRules([DrainingRule()]).allows(replica, SendTerms(), now_s=0.0)
+>>> SendRules([DrainingRule()]).allows(replica, SendContext(), now_s=0.0)
 False
 """
 
@@ -30,17 +30,17 @@
     """Control message of a daemon: reading a replica's report, or an order."""
 
 
-class SendTerms(msgspec.Struct, frozen=True, kw_only=True):
+class SendContext(msgspec.Struct, frozen=True, kw_only=True):
     """What a rule needs to know about a send besides the replica."""
 
     kind: SendKind = SendKind.REQUEST
-    regions: frozenset[str] | None = None
+    allowed_regions: frozenset[str] | None = None
     """Regions that may serve the request; None if any may, empty if none may."""
 
 
-ANY_REQUEST = SendTerms()
+ANY_REGION_REQUEST = SendContext()
 """Context of a request that any region may serve."""
-CONTROL = SendTerms(kind=SendKind.CONTROL)
+CONTROL_MESSAGE = SendContext(kind=SendKind.CONTROL)
 """Context of a control message; it may be sent to any region."""
 
 
@@ -50,11 +50,11 @@
     name: str
     """Name of the rule in errors and metrics."""
 
-    def allows(self, replica: ReplicaInfo, context: SendTerms, now_s: float) -> bool:
+    def allows(self, replica: ReplicaInfo, context: SendContext, now_s: float) -> bool:
         """Whether sending to a replica is allowed now; may be called any number of times before a send."""
         ...
 
-    def record_send(self, replica: ReplicaInfo, context: SendTerms, now_s: float) -> float | None:
+    def record_send(self, replica: ReplicaInfo, context: SendContext, now_s: float) -> float | None:
         """Record a send, after all rules have allowed it.
 
         Returns:
@@ -72,12 +72,12 @@
     """The replica had been chosen, but nothing was sent to it."""
 
 
-class KeptBack(msgspec.Struct, frozen=True, kw_only=True):
+class Exclusion(msgspec.Struct, frozen=True, kw_only=True):
     """Labels under which the exclusion of a replica by a rule is counted."""
 
     rule: str
     kind: SendKind
-    checked_at: CheckStage
+    stage: CheckStage
 
 
 class SendRules:
@@ -85,14 +85,14 @@
 
     def __init__(self, rules: Sequence[SendRule] = ()) -> None:
         self._rules = list(rules)
-        self.kept_back: Counter[KeptBack] = Counter()
+        self.exclusion_counts: Counter[Exclusion] = Counter()
         """Number of exclusions, of replicas in a choice and of sends, by their labels."""
 
     def add(self, rule: SendRule) -> None:
         """Add a rule; rules are checked in the order in which they were added."""
         self._rules.append(rule)
 
-    def allows(self, replica: ReplicaInfo, context: SendTerms, now_s: float) -> bool:
+    def allows(self, replica: ReplicaInfo, context: SendContext, now_s: float) -> bool:
         """Whether all rules allow a send, checked while choosing a replica; counts an exclusion if not."""
         rule = self._first_forbidding_rule(replica, context, now_s)
         if rule is None:
@@ -100,7 +100,7 @@
         self._count_exclusion(rule, context, CheckStage.CHOICE)
         return False
 
-    def admit(self, replica: ReplicaInfo, context: SendTerms, now_s: float) -> float | None:
+    def admit(self, replica: ReplicaInfo, context: SendContext, now_s: float) -> float | None:
         """Check a send just before it happens, and record it with each rule.
 
         Returns:
@@ -119,13 +119,13 @@
         return min((deadline_s for deadline_s in deadlines_s if deadline_s is not None), default=None)
 
     def _first_forbidding_rule(
-        self, replica: ReplicaInfo, context: SendTerms, now_s: float
+        self, replica: ReplicaInfo, context: SendContext, now_s: float
     ) -> SendRule | None:
         """Return the first rule that forbids a send, or None."""
         return next((rule for rule in self._rules if not rule.allows(replica, context, now_s)), None)
 
-    def _count_exclusion(self, rule: SendRule, context: SendTerms, stage: CheckStage) -> None:
-        self.kept_back[KeptBack(rule=rule.name, kind=context.kind, checked_at=stage)] += 1
+    def _count_exclusion(self, rule: SendRule, context: SendContext, stage: CheckStage) -> None:
+        self.exclusion_counts[Exclusion(rule=rule.name, kind=context.kind, stage=stage)] += 1
 
 
 class DrainingRule:
@@ -133,9 +133,9 @@
 
     name = "draining"
 
-    def allows(self, replica: ReplicaInfo, context: SendTerms, now_s: float) -> bool:
+    def allows(self, replica: ReplicaInfo, context: SendContext, now_s: float) -> bool:
         """Whether the replica is not draining."""
         return not replica.draining
 
-    def record_send(self, replica: ReplicaInfo, context: SendTerms, now_s: float) -> None:
+    def record_send(self, replica: ReplicaInfo, context: SendContext, now_s: float) -> None:
         """Do nothing; the rule counts no sends."""
--- a/passgate/emulator/admin_client.py
+++ b/passgate/emulator/admin_client.py
@@ -29,7 +29,7 @@
     def __init__(self, http: HttpClient, address: str, credential: str | None = None) -> None:
         self._http = http
         self._base = f"http://{address}/admin"
-        self._headers = wire.authorization(credential)
+        self._headers = wire.authorization_headers(credential)
 
     async def addresses(self) -> StandInAddresses:
         """Return where everything listens; raises PlatformError."""
--- a/passgate/emulator/app_server.py
+++ b/passgate/emulator/app_server.py
@@ -48,7 +48,7 @@
 
     async def _load(self) -> None:
         report = await self.server.model.load_report(self.server.model_address)
-        self.reply(wire.AppLoadAnswer.of(report))
+        self.reply(wire.AppLoadAnswer.from_report(report))
 
     async def _call(self, request: AppRequest) -> None:
         self.server.count_received(request.request_id)
--- a/passgate/emulator/shared_log.py
+++ b/passgate/emulator/shared_log.py
@@ -27,8 +27,8 @@
 from passgate.sharedlog.log import (
     MAX_PAGE_BYTES,
     AppendConflict,
+    GroupAssignment,
     GroupPartition,
-    GroupShare,
     HistoryGone,
     KeyedRecord,
     KeyedSnapshot,
@@ -219,14 +219,14 @@
 
     async def join(
         self, group: str, member: str, topics: Sequence[str], *, lifetime_s: float, generation: int
-    ) -> GroupShare:
+    ) -> GroupAssignment:
         """Join a group or stay in it; see :class:`SharedLog`."""
         await self._reach(LogUnavailable)
         partitions = [(topic, part) for topic in topics for part in range(self._log.parts)]
         share = self._log.groups.join(group, member, partitions, lifetime_s=lifetime_s, generation=generation)
         await self._answer(LogUnavailable)
         held = frozenset(GroupPartition(topic, part) for topic, part in share.partitions)
-        return GroupShare(generation=share.generation, partitions=held)
+        return GroupAssignment(generation=share.generation, partitions=held)
 
     async def leave(self, group: str, member: str) -> None:
         """Leave a group at once."""
--- a/passgate/emulator/wire.py
+++ b/passgate/emulator/wire.py
@@ -275,7 +275,7 @@
             super().log_exception(typ, value, tb)
 
     def _is_authorized(self) -> bool:
-        expected = wire.authorization(self.server.credential).get("Authorization")
+        expected = wire.authorization_headers(self.server.credential).get("Authorization")
         return expected is None or self.request.headers.get("Authorization") == expected
 
 
--- a/passgate/explain.py
+++ b/passgate/explain.py
@@ -22,7 +22,7 @@
 import msgspec
 
 from passgate.errors import InvalidRequest
-from passgate.gateway.access import SCOPE_MARK
+from passgate.gateway.access import TENANT_SEPARATOR
 
 LogLine = dict[str, Any]
 """A decoded decision line; its fields are those of an event of :mod:`passgate.decisions`."""
@@ -117,7 +117,9 @@
 def _has_identifier(line: LogLine, field: str, identifier: str) -> bool:
     """Whether a line's field holds an identifier; that of a job may follow the name of its tenant."""
     value = line.get(field)
-    return value == identifier or (field == "job_id" and str(value).endswith(f"{SCOPE_MARK}{identifier}"))
+    return value == identifier or (
+        field == "job_id" and str(value).endswith(f"{TENANT_SEPARATOR}{identifier}")
+    )
 
 
 def _format_line(line: LogLine) -> str:
--- a/passgate/gateway/access.py
+++ b/passgate/gateway/access.py
@@ -4,11 +4,11 @@
 whatever the number of keys.  A key must never appear in a log line, an error or a metric.
 
 >>> index = ApiKeyIndex((Tenant(name="orchard", api_keys=("k1", "k2")),))
->>> index.caller_of((("authorization", "Bearer k2"),), public=False)
+>>> index.authenticate((("authorization", "Bearer k2"),), public=False)
 Caller(tenant='orchard', priority=None)
->>> index.caller_of((), public=True).tenant
+>>> index.authenticate((), public=True).tenant
 ''
->>> ApiKeyIndex(()).caller_of((), public=False).tenant is None
+>>> ApiKeyIndex(()).authenticate((), public=False).tenant is None
 True
 """
 
@@ -31,7 +31,7 @@
 BEARER_SCHEME = "bearer"
 ANONYMOUS_TENANT = ""
 """Tenant of a caller that is admitted to a public route without a valid key."""
-SCOPE_MARK = "/"
+TENANT_SEPARATOR = "/"
 """Separates the tenant's name from the identifier in a tenant-scoped identifier."""
 
 Headers = Sequence[tuple[str, str]]
@@ -86,7 +86,7 @@
                 "two tenants have the same API key", tenant=caller.tenant, other_tenant=owner.tenant
             )
 
-    def caller_of(self, headers: Headers, *, public: bool) -> Caller:
+    def authenticate(self, headers: Headers, *, public: bool) -> Caller:
         """Return the caller that the ``Authorization`` header identifies.
 
         Without configured tenants, nothing is checked.  If ``public``, a missing or wrong credential
@@ -125,7 +125,7 @@
 
     Raises InvalidConfiguration.
     """
-    if not name or not name.isascii() or not name.isprintable() or SCOPE_MARK in name or " " in name:
+    if not name or not name.isascii() or not name.isprintable() or TENANT_SEPARATOR in name or " " in name:
         raise InvalidConfiguration(
             "a tenant's name must be non-empty printable ASCII without spaces and slashes", tenant=name
         )
@@ -133,15 +133,15 @@
         raise InvalidConfiguration("two tenants have the same name", tenant=name)
 
 
-def scoped_id(tenant: str | None, identifier: str) -> str:
+def tenant_scoped_id(tenant: str | None, identifier: str) -> str:
     """Return an identifier that is unique among tenants: the tenant's name is put before it.
 
     Callers choose the identifiers of their jobs and items, so two tenants may choose the same one.
 
-    >>> scoped_id("orchard", "j1"), scoped_id(None, "j1")
+    >>> tenant_scoped_id("orchard", "j1"), tenant_scoped_id(None, "j1")
     ('orchard/j1', 'j1')
     """
-    return f"{tenant}{SCOPE_MARK}{identifier}" if tenant else identifier
+    return f"{tenant}{TENANT_SEPARATOR}{identifier}" if tenant else identifier
 
 
 def replica_headers(headers: Headers, tenant: str | None, tenant_header: str) -> list[tuple[str, str]]:
--- a/passgate/gateway/access_bench.py
+++ b/passgate/gateway/access_bench.py
@@ -33,7 +33,7 @@
     ]
     start_s = time.perf_counter()
     for number in range(LOOKUP_COUNT):
-        index.caller_of(requests[number % len(requests)], public=False)
+        index.authenticate(requests[number % len(requests)], public=False)
     return (time.perf_counter() - start_s) / LOOKUP_COUNT * 1e9, size / key_count
 
 
--- a/passgate/gateway/configuration_peers.py
+++ b/passgate/gateway/configuration_peers.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from passgate.clock import monotonic_s
-from passgate.decisions import ConfigurationLearned, DecisionLog
+from passgate.decisions import ConfigurationReceivedFromPeer, DecisionLog
 from passgate.eligibility.evacuation import EvacuatedZones, EvacuationView
 from passgate.errors import PeerError
 from passgate.gateway.routes import ConfigHolder, GatewayConfig
@@ -22,7 +22,7 @@
 from passgate.sharedlog.member_names import address_of
 
 CONFIGURATION_METHOD = "configuration.newer"
-ASK_AFTER_S = 1.3
+POLL_AFTER_S = 1.3
 """Age of the own view from which on peers are polled; the log's long poll confirms the view every 1 s."""
 POLL_INTERVAL_S = 0.5
 """Pause between polls; it leaves several polls within the 3 s in which a configuration must be applied."""
@@ -50,7 +50,7 @@
     view: EvacuationView
 
 
-class KnownConfiguration(msgspec.Struct, frozen=True, kw_only=True):
+class ConfigurationSnapshot(msgspec.Struct, frozen=True, kw_only=True):
     """Answer to a ConfigurationQuery."""
 
     age_s: float
@@ -61,7 +61,7 @@
     """None from a daemon of an earlier release, or from one that has not read the topic yet."""
 
 
-class ConfigurationPeers:
+class PeerConfigurationPoller:
     """Polls peer daemons for the operator's configuration and evacuations, and answers their queries."""
 
     def __init__(
@@ -97,7 +97,7 @@
         self._evacuations_confirmed_at_s = NEVER_S
         """The same for the evacuated zones; separate, as peers of earlier releases don't report them."""
 
-    def age_s(self) -> float:
+    def configuration_age_s(self) -> float:
         """Return the time since the log or a peer confirmed the active configuration as the newest."""
         return min(self._log_age_s(), monotonic_s() - self._config_confirmed_at_s)
 
@@ -108,7 +108,7 @@
     async def run(self) -> None:
         """Poll peers whenever the own view of the log is too old; runs until cancelled."""
         while True:
-            if self._log_age_s() < ASK_AFTER_S:
+            if self._log_age_s() < POLL_AFTER_S:
                 await asyncio.sleep(AGE_CHECK_INTERVAL_S)
                 continue
             peers = self._list_peers()[:MAX_PEERS_POLLED]
@@ -122,7 +122,7 @@
             payload = await self._transport.call(
                 address_of(peer), CONFIGURATION_METHOD, query, ANSWER_TIMEOUT_S
             )
-            snapshot = msgspec.json.decode(payload, type=KnownConfiguration)
+            snapshot = msgspec.json.decode(payload, type=ConfigurationSnapshot)
         except (PeerError, msgspec.DecodeError):
             return  # other peers are polled at the same time, and the poll is repeated
         if snapshot.config is not None and snapshot.config.version > self._config_holder.version:
@@ -133,7 +133,7 @@
 
     def _apply_newer_config(self, peer: str, config: GatewayConfig, age_s: float) -> None:
         self._decisions.write(
-            ConfigurationLearned(
+            ConfigurationReceivedFromPeer(
                 version=config.version,
                 peer=address_of(peer),
                 age_ms=round(age_s * 1000, 1),
@@ -143,13 +143,13 @@
         self._apply_config(config)
 
     def _apply_evacuations(self, peer: str, snapshot: EvacuationSnapshot, queried_at_s: float) -> None:
-        self._evacuated_zones.learn(snapshot.view, peer=address_of(peer), age_s=snapshot.age_s)
+        self._evacuated_zones.adopt_newer_view(snapshot.view, peer=address_of(peer), age_s=snapshot.age_s)
         if snapshot.view.offset >= self._evacuated_zones.view.offset:
             self._evacuations_confirmed_at_s = max(
                 self._evacuations_confirmed_at_s, queried_at_s - snapshot.age_s
             )
 
-    def answer(self, payload: bytes) -> bytes:
+    def handle_request(self, payload: bytes) -> bytes:
         """Answer a peer's ConfigurationQuery with an encoded KnownConfiguration.
 
         Raises msgspec.DecodeError for an unreadable payload.
@@ -158,8 +158,8 @@
         table = self._config_holder.table
         is_newer = table is not None and table.config.version > query.version
         return msgspec.json.encode(
-            KnownConfiguration(
-                age_s=self.age_s(),
+            ConfigurationSnapshot(
+                age_s=self.configuration_age_s(),
                 config=table.config if is_newer else None,
                 evacuations=self._evacuation_snapshot(),
             )
--- a/passgate/gateway/distance.py
+++ b/passgate/gateway/distance.py
@@ -3,17 +3,17 @@
 RTT samples come from calls that are made anyway: new connections to replicas and queries to other
 daemons.  A zone without samples has a default that depends on whether it is in the local region.
 
->>> places = Places(zone="a1", regions={"a1": "a", "a2": "a", "b1": "b"})
->>> distances = Distances(places)
+>>> places = Topology(zone="a1", region_by_zone={"a1": "a", "a2": "a", "b1": "b"})
+>>> distances = ZoneDistances(places)
 >>> [round(distances.network_cost_s(zone) * 1000, 1) for zone in ("a1", "a2", "b1")]
 [0.0, 2.5, 24.5]
->>> distances.observe("b1", 0.012, now_s=1.0)
->>> round(distances.network_cost_s("b1") * 1000, 1), distances.nearest_first()
+>>> distances.record_round_trip("b1", 0.012, now_s=1.0)
+>>> round(distances.network_cost_s("b1") * 1000, 1), distances.other_zones_nearest_first()
 (11.5, ['a2', 'b1'])
 
 With a single region, all other zones have the same cost, whatever RTT was recorded.
 
->>> Distances(Places(zone="a1", regions={"a1": "a", "a2": "a"})).network_cost_s("a2")
+>>> ZoneDistances(Topology(zone="a1", region_by_zone={"a1": "a", "a2": "a"})).network_cost_s("a2")
 0.0025
 """
 
@@ -21,13 +21,13 @@
 
 import msgspec
 
-from passgate.eligibility.places import Places
+from passgate.eligibility.places import Topology
 
 OTHER_ZONE_COST_S = 0.0025
 """Cost of another zone of the local region, and minimum cost of a zone elsewhere: traffic is billed."""
 DEFAULT_SAME_ZONE_RTT_S, DEFAULT_SAME_REGION_RTT_S, DEFAULT_OTHER_REGION_RTT_S = 0.0005, 0.002, 0.025
 """RTT of a zone without samples: the own zone, another one of the local region, one elsewhere."""
-WINDOW_S = 4.0
+RTT_WINDOW_S = 4.0
 """Length of the window whose shortest sample counts; longer samples include time on a busy machine."""
 RTT_RISE_SHARE = 0.5
 """Share of the difference by which the estimate rises to a window's longer minimum."""
@@ -45,18 +45,18 @@
     """Loop time at which the current window started."""
 
 
-class Distances:
+class ZoneDistances:
     """Estimated RTT and network cost from this daemon to each zone."""
 
-    def __init__(self, places: Places) -> None:
+    def __init__(self, places: Topology) -> None:
         self.places = places
-        self.several_regions = len(set(places.regions.values())) > 1
+        self.has_multiple_regions = len(set(places.region_by_zone.values())) > 1
         """Whether the zones are in more than one region."""
         self._estimates_by_zone: dict[str, _RoundTripEstimate] = {}
         self._cost_s_by_zone: dict[str, float] = {}
         """Cache, read for every replica of every choice; cleared by each new sample."""
 
-    def observe(self, zone: str, round_trip_s: float, now_s: float) -> None:
+    def record_round_trip(self, zone: str, round_trip_s: float, now_s: float) -> None:
         """Record an RTT sample.
 
         A sample below the estimate lowers it at once.  The estimate rises only at the end of a window,
@@ -68,7 +68,7 @@
             self._estimates_by_zone[zone] = estimate
         estimate.estimate_s = min(estimate.estimate_s, round_trip_s)
         estimate.window_minimum_s = min(estimate.window_minimum_s, round_trip_s)
-        if now_s - estimate.window_start_s >= WINDOW_S:
+        if now_s - estimate.window_start_s >= RTT_WINDOW_S:
             estimate.estimate_s += RTT_RISE_SHARE * (estimate.window_minimum_s - estimate.estimate_s)
             estimate.window_minimum_s, estimate.window_start_s = round_trip_s, now_s
         self._cost_s_by_zone.clear()
@@ -81,11 +81,11 @@
     def _default_round_trip_s(self, zone: str) -> float:
         if zone == self.places.zone:
             return DEFAULT_SAME_ZONE_RTT_S
-        return DEFAULT_SAME_REGION_RTT_S if self.is_home(zone) else DEFAULT_OTHER_REGION_RTT_S
+        return DEFAULT_SAME_REGION_RTT_S if self.is_local_region(zone) else DEFAULT_OTHER_REGION_RTT_S
 
-    def is_home(self, zone: str) -> bool:
+    def is_local_region(self, zone: str) -> bool:
         """Whether a zone is in this daemon's region; always true with a single region."""
-        return not self.several_regions or self.places.region_of(zone) == self.places.region
+        return not self.has_multiple_regions or self.places.region_of(zone) == self.places.region
 
     def network_cost_s(self, zone: str) -> float:
         """Return the cost of sending to a zone instead of the own one, as a time; 0 for the own zone."""
@@ -97,14 +97,14 @@
     def _compute_network_cost_s(self, zone: str) -> float:
         if zone == self.places.zone:
             return 0.0
-        if self.is_home(zone):
+        if self.is_local_region(zone):
             return OTHER_ZONE_COST_S
         return max(self.round_trip_s(zone) - self.round_trip_s(self.places.zone), OTHER_ZONE_COST_S)
 
-    def nearest_first(self) -> list[str]:
+    def other_zones_nearest_first(self) -> list[str]:
         """Return all zones but the own one: first the local region's, then the others', by rising RTT."""
-        zones = [zone for zone in self.places.regions if zone != self.places.zone]
-        return sorted(zones, key=lambda zone: (not self.is_home(zone), self.round_trip_s(zone), zone))
+        zones = [zone for zone in self.places.region_by_zone if zone != self.places.zone]
+        return sorted(zones, key=lambda zone: (not self.is_local_region(zone), self.round_trip_s(zone), zone))
 
     def fallback_zones(self) -> list[str]:
         """Return the zones whose daemons may be asked in place of those of the own zone.
@@ -112,19 +112,19 @@
         They are the nearest other zone of the local region and the nearest zone elsewhere; there are
         none with a single region.
         """
-        zones = self.nearest_first() if self.several_regions else []
-        local = [zone for zone in zones if self.is_home(zone)]
-        remote = [zone for zone in zones if not self.is_home(zone)]
+        zones = self.other_zones_nearest_first() if self.has_multiple_regions else []
+        local = [zone for zone in zones if self.is_local_region(zone)]
+        remote = [zone for zone in zones if not self.is_local_region(zone)]
         return local[:1] + remote[:1]
 
-    def patience_s(self, minimum_s: float, zone: str | None = None) -> float:
+    def answer_timeout_s(self, minimum_s: float, zone: str | None = None) -> float:
         """Return the time limit for a daemon's answer to a query that it can answer immediately.
 
         Args:
             minimum_s: time limit for a daemon nearby; always returned with a single region.
             zone: zone of the daemon; None if it may be in any zone, then the longest RTT counts.
         """
-        if not self.several_regions:
+        if not self.has_multiple_regions:
             return minimum_s
-        zones = [zone] if zone is not None else [self.places.zone, *self.places.regions]
+        zones = [zone] if zone is not None else [self.places.zone, *self.places.region_by_zone]
         return max(minimum_s, max(map(self.round_trip_s, zones)) + ANSWER_MARGIN_S)
--- a/passgate/gateway/forwarder.py
+++ b/passgate/gateway/forwarder.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from passgate.clock import monotonic_s
-from passgate.eligibility.replica_info import ReplicaLife
+from passgate.eligibility.replica_info import ReplicaIncarnation
 from passgate.errors import (
     BackendRefused,
     BackendUnreachable,
@@ -22,7 +22,7 @@
 )
 from passgate.gateway.access import Caller
 from passgate.gateway.forwarder_base import ForwardedRequest, ForwarderBase, no_replica_error
-from passgate.gateway.messages import GatewayAnswer, IncomingRequest, answered_status
+from passgate.gateway.messages import GatewayAnswer, IncomingRequest, error_status
 from passgate.gateway.replica_call import ReplicaAnswer, cancel_and_wait, end_to_end_headers
 from passgate.gateway.replicas import ReplicaState
 from passgate.gateway.routes import Route
@@ -48,7 +48,7 @@
 class _RunningAttempt(msgspec.Struct, frozen=True, kw_only=True):
     """One attempt whose result is not collected yet."""
 
-    replica: ReplicaLife
+    replica: ReplicaIncarnation
     sent_loop_s: float
     """Loop time at which it was sent."""
     sent_wall_s: float
@@ -72,7 +72,7 @@
         try:
             answer = await self._run_attempts(forwarding)
         except PassgateError as error:
-            self._record_end(forwarding, answered_status(error), error.code)
+            self._record_end(forwarding, error_status(error), error.code)
             raise
         self._record_end(forwarding, answer.status, "")
         return GatewayAnswer(
@@ -125,7 +125,7 @@
             return False
         # A request that may have crashed a replica runs on one replica at a time, or it could crash two
         # before the first crash is noticed.
-        return not self._replica_client.crashes.is_suspect(forwarding.identity)
+        return not self._replica_client.crash_guard.is_suspect(forwarding.identity)
 
     def _next_hedge_at_s(self, forwarding: ForwardedRequest) -> float:
         delay_s = HEDGE_DELAY_SHARE * forwarding.route.target_latency_s
@@ -139,7 +139,7 @@
         self._record_sent(forwarding, state)
         call = self._replica_client.fetch(state, self._replica_request(forwarding))
         running[asyncio.get_running_loop().create_task(call)] = _RunningAttempt(
-            replica=state.life, sent_loop_s=monotonic_s(), sent_wall_s=self._usage_wall_s()
+            replica=state.incarnation, sent_loop_s=monotonic_s(), sent_wall_s=self._usage_wall_s()
         )
 
     async def _wait_for_attempts(self, forwarding: ForwardedRequest, running: RunningAttempts) -> None:
--- a/passgate/gateway/forwarder_base.py
+++ b/passgate/gateway/forwarder_base.py
@@ -8,8 +8,8 @@
 
 from passgate.clock import monotonic_s
 from passgate.decisions import AttemptFailed, DecisionLog, ForwardEnded, ForwardSent
-from passgate.eligibility.replica_info import ReplicaLife
-from passgate.eligibility.rules import SendTerms
+from passgate.eligibility.replica_info import ReplicaIncarnation
+from passgate.eligibility.rules import SendContext
 from passgate.errors import (
     BackendUnreachable,
     NoRegionAllowed,
@@ -22,9 +22,9 @@
 from passgate.gateway.access import Caller
 from passgate.gateway.dialect import HeaderNames
 from passgate.gateway.messages import IncomingRequest
-from passgate.gateway.replica_call import ReplicaCaller, ReplicaRequest
-from passgate.gateway.replicas import ChoiceRequest, ReplicaState, ReplicaTable
-from passgate.gateway.routes import ConfigHolder, Route, RouteKind, WeightedChoice
+from passgate.gateway.replica_call import ReplicaClient, ReplicaRequest
+from passgate.gateway.replicas import ReplicaQuery, ReplicaState, ReplicaTable
+from passgate.gateway.routes import ConfigHolder, Route, RouteKind, WeightedServicePicker
 from passgate.quarantine.identity import RequestIdentity
 
 RETRY_AFTER_S = 0.15
@@ -50,7 +50,7 @@
     """Loop time at which the gateway answers at the latest: the route's timeout or the caller's deadline."""
     caller_deadline_s: float
     """Loop time until which the caller waits."""
-    tried_replicas: list[ReplicaLife] = []
+    tried_replicas: list[ReplicaIncarnation] = []
     """Replicas of all attempts, in order; they are not chosen again."""
     unreached_count: int = 0
     """Attempts that never reached their replica; see UNREACHED_ERRORS."""
@@ -97,10 +97,10 @@
     """Counts the runs of requests by tenant, for the usage report."""
 
     def now_s(self) -> float:
-        """Return the wall-clock time; taken when a request is sent and passed to :meth:`began` later."""
+        """Return the wall-clock time; it is taken when a request is sent, for :meth:`record_started`."""
         ...
 
-    def began(self, tenant: str | None, at_s: float) -> None:
+    def record_started(self, tenant: str | None, at_s: float) -> None:
         """Count a request that a replica started to run, at the wall-clock time at which it was sent."""
         ...
 
@@ -110,7 +110,7 @@
 
     def __init__(
         self,
-        replica_client: ReplicaCaller,
+        replica_client: ReplicaClient,
         replicas: ReplicaTable,
         header_names: HeaderNames,
         decisions: DecisionLog,
@@ -123,7 +123,7 @@
         self._replicas = replicas
         self._header_names = header_names
         self._decisions = decisions
-        self._service_picker = WeightedChoice()
+        self._service_picker = WeightedServicePicker()
 
     def _begin_forwarding(self, request: IncomingRequest, route: Route, caller: Caller) -> ForwardedRequest:
         deadline_s = request.deadline_s(self._header_names.deadline_ms)
@@ -147,7 +147,7 @@
         table = self._config.table
         if table is None or table.config.version == forwarding.configuration_version:
             return
-        table.keys.caller_of(forwarding.request.headers, public=forwarding.route.public)
+        table.api_key_index.authenticate(forwarding.request.headers, public=forwarding.route.public)
         forwarding.configuration_version = table.config.version
 
     async def _passes_quarantine(self, forwarding: ForwardedRequest) -> bool:
@@ -155,11 +155,11 @@
 
         For a quarantined request that has not run, raises RequestQuarantined instead of returning False.
         """
-        crash_guard = self._replica_client.crashes
-        await crash_guard.settled(forwarding.identity)
+        crash_guard = self._replica_client.crash_guard
+        await crash_guard.wait_for_probes(forwarding.identity)
         if forwarding.may_have_run:
-            return not crash_guard.is_held(forwarding.identity)
-        crash_guard.check(forwarding.identity)
+            return not crash_guard.is_quarantined(forwarding.identity)
+        crash_guard.raise_if_quarantined(forwarding.identity)
         return True
 
     def _is_still_authorized(self, forwarding: ForwardedRequest) -> bool:
@@ -170,19 +170,19 @@
             return False
         return True
 
-    def _send_terms(self, forwarding: ForwardedRequest) -> SendTerms:
+    def _send_terms(self, forwarding: ForwardedRequest) -> SendContext:
         """Return the request's region restriction by the active configuration, which may have changed."""
         request, tenant = forwarding.request, forwarding.caller.tenant
         accepted_regions = forwarding.route.allowed_regions
-        return self._config.terms_for(request.host, request.path, tenant, accepted_regions)
+        return self._config.send_context_for(request.host, request.path, tenant, accepted_regions)
 
     def _check_regions(self, forwarding: ForwardedRequest) -> None:
         """Raise NoRegionAllowed if the request has not run and no region may serve it."""
-        if self._send_terms(forwarding).regions == frozenset() and not forwarding.may_have_run:
+        if self._send_terms(forwarding).allowed_regions == frozenset() and not forwarding.may_have_run:
             raise NoRegionAllowed("route and tenant allow no region in common")
 
     def _choose_replica(self, forwarding: ForwardedRequest) -> ReplicaState | None:
-        query = ChoiceRequest(
+        query = ReplicaQuery(
             services=frozenset({forwarding.service}),
             excluded=frozenset(forwarding.tried_replicas),
             terms=self._send_terms(forwarding),
@@ -215,12 +215,12 @@
         It is NoReplicaInRegions if the request is region-restricted and no replica was tried, else
         NoReplicaAvailable.
         """
-        if forwarding.tried_replicas or self._send_terms(forwarding).regions is None:
+        if forwarding.tried_replicas or self._send_terms(forwarding).allowed_regions is None:
             return no_replica_error(reason)
         return NoReplicaInRegions(reason, execution=ExecutionStatus.NOT_RUN, retry_after_s=RETRY_AFTER_S)
 
     def _record_sent(self, forwarding: ForwardedRequest, state: ReplicaState) -> None:
-        forwarding.tried_replicas.append(state.life)
+        forwarding.tried_replicas.append(state.incarnation)
         self._decisions.write(
             ForwardSent(
                 request_id=forwarding.request_id,
@@ -232,7 +232,11 @@
         )
 
     def _record_failed_attempt(
-        self, forwarding: ForwardedRequest, replica: ReplicaLife, error: PassgateError, started_s: float
+        self,
+        forwarding: ForwardedRequest,
+        replica: ReplicaIncarnation,
+        error: PassgateError,
+        started_s: float,
     ) -> None:
         not_run = error.execution is ExecutionStatus.NOT_RUN
         forwarding.may_have_run |= not not_run
@@ -255,7 +259,7 @@
     def _count_run(self, forwarding: ForwardedRequest, wall_s: float) -> None:
         """Count a run for the usage report; ``wall_s`` is the wall-clock time at which it was sent."""
         if self._usage is not None:
-            self._usage.began(forwarding.caller.tenant, wall_s)
+            self._usage.record_started(forwarding.caller.tenant, wall_s)
 
     def _record_end(self, forwarding: ForwardedRequest, status: int, reason: str) -> None:
         self._decisions.write(
--- a/passgate/gateway/ingress.py
+++ b/passgate/gateway/ingress.py
@@ -29,7 +29,7 @@
 
 logger = logging.getLogger("passgate.gateway")
 
-Handler = Callable[[IncomingRequest], Awaitable[GatewayAnswer | StreamAnswer]]
+RequestHandler = Callable[[IncomingRequest], Awaitable[GatewayAnswer | StreamAnswer]]
 
 METRICS_PATH = "/metrics"
 METRICS_HEADERS = (("Content-Type", "text/plain; version=0.0.4; charset=utf-8"),)
@@ -49,7 +49,7 @@
     Each complete request is handled in a task of its own, which is cancelled when the connection closes.
     """
 
-    def __init__(self, handler: Handler) -> None:
+    def __init__(self, handler: RequestHandler) -> None:
         self._handler = handler
         self._tasks: set[asyncio.Task[None]] = set()
         self._refusing_new_requests = False
@@ -75,11 +75,11 @@
         """Number of requests that are being handled or answered."""
         return len(self._tasks)
 
-    def close_after_answers(self) -> None:
+    def disable_keep_alive(self) -> None:
         """Disable keep-alive: each connection is closed after its next answer."""
         self._server.conn_params.no_keep_alive = True
 
-    def refuse_new(self) -> None:
+    def refuse_new_requests(self) -> None:
         """Refuse every further request as not run, so that the shutdown interrupts none."""
         self._refusing_new_requests = True
 
@@ -184,7 +184,7 @@
         self._body_chunks.clear()
 
 
-def probe_handler(is_ready: Callable[[], bool], render_metrics: Callable[[], bytes]) -> Handler:
+def make_probe_handler(is_ready: Callable[[], bool], render_metrics: Callable[[], bytes]) -> RequestHandler:
     """Return the handler of the readiness server.
 
     It answers METRICS_PATH with the metrics, and any other path with 200 if the daemon is ready; else it
--- a/passgate/gateway/messages.py
+++ b/passgate/gateway/messages.py
@@ -74,10 +74,10 @@
     return GatewayAnswer(status=status, headers=all_headers, body=msgspec.json.encode(document))
 
 
-def answered_status(error: PassgateError) -> int:
+def error_status(error: PassgateError) -> int:
     """Return the HTTP status of a failure: its own one, or 502 if that would guarantee too much.
 
-    >>> answered_status(PassgateError(execution=ExecutionStatus.NOT_RUN))
+    >>> error_status(PassgateError(execution=ExecutionStatus.NOT_RUN))
     500
     """
     if error.http_status in GUARANTEED_NOT_RUN_STATUSES and error.execution is not ExecutionStatus.NOT_RUN:
@@ -88,9 +88,9 @@
 def error_answer(error: PassgateError) -> GatewayAnswer:
     """Return a failure's JSON answer, with ``WWW-Authenticate`` for 401 and ``Retry-After`` for 429 and 503.
 
-    Its status is that of :func:`answered_status`, which never claims "not run" unless that is certain.
+    Its status is that of :func:`error_status`, which never claims "not run" unless that is certain.
     """
-    status = answered_status(error)
+    status = error_status(error)
     headers: tuple[tuple[str, str], ...] = ()
     if status == UNAUTHORIZED:
         headers = ((AUTHENTICATE_HEADER, AUTHENTICATE_SCHEME),)
--- a/passgate/gateway/metrics.py
+++ b/passgate/gateway/metrics.py
@@ -18,18 +18,18 @@
 
 from passgate.decisions import (
     ColdReplicasChanged,
-    ConfigurationInForce,
-    EntryUnusable,
+    ConfigurationApplied,
+    DiscoveryEntryRejected,
     Event,
     ForwardEnded,
     ItemFailed,
-    ItemListed,
+    ItemResultRecorded,
     JobAccepted,
     JobAcceptFailed,
     JobEnded,
-    PermitsCounted,
+    PermitCountsReported,
 )
-from passgate.eligibility.rules import KeptBack
+from passgate.eligibility.rules import Exclusion
 from passgate.errors import NoRegionAllowed, NoReplicaInRegions
 
 REQUEST_BUCKETS_S = (0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.5, 3, 6, 12)
@@ -101,7 +101,7 @@
             ("code",),
             registry=self.registry,
         )
-        self.log_age = Gauge(
+        self.log_age_seconds = Gauge(
             "passgate_log_age_seconds",
             "Time since the jobs' topic was last known to be read to its end.",
             registry=self.registry,
@@ -112,7 +112,7 @@
         self.jobs_owned = Gauge(
             "passgate_jobs_owned", "Jobs whose items this daemon runs.", registry=self.registry
         )
-        self.usage_late = Gauge(
+        self.late_usage_requests = Gauge(
             "passgate_usage_late_requests",
             "Requests counted after their window was committed, so that no report names them.",
             registry=self.registry,
@@ -120,7 +120,7 @@
         self.evacuated_zones = Gauge(
             "passgate_evacuated_zones", "Zones to which nothing is sent.", registry=self.registry
         )
-        self.evacuation_age = Gauge(
+        self.evacuation_age_seconds = Gauge(
             "passgate_evacuation_age_seconds",
             "Time since it was last known that no zone more or less is evacuated.",
             registry=self.registry,
@@ -130,7 +130,7 @@
             "Entries of discovery that name no replica to use.",
             registry=self.registry,
         )
-        self.leads = Gauge("passgate_leads", "1 while this daemon gives orders.", registry=self.registry)
+        self.is_leader = Gauge("passgate_leads", "1 while this daemon gives orders.", registry=self.registry)
 
         self._cold_replicas = Gauge(
             "passgate_cold_replicas", "Replicas that count as cold here.", registry=self.registry
@@ -142,7 +142,7 @@
             registry=self.registry,
         )
 
-    def show_kept_back(self, counts: Mapping[KeptBack, int]) -> None:
+    def register_exclusions(self, counts: Mapping[Exclusion, int]) -> None:
         """Export counts of exclusions by send rules; ``counts`` is read again at each exposition."""
         self.registry.register(_ExclusionCollector(counts))
 
@@ -162,22 +162,22 @@
         match event:
             case ForwardEnded(status=status, elapsed_ms=elapsed_ms):
                 self._forward_seconds.labels(str(status)).observe(elapsed_ms / 1000)
-            case ItemListed(state=state, elapsed_ms=elapsed_ms):
+            case ItemResultRecorded(state=state, elapsed_ms=elapsed_ms):
                 self._item_seconds.labels(state).observe(elapsed_ms / 1000)
             case ItemFailed(reason=reason):
                 self._item_attempt_failures.labels(reason.partition(":")[0]).inc()
             case JobAccepted(elapsed_ms=elapsed_ms):
                 self._job_accept_seconds.observe(elapsed_ms / 1000)
-            case ConfigurationInForce(version=version):
+            case ConfigurationApplied(version=version):
                 self._configuration_version.set(version)
-            case EntryUnusable(entries=entries):
+            case DiscoveryEntryRejected(entries=entries):
                 self._unusable_entries.inc(entries)
             case ColdReplicasChanged(cold=cold):
                 self._cold_replicas.set(cold)
-            case PermitsCounted():
+            case PermitCountsReported():
                 self._count_permits(event)
 
-    def _count_permits(self, event: PermitsCounted) -> None:
+    def _count_permits(self, event: PermitCountsReported) -> None:
         counts = {
             "given": event.given,
             "refused": event.refused,
@@ -201,7 +201,7 @@
     They are read at each exposition, so that counting them at each send needs no lock.
     """
 
-    def __init__(self, counts: Mapping[KeptBack, int]) -> None:
+    def __init__(self, counts: Mapping[Exclusion, int]) -> None:
         self._counts = counts
 
     def collect(self) -> Iterator[CounterMetricFamily]:
@@ -212,6 +212,6 @@
             labels=("rule", "kind", "step"),
         )
         for exclusion, count in self._counts.items():
-            labels = (exclusion.rule, exclusion.kind.value, exclusion.checked_at.value)
+            labels = (exclusion.rule, exclusion.kind.value, exclusion.stage.value)
             family.add_metric(labels, count)
         yield family
--- a/passgate/gateway/replica_call.py
+++ b/passgate/gateway/replica_call.py
@@ -16,8 +16,8 @@
 from passgate.clients.curl import HttpClient
 from passgate.clients.transfer import Transfer
 from passgate.clock import monotonic_s
-from passgate.eligibility.replica_info import ReplicaLife
-from passgate.eligibility.rules import ANY_REQUEST, SendTerms
+from passgate.eligibility.replica_info import ReplicaIncarnation
+from passgate.eligibility.rules import ANY_REGION_REQUEST, SendContext
 from passgate.errors import (
     AnswerMismatch,
     BackendRefused,
@@ -31,7 +31,7 @@
 from passgate.gateway.dialect import HeaderNames
 from passgate.gateway.messages import GUARANTEED_NOT_RUN_STATUSES
 from passgate.gateway.replicas import ReplicaState, ReplicaTable
-from passgate.quarantine.guard import CrashGuard, ReplicaPlace
+from passgate.quarantine.guard import CrashGuard, ReplicaEndpoint
 from passgate.quarantine.identity import CRASH_LIMIT, RequestIdentity
 
 CONNECT_TIMEOUT_S = 0.6
@@ -82,7 +82,7 @@
     """Tenant sent to the replica; see :func:`passgate.gateway.access.replica_headers`."""
     crash_limit: int = CRASH_LIMIT
     """Number of crashed replicas from which on the request is quarantined."""
-    terms: SendTerms = ANY_REQUEST
+    terms: SendContext = ANY_REGION_REQUEST
     """What the send rules need to know of it."""
 
     @property
@@ -104,7 +104,7 @@
     status: int
     headers: tuple[tuple[str, str], ...]
     body: bytes
-    replica: ReplicaLife
+    replica: ReplicaIncarnation
 
     def header(self, name: str) -> str:
         """Return the value of the first header of a name, in any case, or ""."""
@@ -128,7 +128,7 @@
     return [(name, value) for name, value in pairs if name.lower() not in HOP_BY_HOP_HEADERS | named]
 
 
-class ReplicaCaller:
+class ReplicaClient:
     """Starts attempts at replicas; the only way in which requests reach them."""
 
     def __init__(
@@ -137,9 +137,9 @@
         self._http = http
         self._replicas = replicas
         self._header_names = header_names
-        self.crashes = crash_guard
+        self.crash_guard = crash_guard
 
-    def open(self, state: ReplicaState, request: ReplicaRequest) -> ReplicaExchange:
+    def start_attempt(self, state: ReplicaState, request: ReplicaRequest) -> ReplicaAttempt:
         """Send a request to a replica; the caller must close the returned exchange.
 
         Raises:
@@ -148,10 +148,10 @@
             BackendUnreachable: the HTTP client can not send it; it was not sent.
         """
         # The checks are made here, and not only by callers, so that no request can bypass them.
-        self.crashes.check(request.identity)
-        not_sent_after_s = self._replicas.rules.admit(state.info, request.terms, monotonic_s())
-        return ReplicaExchange(
-            self._http, self._replicas, self._header_names, self.crashes, state, request, not_sent_after_s
+        self.crash_guard.raise_if_quarantined(request.identity)
+        not_sent_after_s = self._replicas.send_rules.admit(state.info, request.terms, monotonic_s())
+        return ReplicaAttempt(
+            self._http, self._replicas, self._header_names, self.crash_guard, state, request, not_sent_after_s
         )
 
     async def fetch(self, state: ReplicaState, request: ReplicaRequest) -> ReplicaAnswer:
@@ -161,14 +161,14 @@
             BackendRefused: the replica refused the request without running it.
             PassgateError: any other failure, with its execution status.
         """
-        exchange = self.open(state, request)
+        exchange = self.start_attempt(state, request)
         try:
-            return await exchange.whole_answer()
+            return await exchange.read_answer()
         finally:
             exchange.close()
 
 
-class ReplicaExchange:
+class ReplicaAttempt:
     """One attempt: a request that was sent to a replica, and its answer.
 
     It records what the attempt shows about the replica: load, latency, health, crashes.  :meth:`close`
@@ -191,17 +191,17 @@
         self._header_names = header_names
         self._state = state
         self._request = request
-        self.began_s = monotonic_s()
+        self.started_s = monotonic_s()
         """Loop time at which the attempt started."""
         self._active = True
-        self.life = state.life
+        self.incarnation = state.incarnation
         self._transfer: Transfer = http.start(self._build_http_call())
         state.in_flight += 1
-        replicas.health.sent(self.life, self.began_s)
+        replicas.health.record_send(self.incarnation, self.started_s)
 
     def _build_http_call(self) -> HttpCall:
         request = self._request
-        left_s = max(request.deadline_s - self.began_s, 0.001)
+        left_s = max(request.deadline_s - self.started_s, 0.001)
         headers = HTTPHeaders()
         forwarded = replica_headers(request.headers, request.tenant, self._header_names.tenant)
         for name, value in end_to_end_headers(forwarded):
@@ -209,7 +209,7 @@
         headers["Host"] = request.host
         headers[self._header_names.request_id] = request.request_id
         headers[self._header_names.deadline_ms] = str(max(int(left_s * 1000), 1))
-        headers[self._header_names.expected_replica] = self.life.replica_id
+        headers[self._header_names.expected_replica] = self.incarnation.replica_id
         if request.priority is not None:
             headers[self._header_names.priority] = str(request.priority)
         return HttpCall(
@@ -234,7 +234,7 @@
         """Headers of the answer; empty before its head has arrived."""
         return self._transfer.headers
 
-    async def head(self) -> int:
+    async def wait_for_head(self) -> int:
         """Wait for the head of the answer and return its status, which is then no refusal.
 
         Raises:
@@ -245,22 +245,22 @@
             PassgateError: the HTTP client failed.
         """
         try:
-            status = await self._transfer.head()
+            status = await self._transfer.wait_for_head()
         except SendTooLate:
             raise  # the replica was reached, so this counts neither as its failure nor as a crash
         except PassgateError as error:
             self._record_failure(unreachable=error.execution is ExecutionStatus.NOT_RUN)
             self._report_possible_crash(error)
             raise
-        if self._transfer.connect_s is not None:
+        if self._transfer.connect_duration_s is not None:
             zone = self._state.info.zone
-            self._replicas.distances.observe(zone, self._transfer.connect_s, monotonic_s())
+            self._replicas.distances.record_round_trip(zone, self._transfer.connect_duration_s, monotonic_s())
         answer = self._transfer.headers
         echoed = answer.get(self._header_names.request_id)
         if echoed is not None and echoed != self._request.request_id:
             self._transfer.abort()
             self._record_failure(unreachable=False)
-            raise AnswerMismatch("the answer names another request", replica=self.life.text())
+            raise AnswerMismatch("the answer names another request", replica=self.incarnation.to_text())
         self._record_reported_load(answer)
         if (
             status in REPLICA_REFUSAL_STATUSES
@@ -268,10 +268,10 @@
             or status == MISDIRECTED_STATUS
         ):
             self._raise_refusal(status)
-        self._replicas.cold.reached(self._state.info, monotonic_s())
+        self._replicas.cold_replicas.record_response(self._state.info, monotonic_s())
         if status in GUARANTEED_NOT_RUN_STATUSES:
             self._reject_unconfirmed_refusal(status)
-        self._crash_guard.answered(self._replica_place(), self.began_s)
+        self._crash_guard.record_response(self._replica_place(), self.started_s)
         self._state.record_answer_start()
         return status
 
@@ -280,10 +280,10 @@
         now_s = monotonic_s()
         self._transfer.finish_unread()
         if status in BUSY_STATUSES:
-            self._state.refused(now_s)
-            self._replicas.health.hold_off(self.life, now_s + BUSY_HOLD_OFF_S)
+            self._state.record_refusal(now_s)
+            self._replicas.health.hold_off(self.incarnation, now_s + BUSY_HOLD_OFF_S)
         if status == MISDIRECTED_STATUS:
-            self._replicas.health.failed(self.life, now_s, unreachable=True)
+            self._replicas.health.record_failure(self.incarnation, now_s, unreachable=True)
             raise ReplicaReplaced(f"replica refused with {status}", status=status)
         raise BackendRefused(
             f"replica refused with {status}", execution=ExecutionStatus.NOT_RUN, status=status
@@ -307,9 +307,9 @@
             self._report_possible_crash(error)
             raise
 
-    async def whole_answer(self) -> ReplicaAnswer:
-        """Wait for the complete answer and return it; raises like :meth:`ReplicaCaller.fetch`."""
-        status = await self.head()
+    async def read_answer(self) -> ReplicaAnswer:
+        """Wait for the complete answer and return it; raises like :meth:`ReplicaClient.fetch`."""
+        status = await self.wait_for_head()
         try:
             answer = await self._transfer.read_all()
         except PassgateError as error:
@@ -322,54 +322,54 @@
             status=status,
             headers=tuple(self._transfer.headers.get_all()),
             body=answer.body,
-            replica=self.life,
+            replica=self.incarnation,
         )
 
     def record_success(self) -> None:
         """Record a complete answer: the request crashes no replica, the replica works, and its latency."""
         now_s = monotonic_s()
-        self._crash_guard.succeeded(self._request.identity, self._state.info.service)
-        self._replicas.health.succeeded(self.life)
-        self._replicas.observe_latency(self.life, now_s - self.began_s, now_s)
+        self._crash_guard.record_success(self._request.identity, self._state.info.service)
+        self._replicas.health.record_success(self.incarnation)
+        self._replicas.record_latency(self.incarnation, now_s - self.started_s, now_s)
 
     def _report_possible_crash(self, error: PassgateError) -> None:
         """Have the crash guard check whether the replica crashed while it ran the request.
 
         A draining or delisted replica ends on purpose, so its end is not attributed to its requests.
         """
-        if self._state.info.draining or self._replicas.find_latest_incarnation(self.life) is None:
+        if self._state.info.draining or self._replicas.find_latest_incarnation(self.incarnation) is None:
             return
-        self._crash_guard.broke_off(self._request.identity, self._replica_place(), error)
+        self._crash_guard.record_failed_attempt(self._request.identity, self._replica_place(), error)
 
-    def _replica_place(self) -> ReplicaPlace:
-        latest = self._replicas.find_latest_incarnation(self.life)
-        return ReplicaPlace(
-            life=self.life,
+    def _replica_place(self) -> ReplicaEndpoint:
+        latest = self._replicas.find_latest_incarnation(self.incarnation)
+        return ReplicaEndpoint(
+            incarnation=self.incarnation,
             service=self._state.info.service,
             address=self._state.info.address,
-            replaced=latest is not None and latest.life != self.life,
+            has_newer_incarnation=latest is not None and latest.incarnation != self.incarnation,
         )
 
     def _record_failure(self, *, unreachable: bool) -> None:
         if unreachable:
-            self._replicas.unreachable(self.life, monotonic_s())
+            self._replicas.record_unreachable(self.incarnation, monotonic_s())
         else:
-            self._replicas.health.failed(self.life, monotonic_s())
+            self._replicas.health.record_failure(self.incarnation, monotonic_s())
 
-    def too_slow(self) -> None:
+    def record_timeout(self) -> None:
         """Record that an attempt is abandoned without an answer: its duration so far counts as latency."""
         now_s = monotonic_s()
-        self._replicas.observe_latency(self.life, now_s - self.began_s, now_s)
+        self._replicas.record_latency(self.incarnation, now_s - self.started_s, now_s)
 
-    def fell_silent(self) -> None:
+    def record_stall(self) -> None:
         """Record that a stream is abandoned as no data arrives; the replica is ejected as unreachable."""
-        self.too_slow()
+        self.record_timeout()
         self._record_failure(unreachable=True)
 
     @property
-    def usual_pause_s(self) -> float:
+    def expected_event_interval_s(self) -> float:
         """Expected time until the replica's next event, which is its smoothed latency."""
-        return self._state.recent_latency_s(monotonic_s())
+        return self._state.expected_latency_s(monotonic_s())
 
     def _record_reported_load(self, answer: HTTPHeaders) -> None:
         """Record the replica's running and waiting requests; ignores a missing or malformed load header."""
@@ -378,26 +378,27 @@
             return
         numbers = report.split(",")
         if len(numbers) >= 2 and all(number.strip().isdigit() for number in numbers):
-            self._replicas.observe_load(self.life, int(numbers[0]) + int(numbers[1]), monotonic_s())
+            self._replicas.record_load(self.incarnation, int(numbers[0]) + int(numbers[1]), monotonic_s())
 
-    def succeeded_stream(self) -> None:
+    def record_stream_success(self) -> None:
         """Record a complete stream like :meth:`record_success`, but not its duration as latency.
 
-        A stream's duration depends on the number of its events; :meth:`observe_pace` records their interval.
+        A stream's duration depends on the number of its events, whose interval
+        :meth:`record_event_interval` records.
         """
-        self._crash_guard.succeeded(self._request.identity, self._state.info.service)
-        self._replicas.health.succeeded(self.life)
+        self._crash_guard.record_success(self._request.identity, self._state.info.service)
+        self._replicas.health.record_success(self.incarnation)
 
-    def observe_pace(self, interval_s: float) -> None:
+    def record_event_interval(self, interval_s: float) -> None:
         """Record the time between two events of the stream as the replica's latency."""
-        self._replicas.observe_latency(self.life, interval_s, monotonic_s())
+        self._replicas.record_latency(self.incarnation, interval_s, monotonic_s())
 
-    def observe_version(self, model: str, version: int) -> None:
+    def record_weight_version(self, model: str, version: int) -> None:
         """Record the weight version of a model that the replica named in this answer."""
-        self._state.observed_versions[model] = version
+        self._state.reported_versions[model] = version
 
     @property
-    def proven_whole(self) -> bool:
+    def is_complete(self) -> bool:
         """Whether the body has ended with an end mark, not just by the end of the connection."""
         headers = self._transfer.headers
         chunked = headers.get("Transfer-Encoding", "").lower() == "chunked"
