--- a/passgate/gateway/replicas.py
+++ b/passgate/gateway/replicas.py
@@ -2,10 +2,10 @@
 
 A choice takes the usable replica with the best score: low load, low latency, low network cost.
 
->>> replicas = ReplicaTable(Places(zone="z1"))
+>>> replicas = ReplicaTable(Topology(zone="z1"))
 >>> replicas.put(ReplicaInfo(replica_id="r", service="s", address="h:1", zone="z1", slots=4))
 True
->>> replicas.choose(ChoiceRequest(services=frozenset({"s"})), now_s=0.0).info.replica_id
+>>> replicas.choose(ReplicaQuery(services=frozenset({"s"})), now_s=0.0).info.replica_id
 'r'
 """
 
@@ -19,17 +19,17 @@
 
 from passgate.eligibility.cold_replicas import ColdReplicas
 from passgate.eligibility.cold_rule import ColdRule
-from passgate.eligibility.permits import PermitStock
-from passgate.eligibility.places import Places
-from passgate.eligibility.replica_info import ReplicaInfo, ReplicaLife
-from passgate.eligibility.rules import ANY_REQUEST, DrainingRule, SendRules, SendTerms
-from passgate.gateway.distance import Distances
+from passgate.eligibility.permits import PermitPool
+from passgate.eligibility.places import Topology
+from passgate.eligibility.replica_info import ReplicaIncarnation, ReplicaInfo
+from passgate.eligibility.rules import ANY_REGION_REQUEST, DrainingRule, SendContext, SendRules
+from passgate.gateway.distance import ZoneDistances
 from passgate.gateway.spill import LocalCapacityWaits, spillover_share
 from passgate.routing.replica_health import ReplicaHealth
 
 LATENCY_SMOOTHING = 0.2
 """Weight of a new observation in a replica's smoothed latency."""
-ASSUMED_LATENCY_S = 0.05
+DEFAULT_LATENCY_S = 0.05
 """Latency of a replica without observations: about that of a plain request or of one event of a stream."""
 LOAD_REPORT_MAX_AGE_S = 1.5
 """Age after which a replica's load report is ignored."""
@@ -51,21 +51,21 @@
 """Load of a replica whose slots are all occupied."""
 
 
-class ChoiceRequest(msgspec.Struct, frozen=True, kw_only=True):
+class ReplicaQuery(msgspec.Struct, frozen=True, kw_only=True):
     """Criteria by which a replica is chosen."""
 
     services: frozenset[str]
     """Services of which it must be a replica."""
-    excluded: frozenset[ReplicaLife] = frozenset()
+    excluded: frozenset[ReplicaIncarnation] = frozenset()
     """Replicas that must not be chosen, such as those that were tried already."""
     model: str = ""
     """Model whose weights it must hold in ``min_version`` or a newer one; any if empty."""
     min_version: int = 0
-    preferred: ReplicaLife | None = None
+    preferred: ReplicaIncarnation | None = None
     """Replica with a small bonus in the score, such as one that has the prompt's prefix cached."""
     load_below: float = math.inf
     """Exclusive upper limit of the load, which counts requests per slot."""
-    terms: SendTerms = ANY_REQUEST
+    terms: SendContext = ANY_REGION_REQUEST
     """What the send rules need to know of the request."""
 
 
@@ -74,19 +74,19 @@
 
     def __init__(self, info: ReplicaInfo) -> None:
         self.info = info
-        self.life = info.life
+        self.incarnation = info.incarnation
         self.in_flight = 0
         """Number of this daemon's requests at the replica."""
-        self.latency_s = ASSUMED_LATENCY_S
+        self.latency_s = DEFAULT_LATENCY_S
         self.latency_recorded_at_s = 0.0
         self.other_requests = 0
         """Number of other daemons' requests at the replica, by its last load report."""
         self.load_reported_at_s = float("-inf")
-        self.observed_versions: dict[str, int] = {}
+        self.reported_versions: dict[str, int] = {}
         """Model to the weight version that the replica itself last reported."""
         self._refused_with_free_slots_at_s = float("-inf")
 
-    def refused(self, now_s: float) -> None:
+    def record_refusal(self, now_s: float) -> None:
         """Record a refusal as busy; a replica that refuses with free slots is probably loading weights."""
         if self.load(now_s) < FULL_LOAD:
             self._refused_with_free_slots_at_s = now_s
@@ -95,7 +95,7 @@
         """Record that an answer's head arrived, so that the replica is not loading weights."""
         self._refused_with_free_slots_at_s = float("-inf")
 
-    def seems_loading(self, now_s: float) -> bool:
+    def is_probably_loading(self, now_s: float) -> bool:
         """Whether the replica is probably loading weights, during which it refuses requests."""
         return now_s - self._refused_with_free_slots_at_s < ASSUMED_LOADING_S
 
@@ -104,47 +104,47 @@
         other_requests = self.other_requests if now_s - self.load_reported_at_s < LOAD_REPORT_MAX_AGE_S else 0
         return (self.in_flight + other_requests) / max(self.info.slots, 1)
 
-    def recent_latency_s(self, now_s: float) -> float:
+    def expected_latency_s(self, now_s: float) -> float:
         """Return the smoothed latency, which decays to ASSUMED_LATENCY_S while nothing is observed."""
         half_lives = (now_s - self.latency_recorded_at_s) / LATENCY_HALF_LIFE_S
-        return ASSUMED_LATENCY_S + (self.latency_s - ASSUMED_LATENCY_S) * 0.5 ** max(half_lives, 0.0)
+        return DEFAULT_LATENCY_S + (self.latency_s - DEFAULT_LATENCY_S) * 0.5 ** max(half_lives, 0.0)
 
     def expected_answer_time_s(self, now_s: float) -> float:
         """Return the expected time to answer a request sent now; it includes queueing beyond full load."""
         overload = max(self.load(now_s) + 1.0 / max(self.info.slots, 1) - FULL_LOAD, 0.0)
-        loading_s = ASSUMED_LOADING_S if self.seems_loading(now_s) else 0.0
-        return (1.0 + overload) * self.recent_latency_s(now_s) + loading_s
+        loading_s = ASSUMED_LOADING_S if self.is_probably_loading(now_s) else 0.0
+        return (1.0 + overload) * self.expected_latency_s(now_s) + loading_s
 
-    def version_of(self, model: str) -> int:
+    def weight_version(self, model: str) -> int:
         """Return the newest weight version that discovery or the replica itself reported; 0 if none."""
-        return max(self.info.model_versions.get(model, 0), self.observed_versions.get(model, 0))
+        return max(self.info.model_versions.get(model, 0), self.reported_versions.get(model, 0))
 
 
 class ReplicaTable:
     """All listed replicas by incarnation, with the choice of one for a request."""
 
-    def __init__(self, places: Places, seed: int | None = None) -> None:
+    def __init__(self, places: Topology, seed: int | None = None) -> None:
         self.places = places
-        self.distances = Distances(places)
+        self.distances = ZoneDistances(places)
         self._local_capacity_waits = LocalCapacityWaits()
-        self.cold = ColdReplicas()
+        self.cold_replicas = ColdReplicas()
         """The cold replicas; none until its ``limit_of`` is set."""
-        self.permits = PermitStock()
+        self.permit_pool = PermitPool()
         """Permits to send to cold replicas."""
-        self._cold_rule = ColdRule(self.cold, self.permits)
-        self.rules = SendRules([DrainingRule(), self._cold_rule])
+        self._cold_rule = ColdRule(self.cold_replicas, self.permit_pool)
+        self.send_rules = SendRules([DrainingRule(), self._cold_rule])
         """Rules that exclude replicas from choices and sends; the daemon adds further ones."""
-        self._state_by_incarnation: dict[ReplicaLife, ReplicaState] = {}
-        self._listed_incarnation_by_id: dict[str, ReplicaLife] = {}
+        self._state_by_incarnation: dict[ReplicaIncarnation, ReplicaState] = {}
+        self._listed_incarnation_by_id: dict[str, ReplicaIncarnation] = {}
         """Replica identifier to the newest incarnation that discovery lists under it."""
-        self._delisted_in_use: dict[ReplicaLife, ReplicaState] = {}
+        self._delisted_in_use: dict[ReplicaIncarnation, ReplicaState] = {}
         """Replicas that are no longer listed, but still run requests of this daemon."""
         self._random = random.Random(seed)
-        self.health: ReplicaHealth[ReplicaLife] = ReplicaHealth()
+        self.health: ReplicaHealth[ReplicaIncarnation] = ReplicaHealth()
 
-    def entry_read(self, info: ReplicaInfo, now_s: float, *, listed: bool = False) -> None:
+    def apply_entry(self, info: ReplicaInfo, now_s: float, *, listed: bool = False) -> None:
         """Apply a discovery entry that was just read; ``listed`` if it was part of a complete list."""
-        self.cold.entry_read(info, now_s, listed=listed)
+        self.cold_replicas.apply_entry(info, now_s, from_full_list=listed)
         self.put(info)
 
     def put(self, info: ReplicaInfo) -> bool:
@@ -153,15 +153,15 @@
         A new incarnation replaces the old one and starts without any of its observations.
         """
         listed = self._listed_incarnation_by_id.get(info.replica_id)
-        if listed is not None and listed.born_unix_ms > info.born_unix_ms:
+        if listed is not None and listed.started_unix_ms > info.started_unix_ms:
             return False
-        if listed != info.life:
+        if listed != info.incarnation:
             self.remove(info.replica_id)
-            self._listed_incarnation_by_id[info.replica_id] = info.life
-            self._state_by_incarnation[info.life] = self._delisted_in_use.pop(
-                info.life, None
+            self._listed_incarnation_by_id[info.replica_id] = info.incarnation
+            self._state_by_incarnation[info.incarnation] = self._delisted_in_use.pop(
+                info.incarnation, None
             ) or ReplicaState(info)
-        self._state_by_incarnation[info.life].info = info
+        self._state_by_incarnation[info.incarnation].info = info
         return True
 
     def remove(self, replica_id: str) -> None:
@@ -174,33 +174,33 @@
         }
         self.health.retain(self._state_by_incarnation)
 
-    def set_aside(self, incarnation: ReplicaLife, now_s: float) -> None:
+    def eject(self, incarnation: ReplicaIncarnation, now_s: float) -> None:
         """Eject a replica at whose address nothing listens; ignored if the incarnation is not listed."""
         if incarnation in self._state_by_incarnation:
-            self.unreachable(incarnation, now_s)
+            self.record_unreachable(incarnation, now_s)
 
-    def unreachable(self, incarnation: ReplicaLife, now_s: float) -> None:
+    def record_unreachable(self, incarnation: ReplicaIncarnation, now_s: float) -> None:
         """Record that a replica could not be reached: it is ejected, and possibly cold when it is back."""
-        self.health.failed(incarnation, now_s, unreachable=True)
+        self.health.record_failure(incarnation, now_s, unreachable=True)
         state = self._state_by_incarnation.get(incarnation)
         if state is not None:
-            self.cold.unreachable(state.info, now_s)
+            self.cold_replicas.mark_unreachable(state.info, now_s)
 
-    def turned_cold(self, zone: str, now_s: float) -> None:
+    def mark_zone_possibly_cold(self, zone: str, now_s: float) -> None:
         """Treat all replicas of a zone as just turned cold, until later entries say that they are warm."""
         infos = [state.info for state in self._state_by_incarnation.values() if state.info.zone == zone]
-        self.cold.turned_cold(infos, now_s)
+        self.cold_replicas.mark_possibly_cold(infos, now_s)
 
     def get(self, replica_id: str) -> ReplicaState | None:
         """Return the newest incarnation listed under an identifier, or None."""
         incarnation = self._listed_incarnation_by_id.get(replica_id)
-        return self.of(incarnation) if incarnation is not None else None
+        return self.find_incarnation(incarnation) if incarnation is not None else None
 
-    def of(self, incarnation: ReplicaLife) -> ReplicaState | None:
+    def find_incarnation(self, incarnation: ReplicaIncarnation) -> ReplicaState | None:
         """Return the state of one incarnation; None if it is not listed or was replaced by a newer one."""
         return self._state_by_incarnation.get(incarnation)
 
-    def find_latest_incarnation(self, incarnation: ReplicaLife) -> ReplicaState | None:
+    def find_latest_incarnation(self, incarnation: ReplicaIncarnation) -> ReplicaState | None:
         """Return the newest listed incarnation of the replica that an incarnation belongs to, or None."""
         return self.get(incarnation.replica_id)
 
@@ -208,57 +208,57 @@
         """Return the states of all listed replicas."""
         return list(self._state_by_incarnation.values())
 
-    def choose(self, query: ChoiceRequest, now_s: float) -> ReplicaState | None:
+    def choose(self, query: ReplicaQuery, now_s: float) -> ReplicaState | None:
         """Return the best usable replica that matches a query, or None.
 
         A cold replica is usable only while an unclaimed permit for it is held; choosing it claims one.  If
         no replica with a free slot is found, permits for matching cold replicas are requested.
         """
         best = self._choose_best(query, now_s)
-        if not self.cold.any:
+        if not self.cold_replicas.any_may_be_cold:
             return best
         if best is None or best.load(now_s) >= FULL_LOAD:
             self._request_permits(query, now_s)
         if best is not None:
-            self._cold_rule.chosen(best.info, query.terms, now_s)
+            self._cold_rule.claim_permit(best.info, query.terms, now_s)
         return best
 
-    def _request_permits(self, query: ChoiceRequest, now_s: float) -> None:
+    def _request_permits(self, query: ReplicaQuery, now_s: float) -> None:
         """Request permits for the cold replicas that match a query and are not ejected."""
         states = self._state_by_incarnation.values()
-        cold = [state for state in states if self.cold.is_cold(state.info, now_s)]
+        cold = [state for state in states if self.cold_replicas.is_cold(state.info, now_s)]
         matching = [state.info for state in cold if self._matches(state, query, now_s)]
-        usable = self.health.usable([info.life for info in matching], now_s)
+        usable = self.health.filter_usable([info.incarnation for info in matching], now_s)
         for info in matching:
-            if info.life in usable:
-                self.permits.want(info.replica_id, info.service)
+            if info.incarnation in usable:
+                self.permit_pool.request_permit(info.replica_id, info.service)
 
-    def _choose_best(self, query: ChoiceRequest, now_s: float) -> ReplicaState | None:
+    def _choose_best(self, query: ReplicaQuery, now_s: float) -> ReplicaState | None:
         candidates = [
             state for state in self._state_by_incarnation.values() if self._is_eligible(state, query, now_s)
         ]
-        usable = set(self.health.usable([state.life for state in candidates], now_s))
-        healthy = [state for state in candidates if state.life in usable]
+        usable = set(self.health.filter_usable([state.incarnation for state in candidates], now_s))
+        healthy = [state for state in candidates if state.incarnation in usable]
         if not healthy:
             return None
         self._random.shuffle(healthy)
-        if not self.distances.several_regions:
+        if not self.distances.has_multiple_regions:
             return min(healthy, key=lambda state: self._score(state, query, now_s))
         return self._choose_between_regions(healthy, query, now_s)
 
     def _choose_between_regions(
-        self, candidates: list[ReplicaState], query: ChoiceRequest, now_s: float
+        self, candidates: list[ReplicaState], query: ReplicaQuery, now_s: float
     ) -> ReplicaState | None:
         """Return the best local replica, or a remote one if that is expected to answer earlier.
 
         To not overload a remote region, only a share of such requests goes there.  None means to wait for
         a local replica.
         """
-        local = [state for state in candidates if self.distances.is_home(state.info.zone)]
-        remote = [state for state in candidates if not self.distances.is_home(state.info.zone)][
+        local = [state for state in candidates if self.distances.is_local_region(state.info.zone)]
+        remote = [state for state in candidates if not self.distances.is_local_region(state.info.zone)][
             :MAX_REMOTE_CANDIDATES
         ]
-        request_class = (query.services, query.model, query.terms.regions)
+        request_class = (query.services, query.model, query.terms.allowed_regions)
         best_local = min(local, key=lambda state: self._score(state, query, now_s), default=None)
         best_remote = min(remote, key=lambda state: self._score(state, query, now_s), default=None)
         if best_local is not None:
@@ -273,7 +273,7 @@
         return best_remote if self._random.random() < share else best_local
 
     def _choose_remote(
-        self, remote: ReplicaState | None, request_class: Hashable, query: ChoiceRequest, now_s: float
+        self, remote: ReplicaState | None, request_class: Hashable, query: ReplicaQuery, now_s: float
     ) -> ReplicaState | None:
         """Return the remote replica for a request without a usable local one, or None to wait for that.
 
@@ -284,50 +284,54 @@
         cost_s = self.distances.network_cost_s(remote.info.zone)
         return remote if self._local_capacity_waits.record_no_capacity(request_class, cost_s, now_s) else None
 
-    def _has_local_replica(self, query: ChoiceRequest, now_s: float) -> bool:
+    def _has_local_replica(self, query: ReplicaQuery, now_s: float) -> bool:
         """Whether a local replica is only excluded by the query's limit of the load."""
         if query.load_below == math.inf:
             return False
         any_load_query = msgspec.structs.replace(query, load_below=math.inf)
         local = [
-            state for state in self._state_by_incarnation.values() if self.distances.is_home(state.info.zone)
+            state
+            for state in self._state_by_incarnation.values()
+            if self.distances.is_local_region(state.info.zone)
         ]
-        eligible = [state.life for state in local if self._is_eligible(state, any_load_query, now_s)]
-        return bool(self.health.usable(eligible, now_s)) if eligible else False
+        eligible = [state.incarnation for state in local if self._is_eligible(state, any_load_query, now_s)]
+        return bool(self.health.filter_usable(eligible, now_s)) if eligible else False
 
-    def _is_eligible(self, state: ReplicaState, query: ChoiceRequest, now_s: float) -> bool:
+    def _is_eligible(self, state: ReplicaState, query: ReplicaQuery, now_s: float) -> bool:
         """Whether a replica matches a query, no send rule excludes it, and a permit is free if it is cold."""
         if not self._matches(state, query, now_s):
             return False
-        if not self.rules.allows(state.info, query.terms, now_s):
+        if not self.send_rules.allows(state.info, query.terms, now_s):
             return False
-        return not self.cold.any or self._cold_rule.has_room(state.info, query.terms, now_s)
+        return not self.cold_replicas.any_may_be_cold or self._cold_rule.may_claim_permit(
+            state.info, query.terms, now_s
+        )
 
-    def _matches(self, state: ReplicaState, query: ChoiceRequest, now_s: float) -> bool:
+    def _matches(self, state: ReplicaState, query: ReplicaQuery, now_s: float) -> bool:
         """Whether a replica meets the criteria of a query; send rules and health are not checked."""
         info = state.info
-        if info.service not in query.services or state.life in query.excluded:
+        if info.service not in query.services or state.incarnation in query.excluded:
             return False
         if state.load(now_s) >= query.load_below:
             return False
-        return not query.model or state.version_of(query.model) >= query.min_version
+        return not query.model or state.weight_version(query.model) >= query.min_version
 
-    def _score(self, state: ReplicaState, query: ChoiceRequest, now_s: float) -> float:
+    def _score(self, state: ReplicaState, query: ReplicaQuery, now_s: float) -> float:
         """Return a score that is the lower, the better; units are multiples of ASSUMED_LATENCY_S."""
         load = state.load(now_s)
-        score = (1.0 + load) * state.recent_latency_s(now_s) / ASSUMED_LATENCY_S + load
+        score = (1.0 + load) * state.expected_latency_s(now_s) / DEFAULT_LATENCY_S + load
         if state.info.zone != self.places.zone:
-            score += self.distances.network_cost_s(state.info.zone) / ASSUMED_LATENCY_S
-        if state.seems_loading(now_s):
+            score += self.distances.network_cost_s(state.info.zone) / DEFAULT_LATENCY_S
+        if state.is_probably_loading(now_s):
             score += LOADING_SCORE_PENALTY
-        if query.preferred == state.life:
+        if query.preferred == state.incarnation:
             score -= 0.15
         return score
 
     def has_faster(
         self,
-        incarnation: ReplicaLife,
-        query: ChoiceRequest,
+        incarnation: ReplicaIncarnation,
+        query: ReplicaQuery,
         now_s: float,
         latency_share: float = FASTER_LATENCY_SHARE,
     ) -> bool:
@@ -339,19 +343,19 @@
         best = self._choose_best(query, now_s)
         if state is None or best is None:
             return False
-        return best.recent_latency_s(now_s) < latency_share * state.recent_latency_s(now_s)
+        return best.expected_latency_s(now_s) < latency_share * state.expected_latency_s(now_s)
 
-    def observe_latency(self, incarnation: ReplicaLife, latency_s: float, now_s: float) -> None:
+    def record_latency(self, incarnation: ReplicaIncarnation, latency_s: float, now_s: float) -> None:
         """Record a replica's latency, or a lower bound of it; ignored if the incarnation is not listed."""
         state = self._state_by_incarnation.get(incarnation)
         if state is None:
             return
-        current_s = state.recent_latency_s(now_s)
+        current_s = state.expected_latency_s(now_s)
         capped_s = min(latency_s, MAX_LATENCY_INCREASE_FACTOR * current_s)
         state.latency_s = current_s + LATENCY_SMOOTHING * (capped_s - current_s)
         state.latency_recorded_at_s = now_s
 
-    def observe_load(self, incarnation: ReplicaLife, reported_requests: int, now_s: float) -> None:
+    def record_load(self, incarnation: ReplicaIncarnation, reported_requests: int, now_s: float) -> None:
         """Record the number of running and waiting requests that a replica reported, of all daemons."""
         state = self._state_by_incarnation.get(incarnation)
         if state is not None:
--- a/passgate/gateway/routes.py
+++ b/passgate/gateway/routes.py
@@ -1,8 +1,8 @@
 """The operator's configuration, and the match of a request to a route by host and longest path prefix.
 
 >>> table = RouteTable(GatewayConfig(version=1, routes=(
-...     Route(name="a", host="h", path_prefix="/x/", parts=(RoutePart("s", 1),)),
-...     Route(name="b", host="h", path_prefix="/x/y/", parts=(RoutePart("s", 1),)))))
+...     Route(name="a", host="h", path_prefix="/x/", parts=(WeightedService("s", 1),)),
+...     Route(name="b", host="h", path_prefix="/x/y/", parts=(WeightedService("s", 1),)))))
 >>> table.match("h", "/x/y/z?q=1").name, table.match("h", "/x/z").name, table.match("h", "/q/")
 ('b', 'a', None)
 """
@@ -16,9 +16,9 @@
 
 import msgspec
 
-from passgate.eligibility.places import Places
-from passgate.eligibility.regions import common_regions
-from passgate.eligibility.rules import ANY_REQUEST, SendTerms
+from passgate.eligibility.places import Topology
+from passgate.eligibility.regions import intersect_regions
+from passgate.eligibility.rules import ANY_REGION_REQUEST, SendContext
 from passgate.errors import InvalidConfiguration
 from passgate.gateway.access import ApiKeyIndex, Tenant
 
@@ -46,7 +46,7 @@
     """Submissions of batch jobs."""
 
 
-class RoutePart(msgspec.Struct, frozen=True):
+class WeightedService(msgspec.Struct, frozen=True):
     """A service among which a route's requests are split, and its relative weight."""
 
     service: str
@@ -60,7 +60,7 @@
     host: str
     path_prefix: str
     """Begins and ends with a slash."""
-    parts: tuple[RoutePart, ...]
+    parts: tuple[WeightedService, ...]
     kind: RouteKind = RouteKind.SAFE
     timeout_s: float = DEFAULT_TIMEOUT_S
     """Time after a request's arrival at which it is answered at the latest."""
@@ -148,7 +148,7 @@
 class RouteTable:
     """A compiled configuration: routes by host with the longest prefix first, and the API key index."""
 
-    def __init__(self, config: GatewayConfig, places: Places | None = None) -> None:
+    def __init__(self, config: GatewayConfig, places: Topology | None = None) -> None:
         """Compile a configuration; raises InvalidConfiguration.
 
         Args:
@@ -156,7 +156,7 @@
             places: zones and regions of the deployment, for checking allowed regions; None if unknown.
         """
         self.config = config
-        self.keys = ApiKeyIndex(config.tenants)
+        self.api_key_index = ApiKeyIndex(config.tenants)
         self._tenant_by_name = {tenant.name: tenant for tenant in config.tenants}
         for owner in (*config.routes, *config.tenants):
             _validate_regions(owner, places)
@@ -167,7 +167,7 @@
         for route in sorted(config.routes, key=lambda route: len(route.path_prefix), reverse=True):
             self._routes_by_host.setdefault(route.host, []).append(route)
 
-    def takes_public_jobs(self, host: str) -> bool:
+    def accepts_public_jobs(self, host: str) -> bool:
         """Whether a host has a public batch route; its jobs may then be submitted and read without a key."""
         return any(
             route.public and route.kind is RouteKind.BATCH for route in self._routes_by_host.get(host, ())
@@ -187,12 +187,12 @@
         return found.allowed_regions if found is not None else frozenset()
 
 
-def _validate_regions(owner: Route | Tenant, places: Places | None) -> None:
+def _validate_regions(owner: Route | Tenant, places: Topology | None) -> None:
     """Raise InvalidConfiguration if an allowed region of a route or tenant does not exist.
 
     A misspelt region would otherwise have all requests of its owner refused.
     """
-    known_regions = frozenset(places.regions.values()) if places is not None else frozenset()
+    known_regions = frozenset(places.region_by_zone.values()) if places is not None else frozenset()
     for region in owner.allowed_regions:
         if not region or (known_regions and region not in known_regions):
             raise InvalidConfiguration("an allowed region is not known", holder=owner.name, region=region)
@@ -201,7 +201,7 @@
 class ConfigHolder:
     """Holds the active configuration; its version never decreases."""
 
-    def __init__(self, places: Places | None = None) -> None:
+    def __init__(self, places: Topology | None = None) -> None:
         """Start without a configuration; ``places`` names the regions that configurations may use."""
         self.table: RouteTable | None = None
         self._places = places
@@ -220,9 +220,9 @@
         route = self.find_route(host, path)
         return route.item_time_to_live_s if route is not None else ITEM_TIME_TO_LIVE_S
 
-    def terms_for(
+    def send_context_for(
         self, host: str, path: str, tenant: str | None, accepted_regions: frozenset[str] = frozenset()
-    ) -> SendTerms:
+    ) -> SendContext:
         """Return a request's region restriction by the active configuration.
 
         The active configuration counts also for a request that was accepted under an earlier one.
@@ -237,14 +237,14 @@
         route = self.find_route(host, path)
         route_regions = route.allowed_regions if route is not None else accepted_regions
         tenant_regions = self.table.allowed_tenant_regions(tenant) if self.table is not None else frozenset()
-        regions = common_regions(route_regions, tenant_regions)
-        return ANY_REQUEST if regions is None else SendTerms(regions=regions)
+        regions = intersect_regions(route_regions, tenant_regions)
+        return ANY_REGION_REQUEST if regions is None else SendContext(allowed_regions=regions)
 
-    def names_service(self, service: str) -> bool:
+    def has_service(self, service: str) -> bool:
         """Whether the active configuration has a service of this name."""
         return self.table is not None and service in self.table.services
 
-    def offer(self, config: GatewayConfig) -> bool:
+    def apply_if_newer(self, config: GatewayConfig) -> bool:
         """Make a configuration the active one if its version is higher; return whether it was.
 
         Raises InvalidConfiguration, in which case the active configuration stays.
@@ -255,15 +255,16 @@
         return True
 
 
-class WeightedChoice:
+class WeightedServicePicker:
     """Splits the requests of each route among its services in proportion to their weights.
 
     Successive requests get positions from 0 to 1 that differ by the golden ratio's fraction, which covers
     the range evenly from any start; the weights divide the range among the services.  The start is random,
     so that services of little weight get their share also from many daemons with few requests each.
 
-    >>> picker = WeightedChoice(seed=1)
-    >>> route = Route(name="a", host="h", path_prefix="/", parts=(RoutePart("s", 90), RoutePart("t", 10)))
+    >>> picker = WeightedServicePicker(seed=1)
+    >>> services = (WeightedService("s", 90), WeightedService("t", 10))
+    >>> route = Route(name="a", host="h", path_prefix="/", parts=services)
     >>> picked = [picker.pick(route) for _ in range(100)]
     >>> picked.count("s"), picked.count("t")
     (90, 10)
--- a/passgate/gateway/settings.py
+++ b/passgate/gateway/settings.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from passgate.eligibility.places import Places
+from passgate.eligibility.places import Topology
 
 
 class ScalingPolicy(enum.Enum):
@@ -82,6 +82,6 @@
     """Requests in a second that a cold replica may get in addition."""
 
     @property
-    def places(self) -> Places:
+    def places(self) -> Topology:
         """Zone of the daemon, and the regions of all zones."""
-        return Places(zone=self.zone, regions=self.regions)
+        return Topology(zone=self.zone, region_by_zone=self.regions)
--- a/passgate/gateway/stream_forwarder.py
+++ b/passgate/gateway/stream_forwarder.py
@@ -24,9 +24,9 @@
 )
 from passgate.gateway.access import Caller
 from passgate.gateway.forwarder_base import ForwardedRequest, ForwarderBase
-from passgate.gateway.messages import GatewayAnswer, IncomingRequest, StreamAnswer, answered_status
-from passgate.gateway.replica_call import ReplicaExchange, end_to_end_headers
-from passgate.gateway.replicas import FULL_LOAD, ChoiceRequest
+from passgate.gateway.messages import GatewayAnswer, IncomingRequest, StreamAnswer, error_status
+from passgate.gateway.replica_call import ReplicaAttempt, end_to_end_headers
+from passgate.gateway.replicas import FULL_LOAD, ReplicaQuery
 from passgate.gateway.routes import Route
 
 OK_STATUS = 200
@@ -54,7 +54,7 @@
         exchange = await self._open_stream(stream)
         if exchange.status != OK_STATUS:
             try:
-                answer = await exchange.whole_answer()
+                answer = await exchange.read_answer()
             finally:
                 exchange.close()
             self._record_end(stream, answer.status, "")
@@ -64,7 +64,7 @@
         headers = tuple(end_to_end_headers(exchange.headers.get_all()))
         return StreamAnswer(status=OK_STATUS, headers=headers, chunks=self._stream_events(stream, exchange))
 
-    async def _open_stream(self, stream: ForwardedRequest) -> ReplicaExchange:
+    async def _open_stream(self, stream: ForwardedRequest) -> ReplicaAttempt:
         """Return an exchange whose head has arrived; raises PassgateError if no replica sends one."""
         while True:
             exchange = await self._start_attempt(stream)
@@ -73,10 +73,10 @@
                 timeout_s = min(timeout_s, HEAD_TIMEOUT_FACTOR * stream.route.target_latency_s)
             try:
                 async with asyncio.timeout(max(timeout_s, 0.0)):
-                    await exchange.head()
+                    await exchange.wait_for_head()
                 return exchange
             except TimeoutError as error:
-                exchange.too_slow()
+                exchange.record_timeout()
                 exchange.close()
                 stream.may_have_run = True
                 self._record_failed_stream(
@@ -94,18 +94,18 @@
                 raise
 
     def _record_failed_stream(
-        self, stream: ForwardedRequest, exchange: ReplicaExchange, error: PassgateError
+        self, stream: ForwardedRequest, exchange: ReplicaAttempt, error: PassgateError
     ) -> None:
-        self._record_failed_attempt(stream, exchange.life, error, exchange.began_s)
+        self._record_failed_attempt(stream, exchange.incarnation, error, exchange.started_s)
 
-    async def _start_attempt(self, stream: ForwardedRequest) -> ReplicaExchange:
+    async def _start_attempt(self, stream: ForwardedRequest) -> ReplicaAttempt:
         """Check that the request may be sent, choose a replica and send; raises PassgateError if not sent."""
         try:
             self._check_regions(stream)
             if not await self._passes_quarantine(stream):
                 raise self._end_with_error(stream, "the request is quarantined, as it has crashed replicas")
         except (NoRegionAllowed, RequestQuarantined) as error:
-            self._record_end(stream, answered_status(error), error.code)
+            self._record_end(stream, error_status(error), error.code)
             raise
         state = self._choose_replica(stream)
         if state is None:
@@ -115,10 +115,10 @@
         elif not self._is_still_authorized(stream):
             raise self._end_with_error(stream, "the API key was revoked")
         self._record_sent(stream, state)
-        return self._replica_client.open(state, self._replica_request(stream))
+        return self._replica_client.start_attempt(state, self._replica_request(stream))
 
     async def _stream_events(
-        self, stream: ForwardedRequest, exchange: ReplicaExchange
+        self, stream: ForwardedRequest, exchange: ReplicaAttempt
     ) -> AsyncGenerator[bytes, None]:
         """Yield bytes of complete events, from further replicas if the stream may be continued.
 
@@ -149,7 +149,7 @@
             exchange.close()
 
     async def _read_attempt_events(
-        self, stream: ForwardedRequest, exchange: ReplicaExchange
+        self, stream: ForwardedRequest, exchange: ReplicaAttempt
     ) -> AsyncGenerator[bytes, None]:
         """Yield bytes of complete events of one attempt.
 
@@ -170,15 +170,15 @@
                 self._count_run_once(stream)
                 now_s = monotonic_s()
                 if last_event_s:
-                    exchange.observe_pace((now_s - last_event_s) / len(complete))
+                    exchange.record_event_interval((now_s - last_event_s) / len(complete))
                 last_event_s = now_s
                 yield EVENT_SEPARATOR.join(complete) + EVENT_SEPARATOR
                 count += len(complete)
                 if count >= MIN_EVENTS_BEFORE_MOVE and self._should_move(stream, exchange):
                     raise MovedElsewhere("another replica is much faster")
-        if pending.strip() or not exchange.proven_whole:
+        if pending.strip() or not exchange.is_complete:
             raise IncompleteAnswer("the stream ended without its end mark or within an event")
-        exchange.succeeded_stream()
+        exchange.record_stream_success()
 
     def _count_run_once(self, stream: ForwardedRequest) -> None:
         """Count the request's run for the usage report, at the first event of its first attempt with one."""
@@ -186,17 +186,17 @@
             stream.usage_counted = True
             self._count_run(stream, self._usage_wall_s())
 
-    def _should_move(self, stream: ForwardedRequest, exchange: ReplicaExchange) -> bool:
+    def _should_move(self, stream: ForwardedRequest, exchange: ReplicaAttempt) -> bool:
         """Whether a resumable stream should continue at another replica, which is much faster."""
         if not stream.route.resumable or not stream.may_be_sent_again:
             return False
-        query = ChoiceRequest(
+        query = ReplicaQuery(
             services=frozenset({stream.service}),
             excluded=frozenset(stream.tried_replicas),
             load_below=FULL_LOAD,
             terms=self._send_terms(stream),
         )
-        return self._replicas.has_faster(exchange.life, query, monotonic_s())
+        return self._replicas.has_faster(exchange.incarnation, query, monotonic_s())
 
     def _read_timeout_s(self, stream: ForwardedRequest) -> float:
         left_s = max(stream.answer_by_s - monotonic_s(), 0.0)
@@ -213,7 +213,7 @@
         else:
             error = self._no_replica_error(stream, reason)
         reason = error.code if isinstance(error, NoReplicaInRegions) else reason
-        self._record_end(stream, answered_status(error), reason)
+        self._record_end(stream, error_status(error), reason)
         return error
 
 
--- a/passgate/jobs/bound_bodies.py
+++ b/passgate/jobs/bound_bodies.py
@@ -29,10 +29,10 @@
 import msgspec
 
 from passgate.clock import monotonic_s
-from passgate.decisions import DecisionLog, JobBodiesLost
-from passgate.eligibility.places import Places
-from passgate.eligibility.regions import may_be_in
-from passgate.eligibility.rules import SendTerms
+from passgate.decisions import DecisionLog, JobBodiesUnusable
+from passgate.eligibility.places import Topology
+from passgate.eligibility.regions import is_region_allowed
+from passgate.eligibility.rules import SendContext
 from passgate.errors import LogAppendUnknown, LogError, LogUnavailable
 from passgate.jobs.records import (
     COMPRESSION_LEVEL,
@@ -53,7 +53,7 @@
 MAX_PIECE_SHARE = 0.5
 """Largest piece as a share of the maximum record size; its base64 form is a third longer."""
 
-SendContextLookup = Callable[[str, str, str | None, frozenset[str]], SendTerms]
+SendContextLookup = Callable[[str, str, str | None, frozenset[str]], SendContext]
 """Returns the restrictions on a request, from its host, path, tenant and the regions allowed earlier."""
 
 
@@ -97,14 +97,14 @@
     return msgspec.structs.replace(item, body=bodies.item, reward=reward)
 
 
-class BoundBodies:
+class RestrictedBodies:
     """Stores and reads the bodies of region-restricted jobs, for one daemon."""
 
     def __init__(
         self,
         log: SharedLog,
         find_send_context: SendContextLookup,
-        places: Places,
+        places: Topology,
         settings: RestrictedBodiesSettings,
         decisions: DecisionLog,
         time_to_live_s: Callable[[str, str], float],
@@ -129,7 +129,7 @@
 
     def allowed_regions(self, host: str, path: str, tenant: str | None) -> frozenset[str] | None:
         """Return the regions that the active configuration allows for a job; None for any region."""
-        return self._find_send_context(host, path, tenant, frozenset()).regions
+        return self._find_send_context(host, path, tenant, frozenset()).allowed_regions
 
     def may_hold(
         self, host: str, path: str, tenant: str | None, location: BodiesLocation | None = None
@@ -143,8 +143,9 @@
             location: location of the bodies, if they are stored apart from the job.
         """
         regions_at_acceptance = location.regions if location is not None else frozenset()
-        return may_be_in(
-            self._find_send_context(host, path, tenant, regions_at_acceptance).regions, self._places.region
+        return is_region_allowed(
+            self._find_send_context(host, path, tenant, regions_at_acceptance).allowed_regions,
+            self._places.region,
         )
 
     async def store_bodies(self, spec: JobSpec, partition: int, deadline_s: float) -> JobSpec:
@@ -239,7 +240,9 @@
 class BodiesReader:
     """Reads the bodies of one partition's region-restricted jobs, in the background, each once."""
 
-    def __init__(self, bodies: BoundBodies, deliver: Callable[[str, Sequence[ItemBodies]], bool]) -> None:
+    def __init__(
+        self, bodies: RestrictedBodies, deliver: Callable[[str, Sequence[ItemBodies]], bool]
+    ) -> None:
         """Create the reader.
 
         Args:
@@ -289,7 +292,7 @@
 
     def _mark_unrecoverable(self, job: RestrictedJob, reason: str) -> None:
         self._unrecoverable_jobs.add(job.job_id)
-        self._bodies.decisions.write(JobBodiesLost(job_id=job.job_id, reason=reason))
+        self._bodies.decisions.write(JobBodiesUnusable(job_id=job.job_id, reason=reason))
 
     def forget_jobs_except(self, job_ids: Collection[str]) -> None:
         """Forget failures and pauses of all jobs but these."""
--- a/passgate/jobs/fold.py
+++ b/passgate/jobs/fold.py
@@ -5,11 +5,11 @@
 epoch and the first result of an item are accepted, later ones are ignored.
 
 >>> from passgate.jobs.records import job_pieces
->>> projection = JobFold()
+>>> projection = JobProjection()
 >>> spec = JobSpec(job_id="j", host="h", path="/p/", items=(ItemSpec(id="i", path="/p/1"),))
 >>> projection.apply(0, Batch(writer="d1.a", entries=tuple(job_pieces(spec, "n", 1000, "d1.a"))), now_s=0.0)
 >>> job = projection.jobs["j"]
->>> cancellation = Batch(writer="d1.a", entries=(JobEnded(job_id="j"),))
+>>> cancellation = Batch(writer="d1.a", entries=(JobCancelled(job_id="j"),))
 >>> job.owner, job.item_count, projection.apply(1, cancellation, now_s=1.0)
 ('d1.a', 1, None)
 >>> job.cancelled
@@ -23,7 +23,7 @@
 
 import msgspec
 
-from passgate.gateway.access import scoped_id
+from passgate.gateway.access import tenant_scoped_id
 from passgate.jobs.bound_bodies import RestrictedJob, with_bodies
 from passgate.jobs.event_stream import RecordedEvents
 from passgate.jobs.groups import GroupProgress
@@ -33,8 +33,8 @@
     ItemProgressed,
     ItemsDone,
     ItemSpec,
+    JobCancelled,
     JobClaimed,
-    JobEnded,
     JobPiece,
     JobSpec,
     Result,
@@ -91,7 +91,7 @@
 
     def item_key(self, item_id: str) -> str:
         """Return the key of an item of this job in the projection's mappings: its id, scoped by tenant."""
-        return scoped_id(self.tenant, item_id)
+        return tenant_scoped_id(self.tenant, item_id)
 
     @property
     def is_open(self) -> bool:
@@ -141,7 +141,7 @@
     data_by_index: dict[int, bytes] = {}
 
 
-class JobFold:
+class JobProjection:
     """All jobs of a partition, unfinished output, and the writers that append to the partition."""
 
     def __init__(self) -> None:
@@ -183,7 +183,7 @@
                 self._add_results(entry)
             case ItemProgressed():
                 self._add_events(writer, entry)
-            case JobEnded():
+            case JobCancelled():
                 self._cancel_job(entry)
             case WriterStopped():
                 self._stop_writer(writer, now_s)
@@ -272,7 +272,7 @@
             return True
         return by_owner and entry.run != recorded.run_id and entry.run not in recorded.replaced_run_ids
 
-    def _cancel_job(self, entry: JobEnded) -> None:
+    def _cancel_job(self, entry: JobCancelled) -> None:
         job = self.jobs.get(entry.job_id)
         if job is not None:
             job.cancelled = True
--- a/passgate/jobs/group_replicas.py
+++ b/passgate/jobs/group_replicas.py
@@ -11,33 +11,33 @@
 
 import msgspec
 
-from passgate.eligibility.replica_info import ReplicaLife
-from passgate.gateway.replicas import ChoiceRequest, ReplicaTable
+from passgate.eligibility.replica_info import ReplicaIncarnation
+from passgate.gateway.replicas import ReplicaQuery, ReplicaTable
 
 
-class GroupReplicas:
+class GroupAffinity:
     """Preferred replica of each item group of one job."""
 
     def __init__(self, replicas: ReplicaTable, evacuated_zones: Container[str]) -> None:
         self._replicas = replicas
         self._evacuated_zones = evacuated_zones
-        self._replica_by_group: dict[str, ReplicaLife] = {}
+        self._replica_by_group: dict[str, ReplicaIncarnation] = {}
         """Maps groups to the replica that last received an item of theirs, or that is to receive the next."""
 
-    def replica_of(self, group: str) -> ReplicaLife | None:
+    def replica_of(self, group: str) -> ReplicaIncarnation | None:
         """Return the preferred replica of a group, or None."""
         return self._replica_by_group.get(group)
 
-    def sent(self, group: str, replica: ReplicaLife) -> None:
+    def record_send(self, group: str, replica: ReplicaIncarnation) -> None:
         """Prefer the replica that an item of the group was sent to."""
         self._replica_by_group[group] = replica
 
-    def record_refusal(self, group: str, replica: ReplicaLife) -> None:
+    def record_refusal(self, group: str, replica: ReplicaIncarnation) -> None:
         """Drop the preference for a replica that refused an item of the group."""
         if self.replica_of(group) == replica:
             del self._replica_by_group[group]
 
-    def preferred(self, group: str, query: ChoiceRequest, now_s: float) -> ReplicaLife | None:
+    def choose_preferred(self, group: str, query: ReplicaQuery, now_s: float) -> ReplicaIncarnation | None:
         """Return the replica that a group's items prefer, or None; replaces one in an evacuated zone first.
 
         Args:
@@ -46,12 +46,12 @@
             now_s: loop time.
         """
         replica = self.replica_of(group)
-        state = self._replicas.of(replica) if replica is not None else None
+        state = self._replicas.find_incarnation(replica) if replica is not None else None
         if state is not None and state.info.zone in self._evacuated_zones:
             self._reassign(group, query, now_s)
         return self.replica_of(group)
 
-    def _reassign(self, group: str, query: ChoiceRequest, now_s: float) -> None:
+    def _reassign(self, group: str, query: ReplicaQuery, now_s: float) -> None:
         """Prefer another replica for a group: if possible one that no group prefers.
 
         The preference stays as it is when no replica matches the query.
@@ -61,4 +61,4 @@
         )
         state = self._replicas.choose(unshared_query, now_s) or self._replicas.choose(query, now_s)
         if state is not None:
-            self._replica_by_group[group] = state.life
+            self._replica_by_group[group] = state.incarnation
--- a/passgate/jobs/item_run.py
+++ b/passgate/jobs/item_run.py
@@ -12,9 +12,9 @@
 import msgspec
 
 from passgate.clock import monotonic_s
-from passgate.decisions import DecisionLog, ItemFailed, ItemHeld, ItemSent
-from passgate.eligibility.replica_info import ReplicaLife
-from passgate.eligibility.rules import SendTerms
+from passgate.decisions import DecisionLog, ItemFailed, ItemQuarantined, ItemSent
+from passgate.eligibility.replica_info import ReplicaIncarnation
+from passgate.eligibility.rules import SendContext
 from passgate.errors import (
     BackendRefused,
     ExecutionStatus,
@@ -24,25 +24,25 @@
     VersionTooOld,
 )
 from passgate.gateway.dialect import HeaderNames
-from passgate.gateway.replica_call import ReplicaCaller, ReplicaExchange, ReplicaRequest
-from passgate.gateway.replicas import FULL_LOAD, ChoiceRequest, ReplicaState, ReplicaTable
+from passgate.gateway.replica_call import ReplicaAttempt, ReplicaClient, ReplicaRequest
+from passgate.gateway.replicas import FULL_LOAD, ReplicaQuery, ReplicaState, ReplicaTable
 from passgate.gateway.routes import Route
 from passgate.jobs.checkpoint import ItemCheckpointer
 from passgate.jobs.durations import OutputDurations
 from passgate.jobs.event_stream import EventStream, RecordedEvents
-from passgate.jobs.group_replicas import GroupReplicas
+from passgate.jobs.group_replicas import GroupAffinity
 from passgate.jobs.records import ItemSpec, JobSpec, Result, ResultState
-from passgate.jobs.reward_call import RewardTools
-from passgate.jobs.silence import FIRST_BYTES_LIMIT_S, StreamSilence, silence_limit_s
+from passgate.jobs.reward_call import RewardCallContext
+from passgate.jobs.silence import FIRST_BYTES_LIMIT_S, StallDetector, silence_limit_s
 from passgate.jobs.timing import JobTiming
-from passgate.jobs.waiting import QueueKey, Rank, WaitingLine
+from passgate.jobs.waiting import QueueKey, Rank, WaitQueues
 from passgate.quarantine.identity import ITEM_CRASH_LIMIT
 
 SLOT_POLL_INTERVAL_S = 0.01
 """Time between checks for a replica with a free slot."""
 PACE_CHECK_EVENTS = 4
 """Number of an attempt's events between two checks for a much faster replica."""
-LONG_EVENTS = 30
+LONG_OUTPUT_EVENTS = 30
 """Outputs with this many events count as long: they are likely to continue, and delay their training step."""
 LONG_OUTPUT_MAX_TIME_RATIO = 0.83
 """A long output moves once, to a replica whose latency is at most this share of the present one's."""
@@ -54,33 +54,33 @@
 HTTP_OK = 200
 
 
-class ItemTools(msgspec.Struct, frozen=True, kw_only=True):
+class ItemRunContext(msgspec.Struct, frozen=True, kw_only=True):
     """Dependencies that all item runs of a job share."""
 
     route: Route
-    caller: ReplicaCaller
+    caller: ReplicaClient
     replicas: ReplicaTable
-    names: HeaderNames
+    header_names: HeaderNames
     decisions: DecisionLog
-    waiting: WaitingLine
+    wait_queues: WaitQueues
     durations: OutputDurations
-    rewards: RewardTools
-    silence: StreamSilence
-    terms_for: Callable[[str, str, str | None, frozenset[str]], SendTerms]
+    reward_context: RewardCallContext
+    stall_detector: StallDetector
+    find_send_context: Callable[[str, str, str | None, frozenset[str]], SendContext]
     """Returns the restrictions on a request, from its host, path, tenant and the regions allowed earlier."""
-    group_replicas: GroupReplicas
+    group_affinity: GroupAffinity
 
-    def send_context_of(self, job: JobSpec) -> SendTerms:
+    def send_context_of(self, job: JobSpec) -> SendContext:
         """Return the restrictions on a job's items by the active configuration."""
-        return self.terms_for(job.host, job.path, job.tenant, self.route.allowed_regions)
+        return self.find_send_context(job.host, job.path, job.tenant, self.route.allowed_regions)
 
     def queue_key(self, job: JobSpec) -> QueueKey:
         """Return the queue of a job's items; a new configuration may change it with the allowed regions."""
-        return QueueKey(model=job.model, regions=self.send_context_of(job).regions)
+        return QueueKey(model=job.model, regions=self.send_context_of(job).allowed_regions)
 
     def expected_tokens(self, item: ItemSpec) -> float:
         """Return the caller's estimate of the output's length in tokens, or 0 without a valid one."""
-        length_hint = item.headers.get(self.names.length_hint, "")
+        length_hint = item.headers.get(self.header_names.length_hint, "")
         try:
             return float(length_hint)
         except ValueError:
@@ -94,7 +94,7 @@
         self,
         job: JobSpec,
         item: ItemSpec,
-        context: ItemTools,
+        context: ItemRunContext,
         recorded_events: RecordedEvents | None,
         rank: Rank,
         timing: JobTiming,
@@ -108,7 +108,7 @@
         self.attempts = 0
         self._job = job
         self._context = context
-        self._stream = EventStream(context.names.weight_versions)
+        self._stream = EventStream(context.header_names.weight_versions)
         usable_events = (
             recorded_events if recorded_events is not None and self._is_usable(recorded_events) else None
         )
@@ -122,12 +122,12 @@
         self._error_answers = 0
         """Answers of status 500, over all attempts."""
         self._moved_for_length = False
-        self._avoided_replica: ReplicaLife | None = None
+        self._avoided_replica: ReplicaIncarnation | None = None
         """Replica of the last failed attempt, which is not chosen while another one is available."""
-        self._state: ReplicaState | None = None
+        self._reserved_replica: ReplicaState | None = None
         """Replica at which a slot is reserved for the next attempt."""
         self._identity = self._build_request().identity
-        self._crashes = context.caller.crashes
+        self._crashes = context.caller.crash_guard
 
     def _is_usable(self, recorded_events: RecordedEvents) -> bool:
         """Whether the run may resume after recorded events: all were made by accepted weights."""
@@ -151,16 +151,16 @@
         self._reserve_slot(state)
 
     def _reserve_slot(self, state: ReplicaState) -> None:
-        self._state = state
+        self._reserved_replica = state
         state.in_flight += 1
-        self._crashes.placed(self._identity, state.life)
+        self._crashes.announce_run(self._identity, state.incarnation)
 
     async def _wait_in_queue(self, queue_key: QueueKey) -> ReplicaState | None:
         """Wait in a queue for a replica with a free slot; return None once another queue is the right one."""
-        with self._context.waiting.queued(queue_key, self._rank):
+        with self._context.wait_queues.queued(queue_key, self._rank):
             while self._context.queue_key(self._job) == queue_key:
                 if (
-                    self._context.waiting.is_first(queue_key, self._rank)
+                    self._context.wait_queues.is_first(queue_key, self._rank)
                     and (state := self._choose_replica()) is not None
                 ):
                     return state
@@ -169,29 +169,31 @@
 
     def release_slot(self) -> None:
         """Release a reserved slot that no attempt has used; does nothing when none is reserved."""
-        if self._state is not None:
-            self._state.in_flight -= 1
-            self._state = None
-            self._crashes.left(self._identity)
+        if self._reserved_replica is not None:
+            self._reserved_replica.in_flight -= 1
+            self._reserved_replica = None
+            self._crashes.withdraw_run(self._identity)
 
     def _replica_query(
-        self, avoided_replica: ReplicaLife | None, replicas_to_avoid: frozenset[ReplicaLife] = frozenset()
-    ) -> ChoiceRequest:
+        self,
+        avoided_replica: ReplicaIncarnation | None,
+        replicas_to_avoid: frozenset[ReplicaIncarnation] = frozenset(),
+    ) -> ReplicaQuery:
         avoided_replicas = frozenset() if avoided_replica is None else frozenset({avoided_replica})
-        query = ChoiceRequest(
+        query = ReplicaQuery(
             services=self._context.route.services,
-            excluded=self._crashes.apart_from(self._identity) | replicas_to_avoid | avoided_replicas,
+            excluded=self._crashes.excluded_replicas(self._identity) | replicas_to_avoid | avoided_replicas,
             model=self._job.model,
             min_version=self._job.min_version,
             load_below=FULL_LOAD,
             terms=self._context.send_context_of(self._job),
         )
-        preferred = self._context.group_replicas.preferred(self.item.group, query, monotonic_s())
+        preferred = self._context.group_affinity.choose_preferred(self.item.group, query, monotonic_s())
         return msgspec.structs.replace(query, preferred=preferred)
 
     def _choose_replica(self) -> ReplicaState | None:
         replicas, now_s = self._context.replicas, monotonic_s()
-        if replicas_to_avoid := self._crashes.spared():
+        if replicas_to_avoid := self._crashes.replicas_to_avoid():
             state = replicas.choose(self._replica_query(self._avoided_replica, replicas_to_avoid), now_s)
             if state is not None:
                 return state
@@ -203,12 +205,12 @@
     @property
     def is_quarantined(self) -> bool:
         """Whether the item must not be sent now, because replicas crashed while running it."""
-        return self._crashes.is_held(self._identity)
+        return self._crashes.is_quarantined(self._identity)
 
     @property
     def bypasses_queue(self) -> bool:
         """Whether the item is quarantined or needs an isolated run, so that it does not wait in the queue."""
-        return self.is_quarantined or self._crashes.is_last_chance(self._identity)
+        return self.is_quarantined or self._crashes.needs_isolated_run(self._identity)
 
     async def run(self) -> Result:
         """Run the item, over as many attempts as it takes, and return its result.
@@ -217,26 +219,26 @@
         item can't be processed, or after as many answers of status 500 as the route allows attempts.
         """
         while True:
-            if self._state is None:
+            if self._reserved_replica is None:
                 await self._wait_for_next_attempt()
-            if not await self._crashes.has_place(self._identity):
+            if not await self._crashes.confirm_run(self._identity):
                 self.release_slot()
                 continue
-            state = self._state
+            state = self._reserved_replica
             assert state is not None
-            self._state = None
+            self._reserved_replica = None
             state.in_flight -= 1  # the exchange counts itself as in flight from here on
             try:
                 result = await self._run_attempt(state)
             finally:
-                self._crashes.left(self._identity)
+                self._crashes.withdraw_run(self._identity)
             if result is not None:
                 return result
 
     async def _wait_for_next_attempt(self) -> None:
         """Wait until the item may be sent and a slot is reserved for it."""
         await self._wait_out_quarantine()
-        if self._crashes.is_last_chance(self._identity):
+        if self._crashes.needs_isolated_run(self._identity):
             await self._wait_outside_queue()
             return
         self._rank = Rank(latest_start_s=self._rank.latest_start_s, unsent=False, tie_breaker=id(self))
@@ -244,30 +246,30 @@
 
     async def _wait_out_quarantine(self) -> None:
         """Wait while the item is quarantined; the job's runner cancels the wait when the item expires."""
-        await self._crashes.paused(self._identity)
+        await self._crashes.delay_isolated_run(self._identity)
         if not self.is_quarantined:
             return
         fingerprint = self._identity.fingerprint()
         self._context.decisions.write(
-            ItemHeld(job_id=self._job.job_id, item_id=self.item.id, fingerprint=fingerprint)
+            ItemQuarantined(job_id=self._job.job_id, item_id=self.item.id, fingerprint=fingerprint)
         )
-        await self._crashes.released(self._identity)
+        await self._crashes.wait_until_released(self._identity)
 
     async def _run_attempt(self, state: ReplicaState) -> Result | None:
         try:
             return await self._run_exchange(self._open_exchange(state))
         except (BackendRefused, MovedElsewhere) as error:
-            self._record_failure(state.life, error)
+            self._record_failure(state.incarnation, error)
         except PassgateError as error:
-            self._record_failure(state.life, error)
+            self._record_failure(state.incarnation, error)
             await asyncio.sleep(RETRY_PAUSE_S)
         return None
 
-    def _record_failure(self, replica: ReplicaLife, error: PassgateError) -> None:
+    def _record_failure(self, replica: ReplicaIncarnation, error: PassgateError) -> None:
         self._avoided_replica = replica
         self._job_timing.failure_count_by_code[error.code] += 1
         if isinstance(error, BackendRefused):
-            self._context.group_replicas.record_refusal(self.item.group, replica)
+            self._context.group_affinity.record_refusal(self.item.group, replica)
         self._context.decisions.write(
             ItemFailed(
                 job_id=self._job.job_id,
@@ -278,37 +280,39 @@
             )
         )
 
-    def _open_exchange(self, state: ReplicaState) -> ReplicaExchange:
+    def _open_exchange(self, state: ReplicaState) -> ReplicaAttempt:
         """Send the item and record the attempt; nothing is recorded when a rule excludes the replica."""
-        exchange = self._context.caller.open(state, self._build_request())
+        exchange = self._context.caller.start_attempt(state, self._build_request())
         self.attempts += 1
-        self.last_attempt_sent_s = exchange.began_s
+        self.last_attempt_sent_s = exchange.started_s
         self._item_times.record_send(self.last_attempt_sent_s)
-        self._context.group_replicas.sent(self.item.group, exchange.life)
+        self._context.group_affinity.record_send(self.item.group, exchange.incarnation)
         self._context.decisions.write(
             ItemSent(
                 job_id=self._job.job_id,
                 item_id=self.item.id,
-                replica_id=exchange.life.replica_id,
+                replica_id=exchange.incarnation.replica_id,
                 attempt=self.attempts,
                 events_kept=self._stream.event_count,
             )
         )
         return exchange
 
-    async def _run_exchange(self, exchange: ReplicaExchange) -> Result | None:
+    async def _run_exchange(self, exchange: ReplicaAttempt) -> Result | None:
         try:
-            status = await self._context.silence.wait_for(exchange.life, exchange.head, FIRST_BYTES_LIMIT_S)
+            status = await self._context.stall_detector.wait_for(
+                exchange.incarnation, exchange.wait_for_head, FIRST_BYTES_LIMIT_S
+            )
             if status != HTTP_OK:
                 return self._handle_error_status(status)
             self._begin_stream(exchange)
             await self._read_events(exchange)
         except TimeoutError as error:
-            exchange.fell_silent()
+            exchange.record_stall()
             raise IncompleteAnswer("the stream is silent") from error
         finally:
             exchange.close()
-        exchange.succeeded_stream()
+        exchange.record_stream_success()
         return Result(
             item_id=self.item.id,
             state=ResultState.SUCCEEDED,
@@ -316,7 +320,7 @@
             versions=self._stream.versions,
         )
 
-    def _move_if_slow(self, exchange: ReplicaExchange, attempt_events: int, now_s: float) -> None:
+    def _move_if_slow(self, exchange: ReplicaAttempt, attempt_events: int, now_s: float) -> None:
         """Raise MovedElsewhere when another replica with a free slot is sufficiently faster.
 
         Checks after every few events of the attempt.  A long output moves also for a smaller gain, but
@@ -324,12 +328,12 @@
         """
         if attempt_events < PACE_CHECK_EVENTS or attempt_events % PACE_CHECK_EVENTS:
             return
-        query = self._replica_query(exchange.life)
-        if self._context.replicas.has_faster(exchange.life, query, now_s):
+        query = self._replica_query(exchange.incarnation)
+        if self._context.replicas.has_faster(exchange.incarnation, query, now_s):
             raise MovedElsewhere("another replica is much faster")
-        is_long = self._stream.event_count >= LONG_EVENTS and not self._moved_for_length
+        is_long = self._stream.event_count >= LONG_OUTPUT_EVENTS and not self._moved_for_length
         if is_long and self._context.replicas.has_faster(
-            exchange.life, query, now_s, LONG_OUTPUT_MAX_TIME_RATIO
+            exchange.incarnation, query, now_s, LONG_OUTPUT_MAX_TIME_RATIO
         ):
             self._moved_for_length = True
             raise MovedElsewhere("another replica is faster for a long output")
@@ -337,7 +341,7 @@
     def _build_request(self) -> ReplicaRequest:
         headers = list(self.item.headers.items())
         if self._stream.event_count:
-            headers.append((self._context.names.last_event_id, self._stream.last_event_id))
+            headers.append((self._context.header_names.last_event_id, self._stream.last_event_id))
         return ReplicaRequest(
             request_id=self.item.id,
             method="POST",
@@ -367,17 +371,17 @@
                 return dead_result
         raise IncompleteAnswer(f"replica answered {status}", execution=ExecutionStatus.RAN)
 
-    def _begin_stream(self, exchange: ReplicaExchange) -> None:
-        version_header = exchange.headers.get(self._context.names.weight_versions, "")
+    def _begin_stream(self, exchange: ReplicaAttempt) -> None:
+        version_header = exchange.headers.get(self._context.header_names.weight_versions, "")
         version = int(version_header) if version_header.isdigit() else None
         if version is not None:
-            exchange.observe_version(self._job.model, version)
+            exchange.record_weight_version(self._job.model, version)
             if version < self._job.min_version:
                 raise VersionTooOld("replica holds an older version", version=version)
         self._stream.begin_attempt(version)
 
-    async def _read_events(self, exchange: ReplicaExchange) -> None:
-        stall_detector, replica = self._context.silence, exchange.life
+    async def _read_events(self, exchange: ReplicaAttempt) -> None:
+        stall_detector, replica = self._context.stall_detector, exchange.incarnation
         limit_s = FIRST_BYTES_LIMIT_S
         last_data_s: float | None = None
         events_before_attempt = self._stream.event_count
@@ -385,18 +389,20 @@
             data = await stall_detector.wait_for(replica, exchange.read, limit_s)
             if not data:
                 break
-            limit_s = silence_limit_s(exchange.usual_pause_s)
+            limit_s = silence_limit_s(exchange.expected_event_interval_s)
             count_before = self._stream.event_count
             self._stream.feed(data)
             now_s = monotonic_s()
-            stall_detector.heard(replica, now_s)
+            stall_detector.record_data(replica, now_s)
             if self._stream.event_count > count_before:
                 self._item_times.record_events(now_s, self._stream.event_count - count_before)
             if last_data_s is not None and self._stream.event_count > count_before:
-                exchange.observe_pace((now_s - last_data_s) / (self._stream.event_count - count_before))
+                exchange.record_event_interval(
+                    (now_s - last_data_s) / (self._stream.event_count - count_before)
+                )
             last_data_s = now_s
             self._move_if_slow(exchange, self._stream.event_count - events_before_attempt, now_s)
-        if self._stream.has_partial_event or not exchange.proven_whole:
+        if self._stream.has_partial_event or not exchange.is_complete:
             raise IncompleteAnswer("the stream broke off")
         if any(version < self._job.min_version for version in self._stream.versions):
             self._stream.discard_events()
--- a/passgate/jobs/journal.py
+++ b/passgate/jobs/journal.py
@@ -16,7 +16,7 @@
 from passgate.clock import monotonic_s
 from passgate.errors import DurabilityUnknown, LogAppendUnknown, LogUnavailable
 from passgate.jobs.records import AnyEntry, Batch, ItemProgressed, ItemsDone, WriterAlive, encode_batch
-from passgate.sharedlog.hedge import hedged
+from passgate.sharedlog.hedge import call_hedged
 from passgate.sharedlog.log import SharedLog
 
 logger = logging.getLogger("passgate.jobs")
@@ -86,7 +86,7 @@
         """Return the entries not yet acknowledged by the log, in order."""
         return [entry for entry, _ in self._queue]
 
-    def renew(self, fence: int = NO_FENCE) -> None:
+    def renew_lease(self, fence: int = NO_FENCE) -> None:
         """Queue a lease renewal unless one is queued or the last append is younger than the interval."""
         renewal_pending = self._renewal is not None and not self._renewal.done()
         if not renewal_pending and monotonic_s() - self.last_append_sent_s >= RENEWAL_INTERVAL_S:
@@ -110,7 +110,7 @@
             del self._sent_s_by_sequence[next(iter(self._sent_s_by_sequence))]
         return encode_batch(Batch(writer=self.writer, entries=entries, sequence=self._sequence))
 
-    def read_back(self, batch: Batch) -> float | None:
+    def take_send_time_s(self, batch: Batch) -> float | None:
         """Return the loop time at which a batch, now read from the log, was first sent, and forget it.
 
         Returns None when the time is not known any more.  The batch must be this writer's.
@@ -133,7 +133,7 @@
         while True:
             sent_s = monotonic_s()
             try:
-                offset = await hedged(lambda: self._log.append(self._topic, self._partition, [record]))
+                offset = await call_hedged(lambda: self._log.append(self._topic, self._partition, [record]))
             except (LogUnavailable, LogAppendUnknown) as error:
                 logger.info("append_failed", extra={"error": str(error), "code": error.code})
                 await asyncio.sleep(pause_s)
--- a/passgate/jobs/liveness.py
+++ b/passgate/jobs/liveness.py
@@ -34,7 +34,7 @@
     """Time for which the log has not acknowledged the daemon's append to the partition in question."""
 
 
-class Sign(enum.Enum):
+class WriterStatus(enum.Enum):
     """Outcome of a probe."""
 
     ALIVE = "alive"
@@ -54,7 +54,7 @@
     response: asyncio.Task[AliveResponse | None]
 
 
-class Liveness:
+class LivenessProber:
     """Probes writers in the background and remembers the latest outcomes."""
 
     def __init__(self, probe: Callable[[str], Awaitable[AliveResponse | None]]) -> None:
@@ -62,7 +62,7 @@
         self._probe = probe
         self._probe_by_writer: dict[str, _Probe] = {}
 
-    def sign_of(self, writer: str, last_contact_s: float) -> Sign | None:
+    def status_of(self, writer: str, last_contact_s: float) -> WriterStatus | None:
         """Return the outcome of the writer's latest probe, and start another probe if one is due.
 
         Returns None unless that probe started after the writer's last contact and has finished.  A
@@ -81,7 +81,7 @@
             and latest_probe.started_s > last_contact_s
         ):
             status = _status_from(writer, latest_probe.response.result())
-        if status is not Sign.REPLACED and (
+        if status is not WriterStatus.REPLACED and (
             latest_probe is None or self._may_probe_again(latest_probe, now_s)
         ):
             self._start_probe(writer, now_s)
@@ -104,9 +104,9 @@
         return await self._probe(writer)
 
 
-def _status_from(writer: str, response: AliveResponse | None) -> Sign:
+def _status_from(writer: str, response: AliveResponse | None) -> WriterStatus:
     if response is None:
-        return Sign.SILENT
+        return WriterStatus.SILENT
     if response.writer != writer:
-        return Sign.REPLACED
-    return Sign.CUT_OFF if response.waiting_s >= CUT_OFF_AFTER_S else Sign.ALIVE
+        return WriterStatus.REPLACED
+    return WriterStatus.CUT_OFF if response.waiting_s >= CUT_OFF_AFTER_S else WriterStatus.ALIVE
--- a/passgate/jobs/ownership.py
+++ b/passgate/jobs/ownership.py
@@ -14,14 +14,14 @@
 from collections.abc import Callable
 
 from passgate.clock import monotonic_s
-from passgate.decisions import DecisionLog, ItemListed, JobFreed, JobOwned
-from passgate.jobs.fold import JobFold, JobState
+from passgate.decisions import DecisionLog, ItemResultRecorded, JobOwnershipClaimed, JobOwnershipReleased
+from passgate.jobs.fold import JobProjection, JobState
 from passgate.jobs.journal import Journal
-from passgate.jobs.liveness import Sign
+from passgate.jobs.liveness import WriterStatus
 from passgate.jobs.records import ItemProgressed, ItemsDone, JobClaimed, Result, ResultState, daemon_of
 from passgate.jobs.runner import EXPIRY_MARGIN_S, JobRunner
 from passgate.jobs.take_over import PartitionOwners, UnappendedEntries
-from passgate.sharedlog.tail import FRESH_S, Freshness
+from passgate.sharedlog.tail import MAX_CURRENT_AGE_S, Freshness
 
 logger = logging.getLogger("passgate.jobs")
 
@@ -56,7 +56,7 @@
 
     def __init__(
         self,
-        projection: JobFold,
+        projection: JobProjection,
         journal: Journal,
         freshness: Freshness,
         make_runner: JobRunnerFactory,
@@ -156,7 +156,7 @@
         self._stop_runners()
         self._expired_jobs.intersection_update(self._projection.jobs)
         if self._runner_by_job:
-            self._journal.renew()
+            self._journal.renew_lease()
 
     def start_runners(self) -> None:
         """Start the missing runners of open jobs that this daemon owns and may run."""
@@ -188,7 +188,7 @@
         for result in dead_results:
             self._journal.put(ItemsDone(job_id=job.job_id, results=(result,)))
             self._decisions.write(
-                ItemListed(
+                ItemResultRecorded(
                     job_id=job.job_id,
                     item_id=result.item_id,
                     state=result.state.value,
@@ -208,7 +208,7 @@
         if released_since_s is None:
             return False
         now_s = monotonic_s()
-        if now_s - released_since_s < RELEASE_PAUSE_S or self._freshness.age_s(now_s) >= FRESH_S:
+        if now_s - released_since_s < RELEASE_PAUSE_S or self._freshness.age_s(now_s) >= MAX_CURRENT_AGE_S:
             return True
         del self._released_since_s_by_job[job_id]
         return False
@@ -218,7 +218,7 @@
 
         Never while its view of the log is old: it might just not have read the owner's renewals.
         """
-        if job.job_id in self._jobs_being_claimed or self._freshness.age_s(now_s) >= FRESH_S:
+        if job.job_id in self._jobs_being_claimed or self._freshness.age_s(now_s) >= MAX_CURRENT_AGE_S:
             return False
         if not self._may_run(job) and not self._must_expire(job, now_s):
             return False
@@ -242,10 +242,10 @@
         silent_s = self._owner_silence_s(job, now_s)
         if last_contact_s > NEVER_S and silent_s < PROBE_AFTER_S:
             return False
-        status = self._owners.liveness.sign_of(writer, last_contact_s)
-        if status is Sign.CUT_OFF:
+        status = self._owners.liveness.status_of(writer, last_contact_s)
+        if status is WriterStatus.CUT_OFF:
             return self._owners.log_answers()
-        return status is Sign.REPLACED or (status is Sign.SILENT and silent_s >= DEAD_AFTER_S)
+        return status is WriterStatus.REPLACED or (status is WriterStatus.SILENT and silent_s >= DEAD_AFTER_S)
 
     def _owner_silence_s(self, job: JobState, now_s: float) -> float:
         """Return for how long a job's owner has been silent since it got the job.
@@ -266,7 +266,7 @@
         """Claim a job; if its owner is cut off from the log, append the owner's released progress first."""
         previous, epoch = job.owner, job.epoch
         last_contact_s = self._projection.last_contact_s_by_writer.get(previous, NEVER_S)
-        if previous and self._owners.liveness.sign_of(previous, last_contact_s) is Sign.CUT_OFF:
+        if previous and self._owners.liveness.status_of(previous, last_contact_s) is WriterStatus.CUT_OFF:
             for entry in await self._owners.release_jobs(previous):
                 self._journal.put(entry)
         try:
@@ -276,7 +276,7 @@
                 CLAIM_READ_TIME_S, self._jobs_being_claimed.discard, job.job_id
             )
         self._decisions.write(
-            JobOwned(
+            JobOwnershipClaimed(
                 job_id=job.job_id,
                 epoch=epoch + 1,
                 previous_owner=previous,
@@ -292,7 +292,7 @@
         release = JobClaimed(job_id=job.job_id, owner=NO_OWNER, epoch=job.epoch + 1)
         appended = self._journal.put(release)
         appended.add_done_callback(lambda _: self._jobs_being_claimed.discard(job.job_id))
-        self._decisions.write(JobFreed(job_id=job.job_id, epoch=job.epoch + 1))
+        self._decisions.write(JobOwnershipReleased(job_id=job.job_id, epoch=job.epoch + 1))
 
     def _ensure_runner(self, job: JobState) -> None:
         if job.job_id in self._runner_by_job:
--- a/passgate/jobs/peers.py
+++ b/passgate/jobs/peers.py
@@ -12,9 +12,9 @@
 import msgspec
 
 from passgate.clock import monotonic_s
-from passgate.decisions import DecisionLog, PeerFailed
-from passgate.eligibility.places import Places
-from passgate.eligibility.regions import may_be_in
+from passgate.decisions import DecisionLog, JobPeerCallFailed
+from passgate.eligibility.places import Topology
+from passgate.eligibility.regions import is_region_allowed
 from passgate.errors import (
     BodiesElsewhere,
     ExecutionStatus,
@@ -26,13 +26,13 @@
     PeerError,
     PeerUnreachable,
 )
-from passgate.gateway.distance import Distances
+from passgate.gateway.distance import ZoneDistances
 from passgate.jobs.liveness import AliveResponse
 from passgate.jobs.reader import ResultPage
 from passgate.jobs.records import ItemProgressed, ItemsDone, JobSpec, encode_spec
 from passgate.jobs.take_over import UnappendedEntries
 from passgate.peers.transport import PeerTransport
-from passgate.sharedlog.group import GroupDirectory, OtherZones
+from passgate.sharedlog.group import GroupDirectory, OtherZoneDirectories
 from passgate.sharedlog.member_names import address_of
 
 RESPONSE_TIMEOUT_S = 0.35
@@ -140,7 +140,7 @@
     """Whether to append the cancellation without checking that the job exists."""
 
 
-class JobPeers:
+class JobPeerClient:
     """Calls the watchers of partitions and the owners of jobs.
 
     Failed calls raise PeerError, except answers that a job or item does not exist (NotFound) and that
@@ -153,8 +153,8 @@
         directory: GroupDirectory,
         member_name: str,
         decisions: DecisionLog,
-        distances: Distances | None = None,
-        other_zones: OtherZones | None = None,
+        distances: ZoneDistances | None = None,
+        other_zones: OtherZoneDirectories | None = None,
     ) -> None:
         """Create the client.
 
@@ -166,7 +166,7 @@
             distances: round-trip times to the zones; None to treat all daemons as near.
             other_zones: directories of the other zones; None to call no daemon there.
         """
-        self._distances = distances or Distances(Places(zone=""))
+        self._distances = distances or ZoneDistances(Topology(zone=""))
         self._other_zones = other_zones
         self._transport = transport
         self._directory = directory
@@ -180,16 +180,16 @@
         """Zone of this daemon."""
         return self._distances.places.zone
 
-    async def life_at(self, writer: str, partition: int) -> AliveResponse | None:
+    async def probe(self, writer: str, partition: int) -> AliveResponse | None:
         """Return the response of the daemon at a writer's address; None without a valid response."""
         request = msgspec.json.encode(AliveRequest(part=partition))
         try:
             began_s = monotonic_s()
-            timeout_s = self._distances.patience_s(ALIVE_TIMEOUT_S)
+            timeout_s = self._distances.answer_timeout_s(ALIVE_TIMEOUT_S)
             payload = await self._transport.call(address_of(writer), METHOD_ALIVE, request, timeout_s)
             alive = msgspec.json.decode(payload, type=AliveResponse)
             if alive.zone:
-                self._distances.observe(alive.zone, monotonic_s() - began_s, monotonic_s())
+                self._distances.record_round_trip(alive.zone, monotonic_s() - began_s, monotonic_s())
             return alive
         except (PeerError, msgspec.DecodeError):
             return None  # expected of a writer that has ended, so no decision line is written
@@ -201,17 +201,19 @@
         """
         request = msgspec.json.encode(ReleaseJobsRequest(part=partition))
         try:
-            timeout_s = self._distances.patience_s(RELEASE_JOBS_TIMEOUT_S)
+            timeout_s = self._distances.answer_timeout_s(RELEASE_JOBS_TIMEOUT_S)
             payload = await self._transport.call(address_of(writer), METHOD_RELEASE_JOBS, request, timeout_s)
             return msgspec.json.decode(payload, type=ReleaseJobsResponse).entries
         except (PeerError, msgspec.DecodeError) as error:
-            self._decisions.write(PeerFailed(peer=address_of(writer), part=partition, reason=str(error)))
+            self._decisions.write(
+                JobPeerCallFailed(peer=address_of(writer), part=partition, reason=str(error))
+            )
             return ()
 
     async def find_owner(self, partition: int) -> str:
         """Return the writer name of the zone's watcher if it will own a new job, else an empty string."""
         try:
-            timeout_s = self._distances.patience_s(OWN_TIMEOUT_S, self.zone)
+            timeout_s = self._distances.answer_timeout_s(OWN_TIMEOUT_S, self.zone)
             payload = await self._call_watcher(partition, METHOD_OWN, OwnRequest(part=partition), timeout_s)
         except PeerError:
             return ""
@@ -225,15 +227,15 @@
         """
         request = OwnRequest(part=partition)
         for zone, watcher in await self._watchers_in_other_zones(partition):
-            if not may_be_in(regions, self._distances.places.region_of(zone)):
+            if not is_region_allowed(regions, self._distances.places.region_of(zone)):
                 continue
-            timeout_s = self._distances.patience_s(OWN_TIMEOUT_S, zone)
+            timeout_s = self._distances.answer_timeout_s(OWN_TIMEOUT_S, zone)
             began_s = monotonic_s()
             try:
                 payload = await self._call_member(watcher, partition, METHOD_OWN, request, timeout_s)
             except PeerError:
                 continue  # the failed call has written a decision line; try the next watcher
-            self._distances.observe(zone, monotonic_s() - began_s, monotonic_s())
+            self._distances.record_round_trip(zone, monotonic_s() - began_s, monotonic_s())
             if writer := msgspec.json.decode(payload, type=OwnResponse).writer:
                 return writer
         return ""
@@ -278,7 +280,7 @@
         """Read the body of an item at the watchers of other zones in turn; raises PeerError or NotFound."""
         failure: PassgateError | None = None
         for zone, watcher in await self._watchers_in_other_zones(partition):
-            timeout_s = self._distances.patience_s(RESPONSE_TIMEOUT_S, zone)
+            timeout_s = self._distances.answer_timeout_s(RESPONSE_TIMEOUT_S, zone)
             try:
                 return await self._call_member(watcher, partition, METHOD_BODY, request, timeout_s)
             except (PeerError, BodiesElsewhere) as error:
@@ -289,13 +291,13 @@
         """Return pairs of another zone and its watcher of a partition: local region first, then nearest."""
         if self._other_zones is None:
             return []
-        zones = self._other_zones.nearest_first()
-        watchers = await asyncio.gather(*(directory.member_of(partition) for _, directory in zones))
+        zones = self._other_zones.directories_by_distance()
+        watchers = await asyncio.gather(*(directory.holder_of(partition) for _, directory in zones))
         return [(zone, watcher) for (zone, _), watcher in zip(zones, watchers, strict=True) if watcher]
 
     def _response_timeout_s(self) -> float:
         """Return the timeout of a response from any zone, as the watcher may be in another one."""
-        return self._distances.patience_s(RESPONSE_TIMEOUT_S)
+        return self._distances.answer_timeout_s(RESPONSE_TIMEOUT_S)
 
     async def cancel_job(self, partition: int, request: CancelRequest) -> None:
         """Have the partition's watcher cancel a job; return once that is on the log.
@@ -342,8 +344,8 @@
         Raises PeerCatchingUp when no watcher is known, and PeerUnreachable when this daemon is the watcher.
         """
         until_s = monotonic_s() + timeout_s
-        watcher = await self._directory.member_of(partition)
-        if watcher is None and self._distances.several_regions:
+        watcher = await self._directory.holder_of(partition)
+        if watcher is None and self._distances.has_multiple_regions:
             watcher = await self._nearest_watcher_in_other_zones(partition)
         if watcher is None:
             raise PeerCatchingUp("no watcher is known", part=partition)
@@ -352,7 +354,7 @@
         try:
             return await self._call_member(watcher, partition, method, request, timeout_s)
         except PeerCatchingUp:
-            earlier = self._directory.earlier_member_of(partition)
+            earlier = self._directory.previous_holder_of(partition)
             if earlier is None or earlier in (self._member_name, watcher):
                 raise
             return await self._call_member(earlier, partition, method, request, until_s - monotonic_s())
@@ -366,17 +368,19 @@
         places = self._distances.places
         remote_members = self._other_zones.known_members() if self._other_zones is not None else []
         remote_members = [
-            (zone, member) for zone, member in remote_members if may_be_in(regions, places.region_of(zone))
-        ]
-        local_region_members = [member for zone, member in remote_members if self._distances.is_home(zone)][
-            :MAX_CALLED_PER_DISTANCE
+            (zone, member)
+            for zone, member in remote_members
+            if is_region_allowed(regions, places.region_of(zone))
         ]
+        local_region_members = [
+            member for zone, member in remote_members if self._distances.is_local_region(zone)
+        ][:MAX_CALLED_PER_DISTANCE]
         other_region_members = [
-            member for zone, member in remote_members if not self._distances.is_home(zone)
+            member for zone, member in remote_members if not self._distances.is_local_region(zone)
         ]
         members = [*local_region_members, *other_region_members[:MAX_CALLED_PER_DISTANCE]][::-1]
-        if may_be_in(regions, places.region):
-            members += self._directory.others(self._member_name)[:MAX_CALLED_IN_ZONE]
+        if is_region_allowed(regions, places.region):
+            members += self._directory.other_members(self._member_name)[:MAX_CALLED_IN_ZONE]
         return members
 
     async def _call_any(
@@ -404,7 +408,7 @@
                     call = self._call_member(members.pop(), partition, method, request, timeout_s)
                     pending_calls.add(asyncio.get_running_loop().create_task(call))
                 next_call_delay_s = (
-                    self._distances.patience_s(NEXT_CALL_DELAY_S, self.zone) if members else None
+                    self._distances.answer_timeout_s(NEXT_CALL_DELAY_S, self.zone) if members else None
                 )
                 done, pending_calls = await asyncio.wait(
                     pending_calls, timeout=next_call_delay_s, return_when=asyncio.FIRST_COMPLETED
@@ -432,13 +436,13 @@
                 raise BodiesElsewhere(str(error), execution=ExecutionStatus.NOT_RUN) from error
             if error.details.get("peer_code") == NotReady.code:
                 raise PeerCatchingUp(str(error), part=partition) from error
-            self._directory.forget()
+            self._directory.invalidate()
             raise
         except PeerError as error:
             self._write_failure(address, partition, error)
-            self._directory.forget()
+            self._directory.invalidate()
             raise
 
     def _write_failure(self, address: str, partition: int, error: PassgateError) -> None:
         reason = error.details.get("peer_code", error.code)
-        self._decisions.write(PeerFailed(peer=address, part=partition, reason=reason))
+        self._decisions.write(JobPeerCallFailed(peer=address, part=partition, reason=reason))
--- a/passgate/jobs/reader.py
+++ b/passgate/jobs/reader.py
@@ -61,7 +61,7 @@
     job = await find_job(partition, job_id)
     until_s = monotonic_s() + wait_s
     while len(job.results) <= position and monotonic_s() < until_s:
-        await partition.tail.wait_past(partition.tail.next_offset, until_s - monotonic_s())
+        await partition.tail.wait_until_applied(partition.tail.next_offset, until_s - monotonic_s())
     await _wait_for_more_results(partition, job, min(until_s, monotonic_s() + MORE_RESULTS_WAIT_S))
     if len(job.results) <= position < job.item_count and not await _is_view_fresh(partition, max_view_age_s):
         raise NotReady("the log can not be read", execution=ExecutionStatus.NOT_RUN)
@@ -76,7 +76,7 @@
     only the first result would delay the others by that pause.
     """
     while not job.has_enough_results and job.is_open:
-        if not await partition.tail.wait_past(partition.tail.next_offset, until_s - monotonic_s()):
+        if not await partition.tail.wait_until_applied(partition.tail.next_offset, until_s - monotonic_s()):
             return
 
 
@@ -129,16 +129,16 @@
         NotReady: the log can't be read to its end, so that it is unknown whether there is one.
     """
     partition.keep_following()
-    job = partition.fold.jobs.get(job_id)
+    job = partition.projection.jobs.get(job_id)
     if job is not None and partition.is_current:
         return job
     caught_up = await partition.tail.wait_caught_up(CATCH_UP_TIMEOUT_S)
-    job = partition.fold.jobs.get(job_id)
+    job = partition.projection.jobs.get(job_id)
     if job is not None:
         return job
-    if not caught_up or not await partition.tail.confirm(CONFIRM_TIMEOUT_S):
+    if not caught_up or not await partition.tail.read_to_current_end(CONFIRM_TIMEOUT_S):
         raise NotReady("the log can not be read", execution=ExecutionStatus.NOT_RUN)
-    job = partition.fold.jobs.get(job_id)
+    job = partition.projection.jobs.get(job_id)
     if job is None:
         raise NotFound("no such job", execution=ExecutionStatus.NOT_RUN)
     return job
@@ -147,7 +147,7 @@
 async def _is_view_fresh(partition: JobPartition, max_view_age_s: float) -> bool:
     if partition.tail.freshness.age_s(monotonic_s()) <= max_view_age_s:
         return True
-    return await partition.tail.confirm(CONFIRM_TIMEOUT_S)
+    return await partition.tail.read_to_current_end(CONFIRM_TIMEOUT_S)
 
 
 def _results_for_page(job: JobState, position: int) -> tuple[Result, ...]:
--- a/passgate/jobs/records.py
+++ b/passgate/jobs/records.py
@@ -3,7 +3,7 @@
 One log record is a batch of entries by one writer, as zlib-compressed JSON.  The names of the
 fields and the tags are part of the stored format.
 
->>> batch = Batch(writer="d1.a", entries=(JobEnded(job_id="j"),))
+>>> batch = Batch(writer="d1.a", entries=(JobCancelled(job_id="j"),))
 >>> decode_batch(encode_batch(batch)) == batch
 True
 """
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from passgate.sharedlog.member_names import ADDRESS_MARK
+from passgate.sharedlog.member_names import ADDRESS_SEPARATOR
 
 COMPRESSION_LEVEL = 1
 
@@ -182,7 +182,7 @@
     """Whether these events complete the output, which then waits for its reward call."""
 
 
-class JobEnded(Entry, tag="end"):
+class JobCancelled(Entry, tag="end"):
     """The caller cancelled the job: no item of it is run any more."""
 
     job_id: str
@@ -213,7 +213,7 @@
     """Fence of the writer's leadership, -1 when it does not lead; for readers that did not read its claim."""
 
 
-class JobNoted(Entry, tag="need"):
+class WeightDemand(Entry, tag="need"):
     """What a new job requires of its model's weights, for the leader, which does not read the jobs."""
 
     model: str
@@ -223,7 +223,7 @@
     """Number of items of the job."""
 
 
-Counts = dict[str, int]
+CountByTenant = dict[str, int]
 """Maps tenants to numbers of requests."""
 
 
@@ -235,14 +235,14 @@
     number: int
     """Sequence number of that daemon's counts; a repeated record is counted once."""
     window: int
-    counts: Counts
+    counts: CountByTenant
 
 
 class UsageCommitted(Entry, tag="usage_commit"):
     """Contents of a window's report, fixed before it is first sent; every send must be identical."""
 
     window: int
-    counts: Counts
+    counts: CountByTenant
 
 
 class UsageReported(Entry, tag="usage_sent"):
@@ -275,11 +275,11 @@
     | JobClaimed
     | ItemsDone
     | ItemProgressed
-    | JobEnded
+    | JobCancelled
     | LeaderClaimed
     | WriterStopped
     | WriterAlive
-    | JobNoted
+    | WeightDemand
     | UsageCounted
     | UsageCommitted
     | UsageReported
@@ -294,7 +294,7 @@
     >>> writer_name("front-1", "5f3a", "10.1.0.10:7720")
     'front-1.5f3a@10.1.0.10:7720'
     """
-    return f"{daemon_id}.{incarnation}{ADDRESS_MARK}{peer_address}"
+    return f"{daemon_id}.{incarnation}{ADDRESS_SEPARATOR}{peer_address}"
 
 
 def daemon_of(writer: str) -> str:
@@ -303,7 +303,7 @@
     >>> daemon_of("front-1.5f3a@10.1.0.10:7720")
     'front-1'
     """
-    return writer.partition(ADDRESS_MARK)[0].rpartition(".")[0]
+    return writer.partition(ADDRESS_SEPARATOR)[0].rpartition(".")[0]
 
 
 class Batch(msgspec.Struct, frozen=True, kw_only=True):
--- a/passgate/jobs/reward_call.py
+++ b/passgate/jobs/reward_call.py
@@ -17,13 +17,13 @@
 
 from passgate.clock import monotonic_s
 from passgate.decisions import DecisionLog, RewardFailed, RewardSent
-from passgate.eligibility.replica_info import ReplicaLife
-from passgate.eligibility.rules import SendTerms
+from passgate.eligibility.replica_info import ReplicaIncarnation
+from passgate.eligibility.rules import SendContext
 from passgate.errors import AnswerMismatch, ExecutionStatus, IncompleteAnswer, PassgateError
 from passgate.gateway.dialect import HeaderNames
-from passgate.gateway.replica_call import ReplicaAnswer, ReplicaCaller, ReplicaRequest
-from passgate.gateway.replicas import ChoiceRequest, ReplicaState, ReplicaTable
-from passgate.gateway.routes import Route, WeightedChoice
+from passgate.gateway.replica_call import ReplicaAnswer, ReplicaClient, ReplicaRequest
+from passgate.gateway.replicas import ReplicaQuery, ReplicaState, ReplicaTable
+from passgate.gateway.routes import Route, WeightedServicePicker
 from passgate.jobs.records import RewardSpec, Score
 from passgate.quarantine.identity import ITEM_CRASH_LIMIT
 
@@ -43,20 +43,20 @@
 MIN_SUCCESS_STATUS, MIN_REDIRECT_STATUS = 200, 300
 
 
-class RewardTools(msgspec.Struct, frozen=True, kw_only=True):
+class RewardCallContext(msgspec.Struct, frozen=True, kw_only=True):
     """Dependencies that all reward calls of a daemon share."""
 
     find_route: Callable[[str, str], Route | None]
     """Returns the route for a host and path by the active configuration, or None."""
-    terms_for: Callable[[str, str, str | None], SendTerms]
+    find_send_context: Callable[[str, str, str | None], SendContext]
     """Returns the restrictions on a request by the active configuration, from its host, path and tenant."""
-    caller: ReplicaCaller
+    caller: ReplicaClient
     replicas: ReplicaTable
-    names: HeaderNames
+    header_names: HeaderNames
     decisions: DecisionLog
-    parts: WeightedChoice
+    service_picker: WeightedServicePicker
     """Picks one of a route's services by their weights."""
-    lines: defaultdict[frozenset[str] | None, asyncio.Lock]
+    slot_lock_by_regions: defaultdict[frozenset[str] | None, asyncio.Lock]
     """Maps allowed regions to the lock that a call holds while it looks for a slot; the lock is fair."""
 
 
@@ -64,7 +64,12 @@
     """The reward call of one item, over all its attempts."""
 
     def __init__(
-        self, job_id: str, item_id: str, spec: RewardSpec, context: RewardTools, tenant: str | None = None
+        self,
+        job_id: str,
+        item_id: str,
+        spec: RewardSpec,
+        context: RewardCallContext,
+        tenant: str | None = None,
     ) -> None:
         self._job_id = job_id
         self._tenant = tenant
@@ -75,10 +80,10 @@
         self._error_answers = 0
         """Answers of status 500, over all attempts."""
         self._timeouts = 0
-        self._avoided_replica: ReplicaLife | None = None
+        self._avoided_replica: ReplicaIncarnation | None = None
         self._retry_pause_s = FIRST_RETRY_PAUSE_S
         self._identity = self._build_request(MIN_TIMEOUT_S).identity
-        self._crashes = context.caller.crashes
+        self._crashes = context.caller.crash_guard
 
     async def request_score(self, item_max_attempts: int) -> Score | None:
         """Send the call until a replica returns a score; return None after too many answers of status 500.
@@ -88,22 +93,22 @@
                 number that the call's route allows, whichever is larger.
         """
         while True:
-            await self._crashes.paused(self._identity)
-            await self._crashes.released(self._identity)
+            await self._crashes.delay_isolated_run(self._identity)
+            await self._crashes.wait_until_released(self._identity)
             route, state = await self._wait_for_slot()
             if not await self._confirm_slot(state):
                 continue
             try:
                 stamp = await self._run_attempt(state)
             except PassgateError as error:
-                self._record_failure(state.life, error)
+                self._record_failure(state.incarnation, error)
             else:
                 if stamp:
                     return Score(call_id=self._spec.id, stamp=stamp)
                 if self._error_answers >= max(route.max_attempts, item_max_attempts):
                     return None
             finally:
-                self._crashes.left(self._identity)
+                self._crashes.withdraw_run(self._identity)
             await asyncio.sleep(self._retry_pause_s)
             self._retry_pause_s = min(self._retry_pause_s * 2.0, MAX_RETRY_PAUSE_S)
 
@@ -112,11 +117,11 @@
         while True:
             while (route := self._find_route()) is None:
                 await asyncio.sleep(POLL_INTERVAL_S)
-            if self._crashes.is_last_chance(self._identity):
+            if self._crashes.needs_isolated_run(self._identity):
                 # Does not block the queue, because the calls there may use other replicas.
                 state = await self._poll_for_slot(route)
             else:
-                async with self._context.lines[self._find_send_context().regions]:
+                async with self._context.slot_lock_by_regions[self._find_send_context().allowed_regions]:
                     state = await self._poll_for_slot(route)
             if state is not None:
                 return route, state
@@ -125,20 +130,20 @@
         """Return whether the call may run in its reserved slot; release the slot if not."""
         may_run = False
         try:
-            may_run = await self._crashes.has_place(self._identity)
+            may_run = await self._crashes.confirm_run(self._identity)
         finally:
             if not may_run:
                 state.in_flight -= 1
-                self._crashes.left(self._identity)
+                self._crashes.withdraw_run(self._identity)
         return may_run
 
     async def _poll_for_slot(self, route: Route) -> ReplicaState | None:
         """Wait for a free slot and reserve it; return None when the route is not the active one any more."""
         while self._find_route() is route:
-            state = self._choose_replica(self._context.parts.pick(route))
+            state = self._choose_replica(self._context.service_picker.pick(route))
             if state is not None:
                 state.in_flight += 1
-                self._crashes.placed(self._identity, state.life)
+                self._crashes.announce_run(self._identity, state.incarnation)
                 return state
             await asyncio.sleep(POLL_INTERVAL_S)
         return None
@@ -146,24 +151,24 @@
     def _find_route(self) -> Route | None:
         return self._context.find_route(self._spec.host, self._spec.path)
 
-    def _find_send_context(self) -> SendTerms:
+    def _find_send_context(self) -> SendContext:
         """Return the call's restrictions by the active configuration: its own route and its job's tenant."""
-        return self._context.terms_for(self._spec.host, self._spec.path, self._tenant)
+        return self._context.find_send_context(self._spec.host, self._spec.path, self._tenant)
 
     def _choose_replica(self, service: str) -> ReplicaState | None:
         excluded = frozenset() if self._avoided_replica is None else frozenset({self._avoided_replica})
         self._avoided_replica = None  # exclude it once only: the service may have no other replica
-        excluded |= self._crashes.apart_from(self._identity)
-        if replicas_to_avoid := self._crashes.spared():
+        excluded |= self._crashes.excluded_replicas(self._identity)
+        if replicas_to_avoid := self._crashes.replicas_to_avoid():
             state = self._choose_replica_excluding(service, excluded | replicas_to_avoid)
             if state is not None:
                 return state
         return self._choose_replica_excluding(service, excluded)
 
     def _choose_replica_excluding(
-        self, service: str, excluded: frozenset[ReplicaLife]
+        self, service: str, excluded: frozenset[ReplicaIncarnation]
     ) -> ReplicaState | None:
-        request = ChoiceRequest(
+        request = ReplicaQuery(
             services=frozenset({service}),
             excluded=excluded,
             load_below=MAX_LOAD,
@@ -178,30 +183,30 @@
         """
         state.in_flight -= 1  # the exchange counts itself as in flight from here on
         timeout_s = self._timeout_s(state)
-        exchange = self._context.caller.open(state, self._build_request(timeout_s))
+        exchange = self._context.caller.start_attempt(state, self._build_request(timeout_s))
         self._attempt_count += 1
         self._context.decisions.write(
             RewardSent(
                 job_id=self._job_id,
                 item_id=self._item_id,
                 request_id=self._spec.id,
-                replica_id=exchange.life.replica_id,
+                replica_id=exchange.incarnation.replica_id,
                 attempt=self._attempt_count,
             )
         )
         try:
             async with asyncio.timeout(timeout_s):
-                return self._check_answer(await exchange.whole_answer())
+                return self._check_answer(await exchange.read_answer())
         except TimeoutError as error:
             self._timeouts += 1
-            exchange.too_slow()
+            exchange.record_timeout()
             raise IncompleteAnswer("no answer to the reward call") from error
         finally:
             exchange.close()
 
     def _timeout_s(self, state: ReplicaState) -> float:
         """Return the next attempt's timeout; doubled for each earlier timeout, as some calls take long."""
-        recent_latency_s = state.recent_latency_s(monotonic_s())
+        recent_latency_s = state.expected_latency_s(monotonic_s())
         timeout_s = max(TIMEOUT_PER_LATENCY * recent_latency_s, MIN_TIMEOUT_S) * 2.0**self._timeouts
         return min(timeout_s, MAX_TIMEOUT_S)
 
@@ -224,23 +229,23 @@
 
         Raises AnswerMismatch for the answer of another request, and IncompleteAnswer otherwise.
         """
-        if answer.header(self._context.names.request_id) != self._spec.id:
-            raise AnswerMismatch("answer of another request", replica=answer.replica.text())
+        if answer.header(self._context.header_names.request_id) != self._spec.id:
+            raise AnswerMismatch("answer of another request", replica=answer.replica.to_text())
         if answer.status == HTTP_INTERNAL_SERVER_ERROR:
             self._error_answers += 1
             self._write_failure(answer.replica, "the replica answered 500")
             self._avoided_replica = answer.replica
             return ""
-        stamp = answer.header(self._context.names.replica_stamp)
+        stamp = answer.header(self._context.header_names.replica_stamp)
         if MIN_SUCCESS_STATUS <= answer.status < MIN_REDIRECT_STATUS and stamp:
             return stamp
         raise IncompleteAnswer(f"replica answered {answer.status}", execution=ExecutionStatus.RAN)
 
-    def _record_failure(self, replica: ReplicaLife, error: PassgateError) -> None:
+    def _record_failure(self, replica: ReplicaIncarnation, error: PassgateError) -> None:
         self._avoided_replica = replica
         self._write_failure(replica, f"{error.code}: {error}")
 
-    def _write_failure(self, replica: ReplicaLife, reason: str) -> None:
+    def _write_failure(self, replica: ReplicaIncarnation, reason: str) -> None:
         self._context.decisions.write(
             RewardFailed(
                 job_id=self._job_id,
--- a/passgate/jobs/runner.py
+++ b/passgate/jobs/runner.py
@@ -13,10 +13,10 @@
 import msgspec
 
 from passgate.clock import monotonic_s
-from passgate.decisions import ItemListed
-from passgate.gateway.access import scoped_id
-from passgate.jobs.fold import JobFold, JobState
-from passgate.jobs.item_run import ItemRun, ItemTools
+from passgate.decisions import ItemResultRecorded
+from passgate.gateway.access import tenant_scoped_id
+from passgate.jobs.fold import JobProjection, JobState
+from passgate.jobs.item_run import ItemRun, ItemRunContext
 from passgate.jobs.journal import Journal
 from passgate.jobs.records import ItemsDone, ItemSpec, JobSpec, Result, ResultState, RewardSpec
 from passgate.jobs.reward_call import RewardCall
@@ -36,7 +36,9 @@
 class JobRunner:
     """Runs one job; its task must be cancelled when this daemon no longer owns the job."""
 
-    def __init__(self, job: JobState, projection: JobFold, journal: Journal, context: ItemTools) -> None:
+    def __init__(
+        self, job: JobState, projection: JobProjection, journal: Journal, context: ItemRunContext
+    ) -> None:
         self._job = job
         self._projection = projection
         self._journal = journal
@@ -99,7 +101,7 @@
 
     def _item_key(self, item_id: str) -> str:
         """Return the key of an item in the projection's mappings: its id, scoped by tenant."""
-        return scoped_id(self._spec.tenant, item_id)
+        return tenant_scoped_id(self._spec.tenant, item_id)
 
     def _expected_s(self, item: ItemSpec) -> float:
         return self._context.durations.expected_s(self._spec.model, self._context.expected_tokens(item))
@@ -179,7 +181,7 @@
     async def _score_result(self, item: ItemSpec, reward: RewardSpec, result: Result) -> Result:
         if result.score is not None and result.score.call_id == reward.id:
             return result
-        call = RewardCall(self._spec.job_id, item.id, reward, self._context.rewards, self._spec.tenant)
+        call = RewardCall(self._spec.job_id, item.id, reward, self._context.reward_context, self._spec.tenant)
         score = await call.request_score(self._context.route.max_attempts)
         if score is None:
             return Result(item_id=item.id, state=ResultState.DEAD)
@@ -193,7 +195,7 @@
     def _append_result(self, item: ItemSpec, result: Result, attempts: int, began_s: float) -> None:
         self._journal.put(ItemsDone(job_id=self._spec.job_id, results=(result,)))
         self._context.decisions.write(
-            ItemListed(
+            ItemResultRecorded(
                 job_id=self._spec.job_id,
                 item_id=result.item_id,
                 state=result.state.value,
--- a/passgate/jobs/service.py
+++ b/passgate/jobs/service.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from passgate.clock import monotonic_s
-from passgate.decisions import DecisionLog, JobAccepted, JobAcceptFailed, JobEndFailed, JobRead
+from passgate.decisions import DecisionLog, JobAccepted, JobAcceptFailed, JobEndUnconfirmed, JobResultsRead
 from passgate.decisions import JobEnded as JobEndedEvent
 from passgate.errors import (
     BodiesElsewhere,
@@ -27,7 +27,7 @@
     PeerCatchingUp,
     PeerError,
 )
-from passgate.gateway.messages import answered_status
+from passgate.gateway.messages import error_status
 from passgate.jobs.journal import Journal
 from passgate.jobs.liveness import CUT_OFF_AFTER_S, AliveResponse
 from passgate.jobs.peers import (
@@ -41,7 +41,7 @@
     METHOD_SUBMIT,
     AliveRequest,
     CancelRequest,
-    JobPeers,
+    JobPeerClient,
     OwnRequest,
     OwnResponse,
     ReadBodyRequest,
@@ -51,9 +51,9 @@
     SubmitRequest,
 )
 from passgate.jobs.reader import ResultPage, find_job, read_body, read_page, require_followed
-from passgate.jobs.records import JobEnded, JobNoted, JobSpec, decode_spec, job_pieces
-from passgate.jobs.shards import JobPartition, JobShards
-from passgate.sharedlog.tail import FRESH_S
+from passgate.jobs.records import JobCancelled, JobSpec, WeightDemand, decode_spec, job_pieces
+from passgate.jobs.shards import JobPartition, JobPartitions
+from passgate.sharedlog.tail import MAX_CURRENT_AGE_S
 
 PEER_APPEND_DELAY_S = 0.3
 """Time for the log to acknowledge a new job before another daemon is called to append it as well."""
@@ -69,8 +69,8 @@
 
     def __init__(
         self,
-        partitions: JobShards,
-        peers: JobPeers,
+        partitions: JobPartitions,
+        peers: JobPeerClient,
         control_journal: Journal,
         newest_version: Callable[[str], int],
         log_age_s: Callable[[], float],
@@ -97,15 +97,15 @@
         if not spec.items or len({item.id for item in spec.items}) != len(spec.items):
             raise InvalidRequest("a job needs items with distinct ids", execution=ExecutionStatus.NOT_RUN)
         began_s = monotonic_s()
-        partition = self._partitions.of(spec.host)
+        partition = self._partitions.of_host(spec.host)
         offset = UNKNOWN_OFFSET
-        if spec.job_id not in partition.fold.jobs:
+        if spec.job_id not in partition.projection.jobs:
             try:
                 self._require_allowed_region(spec)
                 offset = await self._append(partition, spec, deadline_s)
             except PassgateError as error:
                 self._decisions.write(
-                    JobAcceptFailed(job_id=spec.job_id, status=answered_status(error), reason=error.code)
+                    JobAcceptFailed(job_id=spec.job_id, status=error_status(error), reason=error.code)
                 )
                 raise
         self._decisions.write(
@@ -171,7 +171,7 @@
         if owner == self._partitions.writer:
             partition.keep_following()
         lag = max(self._newest_version(spec.model) - spec.min_version, 0)
-        self._control_journal.put(JobNoted(model=spec.model, lag=lag, items=len(spec.items)))
+        self._control_journal.put(WeightDemand(model=spec.model, lag=lag, items=len(spec.items)))
         return offset
 
     async def _choose_owner(self, partition: JobPartition, spec: JobSpec) -> str:
@@ -185,9 +185,11 @@
             return await self._peers.find_owner_in_regions(partition.number, self._allowed_regions(spec))
         # The previous job's owner may be in a region that is not allowed for a restricted job.
         if partition.is_current and self._allowed_regions(spec) is None:
-            previous_job = partition.fold.jobs.get(partition.fold.newest_job_by_model.get(spec.model, ""))
+            previous_job = partition.projection.jobs.get(
+                partition.projection.newest_job_by_model.get(spec.model, "")
+            )
             contact_s = (
-                partition.fold.last_contact_s_by_writer.get(previous_job.owner)
+                partition.projection.last_contact_s_by_writer.get(previous_job.owner)
                 if previous_job is not None
                 else None
             )
@@ -197,7 +199,7 @@
                 and monotonic_s() - contact_s < OWNER_CONTACT_MAX_AGE_S
             ):
                 return previous_job.owner
-        if self._partitions.watches(partition.number):
+        if self._partitions.is_watcher_of(partition.number):
             return self._partitions.writer
         watcher = await self._peers.find_owner(partition.number)
         return watcher or (self._partitions.writer if self._partitions.may_own_new else NO_OWNER)
@@ -217,12 +219,12 @@
         bodies = self._partitions.restricted_bodies
         return bodies.allowed_regions(spec.host, spec.path, spec.tenant) if bodies is not None else None
 
-    async def read(self, host: str, job_id: str, position: int, wait_s: float) -> ResultPage:
+    async def read_results(self, host: str, job_id: str, position: int, wait_s: float) -> ResultPage:
         """Return results from a position on, after waiting for the first; raises NotFound or NotReady."""
         began_s = monotonic_s()
         page = await self._read_results(host, job_id, position, wait_s)
         self._decisions.write(
-            JobRead(
+            JobResultsRead(
                 job_id=job_id,
                 position=position,
                 results=len(page.results),
@@ -233,7 +235,7 @@
         return page
 
     async def _read_results(self, host: str, job_id: str, position: int, wait_s: float) -> ResultPage:
-        partition = self._partitions.of(host)
+        partition = self._partitions.of_host(host)
         if not self._can_answer(partition) and not _has_results_after(partition, job_id, position):
             try:
                 request = ReadResultsRequest(host=host, job_id=job_id, position=position, wait_s=wait_s)
@@ -246,9 +248,9 @@
                 wait_s = 0.0  # the failed call has used up some of the caller's waiting time
         return await read_page(partition, job_id, position, wait_s)
 
-    async def body(self, host: str, job_id: str, item_id: str) -> bytes:
+    async def read_body(self, host: str, job_id: str, item_id: str) -> bytes:
         """Return the body of an item; raises NotFound or NotReady."""
-        partition = self._partitions.of(host)
+        partition = self._partitions.of_host(host)
         request = ReadBodyRequest(host=host, job_id=job_id, item_id=item_id)
         try:
             if not self._can_answer(partition):
@@ -274,7 +276,7 @@
         except PeerError as error:
             raise NotReady(str(error), execution=ExecutionStatus.NOT_RUN) from error
 
-    async def end(self, host: str, job_id: str, deadline_s: float) -> None:
+    async def cancel(self, host: str, job_id: str, deadline_s: float) -> None:
         """Cancel a job; return once that is on the log.  Repeated calls do nothing.
 
         When it can't be checked whether the job exists, the cancellation is appended anyway, because
@@ -287,11 +289,11 @@
         try:
             await self._cancel(host, job_id, deadline_s)
         except PassgateError as error:
-            self._decisions.write(JobEndFailed(job_id=job_id, reason=error.code))
+            self._decisions.write(JobEndUnconfirmed(job_id=job_id, reason=error.code))
             raise
 
     async def _cancel(self, host: str, job_id: str, deadline_s: float) -> None:
-        partition = self._partitions.of(host)
+        partition = self._partitions.of_host(host)
         try:
             if self._can_answer(partition):
                 await self._cancel_locally(partition, job_id, deadline_s)
@@ -310,7 +312,7 @@
         self._decisions.write(JobEndedEvent(job_id=job_id, listed=len(job.results), total=job.item_count))
 
     async def _append_cancellation(self, partition: JobPartition, job_id: str, deadline_s: float) -> None:
-        appended = partition.journal.put(JobEnded(job_id=job_id))
+        appended = partition.journal.put(JobCancelled(job_id=job_id))
         try:
             async with asyncio.timeout(max(deadline_s - monotonic_s(), 0.0)):
                 await asyncio.shield(appended)
@@ -319,7 +321,7 @@
 
     def _is_cut_off(self) -> bool:
         """Whether this daemon has not read the log to its end recently."""
-        return self._log_age_s() > FRESH_S
+        return self._log_age_s() > MAX_CURRENT_AGE_S
 
     def _require_log_view(self) -> None:
         """Raise NotReady when this daemon is cut off from the log, so that the caller tries another one."""
@@ -333,8 +335,8 @@
         matter, because the view of an idle partition may be older: its long polls are longer.
         """
         if self._is_cut_off():
-            return partition.is_current and partition.tail.freshness.age_s(monotonic_s()) <= FRESH_S
-        return partition.is_current or self._partitions.watches(partition.number)
+            return partition.is_current and partition.tail.freshness.age_s(monotonic_s()) <= MAX_CURRENT_AGE_S
+        return partition.is_current or self._partitions.is_watcher_of(partition.number)
 
     # --- for other daemons -------------------------------------------------------
 
@@ -367,8 +369,8 @@
             self._require_log_view()
             submit_request = msgspec.json.decode(payload, type=SubmitRequest)
             spec = decode_spec(submit_request.spec)
-            partition = self._partitions.of(spec.host)
-            if spec.job_id not in partition.fold.jobs:
+            partition = self._partitions.of_host(spec.host)
+            if spec.job_id not in partition.projection.jobs:
                 await self._append_locally(partition, spec, monotonic_s() + submit_request.patience_s)
             return b""
         if method == METHOD_READ:
@@ -376,7 +378,7 @@
             return msgspec.json.encode(await self._read_for_peer(read_request))
         if method == METHOD_BODY:
             body_request = msgspec.json.decode(payload, type=ReadBodyRequest)
-            partition = self._partitions.of(body_request.host)
+            partition = self._partitions.of_host(body_request.host)
             require_followed(partition)
             return await read_body(partition, body_request.job_id, body_request.item_id)
         if method == METHOD_CANCEL:
@@ -397,11 +399,11 @@
         return ReleaseJobsResponse(entries=tuple(partition.ownership.release_jobs()))
 
     def _answer_own(self, request: OwnRequest) -> OwnResponse:
-        is_watcher = self._partitions.watches(request.part)
+        is_watcher = self._partitions.is_watcher_of(request.part)
         return OwnResponse(writer=self._partitions.writer if is_watcher else "")
 
     async def _cancel_for_peer(self, request: CancelRequest) -> None:
-        partition = self._partitions.of(request.host)
+        partition = self._partitions.of_host(request.host)
         deadline_s = monotonic_s() + request.patience_s
         if request.relay:
             self._require_log_view()
@@ -411,7 +413,7 @@
             await self._cancel_locally(partition, request.job_id, deadline_s)
 
     async def _read_for_peer(self, request: ReadResultsRequest) -> ResultPage:
-        partition = self._partitions.of(request.host)
+        partition = self._partitions.of_host(request.host)
         if request.relay:
             self._require_log_view()
         if request.relay and not partition.is_current:
@@ -429,5 +431,5 @@
 
 def _has_results_after(partition: JobPartition, job_id: str, position: int) -> bool:
     """Whether results after a position are known here; results never change, so they need no fresh view."""
-    job = partition.fold.jobs.get(job_id)
+    job = partition.projection.jobs.get(job_id)
     return job is not None and len(job.results) > position
--- a/passgate/jobs/shards.py
+++ b/passgate/jobs/shards.py
@@ -18,15 +18,15 @@
 
 from passgate.clock import monotonic_s
 from passgate.decisions import DecisionLog, RecordUnreadable
-from passgate.jobs.bound_bodies import BodiesReader, BoundBodies
-from passgate.jobs.fold import JobFold, JobState
+from passgate.jobs.bound_bodies import BodiesReader, RestrictedBodies
+from passgate.jobs.fold import JobProjection, JobState
 from passgate.jobs.journal import Journal
 from passgate.jobs.ownership import UNLIMITED_TIME_TO_LIVE_S, Ownership
 from passgate.jobs.records import ItemBodies, WriterStopped, decode_batch
 from passgate.jobs.runner import JobRunner
 from passgate.jobs.take_over import OwnerClient, PartitionOwners
 from passgate.sharedlog.log import LogPage, SharedLog
-from passgate.sharedlog.tail import POLL_WAIT_S, FollowedTail, RecordTail, TailSettings
+from passgate.sharedlog.tail import POLL_WAIT_S, OnDemandTail, RecordTail, TailSettings
 
 UPDATE_INTERVAL_S = 0.1
 """Time between updates of the ownership; short compared with the silences after which jobs are taken over."""
@@ -39,7 +39,7 @@
 STATE_TTL_S = 30.0
 """Time for which the state of a partition is kept after it was last needed."""
 
-JobRunnerFactory = Callable[[JobFold, Journal, JobState], JobRunner | None]
+JobRunnerFactory = Callable[[JobProjection, Journal, JobState], JobRunner | None]
 """Makes a job's runner; returns None while the job matches no route."""
 
 
@@ -48,11 +48,11 @@
     return zlib.crc32(host.encode()) % partition_count
 
 
-class ShardSettings(msgspec.Struct, frozen=True, kw_only=True):
+class JobPartitionSettings(msgspec.Struct, frozen=True, kw_only=True):
     """Settings that all partitions of a daemon share."""
 
     topic: str
-    parts: int
+    partition_count: int
     """Number of partitions."""
     writer: str
     """Writer name of the daemon's present incarnation."""
@@ -71,16 +71,16 @@
         self,
         number: int,
         log: SharedLog,
-        settings: ShardSettings,
+        settings: JobPartitionSettings,
         make_runner: JobRunnerFactory,
         owners: PartitionOwners,
         decisions: DecisionLog,
-        restricted_bodies: BoundBodies | None = None,
+        restricted_bodies: RestrictedBodies | None = None,
     ) -> None:
         self.number = number
         self._restricted_bodies = restricted_bodies
         self._decisions = decisions
-        self.fold = JobFold()
+        self.projection = JobProjection()
         self.bodies_reader = (
             BodiesReader(restricted_bodies, self._deliver_bodies) if restricted_bodies is not None else None
         )
@@ -94,12 +94,12 @@
             append_bytes=settings.append_bytes,
         )
         tail_settings = TailSettings(topic=settings.topic, part=number, gap_s=READ_PAUSE_S)
-        self.followed_tail = FollowedTail(RecordTail(log, tail_settings, self._apply))
+        self.followed_tail = OnDemandTail(RecordTail(log, tail_settings, self._apply))
         self.ownership = Ownership(
-            self.fold,
+            self.projection,
             self.journal,
             self.tail.freshness,
-            lambda job: make_runner(self.fold, self.journal, job),
+            lambda job: make_runner(self.projection, self.journal, job),
             owners,
             decisions,
             self.may_hold,
@@ -135,28 +135,28 @@
         """Start to read the missing bodies of open jobs, and discard bodies that may not be held any more."""
         if self.bodies_reader is None:
             return
-        for job in self.fold.jobs.values():
+        for job in self.projection.jobs.values():
             if job.bodies is not None and not self.may_hold(job):
                 job.bodies = None
             elif job.is_open and job.bodies_to_read is not None:
                 self.bodies_reader.start_reading(job.bodies_to_read)
-        self.bodies_reader.forget_jobs_except(self.fold.jobs)
+        self.bodies_reader.forget_jobs_except(self.projection.jobs)
 
     def _deliver_bodies(self, job_id: str, bodies: Sequence[ItemBodies]) -> bool:
         """Set a job's bodies and start its runner if it is owned here; return False if they don't match."""
-        matches = self.fold.set_bodies(job_id, bodies)
+        matches = self.projection.set_bodies(job_id, bodies)
         if matches and self.is_current:
             self.ownership.start_runners()
         return matches
 
     def choose_poll_wait(self) -> None:
         """Use short long polls while a job is open, because takeovers require a fresh view."""
-        self.tail.wait_s = POLL_WAIT_S if self.fold.has_open_jobs() else IDLE_POLL_WAIT_S
+        self.tail.wait_s = POLL_WAIT_S if self.projection.has_open_jobs() else IDLE_POLL_WAIT_S
 
     def keep_following(self) -> None:
         """Follow the partition for some time from now."""
         self.needed_until_s = max(self.needed_until_s, monotonic_s() + FOLLOW_AFTER_USE_S)
-        self.followed_tail.set(True)
+        self.followed_tail.set_following(True)
 
     def keep_following_if_current(self) -> None:
         """Follow a partition that was read to its end for some time, also if another daemon watches it next.
@@ -170,7 +170,7 @@
 
     def close(self) -> None:
         """Stop following, and cancel all runners, reads and appends of this partition."""
-        self.followed_tail.set(False)
+        self.followed_tail.set_following(False)
         if self.bodies_reader is not None:
             self.bodies_reader.close()
         self.ownership.cancel_runners()
@@ -186,22 +186,22 @@
                 offset = page.start + index
                 self._decisions.write(RecordUnreadable(offset=offset, reason=str(error)))
                 continue
-            self.fold.apply(page.start + index, batch, now_s, appended_now=self.is_current)
+            self.projection.apply(page.start + index, batch, now_s, appended_now=self.is_current)
             if batch.writer == self.journal.writer:
-                self.journal.read_back(batch)
+                self.journal.take_send_time_s(batch)
         self.choose_poll_wait()
         self.read_bodies()
         if self.is_current:
             self.ownership.start_runners()
 
 
-class JobShards:
+class JobPartitions:
     """All partitions of which this daemon has a state."""
 
     def __init__(
         self,
         log: SharedLog,
-        settings: ShardSettings,
+        settings: JobPartitionSettings,
         watched_partitions: Callable[[], frozenset[int]],
         make_runner: JobRunnerFactory,
         peers: OwnerClient,
@@ -209,7 +209,7 @@
         *,
         may_own_new: Callable[[], bool] = lambda: True,
         log_answers: Callable[[], bool] = lambda: True,
-        bodies: BoundBodies | None = None,
+        restricted_bodies: RestrictedBodies | None = None,
     ) -> None:
         """Create the collection without partitions.
 
@@ -222,7 +222,7 @@
             decisions: receives the decision lines.
             may_own_new: returns whether this daemon is large enough to own a job that no watcher takes.
             log_answers: returns whether the log has recently answered this daemon.
-            bodies: stores the bodies of region-restricted jobs; None where no job is restricted.
+            restricted_bodies: stores the bodies of region-restricted jobs; None where no job is restricted.
         """
         self._log = log
         self._settings = settings
@@ -231,13 +231,13 @@
         self._make_runner = make_runner
         self._peers = peers
         self._log_answers = log_answers
-        self.restricted_bodies = bodies
+        self.restricted_bodies = restricted_bodies
         self._decisions = decisions
         self._partition_by_number: dict[int, JobPartition] = {}
         self.stopping = False
 
     @property
-    def running(self) -> int:
+    def running_jobs(self) -> int:
         """Number of jobs that this daemon runs."""
         return sum(partition.ownership.running_jobs for partition in self._partition_by_number.values())
 
@@ -251,13 +251,13 @@
         """Whether this daemon may own a new job that no watcher takes."""
         return self._may_own_new() and not self.stopping
 
-    def watches(self, number: int) -> bool:
+    def is_watcher_of(self, number: int) -> bool:
         """Whether this daemon watches a partition for its zone."""
         return not self.stopping and number in self._watched_partitions()
 
-    def of(self, host: str) -> JobPartition:
+    def of_host(self, host: str) -> JobPartition:
         """Return the partition of a host's jobs; it is created, but not followed, on first use."""
-        return self._get_or_create(partition_of(host, self._settings.parts))
+        return self._get_or_create(partition_of(host, self._settings.partition_count))
 
     def _get_or_create(self, number: int) -> JobPartition:
         partition = self._partition_by_number.get(number)
@@ -298,12 +298,12 @@
             needed = (
                 number in watched or partition.ownership.owns_open_job() or now_s < partition.needed_until_s
             )
-            partition.followed_tail.set(needed)
+            partition.followed_tail.set_following(needed)
             partition.choose_poll_wait()
             partition.read_bodies()
             if partition.is_current:
-                partition.ownership.update(is_watcher=self.watches(number))
-                partition.fold.prune(now_s, self._settings.retention_s)
+                partition.ownership.update(is_watcher=self.is_watcher_of(number))
+                partition.projection.prune(now_s, self._settings.retention_s)
             if number in watched:
                 partition.keep_following_if_current()
             elif needed:
--- a/passgate/jobs/silence.py
+++ b/passgate/jobs/silence.py
@@ -5,10 +5,10 @@
 replicas' streams deliver data: when all are silent, this daemon or its network is at fault, and
 another replica would be no better.
 
->>> detector = StreamSilence()
->>> first, second = ReplicaLife("r1"), ReplicaLife("r2")
->>> detector.heard(first, now_s=10.0)
->>> detector.seems_lost(second, since_s=9.9), detector.seems_lost(first, since_s=9.9)
+>>> detector = StallDetector()
+>>> first, second = ReplicaIncarnation("r1"), ReplicaIncarnation("r2")
+>>> detector.record_data(first, now_s=10.0)
+>>> detector.seems_stalled(second, since_s=9.9), detector.seems_stalled(first, since_s=9.9)
 (True, False)
 >>> silence_limit_s(usual_pause_s=0.04)
 0.4
@@ -21,7 +21,7 @@
 from typing import Any, TypeVar
 
 from passgate.clock import monotonic_s
-from passgate.eligibility.replica_info import ReplicaLife
+from passgate.eligibility.replica_info import ReplicaIncarnation
 
 MAX_USUAL_PAUSES = 10.0
 """Limit for silence in multiples of the usual pause between events; prefills of others cause two or three."""
@@ -45,26 +45,26 @@
     return min(max(MAX_USUAL_PAUSES * usual_pause_s, MIN_SILENCE_LIMIT_S), MAX_SILENCE_LIMIT_S)
 
 
-class StreamSilence:
+class StallDetector:
     """Last data received from each replica, over all items of a daemon."""
 
     def __init__(self) -> None:
-        self._last_data_s_by_replica: dict[ReplicaLife, float] = {}
+        self._last_data_s_by_replica: dict[ReplicaIncarnation, float] = {}
 
-    def heard(self, replica: ReplicaLife, now_s: float) -> None:
+    def record_data(self, replica: ReplicaIncarnation, now_s: float) -> None:
         """Record that bytes of a replica's stream were received."""
         if len(self._last_data_s_by_replica) >= MAX_REPLICAS and replica not in self._last_data_s_by_replica:
             self._last_data_s_by_replica.clear()  # live streams deliver data again within a second
         self._last_data_s_by_replica[replica] = now_s
 
-    def seems_lost(self, replica: ReplicaLife, since_s: float) -> bool:
+    def seems_stalled(self, replica: ReplicaIncarnation, since_s: float) -> bool:
         """Whether a replica has sent nothing since a loop time, while another one has sent something."""
         if self._last_data_s_by_replica.get(replica, NEVER_S) > since_s:
             return False
         return any(data_s > since_s for data_s in self._last_data_s_by_replica.values())
 
     async def wait_for(
-        self, replica: ReplicaLife, read: Callable[[], Coroutine[Any, Any, T]], limit_s: float
+        self, replica: ReplicaIncarnation, read: Callable[[], Coroutine[Any, Any, T]], limit_s: float
     ) -> T:
         """Wait for the next part of a replica's answer; raises TimeoutError once the stream has stalled.
 
@@ -87,7 +87,7 @@
                     silent_since_s = (
                         now_s  # the loop was blocked: data that arrived meanwhile was not read yet
                     )
-                elif now_s - silent_since_s >= MAX_SILENCE_LIMIT_S or self.seems_lost(
+                elif now_s - silent_since_s >= MAX_SILENCE_LIMIT_S or self.seems_stalled(
                     replica, silent_since_s
                 ):
                     raise
--- a/passgate/jobs/take_over.py
+++ b/passgate/jobs/take_over.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Sequence
 from typing import Protocol
 
-from passgate.jobs.liveness import AliveResponse, Liveness
+from passgate.jobs.liveness import AliveResponse, LivenessProber
 from passgate.jobs.records import ItemProgressed, ItemsDone
 
 UnappendedEntries = Sequence[ItemsDone | ItemProgressed]
@@ -14,7 +14,7 @@
 class OwnerClient(Protocol):
     """Calls to the owners of jobs."""
 
-    async def life_at(self, writer: str, partition: int) -> AliveResponse | None:
+    async def probe(self, writer: str, partition: int) -> AliveResponse | None:
         """Return the response of the daemon at a writer's address; None without a response."""
         ...
 
@@ -37,10 +37,10 @@
         self._partition = partition
         self._peers = peers
         self.log_answers = log_answers
-        self.liveness = Liveness(self._probe)
+        self.liveness = LivenessProber(self._probe)
 
     async def _probe(self, writer: str) -> AliveResponse | None:
-        return await self._peers.life_at(writer, self._partition)
+        return await self._peers.probe(writer, self._partition)
 
     async def release_jobs(self, writer: str) -> UnappendedEntries:
         """Make an owner stop its runs of the partition; return its entries missing on the log."""
--- a/passgate/jobs/timing.py
+++ b/passgate/jobs/timing.py
@@ -19,7 +19,7 @@
 
 import msgspec
 
-from passgate.decisions import JobWhole
+from passgate.decisions import JobGroupsCompleted
 from passgate.jobs.groups import GroupProgress
 from passgate.jobs.records import ItemSpec, JobSpec
 
@@ -74,7 +74,7 @@
 
     def record_result(
         self, item: ItemSpec, now_s: float, items_with_result: Collection[str]
-    ) -> JobWhole | None:
+    ) -> JobGroupsCompleted | None:
         """Record a result; return the report once, when the groups that the caller waits for are complete.
 
         Args:
@@ -89,12 +89,12 @@
         self._reported = True
         return self._build_report(item, now_s)
 
-    def _build_report(self, item: ItemSpec, now_s: float) -> JobWhole:
+    def _build_report(self, item: ItemSpec, now_s: float) -> JobGroupsCompleted:
         times = self.item_times(item.id)
         sent_s = times.first_sent_s if times.first_sent_s is not None else now_s
         first_event_s = times.first_event_s if times.first_event_s is not None else now_s
         all_sent_s = max((other.first_sent_s or 0.0 for other in self._times_by_item.values()), default=now_s)
-        return JobWhole(
+        return JobGroupsCompleted(
             job_id=self._spec.job_id,
             model=self._spec.model,
             step=self._spec.step,
--- a/passgate/jobs/waiting.py
+++ b/passgate/jobs/waiting.py
@@ -4,7 +4,7 @@
 the expected durations.  Each model has a queue for each set of allowed regions, so that items whose
 regions have no replica left do not block the others.
 
->>> queues = WaitingLine()
+>>> queues = WaitQueues()
 >>> older, newer = Rank(latest_start_s=1.0, unsent=True), Rank(latest_start_s=2.0, unsent=False)
 >>> queues.add("m", newer); queues.add("m", older); queues.add("other", newer)
 >>> queues.is_first("m", older), queues.is_first("m", newer), queues.is_first("other", newer)
@@ -42,7 +42,7 @@
     """Regions that may serve the items; None for any region."""
 
 
-class WaitingLine:
+class WaitQueues:
     """All queues of one daemon."""
 
     def __init__(self) -> None:
--- a/passgate/logging_setup.py
+++ b/passgate/logging_setup.py
@@ -3,7 +3,7 @@
 >>> import io
 >>> stream = io.StringIO()
 >>> logger = configure_logging("INFO", "caruaru-1", stream)
->>> log_change(logger, "daemon_ready", revision=4)
+>>> log_state_change(logger, "daemon_ready", revision=4)
 >>> '"change": "daemon_ready"' in stream.getvalue(), '"daemon_id": "caruaru-1"' in stream.getvalue()
 (True, True)
 """
@@ -50,7 +50,9 @@
     return logger
 
 
-def log_change(logger: logging.Logger, change: str, level: int = logging.INFO, **fields: object) -> None:
+def log_state_change(
+    logger: logging.Logger, change: str, level: int = logging.INFO, **fields: object
+) -> None:
     """Log one change of state with its fields; fields that hold a credential are left out."""
     shown = {name: value for name, value in fields.items() if not isinstance(value, Credential)}
     logger.log(level, change, extra=shown)
--- a/passgate/platform/beliefs.py
+++ b/passgate/platform/beliefs.py
@@ -20,7 +20,7 @@
 Records = tuple[KeyedRecord, ...]
 
 
-class Beliefs:
+class OperatorTopicHandler:
     """Applies records of the operator's topic to the daemon: configuration, versions and evacuations.
 
     A record that can not be decoded is logged and skipped, so that it does not block later ones.
@@ -29,17 +29,17 @@
     def __init__(self, daemon: GatewayDaemon) -> None:
         self._daemon = daemon
 
-    def replace_operator(self, records: Records, next_offset: int) -> None:
+    def apply_snapshot(self, records: Records, next_offset: int) -> None:
         """Apply the newest record of every key; an evacuation that is not among them has ended."""
         # Records of a snapshot carry no offsets; the offsets set here are not used.
         changes = _evacuation_changes(records, next_offset)
         zones = [change.zone for change in changes if change.evacuated]
-        self._daemon.evacuated.replace(zones, next_offset)
+        self._daemon.evacuated_zones.apply_snapshot(zones, next_offset)
         self._apply_configurations_and_versions(records)
 
-    def update_operator(self, records: Records, start: int) -> None:
+    def apply_records(self, records: Records, start: int) -> None:
         """Apply consecutive records of which the first has the offset ``start``."""
-        self._daemon.evacuated.update(_evacuation_changes(records, start), start + len(records))
+        self._daemon.evacuated_zones.apply_changes(_evacuation_changes(records, start), start + len(records))
         self._apply_configurations_and_versions(records)
 
     def _apply_configurations_and_versions(self, records: Records) -> None:
@@ -54,9 +54,9 @@
         if not record.value:
             return
         if record.key == names.CONFIGURATION_KEY:
-            self._daemon.put_config(documents.decode_config(record.value))
+            self._daemon.apply_configuration(documents.decode_config(record.value))
         elif record.key.startswith(names.VERSION_KEY_PREFIX):
-            self._daemon.wanted.offer(*documents.decode_version(record.value))
+            self._daemon.target_versions.offer(*documents.decode_version(record.value))
 
 
 def _evacuation_changes(records: Records, start: int) -> Iterator[EvacuationChange]:
@@ -68,7 +68,7 @@
         if not record.key.startswith(names.EVACUATION_KEY_PREFIX):
             continue
         try:
-            zone = documents.evacuated_zone(record.key)
+            zone = documents.zone_of_evacuation_key(record.key)
         except InvalidConfiguration as error:
             logger.warning("unreadable_record", extra={"key": record.key, "error": str(error)})
             continue
--- a/passgate/platform/documents.py
+++ b/passgate/platform/documents.py
@@ -16,16 +16,16 @@
 
 from passgate.eligibility.replica_info import ReplicaInfo
 from passgate.errors import ExecutionStatus, InvalidConfiguration, MalformedBody
-from passgate.gateway.access import Caller, Tenant, scoped_id
+from passgate.gateway.access import Caller, Tenant, tenant_scoped_id
 from passgate.gateway.routes import (
     ColdStart,
     GatewayConfig,
     RequestLimits,
     Route,
     RouteKind,
-    RoutePart,
     ScalingRule,
     Service,
+    WeightedService,
 )
 from passgate.jobs.reader import ResultPage
 from passgate.jobs.records import ItemSpec, JobSpec, RewardSpec
@@ -228,7 +228,7 @@
         name=route.name,
         host=route.host,
         path_prefix=route.pathPrefix,
-        parts=tuple(RoutePart(part.service, part.weight) for part in split),
+        parts=tuple(WeightedService(part.service, part.weight) for part in split),
         kind=ROUTE_KIND_BY_NAME.get(route.kind, RouteKind.UNSAFE),
         timeout_s=route.timeoutMs / 1000,
         target_latency_s=route.targetLatencyMs / 1000,
@@ -263,7 +263,7 @@
         draining=replica.state == DRAINING,
         spot=replica.spot,
         model_versions={model.name: model.version for model in replica.models},
-        born_unix_ms=replica.born,
+        started_unix_ms=replica.born,
         cold_ms=math.ceil(max(replica.coldRemainingMs, 0.0)),
     )
 
@@ -285,10 +285,10 @@
     return named.model, named.version
 
 
-def evacuated_zone(key: str) -> str:
+def zone_of_evacuation_key(key: str) -> str:
     """Return the zone that an evacuation's key names; raises InvalidConfiguration if it names none.
 
-    >>> evacuated_zone("evacuate/a1")
+    >>> zone_of_evacuation_key("evacuate/a1")
     'a1'
     """
     zone = key.removeprefix(names.EVACUATION_KEY_PREFIX)
@@ -330,7 +330,7 @@
     except (msgspec.DecodeError, ValueError) as error:
         raise MalformedBody(f"body is not a batch job: {error}", execution=ExecutionStatus.NOT_RUN) from error
     return JobSpec(
-        job_id=scoped_id(caller.tenant, job_id),
+        job_id=tenant_scoped_id(caller.tenant, job_id),
         tenant=caller.tenant,
         priority=caller.priority,
         host=host,
--- a/passgate/platform/duty_calls.py
+++ b/passgate/platform/duty_calls.py
@@ -6,7 +6,7 @@
 
 from passgate.clients.calls import HttpCall, SendPolicy
 from passgate.clients.curl import HttpClient
-from passgate.duties.calls import DutyCalls, DutyOutcome, ReplicaOrder, UsageReport
+from passgate.duties.calls import DutyClient, DutyOutcome, ReplicaOrder, UsageReport
 from passgate.errors import PassgateError
 from passgate.platform import names
 
@@ -27,7 +27,7 @@
     spot: bool = False
 
 
-class PlatformDutyCalls(DutyCalls):
+class PlatformDutyCalls(DutyClient):
     """Sends the calls of duties over HTTP, each at most once.
 
     The holder and its fence token let the platform refuse a former leader.  A failed call is reported as
--- a/passgate/platform/front.py
+++ b/passgate/platform/front.py
@@ -18,7 +18,7 @@
     PassgateError,
     Unauthorized,
 )
-from passgate.gateway.access import Caller, scoped_id
+from passgate.gateway.access import Caller, tenant_scoped_id
 from passgate.gateway.messages import GatewayAnswer, IncomingRequest, StreamAnswer, json_answer
 from passgate.gateway.routes import RouteKind, RouteTable
 from passgate.platform import documents, names
@@ -39,7 +39,7 @@
 BINARY_HEADERS = (("Content-Type", "application/octet-stream"),)
 
 
-class Front:
+class FrontRequestHandler:
     """Handles all requests to the front address: routed ones, and those for jobs, results and item bodies."""
 
     def __init__(self, daemon: GatewayDaemon) -> None:
@@ -81,7 +81,7 @@
     def _authenticate(self, request: IncomingRequest, table: RouteTable, *, public: bool) -> Caller:
         """Return the caller; raises Unauthorized, or NotReady if the configuration may be stale."""
         try:
-            return table.keys.caller_of(request.headers, public=public)
+            return table.api_key_index.authenticate(request.headers, public=public)
         except Unauthorized as error:
             self._log_refusal(request, error.http_status, error.code)
             raise self._retryable_if_stale(error) from error
@@ -123,8 +123,8 @@
         Unauthorized.
         """
         table = self._usable_routes()
-        caller = self._authenticate(request, table, public=table.takes_public_jobs(request.host))
-        return scoped_id(caller.tenant, job_id)
+        caller = self._authenticate(request, table, public=table.accepts_public_jobs(request.host))
+        return tenant_scoped_id(caller.tenant, job_id)
 
     async def _handle_job_request(
         self, request: IncomingRequest, caller_job_id: str, query: str
@@ -132,13 +132,13 @@
         """Cancel a job (DELETE), or return the results after a position (any other method)."""
         job_id = self._tenant_job_id(request, caller_job_id)
         if request.method == "DELETE":
-            await self._daemon.jobs.end(request.host, job_id, _deadline_s(request))
+            await self._daemon.jobs.cancel(request.host, job_id, _deadline_s(request))
             return GatewayAnswer(status=200)
         after = parse_qs(query).get("afterRev", ["0"])[0]
         wait_ms = request.header(names.HEADERS.wait_ms)
         wait_s = min(int(wait_ms) / 1000 if wait_ms.isdigit() else 0.0, MAX_WAIT_S)
         position = int(after) if after.isdigit() else 0
-        page = await self._daemon.jobs.read(request.host, job_id, position, wait_s)
+        page = await self._daemon.jobs.read_results(request.host, job_id, position, wait_s)
         return json_answer(200, documents.results_document(page))
 
     async def _handle_item_request(
@@ -147,7 +147,7 @@
         """Return the body of one item of a job."""
         job_id = self._tenant_job_id(request, caller_job_id)
         item_id = parse_qs(query).get("id", [""])[0]
-        body = await self._daemon.jobs.body(request.host, job_id, item_id)
+        body = await self._daemon.jobs.read_body(request.host, job_id, item_id)
         return GatewayAnswer(status=200, headers=BINARY_HEADERS, body=body)
 
 
--- a/passgate/platform/log_client.py
+++ b/passgate/platform/log_client.py
@@ -23,8 +23,8 @@
 from passgate.sharedlog.log import (
     MAX_PAGE_BYTES,
     AppendConflict,
+    GroupAssignment,
     GroupPartition,
-    GroupShare,
     HistoryGone,
     KeyedRecord,
     KeyedSnapshot,
@@ -204,13 +204,13 @@
 
     async def join(
         self, group: str, member: str, topics: Sequence[str], *, lifetime_s: float, generation: int
-    ) -> GroupShare:
+    ) -> GroupAssignment:
         """Join a group or renew the membership; see :meth:`SharedLog.join`."""
         document = _Join(group, member, list(topics), int(lifetime_s * 1000), generation)
         answer = await self._post(names.JOIN_PATH, document)
         joined = msgspec.json.decode(answer.body, type=_Joined)
         partitions = frozenset(GroupPartition(topic, part) for topic, part, _ in joined.parts)
-        return GroupShare(generation=joined.generation, partitions=partitions)
+        return GroupAssignment(generation=joined.generation, partitions=partitions)
 
     async def leave(self, group: str, member: str) -> None:
         """Leave a group at once."""
--- a/passgate/platform/program.py
+++ b/passgate/platform/program.py
@@ -17,12 +17,12 @@
 from passgate.gateway.settings import GatewaySettings
 from passgate.peers.peer_transport import TcpPeerTransport, parse_address
 from passgate.platform import names
-from passgate.platform.beliefs import Beliefs, PlatformReplicaDecoder
+from passgate.platform.beliefs import OperatorTopicHandler, PlatformReplicaDecoder
 from passgate.platform.duty_calls import PlatformDutyCalls
-from passgate.platform.front import Front, PlatformReplicaControl
+from passgate.platform.front import FrontRequestHandler, PlatformReplicaControl
 from passgate.platform.log_client import PlatformLog
 from passgate.platform.settings import SettingsWatcher, read_settings, settings_path
-from passgate.process_signals import handle_signals, hold_signals
+from passgate.process_signals import block_signals, install_signal_handlers
 
 OPERATOR_READ_PAUSE_S = 0.05
 """Pause between reads of the operator's topic; short, as changes have to apply within seconds."""
@@ -49,12 +49,14 @@
     daemon = GatewayDaemon(
         settings, names.HEADERS, topics, http, log, control, PlatformReplicaDecoder(), peers, duty_calls
     )
-    handler = Beliefs(daemon)
-    daemon.follow(topics.operator, OPERATOR_READ_PAUSE_S, handler.replace_operator, handler.update_operator)
+    handler = OperatorTopicHandler(daemon)
+    daemon.follow_keyed_topic(
+        topics.operator, OPERATOR_READ_PAUSE_S, handler.apply_snapshot, handler.apply_records
+    )
     return daemon
 
 
-def runner() -> asyncio.Runner:
+def make_runner() -> asyncio.Runner:
     """Return an asyncio runner with a daemon's event loop."""
     return asyncio.Runner(loop_factory=DaemonEventLoop)
 
@@ -68,15 +70,17 @@
     log = PlatformLog(http, settings.log_address)
     daemon = make_daemon(settings, http, log)
     watcher = SettingsWatcher(daemon, log, settings_path())
-    handle_signals({signal.SIGTERM: daemon.stop, signal.SIGINT: daemon.stop, signal.SIGHUP: watcher.read})
+    install_signal_handlers(
+        {signal.SIGTERM: daemon.stop, signal.SIGINT: daemon.stop, signal.SIGHUP: watcher.reload}
+    )
     watch_task = asyncio.get_running_loop().create_task(watcher.run())
-    await daemon.run(Front(daemon).handle)
-    hold_signals()
+    await daemon.run(FrontRequestHandler(daemon).handle)
+    block_signals()
     watch_task.cancel()
     http.close()
 
 
 def main() -> None:
     """Run a daemon with the settings file that the platform provides; raises SettingsError."""
-    with runner() as daemon_runner:
+    with make_runner() as daemon_runner:
         daemon_runner.run(serve())
--- a/passgate/platform/settings.py
+++ b/passgate/platform/settings.py
@@ -164,9 +164,9 @@
             await asyncio.sleep(CHECK_INTERVAL_S)
             stamp = self._file_stamp()
             if stamp != self._last_stamp:
-                self.read()
+                self.reload()
 
-    def read(self) -> None:
+    def reload(self) -> None:
         """Reload the file; an unreadable or invalid file is logged and changes nothing."""
         self._last_stamp = self._file_stamp()
         try:
@@ -175,7 +175,7 @@
             logger.warning("settings_unreadable", extra={"error": str(error)})
             return
         self._log.set_address(settings.log_address)
-        self._daemon.reload(settings)
+        self._daemon.apply_settings(settings)
 
     def _file_stamp(self) -> tuple[int, int]:
         """Return the file's modification time in nanoseconds and its size; zeros if there is no file."""
--- a/passgate/process_signals.py
+++ b/passgate/process_signals.py
@@ -4,7 +4,7 @@
 daemon, and a second SIGTERM after the loop has ended would make a graceful shutdown look like a kill.  A
 blocked signal stays pending until it is unblocked or the process exits.
 
->>> hold_signals()
+>>> block_signals()
 >>> signal.SIGTERM in signal.pthread_sigmask(signal.SIG_BLOCK, ())
 True
 >>> unblock_signals()
@@ -20,7 +20,7 @@
 """Signals that are blocked; all others keep their default action."""
 
 
-def hold_signals() -> None:
+def block_signals() -> None:
     """Block the signals.  To be called before slow imports, and again when the event loop has ended."""
     signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED_SIGNALS)
 
@@ -30,7 +30,7 @@
     signal.pthread_sigmask(signal.SIG_UNBLOCK, HANDLED_SIGNALS)
 
 
-def handle_signals(handlers: Mapping[signal.Signals, Callable[[], None]]) -> None:
+def install_signal_handlers(handlers: Mapping[signal.Signals, Callable[[], None]]) -> None:
     """Let the running loop call the handlers, also for signals that are pending; unblock the signals.
 
     Args:
--- a/passgate/quarantine/channel.py
+++ b/passgate/quarantine/channel.py
@@ -14,8 +14,8 @@
 import msgspec
 
 from passgate.clock import monotonic_s, unix_s
-from passgate.decisions import CrashReported, DecisionLog, RecordUnreadable
-from passgate.eligibility.replica_info import ReplicaLife
+from passgate.decisions import CrashReportReceived, DecisionLog, RecordUnreadable
+from passgate.eligibility.replica_info import ReplicaIncarnation
 from passgate.errors import LogError
 from passgate.quarantine.last_chances import UNKNOWN_OFFSET, IsolatedRun
 from passgate.quarantine.ledger import CrashReport, CrashReportStore
@@ -52,7 +52,7 @@
         log: SharedLog,
         topic: str,
         reports: CrashReportStore,
-        eject: Callable[[ReplicaLife, float], None],
+        eject: Callable[[ReplicaIncarnation, float], None],
         decisions: DecisionLog,
     ) -> None:
         """Create the reader and writer; :meth:`run` starts them.
@@ -160,7 +160,7 @@
         """
         keys_in_effect = {record.key for record in records if record.value}
         for fingerprint, incarnation in self._reports.report_keys():
-            key = KEY_SEPARATOR.join((fingerprint, incarnation.text()))
+            key = KEY_SEPARATOR.join((fingerprint, incarnation.to_text()))
             if key not in keys_in_effect and key not in self._pending_by_key:
                 self._reports.remove(fingerprint, incarnation)
         self._reports.isolated_runs.retain(
@@ -198,7 +198,7 @@
         if self._reports.add(report, monotonic_s()):
             self._eject(report.incarnation, monotonic_s())
             self._decisions.write(
-                CrashReported(
+                CrashReportReceived(
                     replica_id=report.replica_id,
                     fingerprint=report.fingerprint,
                     source=source,
@@ -209,14 +209,14 @@
 
 
 def _key_of(record: Record) -> str:
-    pair = (record.fingerprint, record.incarnation.text())
+    pair = (record.fingerprint, record.incarnation.to_text())
     prefix = (ISOLATED_RUN_PREFIX,) if isinstance(record, IsolatedRun) else ()
     return KEY_SEPARATOR.join(prefix + pair)
 
 
-def _parse_key(key: str) -> tuple[str, ReplicaLife]:
+def _parse_key(key: str) -> tuple[str, ReplicaIncarnation]:
     """Return the fingerprint and the incarnation that a key names."""
     fingerprint, _, incarnation = key.removeprefix(ISOLATED_RUN_PREFIX + KEY_SEPARATOR).partition(
         KEY_SEPARATOR
     )
-    return fingerprint, ReplicaLife.from_text(incarnation)
+    return fingerprint, ReplicaIncarnation.from_text(incarnation)
--- a/passgate/quarantine/guard.py
+++ b/passgate/quarantine/guard.py
@@ -14,8 +14,8 @@
 import msgspec
 
 from passgate.clock import monotonic_s, unix_s
-from passgate.decisions import CrashReportsCleared, DecisionLog, LastChanceBegun, ReplicaCrashed
-from passgate.eligibility.replica_info import ReplicaLife
+from passgate.decisions import CrashReportCleared, DecisionLog, IsolatedRunStarted, ReplicaCrashed
+from passgate.eligibility.replica_info import ReplicaIncarnation
 from passgate.errors import (
     BackendUnreachable,
     ExecutionStatus,
@@ -42,14 +42,14 @@
 """Interval of the checks whether an announcement was read back."""
 
 
-class ReplicaPlace(msgspec.Struct, frozen=True, kw_only=True):
+class ReplicaEndpoint(msgspec.Struct, frozen=True, kw_only=True):
     """A replica's incarnation, service and address at the time of an attempt."""
 
-    life: ReplicaLife
+    incarnation: ReplicaIncarnation
     service: str
     address: str
     """``IP:PORT`` at which it listened."""
-    replaced: bool = False
+    has_newer_incarnation: bool = False
     """Whether a newer incarnation of the replica is known, so that this one has exited."""
 
 
@@ -62,9 +62,9 @@
     """Publishes a crash report, or the announcement of an isolated run, to all daemons."""
     withdraw: Callable[[CrashReport | IsolatedRun], None]
     """Withdraws such a record at all daemons."""
-    eject: Callable[[ReplicaLife, float], None]
+    eject: Callable[[ReplicaIncarnation, float], None]
     """Ejects a crashed incarnation from the choice of replicas, as of a loop time."""
-    read_incarnation: Callable[[ReplicaLife, str], Awaitable[ReplicaLife | None]]
+    read_incarnation: Callable[[ReplicaIncarnation, str], Awaitable[ReplicaIncarnation | None]]
     """Queries the replica at an address, known as the given incarnation, for its current one; returns None
     if it does not state it."""
     is_log_current: Callable[[], bool]
@@ -81,11 +81,11 @@
         self._probes_by_fingerprint: dict[str, set[asyncio.Task[None]]] = {}
         """Fingerprint of a request to the probes in progress of replicas at which its attempts failed."""
         self._isolated_runs = reports.isolated_runs
-        self._queried_s_by_incarnation: dict[ReplicaLife, float] = {}
+        self._queried_s_by_incarnation: dict[ReplicaIncarnation, float] = {}
         """Incarnation to the loop time of the last query for it; only recent ones are kept."""
         self._queries: set[asyncio.Task[None]] = set()
 
-    def check(self, identity: RequestIdentity) -> None:
+    def raise_if_quarantined(self, identity: RequestIdentity) -> None:
         """Return if a request may be sent.
 
         Raises:
@@ -99,13 +99,13 @@
                 retry_after_s=quarantined_for_s,
             )
 
-    def is_held(self, identity: RequestIdentity) -> bool:
+    def is_quarantined(self, identity: RequestIdentity) -> bool:
         """Whether a request is quarantined, so that it must not be sent now."""
         return self._quarantined_for_s(identity) > 0.0
 
-    async def released(self, identity: RequestIdentity) -> None:
+    async def wait_until_released(self, identity: RequestIdentity) -> None:
         """Wait until a request is not quarantined; returns at once if it is not."""
-        while self.is_held(identity):
+        while self.is_quarantined(identity):
             await asyncio.sleep(RELEASE_CHECK_INTERVAL_S)
 
     def is_suspect(self, identity: RequestIdentity) -> bool:
@@ -121,7 +121,7 @@
             or self._reports.count_crashes(fingerprint, unix_s()) > 0
         )
 
-    async def settled(self, identity: RequestIdentity) -> None:
+    async def wait_for_probes(self, identity: RequestIdentity) -> None:
         """Wait for the probes in progress if their outcome may quarantine a request.
 
         With fewer probes it returns at once: most failed attempts are not crashes.
@@ -136,30 +136,30 @@
         ):
             await asyncio.wait(list(probes))
 
-    def is_last_chance(self, identity: RequestIdentity) -> bool:
+    def needs_isolated_run(self, identity: RequestIdentity) -> bool:
         """Whether one more crash would quarantine a request, so that it needs an isolated run."""
         if not len(self._reports):
             return False
         return self._reports.count_crashes(identity.fingerprint(), unix_s()) >= identity.crash_limit - 1
 
-    async def paused(self, identity: RequestIdentity) -> None:
+    async def delay_isolated_run(self, identity: RequestIdentity) -> None:
         """Wait for probes that may quarantine a request, then for a random delay before an isolated run."""
-        await self.settled(identity)
-        if self.is_last_chance(identity):
+        await self.wait_for_probes(identity)
+        if self.needs_isolated_run(identity):
             await asyncio.sleep(random.uniform(*ISOLATED_RUN_DELAY_RANGE_S))
 
-    def apart_from(self, identity: RequestIdentity) -> frozenset[ReplicaLife]:
+    def excluded_replicas(self, identity: RequestIdentity) -> frozenset[ReplicaIncarnation]:
         """Return the replicas that a request must not use, as isolated runs of other requests are there.
 
         Empty unless the request itself needs an isolated run.  Requests interrupted by the same crash are
         retried at the same time; if they shared replicas again, the cause's next crash would count against
         its concurrent requests too.
         """
-        if not self.is_last_chance(identity):
+        if not self.needs_isolated_run(identity):
             return frozenset()
         return self._isolated_runs.replicas(monotonic_s(), excluding=identity.fingerprint())
 
-    def spared(self) -> frozenset[ReplicaLife]:
+    def replicas_to_avoid(self) -> frozenset[ReplicaIncarnation]:
         """Return the replicas that any request should avoid while others have free slots.
 
         They have isolated runs, where a crash interrupts all concurrent requests, and where a second
@@ -167,19 +167,19 @@
         """
         return self._isolated_runs.replicas(monotonic_s()) if len(self._reports) else frozenset()
 
-    def placed(self, identity: RequestIdentity, incarnation: ReplicaLife) -> None:
+    def announce_run(self, identity: RequestIdentity, incarnation: ReplicaIncarnation) -> None:
         """Announce to all daemons where a request is about to run, if it needs an isolated run."""
-        if not self.is_last_chance(identity):
+        if not self.needs_isolated_run(identity):
             return
         run = IsolatedRun(
             fingerprint=identity.fingerprint(),
             replica_id=incarnation.replica_id,
-            started_unix_ms=incarnation.born_unix_ms,
+            started_unix_ms=incarnation.started_unix_ms,
         )
         self._isolated_runs.add_local(run)
         self._hooks.publish(run)
 
-    async def has_place(self, identity: RequestIdentity) -> bool:
+    async def confirm_run(self, identity: RequestIdentity) -> bool:
         """Wait until the announcement of a request's run is read back; return whether the run may start.
 
         It may start if no other isolated run was announced at its replica before.  A request without an
@@ -194,7 +194,7 @@
             await asyncio.sleep(ANNOUNCEMENT_CHECK_INTERVAL_S)
         is_first = self._isolated_runs.is_first(run.fingerprint, run.incarnation, monotonic_s())
         self._decisions.write(
-            LastChanceBegun(
+            IsolatedRunStarted(
                 replica_id=run.replica_id,
                 fingerprint=run.fingerprint,
                 announced=self._isolated_runs.is_announced(run.fingerprint, run.incarnation),
@@ -203,7 +203,7 @@
         )
         return is_first
 
-    def left(self, identity: RequestIdentity) -> None:
+    def withdraw_run(self, identity: RequestIdentity) -> None:
         """Withdraw the announcement of a request's run, which is over or was not started."""
         if not self._isolated_runs.has_local:
             return
@@ -211,12 +211,14 @@
         if run is not None:
             self._hooks.withdraw(run)
 
-    def broke_off(self, identity: RequestIdentity, endpoint: ReplicaPlace, error: PassgateError) -> None:
+    def record_failed_attempt(
+        self, identity: RequestIdentity, endpoint: ReplicaEndpoint, error: PassgateError
+    ) -> None:
         """Probe the replica of a failed attempt, if the error may be due to a crash."""
         if _may_be_crash(error):
-            self.look_at(identity, endpoint)
+            self.start_probe(identity, endpoint)
 
-    def look_at(self, identity: RequestIdentity, endpoint: ReplicaPlace) -> None:
+    def start_probe(self, identity: RequestIdentity, endpoint: ReplicaEndpoint) -> None:
         """Start a probe of a replica that was sent a request; report a crash if it has exited."""
         fingerprint = identity.fingerprint()
         probe = asyncio.get_running_loop().create_task(self._probe(identity, endpoint))
@@ -224,7 +226,7 @@
         probes.add(probe)
         probe.add_done_callback(lambda done: self._remove_probe(fingerprint, done))
 
-    def answered(self, endpoint: ReplicaPlace, attempt_started_s: float) -> None:
+    def record_response(self, endpoint: ReplicaEndpoint, attempt_started_s: float) -> None:
         """Record a response head, which proves that the replica lives and clears its earlier reports.
 
         A restarted replica may respond under the same replica ID before discovery lists its new
@@ -236,25 +238,25 @@
             endpoint: the replica that responded.
             attempt_started_s: loop time of the attempt's start; only earlier reports are cleared.
         """
-        incarnation = endpoint.life
+        incarnation = endpoint.incarnation
         if not len(self._reports) or not self._reports.has_report_before(incarnation, attempt_started_s):
             return
-        if not incarnation.born_unix_ms:
+        if not incarnation.started_unix_ms:
             self._clear_incarnation(incarnation, attempt_started_s)
-        elif not endpoint.replaced and self._start_query_interval(incarnation, monotonic_s()):
+        elif not endpoint.has_newer_incarnation and self._start_query_interval(incarnation, monotonic_s()):
             query = asyncio.get_running_loop().create_task(
                 self._query_incarnation(endpoint, attempt_started_s)
             )
             self._queries.add(query)
             query.add_done_callback(self._queries.discard)
 
-    def succeeded(self, identity: RequestIdentity, service: str) -> None:
+    def record_success(self, identity: RequestIdentity, service: str) -> None:
         """Record a complete answer: it proves that the request does not crash replicas of a service."""
         if len(self._reports):
             cleared = self._reports.clear_request(identity.fingerprint(), service)
             self._withdraw(cleared, "the request was answered")
 
-    def _start_query_interval(self, incarnation: ReplicaLife, now_s: float) -> bool:
+    def _start_query_interval(self, incarnation: ReplicaIncarnation, now_s: float) -> bool:
         """Return whether an incarnation may be queried now, and record the query if so."""
         self._queried_s_by_incarnation = {
             queried: queried_s
@@ -266,14 +268,14 @@
         self._queried_s_by_incarnation[incarnation] = now_s
         return True
 
-    async def _query_incarnation(self, endpoint: ReplicaPlace, attempt_started_s: float) -> None:
-        current = await self._hooks.read_incarnation(endpoint.life, endpoint.address)
-        if current == endpoint.life:
-            self._clear_incarnation(endpoint.life, attempt_started_s)
+    async def _query_incarnation(self, endpoint: ReplicaEndpoint, attempt_started_s: float) -> None:
+        current = await self._hooks.read_incarnation(endpoint.incarnation, endpoint.address)
+        if current == endpoint.incarnation:
+            self._clear_incarnation(endpoint.incarnation, attempt_started_s)
         elif current is None and self._hooks.is_log_current():
-            self._clear_incarnation(endpoint.life, attempt_started_s - MAX_DISCOVERY_DELAY_S)
+            self._clear_incarnation(endpoint.incarnation, attempt_started_s - MAX_DISCOVERY_DELAY_S)
 
-    def _clear_incarnation(self, incarnation: ReplicaLife, attempt_started_s: float) -> None:
+    def _clear_incarnation(self, incarnation: ReplicaIncarnation, attempt_started_s: float) -> None:
         self._withdraw(self._reports.clear_incarnation(incarnation, attempt_started_s), "the replica lives")
 
     def _quarantined_for_s(self, identity: RequestIdentity) -> float:
@@ -281,18 +283,18 @@
             return 0.0
         return self._reports.quarantined_for_s(identity.fingerprint(), unix_s())
 
-    async def _probe(self, identity: RequestIdentity, endpoint: ReplicaPlace) -> None:
-        if endpoint.replaced or await self._hooks.has_exited(endpoint.address):
-            self.ended(identity, endpoint)
+    async def _probe(self, identity: RequestIdentity, endpoint: ReplicaEndpoint) -> None:
+        if endpoint.has_newer_incarnation or await self._hooks.has_exited(endpoint.address):
+            self.record_crash(identity, endpoint)
 
-    def ended(self, identity: RequestIdentity, endpoint: ReplicaPlace) -> None:
+    def record_crash(self, identity: RequestIdentity, endpoint: ReplicaEndpoint) -> None:
         """Eject and report a replica that has certainly crashed while it ran a request."""
         fingerprint = identity.fingerprint()
-        self._hooks.eject(endpoint.life, monotonic_s())
+        self._hooks.eject(endpoint.incarnation, monotonic_s())
         report = CrashReport(
             fingerprint=fingerprint,
-            replica_id=endpoint.life.replica_id,
-            started_unix_ms=endpoint.life.born_unix_ms,
+            replica_id=endpoint.incarnation.replica_id,
+            started_unix_ms=endpoint.incarnation.started_unix_ms,
             service=endpoint.service,
             crash_limit=identity.crash_limit,
             reported_unix_s=unix_s(),
@@ -302,7 +304,7 @@
         self._hooks.publish(report)
         self._decisions.write(
             ReplicaCrashed(
-                replica_id=endpoint.life.replica_id,
+                replica_id=endpoint.incarnation.replica_id,
                 fingerprint=fingerprint,
                 crashes=self._reports.count_crashes(fingerprint, unix_s()),
             )
@@ -318,7 +320,7 @@
         for report in reports:
             self._hooks.withdraw(report)
             self._decisions.write(
-                CrashReportsCleared(
+                CrashReportCleared(
                     replica_id=report.replica_id, fingerprint=report.fingerprint, reason=reason
                 )
             )
--- a/passgate/quarantine/last_chances.py
+++ b/passgate/quarantine/last_chances.py
@@ -20,7 +20,7 @@
 
 import msgspec
 
-from passgate.eligibility.replica_info import ReplicaLife
+from passgate.eligibility.replica_info import ReplicaIncarnation
 
 ANNOUNCEMENT_LIFETIME_S = 10.0
 """Time after which an announcement expires, as its daemon may have crashed; longer than most runs."""
@@ -37,9 +37,9 @@
     """Start time of the replica in Unix milliseconds; 0 if not reported."""
 
     @property
-    def incarnation(self) -> ReplicaLife:
+    def incarnation(self) -> ReplicaIncarnation:
         """The incarnation of the replica."""
-        return ReplicaLife(self.replica_id, self.started_unix_ms)
+        return ReplicaIncarnation(self.replica_id, self.started_unix_ms)
 
 
 class _Announcement(msgspec.Struct, frozen=True):
@@ -54,7 +54,7 @@
     def __init__(self) -> None:
         self._local_runs_by_fingerprint: dict[str, IsolatedRun] = {}
         """Fingerprint to isolated run of this daemon."""
-        self._announcements_by_incarnation: dict[ReplicaLife, dict[str, _Announcement]] = {}
+        self._announcements_by_incarnation: dict[ReplicaIncarnation, dict[str, _Announcement]] = {}
         """Incarnation to fingerprint to the announcement that was read from the log."""
 
     def add_local(self, run: IsolatedRun) -> None:
@@ -80,14 +80,14 @@
             offset, now_s
         )
 
-    def remove_announcement(self, fingerprint: str, incarnation: ReplicaLife) -> None:
+    def remove_announcement(self, fingerprint: str, incarnation: ReplicaIncarnation) -> None:
         """Remove an announcement that was withdrawn."""
         announcements = self._announcements_by_incarnation.get(incarnation, {})
         announcements.pop(fingerprint, None)
         if not announcements:
             self._announcements_by_incarnation.pop(incarnation, None)
 
-    def retain(self, keys: Iterable[tuple[str, ReplicaLife]]) -> None:
+    def retain(self, keys: Iterable[tuple[str, ReplicaIncarnation]]) -> None:
         """Remove all announcements but those of the given pairs of fingerprint and incarnation."""
         retained = set(keys)
         for incarnation, announcements in list(self._announcements_by_incarnation.items()):
@@ -101,7 +101,7 @@
             IsolatedRun(
                 fingerprint=fingerprint,
                 replica_id=incarnation.replica_id,
-                started_unix_ms=incarnation.born_unix_ms,
+                started_unix_ms=incarnation.started_unix_ms,
             )
             for incarnation, announcements in self._announcements_by_incarnation.items()
             for fingerprint, announcement in announcements.items()
@@ -111,11 +111,11 @@
             self.remove_announcement(run.fingerprint, run.incarnation)
         return expired
 
-    def is_announced(self, fingerprint: str, incarnation: ReplicaLife) -> bool:
+    def is_announced(self, fingerprint: str, incarnation: ReplicaIncarnation) -> bool:
         """Whether the announcement of a run was read from the log."""
         return fingerprint in self._announcements_by_incarnation.get(incarnation, {})
 
-    def is_first(self, fingerprint: str, incarnation: ReplicaLife, now_s: float) -> bool:
+    def is_first(self, fingerprint: str, incarnation: ReplicaIncarnation, now_s: float) -> bool:
         """Whether no other request's unexpired announcement at a replica precedes that of this one.
 
         True also if this request's announcement was not read.
@@ -129,7 +129,7 @@
             if other != fingerprint and now_s < announcement.read_s + ANNOUNCEMENT_LIFETIME_S
         )
 
-    def replicas(self, now_s: float, excluding: str = "") -> frozenset[ReplicaLife]:
+    def replicas(self, now_s: float, excluding: str = "") -> frozenset[ReplicaIncarnation]:
         """Return the incarnations with isolated runs, except those of the request with a fingerprint."""
         local = {
             run.incarnation
--- a/passgate/quarantine/ledger.py
+++ b/passgate/quarantine/ledger.py
@@ -25,7 +25,7 @@
 
 import msgspec
 
-from passgate.eligibility.replica_info import ReplicaLife
+from passgate.eligibility.replica_info import ReplicaIncarnation
 from passgate.quarantine.identity import ITEM_CRASH_LIMIT
 from passgate.quarantine.last_chances import IsolatedRuns
 
@@ -54,9 +54,9 @@
     """Start time of the replica in Unix milliseconds; 0 if not reported."""
 
     @property
-    def incarnation(self) -> ReplicaLife:
+    def incarnation(self) -> ReplicaIncarnation:
         """The incarnation that crashed."""
-        return ReplicaLife(self.replica_id, self.started_unix_ms)
+        return ReplicaIncarnation(self.replica_id, self.started_unix_ms)
 
 
 class _KnownReport(msgspec.Struct, frozen=True):
@@ -69,9 +69,9 @@
     """All crash reports in effect, at most one for each pair of request and incarnation."""
 
     def __init__(self) -> None:
-        self._reports_by_fingerprint: dict[str, dict[ReplicaLife, _KnownReport]] = {}
+        self._reports_by_fingerprint: dict[str, dict[ReplicaIncarnation, _KnownReport]] = {}
         """Fingerprint to incarnation to report."""
-        self._reports_by_incarnation: dict[ReplicaLife, dict[str, _KnownReport]] = {}
+        self._reports_by_incarnation: dict[ReplicaIncarnation, dict[str, _KnownReport]] = {}
         """Incarnation to fingerprint to report; holds the same reports."""
         self._count = 0
         self.isolated_runs = IsolatedRuns()
@@ -92,11 +92,11 @@
         self._count += 1
         return True
 
-    def contains(self, fingerprint: str, incarnation: ReplicaLife) -> bool:
+    def contains(self, fingerprint: str, incarnation: ReplicaIncarnation) -> bool:
         """Whether a report is in effect."""
         return incarnation in self._reports_by_fingerprint.get(fingerprint, {})
 
-    def remove(self, fingerprint: str, incarnation: ReplicaLife) -> bool:
+    def remove(self, fingerprint: str, incarnation: ReplicaIncarnation) -> bool:
         """Remove a report; return whether it was in effect."""
         if not self.contains(fingerprint, incarnation):
             return False
@@ -113,13 +113,15 @@
         known = self._reports_by_fingerprint.get(fingerprint, {}).values()
         return self._remove_all([each for each in known if each.report.service == service])
 
-    def has_report_before(self, incarnation: ReplicaLife, before_s: float) -> bool:
+    def has_report_before(self, incarnation: ReplicaIncarnation, before_s: float) -> bool:
         """Whether an incarnation has a crash report that was known before a loop time."""
         return any(
             before_s > each.since_s for each in self._reports_by_incarnation.get(incarnation, {}).values()
         )
 
-    def clear_incarnation(self, incarnation: ReplicaLife, attempt_started_s: float) -> list[CrashReport]:
+    def clear_incarnation(
+        self, incarnation: ReplicaIncarnation, attempt_started_s: float
+    ) -> list[CrashReport]:
         """Remove and return the reports of an incarnation that answered an attempt started after them.
 
         Such an incarnation has not crashed, as a restarted replica is another incarnation.
@@ -169,7 +171,7 @@
             len(self._fingerprints_at_limit(incarnation)) > 1 for incarnation in incarnations
         )
 
-    def _is_crash_explained(self, fingerprint: str, incarnation: ReplicaLife) -> bool:
+    def _is_crash_explained(self, fingerprint: str, incarnation: ReplicaIncarnation) -> bool:
         """Whether an incarnation also crashed under another request that has crashed a replica alone."""
         others = (other for other in self._fingerprints_at_limit(incarnation) if other != fingerprint)
         return any(self._has_crashed_alone(other) for other in others)
@@ -181,7 +183,7 @@
             for incarnation in self._reports_by_fingerprint[fingerprint]
         )
 
-    def _fingerprints_at_limit(self, incarnation: ReplicaLife) -> list[str]:
+    def _fingerprints_at_limit(self, incarnation: ReplicaIncarnation) -> list[str]:
         """Return the requests with as many reports as their limit under which an incarnation crashed."""
         known = self._reports_by_incarnation[incarnation].values()
         return [
@@ -190,7 +192,7 @@
             if len(self._reports_by_fingerprint[each.report.fingerprint]) >= each.report.crash_limit
         ]
 
-    def report_keys(self) -> set[tuple[str, ReplicaLife]]:
+    def report_keys(self) -> set[tuple[str, ReplicaIncarnation]]:
         """Return the fingerprint and incarnation of each report."""
         return {
             (fingerprint, incarnation)
--- a/passgate/quarantine/peers.py
+++ b/passgate/quarantine/peers.py
@@ -37,7 +37,7 @@
     reports: tuple[CrashReport, ...] = ()
 
 
-class CrashPeers:
+class CrashReportExchange:
     """Exchanges reports with other daemons, and responds to their exchanges."""
 
     def __init__(
@@ -76,7 +76,7 @@
             return
         self._report_log.merge_reports(received.reports)
 
-    def answer(self, payload: bytes) -> bytes:
+    def handle_request(self, payload: bytes) -> bytes:
         """Merge another daemon's reports and return those that this daemon knew before.
 
         Raises:
--- a/passgate/quarantine/service.py
+++ b/passgate/quarantine/service.py
@@ -5,7 +5,7 @@
 from collections.abc import Awaitable, Callable
 
 from passgate.decisions import DecisionLog
-from passgate.eligibility.replica_info import ReplicaLife
+from passgate.eligibility.replica_info import ReplicaIncarnation
 from passgate.quarantine.channel import CrashReportLog
 from passgate.quarantine.guard import CrashGuard, CrashGuardHooks
 from passgate.quarantine.ledger import CrashReportStore
@@ -13,16 +13,16 @@
 from passgate.sharedlog.log import SharedLog
 
 
-class Crashes:
+class CrashQuarantine:
     """The crash guard of one daemon, which shares reports with the other daemons through the log."""
 
     def __init__(
         self,
         log: SharedLog,
         topic: str,
-        eject: Callable[[ReplicaLife, float], None],
+        eject: Callable[[ReplicaIncarnation, float], None],
         decisions: DecisionLog,
-        read_incarnation: Callable[[ReplicaLife, str], Awaitable[ReplicaLife | None]],
+        read_incarnation: Callable[[ReplicaIncarnation, str], Awaitable[ReplicaIncarnation | None]],
     ) -> None:
         """Create the guard and the report log.
 
@@ -35,22 +35,22 @@
                 current one; returns None if it does not state it.
         """
         reports = CrashReportStore()
-        self.channel = CrashReportLog(log, topic, reports, eject, decisions)
+        self.report_log = CrashReportLog(log, topic, reports, eject, decisions)
         hooks = CrashGuardHooks(
             has_exited=has_exited,
-            publish=self.channel.publish,
-            withdraw=self.channel.withdraw,
+            publish=self.report_log.publish,
+            withdraw=self.report_log.withdraw,
             eject=eject,
             read_incarnation=read_incarnation,
-            is_log_current=self.channel.is_current,
+            is_log_current=self.report_log.is_current,
         )
         self.guard = CrashGuard(reports, hooks, decisions)
 
     @property
     def loaded(self) -> bool:
         """Whether the reports on the log have been read completely once."""
-        return self.channel.loaded
+        return self.report_log.loaded
 
     async def run(self) -> None:
         """Read and write the reports on the log until cancelled."""
-        await self.channel.run()
+        await self.report_log.run()
--- a/passgate/routing/app_call.py
+++ b/passgate/routing/app_call.py
@@ -69,7 +69,7 @@
         self._ledger.settle(number, ExecutionStatus.RAN)
         if response.request_id != self._request.request_id:
             raise AnswerMismatch(execution=ExecutionStatus.RAN, received=response.request_id)
-        self._context.gate.scheduler.health.succeeded(replica.replica_id)
+        self._context.gate.scheduler.health.record_success(replica.replica_id)
         self._context.retry_budget.deposit()
         return AppResponse(
             request_id=response.request_id,
--- a/passgate/routing/attempt_failure.py
+++ b/passgate/routing/attempt_failure.py
@@ -53,7 +53,7 @@
         scheduler.tracker.observe_version(replica_id, model, int(error.details.get("version", "0")))
         return Verdict.RETRY
     unreachable = isinstance(error, BackendUnreachable) and error.execution is ExecutionStatus.NOT_RUN
-    scheduler.health.failed(replica_id, now_s, unreachable=unreachable)
+    scheduler.health.record_failure(replica_id, now_s, unreachable=unreachable)
     return Verdict.RESTART if isinstance(error, AnswerMismatch) else Verdict.RETRY
 
 
--- a/passgate/routing/generate_call.py
+++ b/passgate/routing/generate_call.py
@@ -148,7 +148,7 @@
 
         def on_piece(_: Attempt, chunk: GenerateChunk) -> None:
             if attempt.received == len(chunk.tokens):
-                scheduler.health.succeeded(replica_id)
+                scheduler.health.record_success(replica_id)
             scheduler.progress(item, replica_id, chunk, monotonic_s())
             self._emit(attempt, chunk)
             self._stop_overtaken(attempt)
@@ -216,7 +216,7 @@
         scheduler = self._context.gate.scheduler
         current = attempt.replica.replica_id
         if order.reason is HedgeReason.STALLED:
-            scheduler.health.failed(current, monotonic_s())
+            scheduler.health.record_failure(current, monotonic_s())
         self._keep_progress(attempt)
         item = self._item()
         replica = scheduler.place_directly(item, frozenset({current}), monotonic_s())
--- a/passgate/routing/load_poller.py
+++ b/passgate/routing/load_poller.py
@@ -133,7 +133,7 @@
         failures = self._failures.get(replica_id, 0) + 1
         self._failures[replica_id] = failures
         if failures >= 2:
-            self._context.gate.scheduler.health.failed(replica_id, monotonic_s(), unreachable=True)
+            self._context.gate.scheduler.health.record_failure(replica_id, monotonic_s(), unreachable=True)
 
     def _clean(self) -> None:
         now_s = monotonic_s()
--- a/passgate/routing/replica_chooser.py
+++ b/passgate/routing/replica_chooser.py
@@ -100,7 +100,7 @@
         eligible = [replica for replica in replicas if self._has_version(replica, item)]
         if not eligible:
             return NoPlace.NOT_ELIGIBLE
-        usable = set(self._health.usable([replica.replica_id for replica in eligible], now_s))
+        usable = set(self._health.filter_usable([replica.replica_id for replica in eligible], now_s))
         roomy = {
             replica.replica_id: replica
             for replica in eligible
@@ -130,7 +130,7 @@
     def token_s(self, pool: PoolSpec, now_s: float) -> dict[str, float]:
         """Return the time per token on each usable replica of a pool."""
         names = [replica.replica_id for replica in self.subset(pool)]
-        return {name: self._tracker.token_s(name) for name in self._health.usable(names, now_s)}
+        return {name: self._tracker.token_s(name) for name in self._health.filter_usable(names, now_s)}
 
     def _may_mix(self, replica_id: str, item: WorkItem) -> bool:
         """Whether the request may join the replica's batch without slowing another model's."""
--- a/passgate/routing/replica_health.py
+++ b/passgate/routing/replica_health.py
@@ -9,10 +9,10 @@
 
 >>> health = ReplicaHealth()
 >>> for _ in range(EJECT_AFTER_FAILURES):
-...     health.failed("e1", now_s=0.0)
->>> health.usable(["e1", "e2", "e3"], now_s=0.5)
+...     health.record_failure("e1", now_s=0.0)
+>>> health.filter_usable(["e1", "e2", "e3"], now_s=0.5)
 ['e2', 'e3']
->>> health.usable(["e1", "e2", "e3"], now_s=FIRST_EJECTION_S)
+>>> health.filter_usable(["e1", "e2", "e3"], now_s=FIRST_EJECTION_S)
 ['e1', 'e2', 'e3']
 """
 
@@ -56,15 +56,15 @@
     """Failures, ejections and hold-offs of the replicas of one pool; all times are loop times."""
 
     def __init__(self) -> None:
-        self._states: dict[Key, _HealthRecord] = {}
+        self._record_by_replica: dict[Key, _HealthRecord] = {}
         """Records of the replicas that failed or were held off; others are healthy."""
 
-    def failed(self, replica: Key, now_s: float, *, unreachable: bool = False) -> None:
+    def record_failure(self, replica: Key, now_s: float, *, unreachable: bool = False) -> None:
         """Record a failed request, and eject the replica if it has failed often enough.
 
         A replica that is unreachable, or was ejected since its last success, is ejected by any failure.
         """
-        health = self._states.setdefault(replica, _HealthRecord())
+        health = self._record_by_replica.setdefault(replica, _HealthRecord())
         health.failures += 1
         health.unreachable = health.unreachable or unreachable
         threshold = 1 if unreachable or health.ejections else EJECT_AFTER_FAILURES
@@ -73,41 +73,45 @@
             health.ejections = min(health.ejections + 1, MAX_EJECTIONS_COUNTED)
             health.excluded_until_s = now_s + ejection_s
 
-    def succeeded(self, replica: Key) -> None:
+    def record_success(self, replica: Key) -> None:
         """Record that the replica produced output, which clears its failures and any exclusion."""
-        self._states.pop(replica, None)
+        self._record_by_replica.pop(replica, None)
 
-    def reached(self, replica: Key) -> None:
+    def record_load_report(self, replica: Key) -> None:
         """Record that a load report was read.
 
         This clears a replica that was unreachable, but not one that only failed requests.
         """
-        health = self._states.get(replica)
+        health = self._record_by_replica.get(replica)
         if health is not None and health.unreachable:
-            del self._states[replica]
+            del self._record_by_replica[replica]
 
     def hold_off(self, replica: Key, until_s: float) -> None:
         """Exclude a replica until a loop time, without recording a failure; used when it says it is busy."""
-        health = self._states.setdefault(replica, _HealthRecord())
+        health = self._record_by_replica.setdefault(replica, _HealthRecord())
         health.excluded_until_s = max(health.excluded_until_s, until_s)
 
-    def sent(self, replica: Key, now_s: float) -> None:
+    def record_send(self, replica: Key, now_s: float) -> None:
         """Record that a request is sent; after an ejection it is a probe, which delays the next one."""
-        health = self._states.get(replica)
+        health = self._record_by_replica.get(replica)
         if health is not None and health.ejections:
             health.excluded_until_s = max(health.excluded_until_s, now_s + PROBE_INTERVAL_S)
 
-    def next_return_s(self, now_s: float) -> float | None:
+    def next_retry_s(self, now_s: float) -> float | None:
         """Return the loop time at which the next exclusion ends, or None if no replica is excluded."""
-        times = [health.excluded_until_s for health in self._states.values() if health.is_excluded(now_s)]
+        times = [
+            health.excluded_until_s
+            for health in self._record_by_replica.values()
+            if health.is_excluded(now_s)
+        ]
         return min(times, default=None)
 
-    def usable(self, replicas: Sequence[Key], now_s: float) -> list[Key]:
+    def filter_usable(self, replicas: Sequence[Key], now_s: float) -> list[Key]:
         """Return those of the given replicas that may get requests now, in the same order.
 
         If too many are excluded, those ejected for failing requests are returned as well.
         """
-        if not self._states:
+        if not self._record_by_replica:
             return list(replicas)
         usable = [replica for replica in replicas if not self._is_excluded(replica, now_s)]
         if len(usable) >= (1.0 - MAX_EJECTED_SHARE) * len(replicas):
@@ -116,11 +120,11 @@
 
     def retain(self, replicas: Collection[Key]) -> None:
         """Drop the records of all replicas but the given ones."""
-        for replica in self._states.keys() - set(replicas):
-            del self._states[replica]
+        for replica in self._record_by_replica.keys() - set(replicas):
+            del self._record_by_replica[replica]
 
     def _is_excluded(self, replica: Key, now_s: float) -> bool:
-        health = self._states.get(replica)
+        health = self._record_by_replica.get(replica)
         return health is not None and health.is_excluded(now_s)
 
     def _must_stay_excluded(self, replica: Key, now_s: float) -> bool:
@@ -128,7 +132,7 @@
 
         That is, it was unreachable since its last success, or it was not ejected since then but held off.
         """
-        health = self._states.get(replica)
+        health = self._record_by_replica.get(replica)
         return (
             health is not None and health.is_excluded(now_s) and (health.unreachable or not health.ejections)
         )
--- a/passgate/routing/work_scheduler.py
+++ b/passgate/routing/work_scheduler.py
@@ -175,7 +175,7 @@
 
     def apply_report(self, report: LoadReport, now_s: float) -> None:
         """Take a load report read at ``now_s``."""
-        self.health.reached(report.replica_id)
+        self.health.record_load_report(report.replica_id)
         self.directory.observe_report(report, now_s)
         replica = self.directory.get(report.replica_id)
         if replica is not None and replica.role is MachineRole.APP:
@@ -231,7 +231,7 @@
 
     def _begin(self, item: WorkItem, choice: Choice, now_s: float) -> None:
         name = choice.replica.replica_id
-        self.health.sent(name, now_s)
+        self.health.record_send(name, now_s)
         self.tracker.begin(
             name,
             item.key,
@@ -247,8 +247,8 @@
         if not item.interactive:
             return
         names = [replica.replica_id for replica in self.chooser.subset(pool)]
-        if not self.health.usable(names, now_s):
-            return_s = self.health.next_return_s(now_s)
+        if not self.health.filter_usable(names, now_s):
+            return_s = self.health.next_retry_s(now_s)
             retry_after_s = NO_REPLICA_RETRY_S if return_s is None else return_s - now_s
             raise NoReplicaAvailable(
                 "all replicas are failing", retry_after_s=max(retry_after_s, 0.1), pool=item.pool
--- a/passgate/server/base.py
+++ b/passgate/server/base.py
@@ -29,7 +29,7 @@
     PayloadTooLarge,
     Unauthorized,
 )
-from passgate.logging_setup import log_change
+from passgate.logging_setup import log_state_change
 from passgate.server.context import ServerContext
 from passgate.server.wire import ErrorAnswer
 from passgate.settings import IDENTIFIER_PATTERN, Credential
@@ -256,7 +256,7 @@
         """Log only failures that have no type: they are faults of passgate itself."""
         if isinstance(value, (PassgateError, HTTPError)):
             return
-        log_change(
+        log_state_change(
             self.context.logger,
             "unexpected_failure",
             level=40,
--- a/passgate/server/daemon.py
+++ b/passgate/server/daemon.py
@@ -14,7 +14,7 @@
 
 from passgate import clock
 from passgate.errors import DeadlineExceeded, PassgateError, PlatformError, SettingsError
-from passgate.logging_setup import log_change
+from passgate.logging_setup import log_state_change
 from passgate.membership.configuration_sync import ConfigurationSync
 from passgate.metrics import DaemonMetrics
 from passgate.schema import MachineRole
@@ -290,7 +290,7 @@
         await asyncio.gather(*tasks, return_exceptions=True)
 
     def _changed(self, change: str, level: int = logging.INFO, **fields: object) -> None:
-        log_change(self._logger, change, level, run=self.parts.run_id, life=self.life.state, **fields)
+        log_state_change(self._logger, change, level, run=self.parts.run_id, life=self.life.state, **fields)
 
 
 StopTrigger = Callable[[Callable[[], None]], None]
--- a/passgate/sharedlog/candidacy.py
+++ b/passgate/sharedlog/candidacy.py
@@ -3,15 +3,15 @@
 Members of the group watch partitions and run jobs, which takes processor time.  Machines with at least one
 core always join.  A smaller machine joins only while the group has too few larger members.
 
->>> small = Candidacy(cores=0.5)
+>>> small = GroupMembershipPolicy(cores=0.5)
 >>> small.update_members(["a~2.15@10.0.0.1:7720"] * 3, now_s=0.2)
->>> small.wanted
+>>> small.should_join
 False
 >>> small.update_members(["a~2.15@10.0.0.1:7720"], now_s=10.0)
->>> small.wanted, small.is_undecided
+>>> small.should_join, small.is_undecided
 (False, True)
 >>> small.update_members(["a~2.15@10.0.0.1:7720"], now_s=10.0 + SHORTAGE_CONFIRMATION_S)
->>> small.wanted, small.is_undecided
+>>> small.should_join, small.is_undecided
 (True, False)
 """
 
@@ -31,7 +31,7 @@
 """Time for which too few larger members must be seen; longer than a restart and two reads of the list."""
 
 
-class Candidacy:
+class GroupMembershipPolicy:
     """Membership policy of one daemon."""
 
     def __init__(self, cores: float) -> None:
@@ -53,7 +53,7 @@
             self._shortage_since_s = now_s
 
     @property
-    def wanted(self) -> bool:
+    def should_join(self) -> bool:
         """Whether this daemon should be a member."""
         if self._cores >= ALWAYS_MEMBER_CORES:
             return True
@@ -65,4 +65,4 @@
     @property
     def is_undecided(self) -> bool:
         """Whether a shortage of larger members was seen but has not lasted long enough to join."""
-        return not self.wanted and self._shortage_since_s is not None
+        return not self.should_join and self._shortage_since_s is not None
--- a/passgate/sharedlog/counted.py
+++ b/passgate/sharedlog/counted.py
@@ -5,7 +5,7 @@
 >>> from passgate.clock import run_virtual
 >>> from passgate.emulator.shared_log import MemorySharedLog
 >>> counts = []
->>> log = CountedLog(MemorySharedLog().client("d1"), lambda *labels: counts.append(labels))
+>>> log = InstrumentedLog(MemorySharedLog().client("d1"), lambda *labels: counts.append(labels))
 >>> run_virtual(log.append("jobs", 0, [b"a"])), counts
 (0, [('append', 'jobs', 'ok')])
 """
@@ -18,8 +18,8 @@
 from passgate.errors import LogError
 from passgate.sharedlog.log import (
     MAX_PAGE_BYTES,
+    GroupAssignment,
     GroupPartition,
-    GroupShare,
     KeyedRecord,
     KeyedSnapshot,
     LogPage,
@@ -34,7 +34,7 @@
 T = TypeVar("T")
 
 
-class CountedLog:
+class InstrumentedLog:
     """A log client that counts its calls; the methods are those of :class:`SharedLog`."""
 
     def __init__(self, log: SharedLog, count: CountCall) -> None:
@@ -59,7 +59,7 @@
 
     async def join(
         self, group: str, member: str, topics: Sequence[str], *, lifetime_s: float, generation: int
-    ) -> GroupShare:
+    ) -> GroupAssignment:
         """Join a group or renew the membership."""
         assignment = self._log.join(group, member, topics, lifetime_s=lifetime_s, generation=generation)
         return await self._await_and_count("join", group, assignment)
