--- a/passgate/sharedlog/group.py
+++ b/passgate/sharedlog/group.py
@@ -13,11 +13,11 @@
 from collections.abc import Callable
 
 from passgate.clock import monotonic_s
-from passgate.decisions import DecisionLog, PartitionsHeld
+from passgate.decisions import DecisionLog, PartitionsAssigned
 from passgate.errors import LogError
-from passgate.sharedlog.candidacy import ALWAYS_MEMBER_CORES, Candidacy
-from passgate.sharedlog.hedge import hedged
-from passgate.sharedlog.log import GroupPartition, GroupShare, SharedLog
+from passgate.sharedlog.candidacy import ALWAYS_MEMBER_CORES, GroupMembershipPolicy
+from passgate.sharedlog.hedge import call_hedged
+from passgate.sharedlog.log import GroupAssignment, GroupPartition, SharedLog
 
 logger = logging.getLogger("passgate.sharedlog")
 
@@ -35,7 +35,7 @@
 """Timeout of a leave call; without it the membership expires."""
 DIRECTORY_MAX_AGE_S = 2.0
 """Age after which the list of members is read again before use."""
-REFRESH_S = 5.0
+DIRECTORY_REFRESH_S = 5.0
 """Interval of background reads, so that the list is known if the log becomes unavailable."""
 DIRECTORY_RETRY_S = 1.0
 """Time after a failed read of the list before the next."""
@@ -56,16 +56,16 @@
         topic: str,
         decisions: DecisionLog,
         *,
-        candidacy: Candidacy,
-        least_lifetime_s: float = 0.0,
+        membership_policy: GroupMembershipPolicy,
+        min_lifetime_s: float = 0.0,
     ) -> None:
         self._log = log
         self._group = group
         self._member = member
-        self._membership_policy = candidacy
+        self._membership_policy = membership_policy
         self._topic = topic
         self._decisions = decisions
-        self._lifetime_s = max(MIN_LIFETIME_S, least_lifetime_s)
+        self._lifetime_s = max(MIN_LIFETIME_S, min_lifetime_s)
         self._generation = 0
         self._last_joined_s = float("-inf")
         self._last_changed_s = float("-inf")
@@ -73,20 +73,20 @@
         self._assigned_partitions: frozenset[int] = frozenset()
         self._has_left = False
 
-    def held(self) -> frozenset[int]:
+    def assigned_partitions(self) -> frozenset[int]:
         """Return the partitions assigned to this member; none once its membership has expired."""
         if self._has_left or monotonic_s() - self._last_joined_s > self._lifetime_s:
             return frozenset()
         return self._assigned_partitions
 
-    def answered(self) -> bool:
+    def is_log_responding(self) -> bool:
         """Return whether the log has recently responded to this member."""
         return monotonic_s() - self._last_joined_s < RECENT_ANSWER_S
 
     async def run(self) -> None:
         """Join at regular intervals while the membership policy allows it, until cancelled or left."""
         while not self._has_left:
-            if self._membership_policy.wanted:
+            if self._membership_policy.should_join:
                 await self._try_join()
             elif self._assigned_partitions or self._generation:
                 await self._withdraw()
@@ -103,24 +103,24 @@
         """Leave the group as enough larger machines are members; running jobs continue."""
         self._assigned_partitions = frozenset()
         self._generation = 0
-        self._decisions.write(PartitionsHeld(generation=0, parts=()))
+        self._decisions.write(PartitionsAssigned(generation=0, parts=()))
         await self._send_leave()
 
     async def _join(self) -> None:
         sent_s = monotonic_s()
-        assignment = await hedged(self._send_join)
+        assignment = await call_hedged(self._send_join)
         self._last_joined_s = sent_s
         assigned = frozenset(partition.part for partition in assignment.partitions)
         if assigned != self._assigned_partitions:
             self._decisions.write(
-                PartitionsHeld(generation=assignment.generation, parts=tuple(sorted(assigned)))
+                PartitionsAssigned(generation=assignment.generation, parts=tuple(sorted(assigned)))
             )
         if assignment.generation != self._generation:
             self._last_changed_s = monotonic_s()
         self._generation = assignment.generation
         self._assigned_partitions = assigned
 
-    async def _send_join(self) -> GroupShare:
+    async def _send_join(self) -> GroupAssignment:
         return await self._log.join(
             self._group,
             self._member,
@@ -143,7 +143,9 @@
 class GroupDirectory:
     """Cached list of the members of a group and their partitions."""
 
-    def __init__(self, log: SharedLog, group: str, topic: str, membership_policy: Candidacy) -> None:
+    def __init__(
+        self, log: SharedLog, group: str, topic: str, membership_policy: GroupMembershipPolicy
+    ) -> None:
         self._log = log
         self._group = group
         self._topic = topic
@@ -154,7 +156,7 @@
         self._last_read_s = float("-inf")
         self._read_task: asyncio.Task[None] | None = None
 
-    async def member_of(self, part: int) -> str | None:
+    async def holder_of(self, part: int) -> str | None:
         """Return the member that holds a partition; the last known one while the log is unavailable."""
         is_reading = self._read_task is not None and not self._read_task.done()
         if not is_reading and monotonic_s() - self._last_read_s > DIRECTORY_MAX_AGE_S:
@@ -164,25 +166,25 @@
             await asyncio.wait([self._read_task], timeout=DIRECTORY_WAIT_S)
         return self._member_by_partition.get(GroupPartition(self._topic, part))
 
-    def earlier_member_of(self, part: int) -> str | None:
+    def previous_holder_of(self, part: int) -> str | None:
         """Return the member that held a partition before, if known."""
         return self._previous_member_by_partition.get(GroupPartition(self._topic, part))
 
-    def others(self, member: str) -> list[str]:
+    def other_members(self, member: str) -> list[str]:
         """Return the other members, as last known, in random order."""
         others = sorted({other for other in self._member_by_partition.values() if other != member})
         return random.sample(others, len(others))
 
-    async def keep_known(self) -> None:
+    async def keep_fresh(self) -> None:
         """Refresh the list at regular intervals until cancelled."""
         while True:
             if monotonic_s() - self._last_read_s > DIRECTORY_MAX_AGE_S:
                 await self._read()
             await asyncio.sleep(
-                DIRECTORY_MAX_AGE_S / 2 if self._membership_policy.is_undecided else REFRESH_S
+                DIRECTORY_MAX_AGE_S / 2 if self._membership_policy.is_undecided else DIRECTORY_REFRESH_S
             )
 
-    def forget(self) -> None:
+    def invalidate(self) -> None:
         """Mark the list as outdated, as a member did not respond; the next use reads it again."""
         self._last_read_s = float("-inf")
 
@@ -202,7 +204,7 @@
         self._member_by_partition = members
 
 
-class OtherZones:
+class OtherZoneDirectories:
     """Directories of the groups of other zones, each created at its first use."""
 
     def __init__(
@@ -230,7 +232,7 @@
         self._zones_by_distance = zones_by_distance
         self._directory_by_zone: dict[str, GroupDirectory] = {}
 
-    def nearest_first(self) -> list[tuple[str, GroupDirectory]]:
+    def directories_by_distance(self) -> list[tuple[str, GroupDirectory]]:
         """Return the other zones and their directories, the nearest first."""
         return [(zone, self._directory(zone)) for zone in self._zones_by_distance()]
 
@@ -244,21 +246,23 @@
             for zone in self._zones_by_distance()
             if zone in self._directory_by_zone
         ]
-        return [(zone, member) for zone, directory in zones for member in directory.others("")]
+        return [(zone, member) for zone, directory in zones for member in directory.other_members("")]
 
-    async def keep_known(self) -> None:
+    async def keep_fresh(self) -> None:
         """Refresh the prefetched zones' directories until cancelled; return at once if there are none."""
         while zones := self._prefetched_zones():
             for zone in zones:
-                await self._directory(zone).member_of(0)
-            all_known = all(self._directory(zone).others("") for zone in zones)
+                await self._directory(zone).holder_of(0)
+            all_known = all(self._directory(zone).other_members("") for zone in zones)
             await asyncio.sleep(OTHER_ZONE_REFRESH_S if all_known else DIRECTORY_RETRY_S)
 
     def _directory(self, zone: str) -> GroupDirectory:
         directory = self._directory_by_zone.get(zone)
         if directory is None:
             group = group_of_zone(self._watch_group, zone)
-            directory = GroupDirectory(self._log, group, self._topic, Candidacy(ALWAYS_MEMBER_CORES))
+            directory = GroupDirectory(
+                self._log, group, self._topic, GroupMembershipPolicy(ALWAYS_MEMBER_CORES)
+            )
             self._directory_by_zone[zone] = directory
         return directory
 
--- a/passgate/sharedlog/hedge.py
+++ b/passgate/sharedlog/hedge.py
@@ -9,7 +9,7 @@
 >>> async def call():
 ...     await asyncio.sleep(answers.pop(0))
 ...     return "answer"
->>> run_virtual(hedged(call))
+>>> run_virtual(call_hedged(call))
 'answer'
 """
 
@@ -27,7 +27,7 @@
 T = TypeVar("T")
 
 
-async def hedged(call: Callable[[], Coroutine[Any, Any, T]]) -> T:
+async def call_hedged(call: Callable[[], Coroutine[Any, Any, T]]) -> T:
     """Return the first response to a call or one of its repetitions; raise the first failure.
 
     A success is preferred if several calls finish at the same moment.  The others are cancelled.
--- a/passgate/sharedlog/log.py
+++ b/passgate/sharedlog/log.py
@@ -91,7 +91,7 @@
     part: int
 
 
-class GroupShare(msgspec.Struct, frozen=True, kw_only=True):
+class GroupAssignment(msgspec.Struct, frozen=True, kw_only=True):
     """The partitions assigned to one member of a group."""
 
     generation: int
@@ -128,7 +128,7 @@
 
     async def join(
         self, group: str, member: str, topics: Sequence[str], *, lifetime_s: float, generation: int
-    ) -> GroupShare:
+    ) -> GroupAssignment:
         """Join a group or renew the membership; its members share the partitions of their topics.
 
         A member that does not join again within ``lifetime_s`` is removed.  ``generation`` is the last one
--- a/passgate/sharedlog/member_names.py
+++ b/passgate/sharedlog/member_names.py
@@ -13,7 +13,7 @@
 
 from __future__ import annotations
 
-ADDRESS_MARK = "@"
+ADDRESS_SEPARATOR = "@"
 """Separates the address from what precedes it."""
 CORES_SEPARATOR = "~"
 """Separates the number of cores from the daemon's identifier."""
@@ -21,17 +21,17 @@
 
 def member_name(daemon_id: str, peer_address: str, cores: float) -> str:
     """Return the name of a daemon in the log's groups."""
-    return f"{daemon_id}{CORES_SEPARATOR}{cores:.2f}{ADDRESS_MARK}{peer_address}"
+    return f"{daemon_id}{CORES_SEPARATOR}{cores:.2f}{ADDRESS_SEPARATOR}{peer_address}"
 
 
 def address_of(name: str) -> str:
     """Return the peer address in a name; empty if there is none."""
-    return name.partition(ADDRESS_MARK)[2]
+    return name.partition(ADDRESS_SEPARATOR)[2]
 
 
 def cores_of(member: str) -> float:
     """Return the number of cores in a member's name; 0 if there is none."""
-    cores_text = member.partition(ADDRESS_MARK)[0].rpartition(CORES_SEPARATOR)[2]
+    cores_text = member.partition(ADDRESS_SEPARATOR)[0].rpartition(CORES_SEPARATOR)[2]
     try:
         return float(cores_text)
     except ValueError:
--- a/passgate/sharedlog/tail.py
+++ b/passgate/sharedlog/tail.py
@@ -19,7 +19,7 @@
 
 from passgate.clock import monotonic_s
 from passgate.errors import LogError, MalformedRecord
-from passgate.sharedlog.hedge import hedged
+from passgate.sharedlog.hedge import call_hedged
 from passgate.sharedlog.log import (
     MAX_PAGE_BYTES,
     HistoryGone,
@@ -51,10 +51,10 @@
 NEVER_S = float("-inf")
 EMPTY_PAGE_MAX_AGE_S = 0.1
 """Assumed age of an empty page when it arrives."""
-SLOWEST_ANSWER_S = 1.2
+MAX_RESPONSE_DELAY_S = 1.2
 """Longest time from the end of a long poll's wait to its response; a page processed later was delayed by
 this machine."""
-FRESH_S = 1.6
+MAX_CURRENT_AGE_S = 1.6
 """Age up to which a view of the log counts as current: a long poll and its response."""
 BEHIND_AFTER_S = 2.5
 """Time without a confirmed read after which a reader counts as behind."""
@@ -180,7 +180,7 @@
 
     async def _read_page(self, start: int, wait_s: float) -> LogPage:
         page = await (
-            hedged(lambda: self._request_page(start, 0.0))
+            call_hedged(lambda: self._request_page(start, 0.0))
             if self._last_read_failed
             else self._request_page(start, wait_s)
         )
@@ -204,7 +204,7 @@
             return False
         # A page with records was complete when the read began, an empty one when its wait ended.
         now_s = monotonic_s()
-        response_deadline_s = started_at_s + wait_s + SLOWEST_ANSWER_S
+        response_deadline_s = started_at_s + wait_s + MAX_RESPONSE_DELAY_S
         as_of_s = (
             started_at_s
             if page.records
@@ -247,7 +247,7 @@
             self._advanced.set()
             self._advanced = asyncio.Event()
 
-    async def wait_past(self, offset: int, timeout_s: float) -> bool:
+    async def wait_until_applied(self, offset: int, timeout_s: float) -> bool:
         """Wait until the record at ``offset`` was applied; return False on timeout."""
         deadline_s = monotonic_s() + timeout_s
         while self.next_offset <= offset:
@@ -269,7 +269,7 @@
             await asyncio.sleep(CATCH_UP_POLL_S)
         return True
 
-    async def confirm(self, timeout_s: float) -> bool:
+    async def read_to_current_end(self, timeout_s: float) -> bool:
         """Read up to the current end of the partition; return False on failure or timeout.
 
         Makes a new read, since a waiting long poll proves nothing about the current end.
@@ -281,10 +281,10 @@
         self._apply_page(page)
         if page.end <= self.next_offset:
             return True
-        return await self.wait_past(page.end - 1, timeout_s)
+        return await self.wait_until_applied(page.end - 1, timeout_s)
 
 
-class FollowedTail:
+class OnDemandTail:
     """Starts and stops a tail as needed; it continues where it stopped.
 
     A restarted tail has to reach the end again before it counts as caught up.
@@ -304,7 +304,7 @@
         """Whether the tail is being read and has reached the end."""
         return self._task is not None and self.tail.caught_up
 
-    def set(self, should_follow: bool) -> None:
+    def set_following(self, should_follow: bool) -> None:
         """Start or stop following."""
         if should_follow and self._task is None:
             self.tail.caught_up = False
--- a/passgate/versions/control.py
+++ b/passgate/versions/control.py
@@ -15,11 +15,11 @@
 from passgate.clock import monotonic_s
 from passgate.decisions import DecisionLog, RecordUnreadable
 from passgate.jobs.journal import Journal
-from passgate.jobs.liveness import Sign
+from passgate.jobs.liveness import WriterStatus
 from passgate.jobs.records import Batch, WriterStopped, decode_batch
 from passgate.sharedlog.log import LogPage, SharedLog
-from passgate.sharedlog.tail import FollowedTail, RecordTail, TailSettings
-from passgate.versions.lead_fold import LeadFold
+from passgate.sharedlog.tail import OnDemandTail, RecordTail, TailSettings
+from passgate.versions.lead_fold import LeadershipProjection
 from passgate.versions.leadership import Leadership
 
 LEASE_CHECK_INTERVAL_S = 0.1
@@ -35,8 +35,8 @@
         """Record the offset of the first record that is read; greater than 0 if older ones were removed."""
         ...
 
-    def apply(self, offset: int, writer: str, entry: object, *, leads: bool) -> None:
-        """Apply one entry of the record at an offset; ``leads``: its writer was the leader there."""
+    def apply(self, offset: int, writer: str, entry: object, *, by_leader: bool) -> None:
+        """Apply one entry of the record at an offset; ``by_leader``: its writer was the leader there."""
         ...
 
 
@@ -52,21 +52,21 @@
         decisions: DecisionLog,
         *,
         lease_s: float,
-        folds: Sequence[ControlProjection] = (),
-        sign_of: Callable[[str, float], Sign | None] = lambda writer, last_contact_s: None,
+        projections: Sequence[ControlProjection] = (),
+        status_of: Callable[[str, float], WriterStatus | None] = lambda writer, last_contact_s: None,
     ) -> None:
-        self._projections = folds
+        self._projections = projections
         self._has_started = False
-        self.fold = LeadFold()
+        self.leadership_projection = LeadershipProjection()
         self.journal = journal
         self._may_lead = may_lead
         self._decisions = decisions
-        self._tail = FollowedTail(
+        self._tail = OnDemandTail(
             RecordTail(log, TailSettings(topic=topic, gap_s=READ_PAUSE_S), self._apply_page)
         )
         freshness = self._tail.tail.freshness
         self.leadership = Leadership(
-            self.fold, journal, freshness, decisions, lease_s=lease_s, sign_of=sign_of
+            self.leadership_projection, journal, freshness, decisions, lease_s=lease_s, status_of=status_of
         )
 
     async def run(self) -> None:
@@ -78,14 +78,14 @@
                     self._update_leadership()
                     await asyncio.sleep(LEASE_CHECK_INTERVAL_S)
             finally:
-                self._tail.set(False)
+                self._tail.set_following(False)
 
     def _update_leadership(self) -> None:
-        self._tail.set(self._may_lead() or self.leadership.leads)
+        self._tail.set_following(self._may_lead() or self.leadership.leads)
         if self._tail.current:
             self.leadership.renew_or_claim()
 
-    def stop(self) -> asyncio.Future[int]:
+    def release_leadership(self) -> asyncio.Future[int]:
         """Release leadership and claim it no more; the future completes when the release is on the log."""
         self.leadership.stopping = True
         return self.journal.put(WriterStopped())
@@ -103,13 +103,13 @@
             except (msgspec.DecodeError, zlib.error) as error:
                 self._decisions.write(RecordUnreadable(offset=offset, reason=str(error)))
                 continue
-            self.fold.apply(offset, batch, now_s)
+            self.leadership_projection.apply(offset, batch, now_s)
             self._apply_to_projections(offset, batch)
             if batch.writer == self.journal.writer:
-                self.leadership.read_back(batch)
+                self.leadership.confirm_batch(batch)
 
     def _apply_to_projections(self, offset: int, batch: Batch) -> None:
-        by_leader = batch.writer == self.fold.leader
+        by_leader = batch.writer == self.leadership_projection.leader
         for entry in batch.entries:
             for projection in self._projections:
-                projection.apply(offset, batch.writer, entry, leads=by_leader)
+                projection.apply(offset, batch.writer, entry, by_leader=by_leader)
--- a/passgate/versions/doubtful_orders.py
+++ b/passgate/versions/doubtful_orders.py
@@ -4,10 +4,10 @@
 resets that number to 0, so an unconfirmed order fits again later and would load an older version.  The
 order that leads to that number is delayed until the old one can't arrive.
 
->>> unconfirmed = DoubtfulOrders()
->>> unconfirmed.note(ReplicaLife("r", 1), 2, now_s=0.0)
->>> restarted = ReplicaLife("r", 2)
->>> [unconfirmed.may_follow(restarted, orders_taken, now_s=1.0) for orders_taken in (0, 1, 2)]
+>>> unconfirmed = UnconfirmedOrders()
+>>> unconfirmed.record(ReplicaIncarnation("r", 1), 2, now_s=0.0)
+>>> restarted = ReplicaIncarnation("r", 2)
+>>> [unconfirmed.allows_next_order(restarted, orders_taken, now_s=1.0) for orders_taken in (0, 1, 2)]
 [True, False, True]
 """
 
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from passgate.eligibility.replica_info import ReplicaLife
+from passgate.eligibility.replica_info import ReplicaIncarnation
 
 UNCONFIRMED_LIFETIME_S = 15.0
 """Time after which an unconfirmed order is no longer executed: a stalled replica executes queued calls
@@ -23,29 +23,29 @@
 
 
 class _UnconfirmedOrder(msgspec.Struct, frozen=True, kw_only=True):
-    incarnation: ReplicaLife
+    incarnation: ReplicaIncarnation
     expected_orders_taken: int
     expires_at_s: float
 
 
-class DoubtfulOrders:
+class UnconfirmedOrders:
     """The load orders of this daemon whose outcome is unknown."""
 
     def __init__(self) -> None:
         self._orders_by_replica_id: dict[str, list[_UnconfirmedOrder]] = {}
         """Keyed by identifier, not by incarnation, because later incarnations are affected."""
 
-    def note(self, incarnation: ReplicaLife, expected: int, now_s: float) -> None:
+    def record(self, incarnation: ReplicaIncarnation, expected_orders_taken: int, now_s: float) -> None:
         """Record an order to an incarnation whose outcome is unknown."""
         self._drop_expired(now_s)
         order = _UnconfirmedOrder(
             incarnation=incarnation,
-            expected_orders_taken=expected,
+            expected_orders_taken=expected_orders_taken,
             expires_at_s=now_s + UNCONFIRMED_LIFETIME_S,
         )
         self._orders_by_replica_id.setdefault(incarnation.replica_id, []).append(order)
 
-    def may_follow(self, incarnation: ReplicaLife, orders_taken: int, now_s: float) -> bool:
+    def allows_next_order(self, incarnation: ReplicaIncarnation, orders_taken: int, now_s: float) -> bool:
         """Return whether an incarnation that has accepted ``orders_taken`` orders may get the next one."""
         orders = self._orders_by_replica_id.get(incarnation.replica_id, ())
         return not any(
--- a/passgate/versions/lead_fold.py
+++ b/passgate/versions/lead_fold.py
@@ -3,7 +3,7 @@
 All followers of the topic apply its records in offset order and therefore agree on the leader.  The
 projection also holds what the newest job of each model requires of its weights.
 
->>> projection = LeadFold()
+>>> projection = LeadershipProjection()
 >>> for offset, writer in enumerate(("d1.a", "d2.a")):
 ...     claim = LeaderClaimed(holder=writer, after=NO_CLAIM)
 ...     projection.apply(offset, Batch(writer=writer, entries=(claim,)), now_s=0.0)
@@ -13,12 +13,12 @@
 
 from __future__ import annotations
 
-from passgate.jobs.records import Batch, JobNoted, LeaderClaimed, WriterAlive, WriterStopped
+from passgate.jobs.records import Batch, LeaderClaimed, WeightDemand, WriterAlive, WriterStopped
 
 NO_CLAIM = -1
 
 
-class LeadFold:
+class LeadershipProjection:
     """The current leader, the last contact with each writer, and the newest job of each model."""
 
     def __init__(self) -> None:
@@ -27,9 +27,9 @@
         self.leader = ""
         self.leader_fence = NO_CLAIM
         """Offset of the last accepted claim; rises with each change of leader."""
-        self.leader_heard = NO_CLAIM
+        self.last_leader_offset = NO_CLAIM
         """Offset of the leader's last record."""
-        self.newest_jobs: dict[str, JobNoted] = {}
+        self.newest_demand_by_model: dict[str, WeightDemand] = {}
         """Model to what its newest job requires."""
 
     def apply(self, offset: int, batch: Batch, now_s: float) -> None:
@@ -37,7 +37,7 @@
         writer = batch.writer
         self.last_contact_s_by_writer[writer] = now_s
         if writer == self.leader:
-            self.leader_heard = offset
+            self.last_leader_offset = offset
         for entry in batch.entries:
             self._apply_entry(offset, writer, entry)
 
@@ -51,16 +51,16 @@
                 # The accepted claim was removed from the log before this daemon read it.
                 self.leader = writer
                 self.leader_fence = fence
-                self.leader_heard = offset
-            case JobNoted():
-                self.newest_jobs[entry.model] = entry
+                self.last_leader_offset = offset
+            case WeightDemand():
+                self.newest_demand_by_model[entry.model] = entry
 
     def _claim(self, offset: int, entry: LeaderClaimed) -> None:
-        leader_not_renewed = not self.leader or entry.seen == self.leader_heard
+        leader_not_renewed = not self.leader or entry.seen == self.last_leader_offset
         if entry.after == self.leader_fence and leader_not_renewed:
             self.leader = entry.holder
             self.leader_fence = offset
-            self.leader_heard = offset
+            self.last_leader_offset = offset
 
     def _remove_writer(self, writer: str) -> None:
         self.last_contact_s_by_writer.pop(writer, None)
--- a/passgate/versions/leadership.py
+++ b/passgate/versions/leadership.py
@@ -12,10 +12,10 @@
 from passgate.clock import monotonic_s
 from passgate.decisions import DecisionLog, LeadershipLost, LeadershipTaken
 from passgate.jobs.journal import Journal
-from passgate.jobs.liveness import Sign
+from passgate.jobs.liveness import WriterStatus
 from passgate.jobs.records import Batch, LeaderClaimed, daemon_of
-from passgate.sharedlog.tail import FRESH_S, Freshness
-from passgate.versions.lead_fold import LeadFold
+from passgate.sharedlog.tail import MAX_CURRENT_AGE_S, Freshness
+from passgate.versions.lead_fold import LeadershipProjection
 
 TAKEOVER_MARGIN_S = 0.5
 """Silence beyond the lease after which other daemons claim leadership."""
@@ -33,13 +33,13 @@
 
     def __init__(
         self,
-        projection: LeadFold,
+        projection: LeadershipProjection,
         journal: Journal,
         freshness: Freshness,
         decisions: DecisionLog,
         *,
         lease_s: float,
-        sign_of: Callable[[str, float], Sign | None] = lambda writer, last_contact_s: None,
+        status_of: Callable[[str, float], WriterStatus | None] = lambda writer, last_contact_s: None,
     ) -> None:
         """Start without leadership.
 
@@ -49,10 +49,10 @@
             freshness: how current this daemon's view of that topic is.
             decisions: log of decisions.
             lease_s: lease duration; a leader stops sending orders before it ends, others claim after it.
-            sign_of: returns the status of a writer as probed at its address since its last contact, or None
+            status_of: returns the status of a writer as probed at its address since its last contact, or None
                 if no answer is known yet.
         """
-        self._status_of = sign_of
+        self._status_of = status_of
         self._projection = projection
         self._journal = journal
         self._freshness = freshness
@@ -79,9 +79,9 @@
         age_s = monotonic_s() - self._confirmed_sent_s
         return self.leads and age_s < self.lease_s * ORDER_LEASE_SHARE and not self.stopping
 
-    def read_back(self, batch: Batch) -> None:
+    def confirm_batch(self, batch: Batch) -> None:
         """Extend the order period by a batch of this daemon that was read back while it is the leader."""
-        sent_s = self._journal.read_back(batch)
+        sent_s = self._journal.take_send_time_s(batch)
         if sent_s is not None and self.leads:
             self._confirmed_sent_s = max(self._confirmed_sent_s, sent_s)
 
@@ -90,18 +90,18 @@
         now_s = monotonic_s()
         self._log_change()
         if self.leads:
-            self._journal.renew(self.fence)
+            self._journal.renew_lease(self.fence)
         elif not self.stopping and now_s >= self._next_claim_s and self._may_claim(now_s):
             self._next_claim_s = now_s + CLAIM_RETRY_S
             claim = LeaderClaimed(
                 holder=self._journal.writer,
                 after=self._projection.leader_fence,
-                seen=self._projection.leader_heard,
+                seen=self._projection.last_leader_offset,
             )
             self._journal.put(claim)
 
     def _may_claim(self, now_s: float) -> bool:
-        if self._freshness.age_s(now_s) >= FRESH_S:
+        if self._freshness.age_s(now_s) >= MAX_CURRENT_AGE_S:
             return False
         leader = self._projection.leader
         if not leader or daemon_of(leader) == daemon_of(self._journal.writer):
@@ -118,7 +118,7 @@
         just read the last record of the leader that has gone.
         """
         last_contact_s = self._projection.last_contact_s_by_writer.get(leader, NEVER_S)
-        return self._status_of(leader, last_contact_s) is Sign.REPLACED
+        return self._status_of(leader, last_contact_s) is WriterStatus.REPLACED
 
     def _log_change(self) -> None:
         fence = self.fence if self.leads else None
--- a/passgate/versions/load_crashes.py
+++ b/passgate/versions/load_crashes.py
@@ -6,9 +6,9 @@
 
 from __future__ import annotations
 
-from passgate.decisions import DecisionLog, LoadHeld
+from passgate.decisions import DecisionLog, VersionLoadsSuspended
 from passgate.gateway.replicas import ReplicaState, ReplicaTable
-from passgate.quarantine.guard import CrashGuard, ReplicaPlace
+from passgate.quarantine.guard import CrashGuard, ReplicaEndpoint
 from passgate.quarantine.identity import RequestIdentity
 
 LOAD_CRASH_LIMIT = 3
@@ -30,12 +30,12 @@
 
     def update_suspension(self, model: str, version: int) -> bool:
         """Return whether loads of a version are suspended, and log a change of that."""
-        is_suspended = self._guard.is_held(_load_identity(model, version)) and not self._is_loaded_anywhere(
-            model, version
-        )
+        is_suspended = self._guard.is_quarantined(
+            _load_identity(model, version)
+        ) and not self._is_loaded_anywhere(model, version)
         if is_suspended != ((model, version) in self._logged_suspensions):
             self._logged_suspensions ^= {(model, version)}
-            self._decisions.write(LoadHeld(model=model, version=version, held=is_suspended))
+            self._decisions.write(VersionLoadsSuspended(model=model, version=version, held=is_suspended))
         return is_suspended
 
     def must_load_alone(self, model: str, version: int) -> bool:
@@ -47,7 +47,7 @@
     def check_for_crash(self, state: ReplicaState, model: str, version: int) -> None:
         """Start a check whether a replica crashed under a load order, unless it was draining and may exit."""
         if not state.info.draining:
-            self._guard.look_at(_load_identity(model, version), _replica_endpoint(state))
+            self._guard.start_probe(_load_identity(model, version), _replica_endpoint(state))
 
     def report_if_replaced(self, state: ReplicaState, model: str, version: int) -> bool:
         """Return whether another replica uses a replica's address; report a crash unless it was draining."""
@@ -55,20 +55,20 @@
         if not any(other.info.address == address for other in self._replicas.all() if other is not state):
             return False
         if not state.info.draining:
-            self._guard.ended(_load_identity(model, version), _replica_endpoint(state))
+            self._guard.record_crash(_load_identity(model, version), _replica_endpoint(state))
         return True
 
     def record_loaded(self, state: ReplicaState, model: str, version: int) -> None:
         """Record that a replica has loaded a version, which clears the version's crash reports."""
-        self._guard.succeeded(_load_identity(model, version), state.info.service)
+        self._guard.record_success(_load_identity(model, version), state.info.service)
 
     def _is_loaded_anywhere(self, model: str, version: int) -> bool:
-        return any(state.version_of(model) >= version for state in self._replicas.all())
+        return any(state.weight_version(model) >= version for state in self._replicas.all())
 
 
-def _replica_endpoint(state: ReplicaState) -> ReplicaPlace:
+def _replica_endpoint(state: ReplicaState) -> ReplicaEndpoint:
     info = state.info
-    return ReplicaPlace(life=info.life, service=info.service, address=info.address)
+    return ReplicaEndpoint(incarnation=info.incarnation, service=info.service, address=info.address)
 
 
 def _load_identity(model: str, version: int) -> RequestIdentity:
--- a/passgate/versions/load_plan.py
+++ b/passgate/versions/load_plan.py
@@ -17,7 +17,7 @@
 
 import msgspec
 
-from passgate.eligibility.replica_info import ReplicaLife
+from passgate.eligibility.replica_info import ReplicaIncarnation
 from passgate.gateway.replicas import ReplicaState
 
 MAX_LOADING_SHARE = 0.4
@@ -73,8 +73,8 @@
     demands: Sequence[ModelDemand],
     replicas: Sequence[ReplicaState],
     *,
-    model_by_loading_replica: Mapping[ReplicaLife, str],
-    excluded: Collection[ReplicaLife] = frozenset(),
+    model_by_loading_replica: Mapping[ReplicaIncarnation, str],
+    excluded: Collection[ReplicaIncarnation] = frozenset(),
     now_s: float,
 ) -> list[PlannedLoad]:
     """Return the loads that should be started, the most urgent first.
@@ -96,9 +96,9 @@
     while unsatisfied := [plan for plan in plans if plan.needs_load]:
         plan = min(unsatisfied, key=lambda plan: (plan.served_share, plan.newest_count))
         state = plan.candidates.pop()
-        if state.life in unavailable:
+        if state.incarnation in unavailable:
             continue
-        unavailable.add(state.life)
+        unavailable.add(state.incarnation)
         plan.add_load(state)
         planned.append(PlannedLoad(state=state, model=plan.demand.model))
     return planned
@@ -111,7 +111,7 @@
         self,
         demand: ModelDemand,
         replicas: Sequence[ReplicaState],
-        model_by_loading_replica: Mapping[ReplicaLife, str],
+        model_by_loading_replica: Mapping[ReplicaIncarnation, str],
         now_s: float,
     ) -> None:
         self.demand = demand
@@ -119,9 +119,13 @@
         """Oldest version that may serve new jobs."""
         self._now_s = now_s
         holders = [state for state in replicas if demand.model in state.info.model_versions]
-        loading = [state for state in holders if model_by_loading_replica.get(state.life) == demand.model]
-        settled = [state for state in holders if model_by_loading_replica.get(state.life) != demand.model]
-        self.candidates = [state for state in settled if state.version_of(demand.model) < demand.version]
+        loading = [
+            state for state in holders if model_by_loading_replica.get(state.incarnation) == demand.model
+        ]
+        settled = [
+            state for state in holders if model_by_loading_replica.get(state.incarnation) != demand.model
+        ]
+        self.candidates = [state for state in settled if state.weight_version(demand.model) < demand.version]
         """Replicas that lack the newest version; the last one loads first."""
         self.newest_count = len(holders) - len(self.candidates)
         self.serving_count = len(loading) + sum(1 for state in settled if self.serves(state))
@@ -139,7 +143,7 @@
 
     def serves(self, state: ReplicaState) -> bool:
         """Return whether a replica may serve new jobs of the model."""
-        return state.version_of(self.demand.model) >= self.oldest_servable_version
+        return state.weight_version(self.demand.model) >= self.oldest_servable_version
 
     @property
     def served_share(self) -> float:
@@ -168,11 +172,11 @@
         """
         if not self.needs_load:
             return
-        median_s = statistics.median(state.recent_latency_s(self._now_s) for state in self.candidates)
+        median_s = statistics.median(state.expected_latency_s(self._now_s) for state in self.candidates)
 
         def sort_key(state: ReplicaState) -> tuple[bool, bool, int, int, float]:
-            slow = state.recent_latency_s(self._now_s) > SLOW_REPLICA_FACTOR * median_s
-            version = state.version_of(self.demand.model)
+            slow = state.expected_latency_s(self._now_s) > SLOW_REPLICA_FACTOR * median_s
+            version = state.weight_version(self.demand.model)
             serves = self.serves(state)
             models_served = sum(1 for plan in plans if plan.serves(state))
             return slow, serves, version if serves else -version, models_served, state.load(self._now_s)
--- a/passgate/versions/loader.py
+++ b/passgate/versions/loader.py
@@ -15,14 +15,14 @@
 import msgspec
 
 from passgate.clock import monotonic_s
-from passgate.decisions import DecisionLog, OrderSent, VersionWanted
-from passgate.eligibility.replica_info import ReplicaLife
-from passgate.eligibility.rules import CONTROL
+from passgate.decisions import DecisionLog, LoadOrderSent, TargetVersionChanged
+from passgate.eligibility.replica_info import ReplicaIncarnation
+from passgate.eligibility.rules import CONTROL_MESSAGE
 from passgate.errors import ExecutionStatus, PassgateError
 from passgate.gateway.replicas import ReplicaState, ReplicaTable
-from passgate.jobs.records import JobNoted
+from passgate.jobs.records import WeightDemand
 from passgate.quarantine.guard import CrashGuard
-from passgate.versions.doubtful_orders import DoubtfulOrders
+from passgate.versions.doubtful_orders import UnconfirmedOrders
 from passgate.versions.leadership import Leadership
 from passgate.versions.load_crashes import LoadCrashGuard
 from passgate.versions.load_plan import LoadLimit, ModelDemand, PlannedLoad, plan_loads
@@ -54,10 +54,10 @@
     born_unix_ms: int = 0
     """Start time of the replica's process in Unix milliseconds; 0 if the replica does not report it."""
 
-    def is_of(self, incarnation: ReplicaLife) -> bool:
+    def is_from(self, incarnation: ReplicaIncarnation) -> bool:
         """Return whether an incarnation made this report; True if either start time is unknown."""
-        return self.born_unix_ms == incarnation.born_unix_ms or not (
-            self.born_unix_ms and incarnation.born_unix_ms
+        return self.born_unix_ms == incarnation.started_unix_ms or not (
+            self.born_unix_ms and incarnation.started_unix_ms
         )
 
 
@@ -85,14 +85,16 @@
         ...
 
 
-async def read_life(control: ReplicaControl, last_known: ReplicaLife, address: str) -> ReplicaLife | None:
+async def read_incarnation(
+    control: ReplicaControl, last_known: ReplicaIncarnation, address: str
+) -> ReplicaIncarnation | None:
     """Return the incarnation now running at a replica's address; None if the replica does not report it."""
     try:
         report = await control.report(last_known.replica_id, address)
     except PassgateError as error:
-        logger.info("life_not_read", extra={"replica": last_known.text(), "error": str(error)})
+        logger.info("life_not_read", extra={"replica": last_known.to_text(), "error": str(error)})
         return None
-    return ReplicaLife(last_known.replica_id, report.born_unix_ms) if report.born_unix_ms else None
+    return ReplicaIncarnation(last_known.replica_id, report.born_unix_ms) if report.born_unix_ms else None
 
 
 class RunningLoad(msgspec.Struct, frozen=True, kw_only=True):
@@ -103,7 +105,7 @@
     task: asyncio.Task[None]
 
 
-class WantedVersions:
+class TargetVersions:
     """The target version of each model: the newest one published for it."""
 
     def __init__(self, decisions: DecisionLog) -> None:
@@ -118,7 +120,7 @@
         """Set a model's target version unless a version as new is known."""
         if version > self.version_by_model.get(model, 0):
             self.version_by_model[model] = version
-            self._decisions.write(VersionWanted(model=model, version=version))
+            self._decisions.write(TargetVersionChanged(model=model, version=version))
 
 
 class Loader:
@@ -126,12 +128,12 @@
 
     def __init__(
         self,
-        targets: WantedVersions,
+        targets: TargetVersions,
         replicas: ReplicaTable,
         leadership: Leadership,
         control: ReplicaControl,
         holder: str,
-        newest_demand_by_model: Mapping[str, JobNoted],
+        newest_demand_by_model: Mapping[str, WeightDemand],
         crash_guard: CrashGuard,
         decisions: DecisionLog,
     ) -> None:
@@ -144,11 +146,11 @@
         self._crash_guard = LoadCrashGuard(crash_guard, replicas, decisions)
         self._newest_demand_by_model = newest_demand_by_model
         """Model to what its newest job requires."""
-        self._load_by_replica: dict[ReplicaLife, RunningLoad] = {}
+        self._load_by_replica: dict[ReplicaIncarnation, RunningLoad] = {}
         """Replica to its load in progress."""
         self._limit_by_service: dict[str, LoadLimit] = {}
-        self._retry_at_s_by_replica: dict[ReplicaLife, float] = {}
-        self._unconfirmed_orders = DoubtfulOrders()
+        self._retry_at_s_by_replica: dict[ReplicaIncarnation, float] = {}
+        self._unconfirmed_orders = UnconfirmedOrders()
 
     async def run(self) -> None:
         """Plan and start loads until cancelled; loads in progress are then cancelled too."""
@@ -185,20 +187,20 @@
 
     def _start(self, planned: PlannedLoad) -> None:
         task = asyncio.get_running_loop().create_task(self._load(planned.state, planned.model))
-        self._load_by_replica[planned.state.life] = RunningLoad(
+        self._load_by_replica[planned.state.incarnation] = RunningLoad(
             model=planned.model, service=planned.state.info.service, task=task
         )
 
     def _plan(self, now_s: float) -> list[PlannedLoad]:
         """Return the loads that should be started now, the most urgent first."""
-        rules = self._replicas.rules
+        rules = self._replicas.send_rules
         return plan_loads(
             [
                 self._demand(model, version)
                 for model, version in self._targets.version_by_model.items()
                 if not self._crash_guard.update_suspension(model, version)
             ],
-            [state for state in self._replicas.all() if rules.allows(state.info, CONTROL, now_s)],
+            [state for state in self._replicas.all() if rules.allows(state.info, CONTROL_MESSAGE, now_s)],
             model_by_loading_replica={
                 incarnation: load.model for incarnation, load in self._load_by_replica.items()
             },
@@ -222,7 +224,7 @@
         return sum(1 for state in self._replicas.all() if state.info.service == service)
 
     async def _load(self, state: ReplicaState, model: str) -> None:
-        incarnation = state.life
+        incarnation = state.incarnation
         try:
             report = await self._read_report(state)
             if not self._is_order_due(state, model, report):
@@ -238,18 +240,23 @@
 
     def _is_order_due(self, state: ReplicaState, model: str, report: ReplicaReport) -> bool:
         """Return whether a replica needs an order and may get one, by the report that it has just sent."""
-        if not report.is_of(state.life) or self._replicas.of(state.life) is not state:
+        if (
+            not report.is_from(state.incarnation)
+            or self._replicas.find_incarnation(state.incarnation) is not state
+        ):
             return False
-        if not self._unconfirmed_orders.may_follow(state.life, report.orders_taken, monotonic_s()):
+        if not self._unconfirmed_orders.allows_next_order(
+            state.incarnation, report.orders_taken, monotonic_s()
+        ):
             return False
         missing = report.model_versions.get(model, 0) < self._targets.version_by_model[model]
         return missing and not report.busy and self._leadership.may_order()
 
     async def _read_report(self, state: ReplicaState) -> ReplicaReport:
-        self._replicas.rules.admit(state.info, CONTROL, monotonic_s())
+        self._replicas.send_rules.admit(state.info, CONTROL_MESSAGE, monotonic_s())
         report = await self._control.report(state.info.replica_id, state.info.address)
-        if report.is_of(state.life):
-            state.observed_versions.update(report.model_versions)
+        if report.is_from(state.incarnation):
+            state.reported_versions.update(report.model_versions)
         return report
 
     async def _send_order(self, state: ReplicaState, model: str, report: ReplicaReport) -> bool:
@@ -257,7 +264,7 @@
 
         Raises PassgateError; the order then counts as unconfirmed unless it was certainly not executed.
         """
-        self._replicas.rules.admit(state.info, CONTROL, monotonic_s())
+        self._replicas.send_rules.admit(state.info, CONTROL_MESSAGE, monotonic_s())
         order = LoadOrder(
             replica_id=state.info.replica_id,
             address=state.info.address,
@@ -274,11 +281,11 @@
             return status in ACCEPTED_STATUSES
         except PassgateError as error:
             if error.execution is not ExecutionStatus.NOT_RUN:
-                self._unconfirmed_orders.note(state.life, order.expected, monotonic_s())
+                self._unconfirmed_orders.record(state.incarnation, order.expected, monotonic_s())
             raise
         finally:
             self._decisions.write(
-                OrderSent(
+                LoadOrderSent(
                     replica_id=order.replica_id,
                     model=model,
                     version=order.version,
@@ -294,11 +301,11 @@
         next_crash_check_s = started_at_s + CRASH_CHECK_INTERVAL_S
         while (now_s := monotonic_s()) < started_at_s + LOAD_TIMEOUT_S:
             await asyncio.sleep(LOAD_POLL_INTERVAL_S)
-            if state.version_of(model) >= target_version:
+            if state.weight_version(model) >= target_version:
                 self._limit_of(state.info.service).record_load_time(monotonic_s() - started_at_s)
                 self._crash_guard.record_loaded(state, model, target_version)
                 return
-            if self._replicas.of(state.life) is not state:
+            if self._replicas.find_incarnation(state.incarnation) is not state:
                 await self._await_replacement(state, model, target_version)
                 return
             if now_s >= next_crash_check_s:
--- a/tests/cold_comparison.py
+++ b/tests/cold_comparison.py
@@ -100,7 +100,7 @@
 
 async def share_evenly(world, daemon):
     """Give a daemon permits for its even share of each replica's limit, without any request."""
-    share = LIMIT.most_per_s // len(world.daemons)
+    share = LIMIT.max_requests_per_s // len(world.daemons)
     while True:
         now_s = monotonic_s()
         for info in world.infos:
@@ -108,8 +108,8 @@
                 at_s for at_s in daemon.send_times_s_by_id.get(info.replica_id, ()) if now_s - at_s <= 1.0
             ]
             free = share - len(recent_s)
-            if free > 0 and not daemon.table.permits.has_permit(info.replica_id, now_s):
-                daemon.table.permits.add({info.replica_id: free}, now_s, now_s)
+            if free > 0 and not daemon.table.permit_pool.has_permit(info.replica_id, now_s):
+                daemon.table.permit_pool.add({info.replica_id: free}, now_s, now_s)
         await asyncio.sleep(0.01)
 
 
--- a/tests/cold_world.py
+++ b/tests/cold_world.py
@@ -9,17 +9,17 @@
 from passgate.clock import monotonic_s
 from passgate.decisions import DecisionLog
 from passgate.eligibility.cold_replicas import ColdLimit
-from passgate.eligibility.permit_grantor import PermitGrantor
-from passgate.eligibility.permit_peers import PERMITS_METHOD, TICK_S, PermitPeers
-from passgate.eligibility.places import Places
+from passgate.eligibility.permit_grantor import PermitIssuer
+from passgate.eligibility.permit_peers import CHECK_INTERVAL_S, PERMITS_METHOD, PermitClient
+from passgate.eligibility.places import Topology
 from passgate.eligibility.replica_info import ReplicaInfo
-from passgate.eligibility.rules import ANY_REQUEST
+from passgate.eligibility.rules import ANY_REGION_REQUEST
 from passgate.errors import SendForbidden
-from passgate.gateway.replicas import FULL_LOAD, ChoiceRequest, ReplicaTable
+from passgate.gateway.replicas import FULL_LOAD, ReplicaQuery, ReplicaTable
 from passgate.peers.memory_transport import MemoryNetwork
 
-LIMIT = ColdLimit(lasts_s=3.0, most_per_s=29)
-QUERY = ChoiceRequest(services=frozenset({"s"}), load_below=FULL_LOAD)
+LIMIT = ColdLimit(max_duration_s=3.0, max_requests_per_s=29)
+QUERY = ReplicaQuery(services=frozenset({"s"}), load_below=FULL_LOAD)
 SLOTS = 6
 REQUEST_DURATION_S = 0.15
 """Time that a replica takes for a request."""
@@ -47,24 +47,24 @@
         self.transport = world.network.transport(f"d{number}:7720", "z")
         self.name = f"d{number}@{self.transport.address}"
         self.lease = StubLease()
-        self.table = ReplicaTable(Places(zone="z"), seed=number)
-        self.table.cold.limit_of = {"s": LIMIT}.get
+        self.table = ReplicaTable(Topology(zone="z"), seed=number)
+        self.table.cold_replicas.limit_of = {"s": LIMIT}.get
         self.frozen = False
         self.log_age_s = lambda: 0.0
         self.reported_leader = ""
-        self.grantor = PermitGrantor(
+        self.grantor = PermitIssuer(
             self.lease,
             lambda: world.leader,
             {"s": LIMIT}.get,
             self._cold_ms,
-            self.table.permits.tally,
+            self.table.permit_pool.counters,
             DecisionLog("d", write=len),
         )
-        self.peers = PermitPeers(
+        self.peers = PermitClient(
             self.transport,
             self.grantor,
-            self.table.permits,
-            self.table.cold,
+            self.table.permit_pool,
+            self.table.cold_replicas,
             self._watcher,
             self._others,
             lambda: self.log_age_s(),
@@ -76,7 +76,8 @@
     def _cold_ms(self):
         now_s = monotonic_s()
         remaining_s_by_id = {
-            state.info.replica_id: self.table.cold.left_s(state.info, now_s) for state in self.table.all()
+            state.info.replica_id: self.table.cold_replicas.remaining_cold_s(state.info, now_s)
+            for state in self.table.all()
         }
         return {key: round(left_s * 1000) for key, left_s in remaining_s_by_id.items() if left_s > 0}
 
@@ -88,7 +89,7 @@
 
     async def _answer(self, sender, method, payload):
         assert method == PERMITS_METHOD
-        return self.peers.answer(sender, payload)
+        return self.peers.handle_request(sender, payload)
 
     def start(self):
         self.transport.start(lambda sender, payload: None, self._answer)
@@ -98,8 +99,8 @@
     async def _tick(self):
         while True:
             if not self.frozen:
-                self.grantor.tick()
-            await asyncio.sleep(TICK_S)
+                self.grantor.update()
+            await asyncio.sleep(CHECK_INTERVAL_S)
 
     async def send_requests(self, concurrency):
         """Send requests, ``concurrency`` at a time, until cancelled."""
@@ -120,7 +121,7 @@
 
     async def _send(self, state):
         try:
-            self.table.rules.admit(state.info, ANY_REQUEST, monotonic_s())
+            self.table.send_rules.admit(state.info, ANY_REGION_REQUEST, monotonic_s())
         except SendForbidden:
             await asyncio.sleep(0.02)
             return
@@ -163,7 +164,7 @@
         """Make daemons read a discovery entry of every replica."""
         for daemon in self.daemons if daemons is None else daemons:
             for info in self.infos:
-                daemon.table.entry_read(msgspec.structs.replace(info, cold_ms=cold_ms), monotonic_s())
+                daemon.table.apply_entry(msgspec.structs.replace(info, cold_ms=cold_ms), monotonic_s())
 
     def set_leader(self, number, fence, valid_until_s=float("inf")):
         self.daemons[number].lease.acquire(fence, valid_until_s)
--- a/tests/crashing_world.py
+++ b/tests/crashing_world.py
@@ -9,7 +9,7 @@
 from passgate.errors import PassgateError
 from passgate.jobs.shards import partition_of
 from tests import platform_stand_ins as stand_ins
-from tests.test_platform_daemon import HOST, World, start_daemon_anywhere
+from tests.test_platform_daemon import HOST, World, start_daemon_at_free_ports
 
 CRASHING_BODY = b"crash"
 RESTART_DELAY_S = 0.4
@@ -68,7 +68,7 @@
         await self.until(lambda: all(daemon.ready() for daemon in self.daemons))
 
     async def start_named_daemon(self, name):
-        daemon, task = await start_daemon_anywhere(name, self.log.address)
+        daemon, task = await start_daemon_at_free_ports(name, self.log.address)
         self.daemons.append(daemon)
         self.tasks.append(task)
 
@@ -105,8 +105,10 @@
     async def hosts_of(self, daemon, hosts):
         """Return those of the hosts whose jobs a daemon owns."""
         partitions = daemon.settings.log_parts
-        await self.until(lambda: any(daemon.shards.watches(partition) for partition in range(partitions)))
-        return [host for host in hosts if daemon.shards.watches(partition_of(host, partitions))]
+        await self.until(
+            lambda: any(daemon.job_partitions.is_watcher_of(partition) for partition in range(partitions))
+        )
+        return [host for host in hosts if daemon.job_partitions.is_watcher_of(partition_of(host, partitions))]
 
     async def submit_to(self, host, job_id, items):
         """Submit a job under a host; later calls of the world for results go to that host."""
--- a/tests/job_daemons.py
+++ b/tests/job_daemons.py
@@ -6,13 +6,13 @@
 
 from passgate.clock import monotonic_s
 from passgate.decisions import DecisionLog
-from passgate.eligibility.places import Places
+from passgate.eligibility.places import Topology
 from passgate.errors import NotReady
-from passgate.gateway.distance import Distances
-from passgate.jobs.bound_bodies import BoundBodies
+from passgate.gateway.distance import ZoneDistances
+from passgate.jobs.bound_bodies import RestrictedBodies
 from passgate.jobs.journal import Journal
-from passgate.jobs.liveness import Liveness
-from passgate.jobs.peers import JobPeers
+from passgate.jobs.liveness import LivenessProber
+from passgate.jobs.peers import JobPeerClient
 from passgate.jobs.reader import find_job
 from passgate.jobs.records import (
     ItemsDone,
@@ -24,12 +24,12 @@
 )
 from passgate.jobs.service import JobService
 from passgate.jobs.shards import (
-    JobShards,
-    ShardSettings,
+    JobPartitions,
+    JobPartitionSettings,
 )
 from passgate.peers.memory_transport import MemoryNetwork
-from passgate.sharedlog.candidacy import Candidacy
-from passgate.sharedlog.group import GroupDirectory, GroupMember, OtherZones
+from passgate.sharedlog.candidacy import GroupMembershipPolicy
+from passgate.sharedlog.group import GroupDirectory, GroupMember, OtherZoneDirectories
 from passgate.sharedlog.member_names import member_name
 from passgate.sharedlog.tail import KeyedTail, TailSettings
 from passgate.versions.control import ControlTopic
@@ -96,47 +96,47 @@
         self.events = []
         decisions = DecisionLog(name, write=len, observe=self.events.append)
         member = member_name(name, self.transport.address, cores)
-        candidacy = Candidacy(cores)
+        candidacy = GroupMembershipPolicy(cores)
         self.member = GroupMember(
-            self.client, f"watch.{zone}", member, "jobs", decisions, candidacy=candidacy
+            self.client, f"watch.{zone}", member, "jobs", decisions, membership_policy=candidacy
         )
         sizes = {"record_bytes": 262_144, "append_bytes": 2_000_000}
         self.directory = directory = GroupDirectory(self.client, f"watch.{zone}", "jobs", candidacy)
-        places = Places(zone=zone, regions=region_by_zone or {})
-        distances = Distances(places)
-        self.elsewhere = elsewhere = OtherZones(
-            self.client, "watch", "jobs", distances.nearest_first, distances.fallback_zones
+        places = Topology(zone=zone, region_by_zone=region_by_zone or {})
+        distances = ZoneDistances(places)
+        self.elsewhere = elsewhere = OtherZoneDirectories(
+            self.client, "watch", "jobs", distances.other_zones_nearest_first, distances.fallback_zones
         )
-        self.peers = peers = JobPeers(self.transport, directory, member, decisions, distances, elsewhere)
+        self.peers = peers = JobPeerClient(self.transport, directory, member, decisions, distances, elsewhere)
         self.journal = Journal(self.client, "control", 0, self.name, **sizes)
         self.control = ControlTopic(
             self.client,
             "control",
             self.journal,
-            lambda: bool(self.member.held()),
+            lambda: bool(self.member.assigned_partitions()),
             decisions,
             lease_s=LEASE_S,
-            sign_of=Liveness(lambda writer: peers.life_at(writer, 0)).sign_of,
+            status_of=LivenessProber(lambda writer: peers.probe(writer, 0)).status_of,
         )
         self.leadership = self.control.leadership
-        settings = ShardSettings(
+        settings = JobPartitionSettings(
             topic="jobs",
-            parts=log.parts,
+            partition_count=log.parts,
             writer=self.name,
             retention_s=150.0,
             **sizes,
         )
-        self.shards = JobShards(
+        self.shards = JobPartitions(
             self.client,
             settings,
-            self.member.held,
+            self.member.assigned_partitions,
             self.make_runner,
             peers,
             decisions,
-            may_own_new=lambda: candidacy.wanted,
-            log_answers=self.member.answered,
-            bodies=BoundBodies(
-                self.client, config.terms_for, places, settings, decisions, config.item_time_to_live_s
+            may_own_new=lambda: candidacy.should_join,
+            log_answers=self.member.is_log_responding,
+            restricted_bodies=RestrictedBodies(
+                self.client, config.send_context_for, places, settings, decisions, config.item_time_to_live_s
             )
             if config
             else None,
@@ -163,8 +163,8 @@
             self.member.run(),
             self.control.run(),
             self.shards.run(),
-            self.directory.keep_known(),
-            self.elsewhere.keep_known(),
+            self.directory.keep_fresh(),
+            self.elsewhere.keep_fresh(),
             self.operator_tail.run(),
         )
         self.tasks = [loop.create_task(part) for part in parts]
@@ -172,7 +172,7 @@
 
     async def stop(self):
         """Shut down gracefully: release the jobs and leave the group."""
-        await asyncio.wait([*self.shards.stop(), self.control.stop()])
+        await asyncio.wait([*self.shards.stop(), self.control.release_leadership()])
         await self.member.leave()
 
     async def kill(self):
@@ -183,12 +183,12 @@
 
     async def read_owner(self, job_id, host=HOST):
         """Return the owner of a job, as this daemon reads it from the log."""
-        return (await find_job(self.shards.of(host), job_id)).owner
+        return (await find_job(self.shards.of_host(host), job_id)).owner
 
     async def read_all(self, job_id, host=HOST):
         """Return whether a job is complete and its results, as read here; None when it can't be read."""
         try:
-            page = await self.service.read(host, job_id, 0, 0.0)
+            page = await self.service.read_results(host, job_id, 0, 0.0)
         except NotReady:
             return None
         assert page.next_position == len(page.results)
--- a/tests/test_clients_curl.py
+++ b/tests/test_clients_curl.py
@@ -418,6 +418,6 @@
         transfer = http.start(call)
         time.sleep(2 * LAST_SEND_S)  # noqa: ASYNC251 - blocks the event loop, like a process that is suspended
         with pytest.raises(SendTooLate) as caught:
-            await transfer.head()
+            await transfer.wait_for_head()
         assert caught.value.execution is ExecutionStatus.NOT_RUN
         assert len(raw.heads) == 1
--- a/tests/test_cold_replicas.py
+++ b/tests/test_cold_replicas.py
@@ -9,12 +9,12 @@
 from passgate.eligibility.cold_replicas import MAX_ENTRY_DELAY_S
 from passgate.eligibility.permit_peers import MAX_REQUEST_INTERVAL_S
 from passgate.eligibility.permits import GRANT_WINDOW_S, PERMIT_LIFETIME_S
-from passgate.eligibility.rules import CONTROL
+from passgate.eligibility.rules import CONTROL_MESSAGE
 from tests.cold_world import LIMIT, QUERY, World
 
 COLD_MS = 60_000
 """Longer than any test."""
-LIMIT_PER_S = LIMIT.most_per_s
+LIMIT_PER_S = LIMIT.max_requests_per_s
 
 
 async def make_cold_world(**fields):
@@ -61,9 +61,9 @@
         world.network.cut(lambda address, zone: address == cut_off.transport.address)
         cut_off_s = monotonic_s()
         await asyncio.sleep(3.0)
-        used = cut_off.table.permits.tally.used
+        used = cut_off.table.permit_pool.counters.used
         await asyncio.sleep(2.0)
-        assert cut_off.table.permits.tally.used == used
+        assert cut_off.table.permit_pool.counters.used == used
         assert count_sends(world, cut_off_s + 3.0, cut_off_s + 5.0) > LIMIT_PER_S
         assert world.max_sends_per_s <= LIMIT_PER_S
 
@@ -75,15 +75,15 @@
         world = await make_cold_world()
         await asyncio.sleep(1.0)
         frozen = world.daemons[1]
-        frozen.table.permits.add({"r0": 20, "r1": 20, "r2": 20}, monotonic_s(), monotonic_s())
+        frozen.table.permit_pool.add({"r0": 20, "r1": 20, "r2": 20}, monotonic_s(), monotonic_s())
         frozen.freeze()
-        used = frozen.table.permits.tally.used
+        used = frozen.table.permit_pool.counters.used
         await asyncio.sleep(PERMIT_LIFETIME_S)
         for daemon in world.daemons:
             daemon.lease.valid_until_s = 0.0
         frozen.resume()
         await asyncio.sleep(1.0)
-        assert frozen.table.permits.tally.used == used
+        assert frozen.table.permit_pool.counters.used == used
 
     run_virtual(main())
 
@@ -114,7 +114,7 @@
         world.set_leader(5, fence=2)
         await asyncio.sleep(4.0)
         assert world.max_sends_per_s <= LIMIT_PER_S
-        assert world.daemons[3].table.permits.tally.used > 0
+        assert world.daemons[3].table.permit_pool.counters.used > 0
 
     run_virtual(main())
 
@@ -129,10 +129,10 @@
         await asyncio.sleep(3.5)
         world.set_leader(5, fence=2)
         await asyncio.sleep(GRANT_WINDOW_S + 0.5)
-        given = old.table.permits.tally.given
+        given = old.table.permit_pool.counters.given
         old.resume()
         await asyncio.sleep(2.0)
-        assert old.table.permits.tally.given == given
+        assert old.table.permit_pool.counters.given == given
         assert world.max_sends_per_s <= LIMIT_PER_S
 
     run_virtual(main())
@@ -145,8 +145,8 @@
         new_daemon = world.daemons[6]
         world.start_requests(20, [new_daemon])
         await asyncio.sleep(3.0)
-        tally = new_daemon.table.permits.tally
-        assert 0 < tally.used <= tally.got
+        counters = new_daemon.table.permit_pool.counters
+        assert 0 < counters.used <= counters.got
         assert world.max_sends_per_s <= LIMIT_PER_S
 
     run_virtual(main())
@@ -163,7 +163,7 @@
         world.read_entries(COLD_MS, [daemon for daemon in world.daemons if daemon is not cut_off])
         await asyncio.sleep(1.0)
         infos = [state.info for state in cut_off.table.all()]
-        assert all(cut_off.table.cold.is_cold(info, monotonic_s()) for info in infos)
+        assert all(cut_off.table.cold_replicas.is_cold(info, monotonic_s()) for info in infos)
 
     run_virtual(main())
 
@@ -178,7 +178,7 @@
         await asyncio.sleep(2.0)
         world.start_requests(1, world.daemons[2:3])
         await asyncio.sleep(3.0)
-        many, few = (daemon.table.permits.tally.used for daemon in world.daemons[1:3])
+        many, few = (daemon.table.permit_pool.counters.used for daemon in world.daemons[1:3])
         assert few >= 3
         assert many > few
 
@@ -190,13 +190,13 @@
         world = World(replicas=2)
         (daemon,) = world.daemons[:1]
         cold, warm = world.infos
-        daemon.table.entry_read(msgspec.structs.replace(cold, cold_ms=COLD_MS), monotonic_s())
-        daemon.table.entry_read(warm, monotonic_s())
+        daemon.table.apply_entry(msgspec.structs.replace(cold, cold_ms=COLD_MS), monotonic_s())
+        daemon.table.apply_entry(warm, monotonic_s())
         assert daemon.table.choose(QUERY, monotonic_s()).info.replica_id == warm.replica_id
-        assert not daemon.table.permits.requested_services_by_id
+        assert not daemon.table.permit_pool.requested_services_by_id
         daemon.table.get(warm.replica_id).in_flight = warm.slots
         assert daemon.table.choose(QUERY, monotonic_s()) is None
-        assert list(daemon.table.permits.requested_services_by_id) == [cold.replica_id]
+        assert list(daemon.table.permit_pool.requested_services_by_id) == [cold.replica_id]
 
     run_virtual(main())
 
@@ -205,7 +205,7 @@
     async def main():
         world = World(daemons=1, replicas=1)
         world.read_entries(COLD_MS)
-        world.daemons[0].table.rules.admit(world.infos[0], CONTROL, monotonic_s())
+        world.daemons[0].table.send_rules.admit(world.infos[0], CONTROL_MESSAGE, monotonic_s())
 
     run_virtual(main())
 
@@ -213,8 +213,8 @@
 def mark_unreachable(world):
     """Mark the world's only replica unreachable; return its entry and the daemon's cold replicas."""
     (info,) = world.infos
-    world.daemons[0].table.unreachable(info.life, monotonic_s())
-    return info, world.daemons[0].table.cold
+    world.daemons[0].table.record_unreachable(info.incarnation, monotonic_s())
+    return info, world.daemons[0].table.cold_replicas
 
 
 @pytest.mark.parametrize("answered", [False, True])
@@ -226,9 +226,9 @@
         world.read_entries(0)  # may have been written before the replica was unreachable
         assert cold.is_cold(info, monotonic_s())
         if answered:
-            cold.reached(info, monotonic_s())
-            assert cold.is_cold(info, monotonic_s() + LIMIT.lasts_s - 0.1)
-            assert not cold.is_cold(info, monotonic_s() + LIMIT.lasts_s)
+            cold.record_response(info, monotonic_s())
+            assert cold.is_cold(info, monotonic_s() + LIMIT.max_duration_s - 0.1)
+            assert not cold.is_cold(info, monotonic_s() + LIMIT.max_duration_s)
         await asyncio.sleep(MAX_ENTRY_DELAY_S)
         world.read_entries(0)
         assert not cold.is_cold(info, monotonic_s())
@@ -241,12 +241,12 @@
         world = World(daemons=1, replicas=1)
         world.read_entries(0)
         (info,) = world.infos
-        table, cold = world.daemons[0].table, world.daemons[0].table.cold
-        table.turned_cold("elsewhere", monotonic_s())
+        table, cold = world.daemons[0].table, world.daemons[0].table.cold_replicas
+        table.mark_zone_possibly_cold("elsewhere", monotonic_s())
         assert not cold.is_cold(info, monotonic_s())
-        table.turned_cold(info.zone, monotonic_s())
-        assert cold.is_cold(info, monotonic_s() + LIMIT.lasts_s - 0.1)
-        assert not cold.is_cold(info, monotonic_s() + LIMIT.lasts_s)
+        table.mark_zone_possibly_cold(info.zone, monotonic_s())
+        assert cold.is_cold(info, monotonic_s() + LIMIT.max_duration_s - 0.1)
+        assert not cold.is_cold(info, monotonic_s() + LIMIT.max_duration_s)
 
     run_virtual(main())
 
--- a/tests/test_cold_send.py
+++ b/tests/test_cold_send.py
@@ -10,11 +10,11 @@
 from passgate.clock import monotonic_s
 from passgate.eligibility.cold_replicas import ColdLimit
 from passgate.eligibility.permits import MAX_SEND_DELAY_S, PERMIT_LIFETIME_S
-from passgate.eligibility.places import Places
+from passgate.eligibility.places import Topology
 from passgate.eligibility.replica_info import ReplicaInfo
 from passgate.errors import AnswerMismatch, BackendRefused, ExecutionStatus, SendTooLate
 from passgate.gateway.dialect import HeaderNames
-from passgate.gateway.replica_call import ReplicaCaller, ReplicaRequest
+from passgate.gateway.replica_call import ReplicaClient, ReplicaRequest
 from passgate.gateway.replicas import ReplicaTable
 from tests.test_clients_curl import raw_server, reply_ok
 
@@ -25,13 +25,13 @@
 async def cold_replica(answer=reply_ok):
     """Yield a server, a table that lists it as a cold replica with one permit, and a caller."""
     async with raw_server(answer) as (raw, http, url):
-        table = ReplicaTable(Places(zone="z"))
-        table.cold.limit_of = {"s": ColdLimit(lasts_s=8.0, most_per_s=29)}.get
+        table = ReplicaTable(Topology(zone="z"))
+        table.cold_replicas.limit_of = {"s": ColdLimit(max_duration_s=8.0, max_requests_per_s=29)}.get
         address = url.removeprefix("http://").rstrip("/")
         info = ReplicaInfo(replica_id="r", service="s", address=address, zone="z", slots=4, cold_ms=8000)
-        table.entry_read(info, monotonic_s())
-        table.permits.add({"r": 1}, monotonic_s(), monotonic_s())
-        yield raw, table, ReplicaCaller(http, table, NAMES, mock.Mock())
+        table.apply_entry(info, monotonic_s())
+        table.permit_pool.add({"r": 1}, monotonic_s(), monotonic_s())
+        yield raw, table, ReplicaClient(http, table, NAMES, mock.Mock())
 
 
 def make_request():
@@ -48,15 +48,15 @@
 
 async def test_request_is_not_sent_after_its_permit_has_expired():
     async with cold_replica() as (raw, table, caller):
-        attempt = caller.open(table.get("r"), make_request())
+        attempt = caller.start_attempt(table.get("r"), make_request())
         time.sleep(PERMIT_LIFETIME_S + MAX_SEND_DELAY_S + 0.05)  # noqa: ASYNC251 - blocks the event loop
         with pytest.raises(SendTooLate) as caught:
-            await attempt.head()
+            await attempt.wait_for_head()
         attempt.close()
         assert caught.value.execution is ExecutionStatus.NOT_RUN
         assert not raw.heads
-        assert table.health.usable(["r"], monotonic_s()) == ["r"]
-        assert not table.cold._possibly_cold_by_id
+        assert table.health.filter_usable(["r"], monotonic_s()) == ["r"]
+        assert not table.cold_replicas._possibly_cold_by_id
 
 
 @pytest.mark.parametrize(("stamp", "status"), [("other", 200), ("q", 421)])
@@ -66,9 +66,9 @@
         writer.write(head.encode())
 
     async with cold_replica(answer) as (raw, table, caller):
-        table.cold.unreachable(table.get("r").info, monotonic_s())
-        attempt = caller.open(table.get("r"), make_request())
+        table.cold_replicas.mark_unreachable(table.get("r").info, monotonic_s())
+        attempt = caller.start_attempt(table.get("r"), make_request())
         with pytest.raises((AnswerMismatch, BackendRefused)):
-            await attempt.head()
+            await attempt.wait_for_head()
         attempt.close()
-        assert table.cold.left_s(table.get("r").info, monotonic_s()) == math.inf
+        assert table.cold_replicas.remaining_cold_s(table.get("r").info, monotonic_s()) == math.inf
--- a/tests/test_crash_guard.py
+++ b/tests/test_crash_guard.py
@@ -8,7 +8,7 @@
 
 from passgate.clock import monotonic_s, run_virtual
 from passgate.decisions import DecisionLog
-from passgate.eligibility.replica_info import ReplicaLife
+from passgate.eligibility.replica_info import ReplicaIncarnation
 from passgate.emulator.shared_log import MemorySharedLog, SharedLogFaults
 from passgate.errors import (
     BackendUnreachable,
@@ -25,11 +25,11 @@
     QUERY_INTERVAL_S,
     CrashGuard,
     CrashGuardHooks,
-    ReplicaPlace,
+    ReplicaEndpoint,
 )
 from passgate.quarantine.identity import CRASH_LIMIT, ITEM_CRASH_LIMIT, RequestIdentity
 from passgate.quarantine.ledger import REPORT_LIFETIME_S, CrashReport, CrashReportStore
-from passgate.quarantine.peers import EXCHANGE_INTERVAL_S, CrashPeers
+from passgate.quarantine.peers import EXCHANGE_INTERVAL_S, CrashReportExchange
 from passgate.sharedlog.member_names import member_name
 
 TOPIC, SERVICE = "keyed.crashes", "app"
@@ -44,7 +44,7 @@
 
 
 def endpoint(name):
-    return ReplicaPlace(life=ReplicaLife(name), service=SERVICE, address=f"{name}:1")
+    return ReplicaEndpoint(incarnation=ReplicaIncarnation(name), service=SERVICE, address=f"{name}:1")
 
 
 class Daemon:
@@ -72,13 +72,13 @@
         self.guard = CrashGuard(self.reports, hooks, decisions)
         self.transport = fleet.network.transport(f"{name}:7", "z")
         self.name = member_name(name, self.transport.address, 1.0)
-        self.peers = CrashPeers(self.transport, lambda: fleet.others(self.name), self.report_log)
+        self.peers = CrashReportExchange(self.transport, lambda: fleet.others(self.name), self.report_log)
         self.transport.start(lambda sender, payload: None, self.answer)
         loop = asyncio.get_running_loop()
         self.tasks = [loop.create_task(part.run()) for part in (self.report_log, self.peers)]
 
     async def answer(self, sender, method, payload):
-        return self.peers.answer(payload)
+        return self.peers.handle_request(payload)
 
     def record_ejection(self, incarnation, now_s):
         self.ejected.append(incarnation.replica_id)
@@ -92,7 +92,7 @@
         return address in self.exited_addresses
 
     def record_failed_attempt(self, name, identity=None, error=CONNECTION_LOST):
-        self.guard.broke_off(identity or request(), endpoint(name), error)
+        self.guard.record_failed_attempt(identity or request(), endpoint(name), error)
 
     async def crash(self, *names, identity=None):
         """Make replicas exit under a request, and wait for the probes."""
@@ -134,10 +134,10 @@
 async def test_request_is_quarantined_at_its_crash_limit(fleet):
     daemon = fleet.daemon()
     await daemon.crash("r1")
-    daemon.guard.check(request())
+    daemon.guard.raise_if_quarantined(request())
     await daemon.crash("r2")
     with pytest.raises(RequestQuarantined) as raised:
-        daemon.guard.check(request())
+        daemon.guard.raise_if_quarantined(request())
     assert raised.value.execution is ExecutionStatus.NOT_RUN
     assert REPORT_LIFETIME_S - 1.0 < raised.value.retry_after_s <= REPORT_LIFETIME_S
     assert daemon.ejected == ["r1", "r2"]
@@ -147,17 +147,17 @@
 async def test_several_failed_attempts_at_one_crashed_replica_count_once(fleet):
     daemon = fleet.daemon()
     await daemon.crash("r1", "r1", "r1")
-    daemon.guard.check(request())
+    daemon.guard.raise_if_quarantined(request())
 
 
 @in_virtual_time
 async def test_request_with_other_content_or_tenant_is_not_quarantined(fleet):
     daemon = fleet.daemon()
     await daemon.crash("r1", "r2", identity=request(tenant="a"))
-    assert daemon.guard.is_held(request(tenant="a"))
-    assert not daemon.guard.is_held(request(tenant="b"))
-    assert not daemon.guard.is_held(request())
-    assert not daemon.guard.is_held(request(b"y", tenant="a"))
+    assert daemon.guard.is_quarantined(request(tenant="a"))
+    assert not daemon.guard.is_quarantined(request(tenant="b"))
+    assert not daemon.guard.is_quarantined(request())
+    assert not daemon.guard.is_quarantined(request(b"y", tenant="a"))
 
 
 @in_virtual_time
@@ -200,11 +200,11 @@
     fleet.exited_addresses |= {"r1:1", "r2:1"}
     daemon.record_failed_attempt("r1")
     started_s = monotonic_s()
-    await daemon.guard.settled(request())
+    await daemon.guard.wait_for_probes(request())
     assert monotonic_s() == started_s
     daemon.record_failed_attempt("r2")
-    await daemon.guard.settled(request())
-    assert daemon.guard.is_held(request())
+    await daemon.guard.wait_for_probes(request())
+    assert daemon.guard.is_quarantined(request())
 
 
 @in_virtual_time
@@ -215,13 +215,13 @@
     await asyncio.sleep(0.1)
     await second.crash("r2")
     await asyncio.sleep(0.1)
-    assert first.guard.is_held(request())
-    assert second.guard.is_held(request())
+    assert first.guard.is_quarantined(request())
+    assert second.guard.is_quarantined(request())
     assert first.ejected == second.ejected == ["r1", "r2"]
     late = fleet.daemon()
     await asyncio.sleep(0.1)
     assert late.report_log.loaded
-    assert late.guard.is_held(request())
+    assert late.guard.is_quarantined(request())
 
 
 @in_virtual_time
@@ -231,7 +231,7 @@
     await first.crash("r1", identity=request(b"beside"))
     await asyncio.sleep(0.1)
     assert second.guard.is_suspect(request(b"beside"))
-    second.guard.succeeded(request(b"beside"), SERVICE)
+    second.guard.record_success(request(b"beside"), SERVICE)
     await asyncio.sleep(0.1)
     assert not first.guard.is_suspect(request(b"beside"))
     assert fleet.daemon().reports.count_crashes(request(b"beside").fingerprint(), 0.0) == 0
@@ -241,8 +241,8 @@
 async def test_answer_of_another_service_clears_nothing(fleet):
     daemon = fleet.daemon()
     await daemon.crash("r1", "r2")
-    daemon.guard.succeeded(request(), "another")
-    assert daemon.guard.is_held(request())
+    daemon.guard.record_success(request(), "another")
+    assert daemon.guard.is_quarantined(request())
 
 
 @in_virtual_time
@@ -253,18 +253,20 @@
     before_s = monotonic_s()
     await first.crash("r1", "r2")
     await asyncio.sleep(0.1)
-    second.guard.answered(endpoint("r1"), attempt_started_s=before_s)
-    assert second.guard.is_held(request())
-    second.guard.answered(endpoint("r1"), attempt_started_s=monotonic_s())
+    second.guard.record_response(endpoint("r1"), attempt_started_s=before_s)
+    assert second.guard.is_quarantined(request())
+    second.guard.record_response(endpoint("r1"), attempt_started_s=monotonic_s())
     await asyncio.sleep(0.1)
-    assert not first.guard.is_held(request())
+    assert not first.guard.is_quarantined(request())
     assert first.guard.is_suspect(request())
 
 
 def endpoints_of(name, *start_times_ms):
     """Return one endpoint of a replica for each start time."""
     return [
-        ReplicaPlace(life=ReplicaLife(name, started_ms), service=SERVICE, address=f"{name}:1")
+        ReplicaEndpoint(
+            incarnation=ReplicaIncarnation(name, started_ms), service=SERVICE, address=f"{name}:1"
+        )
         for started_ms in start_times_ms
     ]
 
@@ -274,19 +276,19 @@
     daemon = fleet.daemon()
     old, new = endpoints_of("r1", 10, 20)
     daemon.exited_addresses.add(old.address)
-    daemon.guard.broke_off(request(), old, CONNECTION_LOST)
+    daemon.guard.record_failed_attempt(request(), old, CONNECTION_LOST)
     await asyncio.sleep(1.0)
     daemon.exited_addresses.clear()
-    daemon.incarnation_by_address[old.address] = new.life
-    daemon.guard.answered(
+    daemon.incarnation_by_address[old.address] = new.incarnation
+    daemon.guard.record_response(
         old, attempt_started_s=monotonic_s()
     )  # discovery does not list the new incarnation yet
-    daemon.guard.answered(new, attempt_started_s=monotonic_s())
+    daemon.guard.record_response(new, attempt_started_s=monotonic_s())
     await asyncio.sleep(0.1)
     assert daemon.reports.count_crashes(request().fingerprint(), 0.0) == 1
-    daemon.incarnation_by_address[old.address] = old.life
+    daemon.incarnation_by_address[old.address] = old.incarnation
     await asyncio.sleep(QUERY_INTERVAL_S)
-    daemon.guard.answered(old, attempt_started_s=monotonic_s())
+    daemon.guard.record_response(old, attempt_started_s=monotonic_s())
     await asyncio.sleep(0.1)
     assert daemon.reports.count_crashes(request().fingerprint(), 0.0) == 0
 
@@ -298,23 +300,23 @@
     (replica_endpoint,) = endpoints_of("r1", 10)
     await asyncio.sleep(0.5)
     daemon.exited_addresses.add(replica_endpoint.address)
-    daemon.guard.broke_off(request(), replica_endpoint, CONNECTION_LOST)
+    daemon.guard.record_failed_attempt(request(), replica_endpoint, CONNECTION_LOST)
     await asyncio.sleep(MAX_DISCOVERY_DELAY_S - 1.0)
-    daemon.guard.answered(replica_endpoint, attempt_started_s=monotonic_s())
+    daemon.guard.record_response(replica_endpoint, attempt_started_s=monotonic_s())
     await asyncio.sleep(0.5)
     assert daemon.reports.count_crashes(request().fingerprint(), 0.0) == 1
     await asyncio.sleep(2.0)
-    daemon.guard.answered(
-        msgspec.structs.replace(replica_endpoint, replaced=True), attempt_started_s=monotonic_s()
+    daemon.guard.record_response(
+        msgspec.structs.replace(replica_endpoint, has_newer_incarnation=True), attempt_started_s=monotonic_s()
     )
     fleet.log.faults = SharedLogFaults(refusing=True)
     await asyncio.sleep(MAX_CURRENT_AGE_S + POLL_WAIT_S)
-    daemon.guard.answered(replica_endpoint, attempt_started_s=monotonic_s())
+    daemon.guard.record_response(replica_endpoint, attempt_started_s=monotonic_s())
     await asyncio.sleep(1.5)
     assert daemon.reports.count_crashes(request().fingerprint(), 0.0) == 1
     fleet.log.faults = SharedLogFaults()
     await asyncio.sleep(POLL_WAIT_S)
-    daemon.guard.answered(replica_endpoint, attempt_started_s=monotonic_s())
+    daemon.guard.record_response(replica_endpoint, attempt_started_s=monotonic_s())
     await asyncio.sleep(0.5)
     assert daemon.reports.count_crashes(request().fingerprint(), 0.0) == 0
 
@@ -324,10 +326,10 @@
     daemon = fleet.daemon()
     (replica_endpoint,) = endpoints_of("r1", 10)
     daemon.exited_addresses.add(replica_endpoint.address)
-    daemon.guard.broke_off(request(), replica_endpoint, CONNECTION_LOST)
+    daemon.guard.record_failed_attempt(request(), replica_endpoint, CONNECTION_LOST)
     await asyncio.sleep(0.1)
     for _ in range(300):
-        daemon.guard.answered(replica_endpoint, attempt_started_s=monotonic_s())
+        daemon.guard.record_response(replica_endpoint, attempt_started_s=monotonic_s())
         await asyncio.sleep(0.01)
     assert 2 <= daemon.incarnation_queries <= 4
 
@@ -338,10 +340,10 @@
     await asyncio.sleep(0.5)
     for replica_endpoint in endpoints_of("r1", 10, 20):
         first.exited_addresses.add(replica_endpoint.address)
-        first.guard.broke_off(request(), replica_endpoint, CONNECTION_LOST)
+        first.guard.record_failed_attempt(request(), replica_endpoint, CONNECTION_LOST)
         await asyncio.sleep(1.0)
-    assert first.guard.is_held(request())
-    assert second.guard.is_held(request())
+    assert first.guard.is_quarantined(request())
+    assert second.guard.is_quarantined(request())
     assert second.reports.report_keys() == first.reports.report_keys()
 
 
@@ -349,7 +351,9 @@
 async def test_crash_is_reported_if_replica_restarts_before_the_probe(fleet):
     daemon = fleet.daemon()
     (old,) = endpoints_of("r1", 10)
-    daemon.guard.broke_off(request(), msgspec.structs.replace(old, replaced=True), CONNECTION_LOST)
+    daemon.guard.record_failed_attempt(
+        request(), msgspec.structs.replace(old, has_newer_incarnation=True), CONNECTION_LOST
+    )
     await asyncio.sleep(0.1)
     assert daemon.reports.count_crashes(request().fingerprint(), 0.0) == 1
 
@@ -362,7 +366,7 @@
     fleet.log.put_keyed(TOPIC, "f/r1", msgspec.json.encode(document))
     daemon = fleet.daemon()
     await asyncio.sleep(0.5)
-    assert daemon.reports.report_keys() == {("f", ReplicaLife("r1"))}
+    assert daemon.reports.report_keys() == {("f", ReplicaIncarnation("r1"))}
     fleet.log.put_keyed(TOPIC, "f/r1", b"")
     await asyncio.sleep(0.5)
     assert not len(daemon.reports)
@@ -375,11 +379,11 @@
     fleet.log.faults = SharedLogFaults(refusing=True)
     await first.crash("r1", "r2")
     await asyncio.sleep(3.0)
-    assert first.guard.is_held(request())
-    assert not second.guard.is_held(request())
+    assert first.guard.is_quarantined(request())
+    assert not second.guard.is_quarantined(request())
     fleet.log.faults = SharedLogFaults()
     await asyncio.sleep(POLL_WAIT_S + 2.0)
-    assert second.guard.is_held(request())
+    assert second.guard.is_quarantined(request())
 
 
 @in_virtual_time
@@ -390,8 +394,8 @@
     fleet.log.faults = SharedLogFaults(refusing=True)
     await daemons[0].crash("r1", "r2")
     await asyncio.sleep(MAX_CURRENT_AGE_S + 4 * EXCHANGE_INTERVAL_S)
-    assert all(daemon.guard.is_held(request()) for daemon in daemons)
-    daemons[1].guard.succeeded(request(), SERVICE)
+    assert all(daemon.guard.is_quarantined(request()) for daemon in daemons)
+    daemons[1].guard.record_success(request(), SERVICE)
     await asyncio.sleep(4 * EXCHANGE_INTERVAL_S)
     assert not daemons[1].guard.is_suspect(request())
     fleet.log.faults = SharedLogFaults()
@@ -406,7 +410,7 @@
     fleet.log.cut_off.add("d0")
     await daemons[0].crash("r1", "r2")
     await asyncio.sleep(MAX_CURRENT_AGE_S + 2 * EXCHANGE_INTERVAL_S + 0.2)
-    assert all(daemon.guard.is_held(request()) for daemon in daemons)
+    assert all(daemon.guard.is_quarantined(request()) for daemon in daemons)
     assert len(fleet.log.newest(TOPIC)) == 2
 
 
@@ -417,12 +421,12 @@
     await first.crash("r1")
     await asyncio.sleep(REPORT_LIFETIME_S / 2)
     await first.crash("r2")
-    assert first.guard.is_held(request())
+    assert first.guard.is_quarantined(request())
     await asyncio.sleep(REPORT_LIFETIME_S / 2)
-    assert not second.guard.is_held(request())
+    assert not second.guard.is_quarantined(request())
     await second.crash("r3")
     await asyncio.sleep(0.1)
-    assert first.guard.is_held(request())
+    assert first.guard.is_quarantined(request())
     assert first.reports.report_keys() == second.reports.report_keys()
     assert len(first.reports) == 2
 
@@ -434,7 +438,7 @@
     await first.crash("r1", "r2")
     await asyncio.sleep(0.1)
     fleet.log.cut_off.add("d1")
-    first.guard.succeeded(request(), SERVICE)
+    first.guard.record_success(request(), SERVICE)
     await asyncio.sleep(1.0)
     fleet.log.drop_history(TOPIC)
     fleet.log.cut_off.clear()
@@ -533,7 +537,7 @@
             reported_unix_s=float(number),
         )
         assert reports.add(report, now_s=0.0)
-    assert reports.report_keys() == {(name, ReplicaLife("r")) for name in ("f2", "f3", "f4")}
+    assert reports.report_keys() == {(name, ReplicaIncarnation("r")) for name in ("f2", "f3", "f4")}
     assert len(reports) == 3
 
 
@@ -544,9 +548,9 @@
     cause, concurrent = (request(body=body, crash_limit=ITEM_CRASH_LIMIT) for body in (b"cause", b"beside"))
     for identity in (cause, concurrent):
         await first.crash("r1", "r2", identity=identity)
-    first.guard.placed(cause, ReplicaLife("r3"))
+    first.guard.announce_run(cause, ReplicaIncarnation("r3"))
     await asyncio.sleep(0.5)
-    assert second.guard.apart_from(concurrent) == {ReplicaLife("r3")}
-    first.guard.left(cause)
+    assert second.guard.excluded_replicas(concurrent) == {ReplicaIncarnation("r3")}
+    first.guard.withdraw_run(cause)
     await asyncio.sleep(0.5)
-    assert second.guard.apart_from(concurrent) == frozenset()
+    assert second.guard.excluded_replicas(concurrent) == frozenset()
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from passgate.discovery.view import COME_BACK_S
+from passgate.discovery.view import RETURN_GRACE_S
 from tests import platform_stand_ins as stand_ins
 from tests.crashing_world import in_crashing_world
 
@@ -161,7 +161,7 @@
     world.configure(1, stand_ins.safe_route(maxAttempts=1))
     await world.start_daemons(1)
     (daemon,) = world.daemons
-    await asyncio.sleep(COME_BACK_S + 0.5)  # an entry that is deleted sooner may only have expired
+    await asyncio.sleep(RETURN_GRACE_S + 0.5)  # an entry that is deleted sooner may only have expired
     request = asyncio.create_task(world.send_request(daemon, b"slow", "slow"))
     await world.until(lambda: replica.runs)
     if entry == "draining":
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -14,11 +14,11 @@
 from passgate.discovery.service import Discovery, ReplicaDecoder, ReplicaTopics
 from passgate.discovery.view import DiscoveryView, ReplicaUpdate
 from passgate.eligibility.cold_replicas import ColdLimit
-from passgate.eligibility.places import Places
+from passgate.eligibility.places import Topology
 from passgate.eligibility.replica_info import ReplicaInfo
 from passgate.emulator.shared_log import MemorySharedLog, SharedLogFaults
 from passgate.gateway.replicas import ReplicaTable
-from passgate.sharedlog.candidacy import Candidacy
+from passgate.sharedlog.candidacy import GroupMembershipPolicy
 from passgate.sharedlog.group import GroupMember
 
 DIRECT_LIMIT = 20
@@ -48,16 +48,18 @@
         name = f"d{number}"
         client = log.client(name)
         decisions = DecisionLog(name, write=len)
-        self.replica_table = ReplicaTable(Places(zone="z"))
+        self.replica_table = ReplicaTable(Topology(zone="z"))
         group = f"watch.{number % ZONES}"
-        self.member = GroupMember(client, group, name, "jobs", decisions, candidacy=Candidacy(cores=2.0))
+        self.member = GroupMember(
+            client, group, name, "jobs", decisions, membership_policy=GroupMembershipPolicy(cores=2.0)
+        )
         self.discovery = Discovery(
             client,
             TOPICS,
             Decoder(),
             DiscoveryView(self.replica_table, decisions),
             name,
-            lambda: relays and 0 in self.member.held(),
+            lambda: relays and 0 in self.member.assigned_partitions(),
             decisions,
             direct_limit=DIRECT_LIMIT,
             seed=number,
@@ -81,7 +83,7 @@
 
 
 def test_outdated_updates_are_ignored():
-    table = ReplicaTable(Places(zone="z"))
+    table = ReplicaTable(Topology(zone="z"))
 
     async def main():
         view = DiscoveryView(table, DecisionLog("d", write=len))
@@ -336,13 +338,13 @@
 
 @pytest.mark.parametrize("own_record", [False, True])
 def test_only_an_entry_of_its_own_shows_that_a_replica_is_not_cold(own_record):
-    table = ReplicaTable(Places(zone="z"))
-    table.cold.limit_of = {"s": ColdLimit(lasts_s=8.0, most_per_s=29)}.get
+    table = ReplicaTable(Topology(zone="z"))
+    table.cold_replicas.limit_of = {"s": ColdLimit(max_duration_s=8.0, max_requests_per_s=29)}.get
 
     async def main():
         view = DiscoveryView(table, DecisionLog("d", write=len))
         view.apply_list([make_info(1)], 5)
-        table.unreachable(make_info(1).life, monotonic_s())
+        table.record_unreachable(make_info(1).incarnation, monotonic_s())
         await asyncio.sleep(2.0)
         if own_record:
             view.apply(ReplicaUpdate(replica_id="r1", at=6, info=make_info(1)))
@@ -350,6 +352,6 @@
             view.apply_list([make_info(1)], 6)
             for update in view.updates():
                 view.apply(msgspec.structs.replace(update, at=7))
-        assert table.cold.is_cold(make_info(1), monotonic_s()) is not own_record
+        assert table.cold_replicas.is_cold(make_info(1), monotonic_s()) is not own_record
 
     run_virtual(main())
--- a/tests/test_discovery_other_writers.py
+++ b/tests/test_discovery_other_writers.py
@@ -23,14 +23,14 @@
 )
 from passgate.discovery.service import Discovery, ReplicaTopics
 from passgate.discovery.unusable import KEY_LOG_INTERVAL_S, LOG_INTERVAL_S, UnusableEntries
-from passgate.discovery.view import COME_BACK_S, DiscoveryView, ReplicaUpdate
+from passgate.discovery.view import RETURN_GRACE_S, DiscoveryView, ReplicaUpdate
 from passgate.eligibility.known_service import KnownServiceRule
-from passgate.eligibility.places import Places
+from passgate.eligibility.places import Topology
 from passgate.eligibility.replica_info import ReplicaInfo
 from passgate.emulator.shared_log import MemorySharedLog
 from passgate.errors import ExecutionStatus, MalformedRecord, NotReady
 from passgate.gateway.metrics import GatewayMetrics
-from passgate.gateway.replicas import ChoiceRequest, ReplicaTable
+from passgate.gateway.replicas import ReplicaQuery, ReplicaTable
 from passgate.platform.beliefs import PlatformReplicaDecoder
 from passgate.platform.front import PlatformReplicaControl
 from passgate.platform.log_client import PlatformLog
@@ -72,7 +72,7 @@
 def assert_usable(info):
     assert info.service and info.zone and info.replica_id
     assert 1 <= info.slots <= 1_000_000
-    assert info.born_unix_ms >= 0 and info.cold_ms >= 0
+    assert info.started_unix_ms >= 0 and info.cold_ms >= 0
     assert 0 < int(info.address.rpartition(":")[2]) <= 65_535
 
 
@@ -160,7 +160,7 @@
         self.decisions = DecisionLog(
             "d", write=lambda data: self.lines.append(data) or len(data), observe=self.metrics.observe
         )
-        self.replica_table = ReplicaTable(Places(zone="z"))
+        self.replica_table = ReplicaTable(Topology(zone="z"))
         self.view = DiscoveryView(self.replica_table, self.decisions)
         self.discovery = Discovery(
             log.client("d"),
@@ -176,7 +176,7 @@
         self.task = asyncio.get_running_loop().create_task(self.discovery.run())
 
     def known_replica_ids(self):
-        return {state.life.replica_id for state in self.replica_table.all()}
+        return {state.incarnation.replica_id for state in self.replica_table.all()}
 
     def logged_lines(self, event):
         self.decisions.flush()
@@ -216,7 +216,7 @@
         write_entry(log, "r", ENTRY)
         write_entry(log, "other", ENTRY)
         node = Node(log)
-        await asyncio.sleep(COME_BACK_S + 1.0)
+        await asyncio.sleep(RETURN_GRACE_S + 1.0)
         state = node.replica_table.get("r")
         state.in_flight = 2
         write_entry(log, "r", bad)
@@ -280,7 +280,7 @@
     async def main():
         log = MemorySharedLog()
         infos = [decode(ENTRY, key=f"r{number}") for number in range(40)]
-        view = DiscoveryView(ReplicaTable(Places(zone="z")), DecisionLog("x", write=len))
+        view = DiscoveryView(ReplicaTable(Topology(zone="z")), DecisionLog("x", write=len))
         view.apply_list(infos, at=5)
         for number in range(LIST_PARTS):
             updates = tuple(update for update in view.updates() if part_of(update.replica_id) == number)
@@ -356,13 +356,13 @@
 
 
 def test_replicas_of_an_unconfigured_service_get_no_requests():
-    table = ReplicaTable(Places(zone="z"))
-    table.rules.add(KnownServiceRule({"s"}.__contains__))
+    table = ReplicaTable(Topology(zone="z"))
+    table.send_rules.add(KnownServiceRule({"s"}.__contains__))
     for service in ("s", "unheard-of"):
         table.put(ReplicaInfo(replica_id=service, service=service, address="h:1", zone="z", slots=1))
-    query = ChoiceRequest(services=frozenset({"unheard-of"}))
+    query = ReplicaQuery(services=frozenset({"unheard-of"}))
     assert table.choose(query, now_s=0.0) is None
-    assert table.choose(ChoiceRequest(services=frozenset({"s"})), now_s=0.0) is not None
+    assert table.choose(ReplicaQuery(services=frozenset({"s"})), now_s=0.0) is not None
 
 
 def test_relayed_changes_keep_the_overwritten_mark():
--- a/tests/test_duties_scaling.py
+++ b/tests/test_duties_scaling.py
@@ -12,13 +12,13 @@
 from passgate.duties.scaling_fold import ScalingProjection
 from passgate.duties.scaling_policy import ZoneReplicas, spread_replicas
 from passgate.eligibility.evacuation import EvacuatedZones
-from passgate.eligibility.places import Places
+from passgate.eligibility.places import Topology
 from passgate.eligibility.replica_info import ReplicaInfo
 from passgate.emulator.shared_log import MemorySharedLog
 from passgate.gateway.replicas import ReplicaTable
 from passgate.gateway.routes import ConfigHolder, GatewayConfig, ScalingRule, Service
 from passgate.jobs.journal import Journal
-from passgate.jobs.records import JobNoted, writer_name
+from passgate.jobs.records import WeightDemand, writer_name
 from passgate.versions.control import ControlTopic
 
 RULE = ScalingRule(least=1, most=4, boot_s=2.0, spot_price=0.2, zone_prices={"a": 1.0, "b": 0.8})
@@ -32,7 +32,7 @@
     def __init__(self, daemons, seed=0, lost=0.0):
         self.daemons = daemons
         self.random = random.Random(seed)
-        self.lost = lost
+        self.unanswered_share = lost
         self.refusing_until_s = 0.0
         self.fences = {}
         self.holders = {}
@@ -40,7 +40,7 @@
         self.calls = []
 
     async def order_replicas(self, order):
-        if self.random.random() < self.lost:
+        if self.random.random() < self.unanswered_share:
             asyncio.get_running_loop().call_later(self.random.choice([0.1, 3.0]), self.handle_order, order)
             await asyncio.sleep(1.0)
             return DutyOutcome.UNKNOWN
@@ -90,10 +90,10 @@
         writer = writer_name(name, str(incarnation), f"{name}:7720")
         decisions = DecisionLog(name, write=len)
         self.scaling_projection = ScalingProjection()
-        self.replicas = ReplicaTable(Places(zone="a"), seed=1)
+        self.replicas = ReplicaTable(Topology(zone="a"), seed=1)
         self.evacuated = EvacuatedZones(decisions)
         config = ConfigHolder()
-        config.offer(GatewayConfig(version=1, services=(Service(name="llm", scaling=RULE),)))
+        config.apply_if_newer(GatewayConfig(version=1, services=(Service(name="llm", scaling=RULE),)))
         journal = Journal(client, "control", 0, writer, **JOURNAL_LIMITS)
         self.control = ControlTopic(
             client,
@@ -102,7 +102,7 @@
             lambda: True,
             decisions,
             lease_s=LEASE_S,
-            folds=(self.scaling_projection,),
+            projections=(self.scaling_projection,),
         )
         self.scaler = Scaler(
             self.scaling_projection,
@@ -112,7 +112,7 @@
             CallRateLimiter(40.0),
             config,
             self.replicas,
-            self.control.fold.newest_jobs,
+            self.control.leadership_projection.newest_demand_by_model,
             decisions,
             evacuated_zones=self.evacuated,
             holder=name,
@@ -143,25 +143,25 @@
         return sum(1 for state in self.replicas.all())
 
 
-def world(seed=0, lost=0.0, count=3):
+def start_daemons(seed=0, unanswered_share=0.0, count=3):
     daemons = []
-    log, platform = MemorySharedLog(), PlatformStub(daemons, seed, lost)
+    log, platform = MemorySharedLog(), PlatformStub(daemons, seed, unanswered_share)
     daemons.extend(Daemon(log, platform, f"d{number}").start() for number in range(count))
     return log, platform, daemons
 
 
-def note(daemon, items):
-    daemon.control.journal.put(JobNoted(model="m", lag=1, items=items))
+def submit_job(daemon, items):
+    daemon.control.journal.put(WeightDemand(model="m", lag=1, items=items))
 
 
 def test_replicas_for_a_whole_step_are_ordered_within_the_limits():
     async def main():
-        _, platform, daemons = world()
+        _, platform, daemons = start_daemons()
         await asyncio.sleep(2.0)
-        note(daemons[0], items=36)
+        submit_job(daemons[0], items=36)
         await asyncio.sleep(8.0)
         assert daemons[0].present() == 5
-        note(daemons[0], items=1000)
+        submit_job(daemons[0], items=1000)
         await asyncio.sleep(8.0)
         assert daemons[0].present() == 2 * RULE.most
         assert all(order.spot for _, order in platform.calls)
@@ -171,8 +171,8 @@
 
 def test_nothing_is_ordered_when_present_replicas_suffice():
     async def main():
-        _, platform, daemons = world()
-        note(daemons[0], items=16)
+        _, platform, daemons = start_daemons()
+        submit_job(daemons[0], items=16)
         await asyncio.sleep(20.0)
         assert platform.calls == []
 
@@ -182,16 +182,16 @@
 @pytest.mark.parametrize("seed", range(6))
 def test_late_orders_and_killed_leaders_leave_one_count_and_unshared_fences(seed):
     async def main():
-        log, platform, daemons = world(seed, lost=0.4)
+        log, platform, daemons = start_daemons(seed, unanswered_share=0.4)
         await asyncio.sleep(2.0)
         for incarnation in range(1, 4):
-            note(daemons[seed % 3], items=16 + 10 * incarnation)
+            submit_job(daemons[seed % 3], items=16 + 10 * incarnation)
             await asyncio.sleep(5.0)
             leaders = [daemon for daemon in daemons if daemon.control.leadership.leads]
             index = daemons.index(leaders[0] if leaders else daemons[0])
             await daemons[index].kill()
             daemons[index] = Daemon(log, platform, f"d{index}", incarnation).start()
-        platform.lost = 0.0
+        platform.unanswered_share = 0.0
         await asyncio.sleep(20.0)
         count_by_pool = {
             pool: decision.count for pool, decision in daemons[0].scaling_projection.decision_by_pool.items()
@@ -206,9 +206,9 @@
 
 def test_after_a_reclaim_replicas_are_ordered_again_at_a_limited_rate():
     async def main():
-        _, platform, daemons = world()
+        _, platform, daemons = start_daemons()
         await asyncio.sleep(2.0)
-        note(daemons[0], items=36)
+        submit_job(daemons[0], items=36)
         await asyncio.sleep(10.0)
         before = len(platform.calls)
         for zone in ("a", "b"):
--- a/tests/test_duties_usage.py
+++ b/tests/test_duties_usage.py
@@ -13,9 +13,9 @@
 from passgate.duties.calls import CallRateLimiter, DutyOutcome
 from passgate.duties.meter import FLUSH_INTERVAL_S, UsageMeter
 from passgate.duties.usage_channel import RECORD_COUNTS_METHOD, UsageForwarder
-from passgate.duties.usage_fold import UsageFold
+from passgate.duties.usage_fold import UsageProjection
 from passgate.duties.usage_reporter import UsageReporter
-from passgate.duties.wall_clock import AgreedWallClock
+from passgate.duties.wall_clock import SynchronizedWallClock
 from passgate.duties.windows import UsageWindows
 from passgate.emulator.shared_log import MemorySharedLog
 from passgate.jobs.journal import Journal
@@ -71,7 +71,7 @@
         self.transport = network.transport(f"{name}:7720", name)
         writer = writer_name(name, str(incarnation), self.transport.address)
         decisions = DecisionLog(name, write=len)
-        self.usage_projection = UsageFold()
+        self.usage_projection = UsageProjection()
         journal = Journal(self.client, "control", 0, writer, **JOURNAL_LIMITS)
         self.control = ControlTopic(
             self.client,
@@ -80,10 +80,10 @@
             lambda: True,
             decisions,
             lease_s=LEASE_S,
-            folds=(self.usage_projection,),
+            projections=(self.usage_projection,),
         )
         self.usage_forwarder = UsageForwarder(
-            self.transport, journal, lambda: self.control.fold.leader, self.find_watcher
+            self.transport, journal, lambda: self.control.leadership_projection.leader, self.find_watcher
         )
         self.meter = UsageMeter(writer, WINDOWS, monotonic_s, self.usage_forwarder.send)
         self.reporter = UsageReporter(
@@ -127,7 +127,7 @@
     while monotonic_s() < until_s:
         daemon = daemons[number % len(daemons)]
         tenant = f"t{number % 3}"
-        daemon.meter.began(tenant, monotonic_s())
+        daemon.meter.record_started(tenant, monotonic_s())
         counts = expected.setdefault(WINDOWS.window_at(monotonic_s()), {})
         counts[tenant] = counts.get(tenant, 0) + 1
         number += 1
@@ -198,36 +198,40 @@
 
 
 def test_a_repeated_count_is_added_once():
-    projection = UsageFold()
+    projection = UsageProjection()
     entry = UsageCounted(meter="d1.a", number=4, window=9, counts={"orchard": 3})
     for writer in ("d1.a", "d2.a", "d1.a"):
-        projection.apply(0, writer, entry, leads=False)
+        projection.apply(0, writer, entry, by_leader=False)
     assert projection.counts_of(9) == {"orchard": 3}
 
 
 def test_a_late_count_changes_no_committed_window_and_is_recorded_as_late():
-    projection = UsageFold()
-    projection.apply(0, "d1.a", UsageCommitted(window=9, counts={"orchard": 3}), leads=True)
+    projection = UsageProjection()
+    projection.apply(0, "d1.a", UsageCommitted(window=9, counts={"orchard": 3}), by_leader=True)
     projection.apply(
-        0, "d2.a", UsageCounted(meter="d2.a", number=0, window=9, counts={"mill": 2}), leads=False
+        0, "d2.a", UsageCounted(meter="d2.a", number=0, window=9, counts={"mill": 2}), by_leader=False
+    )
+    assert (projection.unreported_counts_by_window, projection.counts_of(9), projection.late_requests) == (
+        {9: {"orchard": 3}},
+        {},
+        2,
     )
-    assert (projection.unreported, projection.counts_of(9), projection.late) == ({9: {"orchard": 3}}, {}, 2)
 
 
 def test_only_the_leader_commits_and_the_first_commit_holds():
-    projection = UsageFold()
-    projection.apply(0, "d2.a", UsageCommitted(window=9, counts={}), leads=False)
-    assert projection.through is None
-    projection.apply(0, "d1.a", UsageCommitted(window=9, counts={"orchard": 3}), leads=True)
-    projection.apply(0, "d2.a", UsageCommitted(window=9, counts={"orchard": 4}), leads=True)
-    assert projection.unreported == {9: {"orchard": 3}}
+    projection = UsageProjection()
+    projection.apply(0, "d2.a", UsageCommitted(window=9, counts={}), by_leader=False)
+    assert projection.last_committed_window is None
+    projection.apply(0, "d1.a", UsageCommitted(window=9, counts={"orchard": 3}), by_leader=True)
+    projection.apply(0, "d2.a", UsageCommitted(window=9, counts={"orchard": 4}), by_leader=True)
+    assert projection.unreported_counts_by_window == {9: {"orchard": 3}}
 
 
 def test_after_truncated_history_no_counted_window_is_considered_uncommitted():
-    projection = UsageFold()
+    projection = UsageProjection()
     projection.set_first_offset(first_offset=40)
     projection.apply(
-        0, "d2.a", UsageCounted(meter="d2.a", number=0, window=9, counts={"mill": 2}), leads=False
+        0, "d2.a", UsageCounted(meter="d2.a", number=0, window=9, counts={"mill": 2}), by_leader=False
     )
     assert projection.first_uncommitted_window() is None
 
@@ -237,7 +241,7 @@
     """Of 10 daemons, 3 start with a wrong clock; the median must not move."""
     monotonic_s = 100.0
     clocks = [
-        AgreedWallClock(
+        SynchronizedWallClock(
             lambda wrong=number < 3: 1000.0 + monotonic_s + (step_s if wrong else 0.0), lambda: monotonic_s
         )
         for number in range(10)
@@ -258,10 +262,10 @@
             return True
 
         meter = UsageMeter("d1.a", WINDOWS, lambda: 0.0, send)
-        meter.began("orchard", 4.9)
-        meter.began("orchard", 5.1)
-        meter.began(None, 5.1)
-        meter.began("", 5.1)
+        meter.record_started("orchard", 4.9)
+        meter.record_started("orchard", 5.1)
+        meter.record_started(None, 5.1)
+        meter.record_started("", 5.1)
         await meter.flush()
         assert [(entry.window, entry.counts) for entry in sent] == [(0, {"orchard": 1}), (1, {"orchard": 1})]
 
@@ -277,9 +281,9 @@
             return len(sent_numbers) > 1
 
         meter = UsageMeter("d1.a", WINDOWS, lambda: 0.0, send)
-        meter.began("orchard", 1.0)
+        meter.record_started("orchard", 1.0)
         await meter.flush()
-        meter.began("orchard", 1.0)
+        meter.record_started("orchard", 1.0)
         await meter.flush()
         await meter.flush()
         assert sent_numbers == [[0], [0, 1]]
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -12,19 +12,19 @@
 from passgate.clock import monotonic_s, run_virtual
 from passgate.decisions import DecisionLog, EvacuationEnded, ZoneEvacuated
 from passgate.eligibility.evacuation import EvacuatedZones, EvacuationChange, EvacuationRule, EvacuationView
-from passgate.eligibility.places import Places
-from passgate.eligibility.replica_info import ReplicaInfo, ReplicaLife
+from passgate.eligibility.places import Topology
+from passgate.eligibility.replica_info import ReplicaIncarnation, ReplicaInfo
 from passgate.emulator.shared_log import MemorySharedLog
 from passgate.errors import InvalidConfiguration
-from passgate.gateway.configuration_peers import ASK_AFTER_S, KnownConfiguration
-from passgate.gateway.replicas import ChoiceRequest, ReplicaTable
-from passgate.jobs.group_replicas import GroupReplicas
-from passgate.jobs.records import JobNoted
-from passgate.platform.beliefs import Beliefs
-from passgate.platform.documents import evacuated_zone
-from passgate.quarantine.service import Crashes
+from passgate.gateway.configuration_peers import POLL_AFTER_S, ConfigurationSnapshot
+from passgate.gateway.replicas import ReplicaQuery, ReplicaTable
+from passgate.jobs.group_replicas import GroupAffinity
+from passgate.jobs.records import WeightDemand
+from passgate.platform.beliefs import OperatorTopicHandler
+from passgate.platform.documents import zone_of_evacuation_key
+from passgate.quarantine.service import CrashQuarantine
 from passgate.sharedlog.log import KeyedRecord
-from passgate.versions.loader import Loader, ReplicaReport, WantedVersions, read_life
+from passgate.versions.loader import Loader, ReplicaReport, TargetVersions, read_incarnation
 from tests import test_duties_scaling as scaling
 from tests import test_gateway_configuration_peers as peers
 
@@ -37,8 +37,8 @@
 
 
 def replica_table(evacuated, zones="ab", count=2, models=("m",)):
-    replicas = ReplicaTable(Places(zone="a"), seed=1)
-    replicas.rules.add(EvacuationRule(evacuated))
+    replicas = ReplicaTable(Topology(zone="a"), seed=1)
+    replicas.send_rules.add(EvacuationRule(evacuated))
     for zone in zones:
         for number in range(count):
             replicas.put(
@@ -60,10 +60,10 @@
 def test_each_change_writes_one_decision_line_with_its_source_and_age():
     events, ended = [], []
     zones = EvacuatedZones(decision_log(events))
-    zones.on_ended.append(ended.append)
-    zones.replace({"a"}, next_offset=3)
-    zones.replace({"a"}, next_offset=4)
-    zones.learn(EvacuationView(offset=9, zones=frozenset({"b"})), peer="h:1", age_s=0.25)
+    zones.on_evacuation_ended.append(ended.append)
+    zones.apply_snapshot({"a"}, next_offset=3)
+    zones.apply_snapshot({"a"}, next_offset=4)
+    zones.adopt_newer_view(EvacuationView(offset=9, zones=frozenset({"b"})), peer="h:1", age_s=0.25)
     assert events == [
         ZoneEvacuated(zone="a", source="log", peer="", age_ms=0.0, offset=3),
         ZoneEvacuated(zone="b", source="peer", peer="h:1", age_ms=250.0, offset=9),
@@ -74,11 +74,11 @@
 
 def test_records_already_contained_in_a_peers_view_are_skipped():
     zones = EvacuatedZones(decision_log())
-    zones.learn(EvacuationView(offset=2), peer="h:1", age_s=0.0)
+    zones.adopt_newer_view(EvacuationView(offset=2), peer="h:1", age_s=0.0)
     contained = EvacuationChange(offset=0, zone="a", evacuated=True)
-    zones.update([contained], next_offset=1)
+    zones.apply_changes([contained], next_offset=1)
     assert "a" not in zones
-    zones.update([EvacuationChange(offset=2, zone="a", evacuated=True)], next_offset=3)
+    zones.apply_changes([EvacuationChange(offset=2, zone="a", evacuated=True)], next_offset=3)
     assert "a" in zones
 
 
@@ -89,14 +89,16 @@
 
 
 def make_beliefs():
-    def put_config(config):
+    def apply_configuration(config):
         raise msgspec.ValidationError("configurations are not read in these tests")
 
     zones = EvacuatedZones(decision_log())
     daemon = types.SimpleNamespace(
-        evacuated=zones, put_config=put_config, wanted=WantedVersions(decision_log())
+        evacuated_zones=zones,
+        apply_configuration=apply_configuration,
+        target_versions=TargetVersions(decision_log()),
     )
-    return Beliefs(daemon), zones
+    return OperatorTopicHandler(daemon), zones
 
 
 def evacuated_by(records):
@@ -110,18 +112,18 @@
 def test_view_follows_from_keys_of_any_records(snapshot, further):
     snapshot = list({record.key: record for record in snapshot}.values())
     beliefs, zones = make_beliefs()
-    beliefs.replace_operator(tuple(snapshot), 7)
+    beliefs.apply_snapshot(tuple(snapshot), 7)
     assert zones.view == EvacuationView(offset=7, zones=frozenset(evacuated_by(snapshot)))
-    beliefs.update_operator(tuple(further), 7)
+    beliefs.apply_records(tuple(further), 7)
     all_zones = frozenset(evacuated_by(snapshot + further))
     assert zones.view == EvacuationView(offset=7 + len(further), zones=all_zones)
 
 
 def test_key_without_zone_is_rejected_and_logged(caplog):
     with pytest.raises(InvalidConfiguration):
-        evacuated_zone("evacuate/")
+        zone_of_evacuation_key("evacuate/")
     beliefs, zones = make_beliefs()
-    beliefs.replace_operator((KeyedRecord(key="evacuate/", value=b"{}"),), 1)
+    beliefs.apply_snapshot((KeyedRecord(key="evacuate/", value=b"{}"),), 1)
     assert len(zones) == 0
     assert [record.message for record in caplog.records] == ["unreadable_record"]
 
@@ -131,14 +133,14 @@
 
 def test_daemon_cut_off_from_log_gets_start_and_end_of_evacuations_from_peers():
     async def main():
-        _, daemons = peers.world(6)
+        _, daemons = peers.make_daemons(6)
         cut_off, connected = daemons[0], daemons[1:]
-        peers.put(daemons, peers.config(1))
+        peers.publish(daemons, peers.make_config(1))
         tasks = [daemon.start() for daemon in daemons]
         cut_off.turned_away_s = monotonic_s()
         for offset, zones in ((4, {"a"}), (5, {"b"}), (9, set())):
             for daemon in connected:
-                daemon.evacuated.replace(zones, offset)
+                daemon.evacuated.apply_snapshot(zones, offset)
             await asyncio.sleep(EVACUATION_S)
             assert cut_off.evacuated.view == EvacuationView(offset=offset, zones=frozenset(zones))
             assert cut_off.peers.evacuations_age_s() < EVACUATION_S
@@ -150,15 +152,15 @@
 
 def test_older_view_of_peers_is_ignored():
     async def main():
-        _, daemons = peers.world(3)
+        _, daemons = peers.make_daemons(3)
         for daemon in daemons[1:]:
-            daemon.evacuated.replace(set(), 3)
-        daemons[0].evacuated.replace({"a"}, 4)
+            daemon.evacuated.apply_snapshot(set(), 3)
+        daemons[0].evacuated.apply_snapshot({"a"}, 4)
         daemons[0].turned_away_s = monotonic_s()
         task = daemons[0].start()
         for daemon in daemons[1:]:
             daemon.start()
-        await asyncio.sleep(ASK_AFTER_S + 4.0)
+        await asyncio.sleep(POLL_AFTER_S + 4.0)
         assert "a" in daemons[0].evacuated
         assert daemons[0].peers.evacuations_age_s() > 4.0
         task.cancel()
@@ -168,11 +170,11 @@
 
 def test_messages_without_evacuations_are_compatible():
     async def main():
-        _, (daemon, *_) = peers.world(2)
-        daemon.holder.offer(peers.config(3))
-        old = msgspec.json.decode(b'{"age_s":0.1,"config":null}', type=KnownConfiguration)
+        _, (daemon, *_) = peers.make_daemons(2)
+        daemon.holder.apply_if_newer(peers.make_config(3))
+        old = msgspec.json.decode(b'{"age_s":0.1,"config":null}', type=ConfigurationSnapshot)
         assert old.evacuations is None
-        known = msgspec.json.decode(daemon.peers.answer(b'{"version":3}'), type=KnownConfiguration)
+        known = msgspec.json.decode(daemon.peers.handle_request(b'{"version":3}'), type=ConfigurationSnapshot)
         assert (known.config, known.evacuations.view) == (None, EvacuationView(offset=0))
 
     run_virtual(main())
@@ -180,9 +182,9 @@
 
 def test_daemon_sends_no_view_before_it_has_read_the_log():
     async def main():
-        _, (daemon, *_) = peers.world(2)
+        _, (daemon, *_) = peers.make_daemons(2)
         daemon.turned_away_s = float("-inf")
-        assert b'"evacuations":null' in daemon.peers.answer(b'{"version":0}')
+        assert b'"evacuations":null' in daemon.peers.handle_request(b'{"version":0}')
 
     run_virtual(main())
 
@@ -204,14 +206,14 @@
         await asyncio.sleep(0.01)
         self.on_report(replica_id[0])
         state = self.replicas.get(replica_id)
-        versions = {model: state.version_of(model) for model in state.info.model_versions}
+        versions = {model: state.weight_version(model) for model in state.info.model_versions}
         return ReplicaReport(orders_taken=0, busy=False, model_versions=versions)
 
     async def order(self, order):
         self.calls.append(("order", order.replica_id))
         self.ordered.append(order)
         await asyncio.sleep(0.1)
-        self.replicas.get(order.replica_id).observed_versions[order.model] = order.version
+        self.replicas.get(order.replica_id).reported_versions[order.model] = order.version
         return 202
 
     def calls_to(self, zone, kind="order"):
@@ -223,13 +225,13 @@
 
 def make_loader(replicas, jobs=None):
     leadership = types.SimpleNamespace(may_order=lambda: True, fence=1)
-    control, wanted = Control(replicas), WantedVersions(decision_log())
-    crashes = Crashes(
+    control, wanted = Control(replicas), TargetVersions(decision_log())
+    crashes = CrashQuarantine(
         MemorySharedLog().client("d"),
         "crashes",
-        replicas.set_aside,
+        replicas.eject,
         decision_log(),
-        partial(read_life, control),
+        partial(read_incarnation, control),
     )
     return (
         control,
@@ -243,7 +245,7 @@
         zones = EvacuatedZones(decision_log())
         replicas = replica_table(zones)
         control, wanted, loads = make_loader(replicas)
-        control.on_report = lambda zone: zones.replace({"b"}, 1) if zone == "b" else None
+        control.on_report = lambda zone: zones.apply_snapshot({"b"}, 1) if zone == "b" else None
         wanted.offer("m", 2)
         task = asyncio.get_running_loop().create_task(loads.run())
         await asyncio.sleep(10.0)
@@ -258,16 +260,18 @@
     async def main():
         zones = EvacuatedZones(decision_log())
         replicas = replica_table(zones, count=3, models=("m", "n"))
-        jobs = {model: JobNoted(model=model, lag=0, items=items) for model, items in (("m", 8), ("n", 48))}
+        jobs = {
+            model: WeightDemand(model=model, lag=0, items=items) for model, items in (("m", 8), ("n", 48))
+        }
         control, wanted, loads = make_loader(replicas, jobs)
         wanted.offer("m", 2)
         wanted.offer("n", 2)
-        zones.replace({"b"}, 1)
+        zones.apply_snapshot({"b"}, 1)
         task = asyncio.get_running_loop().create_task(loads.run())
         await asyncio.sleep(10.0)
         assert control.calls_to("b", "report") == control.calls_to("b") == []
-        assert all(replicas.get(f"a{n}").version_of("n") == 2 for n in range(3))
-        zones.replace(set(), 2)
+        assert all(replicas.get(f"a{n}").weight_version("n") == 2 for n in range(3))
+        zones.apply_snapshot(set(), 2)
         await asyncio.sleep(10.0)
         # Model n lacks half of the six replicas that its job needs, model m one of three.
         assert control.models_ordered("b")[0] == "n"
@@ -279,16 +283,16 @@
 
 def test_scaler_excludes_evacuated_zones():
     async def main():
-        _, platform, daemons = scaling.world()
+        _, platform, daemons = scaling.start_daemons()
         for daemon in daemons:
-            daemon.evacuated.replace({"b"}, 1)
+            daemon.evacuated.apply_snapshot({"b"}, 1)
         await asyncio.sleep(2.0)
-        scaling.note(daemons[0], items=16)
+        scaling.submit_job(daemons[0], items=16)
         await asyncio.sleep(8.0)
         assert {(order.zone, order.count) for _, order in platform.calls} == {("a", 1)}
-        scaling.note(daemons[0], items=36)
+        scaling.submit_job(daemons[0], items=36)
         for daemon in daemons:
-            daemon.evacuated.replace(set(), 2)
+            daemon.evacuated.apply_snapshot(set(), 2)
         await asyncio.sleep(8.0)
         assert {order.zone for _, order in platform.calls} == {"a", "b"}
 
@@ -297,19 +301,19 @@
 
 def test_unsent_scaling_decision_waits_for_end_of_evacuation():
     async def main():
-        _, platform, daemons = scaling.world(lost=1.0)
+        _, platform, daemons = scaling.start_daemons(unanswered_share=1.0)
         await asyncio.sleep(2.0)
-        scaling.note(daemons[0], items=36)
+        scaling.submit_job(daemons[0], items=36)
         await asyncio.sleep(3.0)
         for daemon in daemons:
-            daemon.evacuated.replace({"a", "b"}, 1)
-        platform.lost = 0.0
+            daemon.evacuated.apply_snapshot({"a", "b"}, 1)
+        platform.unanswered_share = 0.0
         await asyncio.sleep(4.0)  # lets the platform execute earlier calls that it answers late
         platform.calls.clear()
         await asyncio.sleep(6.0)
         assert platform.calls == []
         for daemon in daemons:
-            daemon.evacuated.replace(set(), 2)
+            daemon.evacuated.apply_snapshot(set(), 2)
         await asyncio.sleep(6.0)
         assert {order.zone for _, order in platform.calls} == {"a", "b"}
 
@@ -322,13 +326,13 @@
 def test_groups_of_evacuated_zone_are_moved_to_different_replicas_and_stay_there():
     zones = EvacuatedZones(decision_log())
     replicas = replica_table(zones, count=6)
-    groups = GroupReplicas(replicas, zones)
-    query = ChoiceRequest(services=frozenset({"llm"}), model="m", min_version=1)
+    groups = GroupAffinity(replicas, zones)
+    query = ReplicaQuery(services=frozenset({"llm"}), model="m", min_version=1)
     for number in range(5):
-        groups.sent(f"g{number}", ReplicaLife(f"b{number}"))
-    groups.sent("g5", ReplicaLife("a0"))
-    zones.replace({"b"}, 1)
-    planned = {f"g{number}": groups.preferred(f"g{number}", query, 0.0) for number in range(6)}
-    assert planned["g5"] == ReplicaLife("a0")
-    assert set(planned.values()) == {ReplicaLife(f"a{number}") for number in range(6)}
-    assert planned == {group: groups.preferred(group, query, 1.0) for group in planned}
+        groups.record_send(f"g{number}", ReplicaIncarnation(f"b{number}"))
+    groups.record_send("g5", ReplicaIncarnation("a0"))
+    zones.apply_snapshot({"b"}, 1)
+    planned = {f"g{number}": groups.choose_preferred(f"g{number}", query, 0.0) for number in range(6)}
+    assert planned["g5"] == ReplicaIncarnation("a0")
+    assert set(planned.values()) == {ReplicaIncarnation(f"a{number}") for number in range(6)}
+    assert planned == {group: groups.choose_preferred(group, query, 1.0) for group in planned}
--- a/tests/test_evacuation_daemon.py
+++ b/tests/test_evacuation_daemon.py
@@ -19,13 +19,13 @@
 async def evacuate_zone(world):
     """Evacuate the zone; return the time at which the daemon has applied that."""
     world.log.put("keyed.op", f"evacuate/{ZONE}", {})
-    await world.until(lambda: ZONE in world.daemon.evacuated, APPLY_TIMEOUT_S)
+    await world.until(lambda: ZONE in world.daemon.evacuated_zones, APPLY_TIMEOUT_S)
     return time.monotonic()
 
 
 async def end_evacuation(world):
     world.log.put("keyed.op", f"evacuate/{ZONE}", None)
-    await world.until(lambda: ZONE not in world.daemon.evacuated, APPLY_TIMEOUT_S)
+    await world.until(lambda: ZONE not in world.daemon.evacuated_zones, APPLY_TIMEOUT_S)
 
 
 def runs_in(world, zone, began_after_s=0.0):
@@ -81,7 +81,7 @@
 
     async def wait_and_evacuate(run):
         await wait_for_replica(run)
-        if not evacuated_s and run._state.info.zone == ZONE:
+        if not evacuated_s and run._reserved_replica.info.zone == ZONE:
             evacuated_s.append(await evacuate_zone(world))
 
     with unittest.mock.patch.object(ItemRun, "wait_for_replica", wait_and_evacuate):
@@ -89,7 +89,7 @@
         rows = await world.all_results("job1")
     assert {row["state"] for row in rows} == {"succeeded"}
     assert runs_in(world, ZONE, evacuated_s[0]) == []
-    excluded = [key for key in world.daemon.replicas.rules.kept_back if key.checked_at.value == "send"]
+    excluded = [key for key in world.daemon.replicas.send_rules.exclusion_counts if key.stage.value == "send"]
     assert [(key.rule, key.kind.value) for key in excluded] == [("evacuation", "request")]
 
 
@@ -134,9 +134,9 @@
     await asyncio.sleep(0.2)
     world.log.put("keyed.op", f"evacuate/{ZONE}", None)
     await asyncio.sleep(0.5)
-    assert ZONE in world.daemon.evacuated
+    assert ZONE in world.daemon.evacuated_zones
     world.log.faults.refusing = False
-    await world.until(lambda: ZONE not in world.daemon.evacuated)
+    await world.until(lambda: ZONE not in world.daemon.evacuated_zones)
 
 
 @in_world
@@ -148,7 +148,7 @@
     world.log.put("keyed.op", f"evacuate/{ZONE}", None)
     world.log.drop_history("keyed.op")
     world.log.faults.refusing = False
-    await world.until(lambda: ZONE not in world.daemon.evacuated)
+    await world.until(lambda: ZONE not in world.daemon.evacuated_zones)
     assert (await world.call("POST", "/call/x", b"")).status == 200
 
 
--- a/tests/test_gateway_access.py
+++ b/tests/test_gateway_access.py
@@ -21,7 +21,7 @@
 
 
 def authenticate(*credentials, public=False, index=INDEX):
-    return index.caller_of(tuple(("Authorization", value) for value in credentials), public=public)
+    return index.authenticate(tuple(("Authorization", value) for value in credentials), public=public)
 
 
 def test_each_key_yields_its_tenant():
@@ -99,8 +99,8 @@
 )
 def test_a_configuration_with_invalid_tenants_is_rejected_and_the_active_one_stays(tenants):
     holder = ConfigHolder()
-    holder.offer(GatewayConfig(version=1, tenants=(ORCHARD,)))
+    holder.apply_if_newer(GatewayConfig(version=1, tenants=(ORCHARD,)))
     with pytest.raises(InvalidConfiguration):
-        holder.offer(GatewayConfig(version=2, tenants=tenants))
+        holder.apply_if_newer(GatewayConfig(version=2, tenants=tenants))
     assert holder.version == 1
-    assert holder.offer(GatewayConfig(version=3, tenants=(MILL,)))
+    assert holder.apply_if_newer(GatewayConfig(version=3, tenants=(MILL,)))
--- a/tests/test_gateway_configuration_peers.py
+++ b/tests/test_gateway_configuration_peers.py
@@ -11,10 +11,10 @@
 from passgate.eligibility.evacuation import EvacuatedZones
 from passgate.gateway.access import Tenant
 from passgate.gateway.configuration_peers import (
-    ASK_AFTER_S,
     CONFIGURATION_METHOD,
-    ConfigurationPeers,
-    KnownConfiguration,
+    POLL_AFTER_S,
+    ConfigurationSnapshot,
+    PeerConfigurationPoller,
 )
 from passgate.gateway.routes import ConfigHolder, GatewayConfig
 from passgate.peers.memory_transport import MemoryNetwork
@@ -23,7 +23,7 @@
 """Time within which every daemon must have applied a configuration."""
 
 
-def config(version, *keys):
+def make_config(version, *keys):
     return GatewayConfig(version=version, tenants=(Tenant(name="orchard", api_keys=keys),))
 
 
@@ -38,13 +38,13 @@
         self.turned_away_s = None
         decisions = DecisionLog("d", write=len)
         self.evacuated = EvacuatedZones(decisions)
-        self.peers = ConfigurationPeers(
+        self.peers = PeerConfigurationPoller(
             self.transport,
             self.list_peers,
             self.holder,
             self.evacuated,
             self.log_age_s,
-            self.holder.offer,
+            self.holder.apply_if_newer,
             decisions,
         )
 
@@ -57,39 +57,39 @@
 
     async def answer_query(self, sender, method, payload):
         assert method == CONFIGURATION_METHOD
-        return self.peers.answer(payload)
+        return self.peers.handle_request(payload)
 
     def start(self):
         self.transport.start(lambda sender, payload: None, self.answer_query)
         return asyncio.get_running_loop().create_task(self.peers.run())
 
 
-def world(count=12):
+def make_daemons(count=12):
     network, daemons = MemoryNetwork(random.Random(1)), []
     daemons.extend(SimulatedDaemon(network, number, daemons) for number in range(count))
     return network, daemons
 
 
-def put(daemons, new):
+def publish(daemons, new):
     for daemon in daemons:
         if daemon.turned_away_s is None:
-            daemon.holder.offer(new)
+            daemon.holder.apply_if_newer(new)
 
 
 @pytest.mark.parametrize("seed", range(5))
 def test_daemons_without_the_log_apply_each_version_in_time(seed):
     async def main():
         random.seed(seed)
-        _, daemons = world()
+        _, daemons = make_daemons()
         tasks = [daemon.start() for daemon in daemons]
-        put(daemons, config(1, "k1", "k2"))
+        publish(daemons, make_config(1, "k1", "k2"))
         for daemon in daemons[::3]:
             daemon.turned_away_s = monotonic_s()
         for version in range(2, 6):
-            put(daemons, config(version, "k2"))
+            publish(daemons, make_config(version, "k2"))
             await asyncio.sleep(APPLY_DEADLINE_S)
             assert {daemon.holder.version for daemon in daemons} == {version}
-            assert all(daemon.peers.age_s() < APPLY_DEADLINE_S for daemon in daemons)
+            assert all(daemon.peers.configuration_age_s() < APPLY_DEADLINE_S for daemon in daemons)
         for task in tasks:
             task.cancel()
 
@@ -98,11 +98,11 @@
 
 def test_an_older_version_of_a_peer_is_not_applied():
     async def main():
-        _, daemons = world(3)
+        _, daemons = make_daemons(3)
         behind, ahead, _ = daemons
-        put(daemons, config(4, "k2"))
+        publish(daemons, make_config(4, "k2"))
         ahead.turned_away_s = monotonic_s()
-        ahead.holder.offer(config(7, "k2"))
+        ahead.holder.apply_if_newer(make_config(7, "k2"))
         task = ahead.start()
         for daemon in (behind, daemons[2]):
             daemon.start()
@@ -115,15 +115,15 @@
 
 def test_peers_are_polled_only_without_the_log_and_the_age_grows_if_none_answers():
     async def main():
-        network, daemons = world(3)
-        put(daemons, config(1))
+        network, daemons = make_daemons(3)
+        publish(daemons, make_config(1))
         tasks = [daemon.start() for daemon in daemons]
         await asyncio.sleep(10.0)
         assert all(daemon.transport.counters.frames_sent == 0 for daemon in daemons)
         daemons[0].turned_away_s = monotonic_s()
         network.cut(lambda address, zone: address == daemons[0].transport.address)
-        await asyncio.sleep(ASK_AFTER_S + 4.0)
-        assert daemons[0].peers.age_s() == pytest.approx(ASK_AFTER_S + 4.0, abs=0.2)
+        await asyncio.sleep(POLL_AFTER_S + 4.0)
+        assert daemons[0].peers.configuration_age_s() == pytest.approx(POLL_AFTER_S + 4.0, abs=0.2)
         for task in tasks:
             task.cancel()
 
@@ -132,11 +132,11 @@
 
 def test_an_answer_contains_a_configuration_only_if_it_is_newer_than_the_query():
     async def main():
-        _, (daemon, *_) = world(2)
-        daemon.holder.offer(config(3, "k"))
+        _, (daemon, *_) = make_daemons(2)
+        daemon.holder.apply_if_newer(make_config(3, "k"))
         for version, expected in ((2, 3), (3, None), (9, None)):
             query = msgspec.json.encode({"version": version})
-            answer = msgspec.json.decode(daemon.peers.answer(query), type=KnownConfiguration)
+            answer = msgspec.json.decode(daemon.peers.handle_request(query), type=ConfigurationSnapshot)
             assert (answer.config.version if answer.config else None) == expected
 
     run_virtual(main())
--- a/tests/test_gateway_distance.py
+++ b/tests/test_gateway_distance.py
@@ -4,15 +4,15 @@
 import collections
 
 from passgate.clock import monotonic_s, run_virtual
-from passgate.eligibility.places import Places
+from passgate.eligibility.places import Topology
 from passgate.eligibility.replica_info import ReplicaInfo
-from passgate.gateway.distance import ANSWER_MARGIN_S, WINDOW_S, Distances
-from passgate.gateway.replicas import FULL_LOAD, ChoiceRequest, ReplicaTable
+from passgate.gateway.distance import ANSWER_MARGIN_S, RTT_WINDOW_S, ZoneDistances
+from passgate.gateway.replicas import FULL_LOAD, ReplicaQuery, ReplicaTable
 
 REGIONS = {f"{region}{number}": region for region in "abc" for number in (1, 2)}
 SLOTS, SERVICE_TIME_S, NETWORK_COST_S = 4, 0.05, 0.024
 DURATION_S = 6.0
-QUERY = ChoiceRequest(services=frozenset({"s"}))
+QUERY = ReplicaQuery(services=frozenset({"s"}))
 
 
 class SimulatedReplica:
@@ -42,12 +42,12 @@
         self.sent_by_regions = collections.Counter()
         self.answer_times_s = collections.defaultdict(list)
         for number, region in enumerate(region for region in "abc" for _ in range(daemons_per_region)):
-            table = ReplicaTable(Places(zone=f"{region}1", regions=REGIONS), seed=number)
+            table = ReplicaTable(Topology(zone=f"{region}1", region_by_zone=REGIONS), seed=number)
             self.tables_by_region[region].append(table)
             for replica in self.replicas:
                 table.put(replica.info)
                 default_s = table.distances.round_trip_s(replica.info.zone)
-                table.distances.observe(replica.info.zone, min(default_s, NETWORK_COST_S), 0.0)
+                table.distances.record_round_trip(replica.info.zone, min(default_s, NETWORK_COST_S), 0.0)
 
     async def _send_request(self, region, table):
         start_s = monotonic_s()
@@ -62,8 +62,8 @@
         await asyncio.sleep(round_trip_s / 2)
         state.in_flight -= 1
         now_s = monotonic_s()
-        table.observe_load(state.life, in_flight, now_s)
-        table.observe_latency(state.life, now_s - start_s, now_s)
+        table.record_load(state.incarnation, in_flight, now_s)
+        table.record_latency(state.incarnation, now_s - start_s, now_s)
         self.answer_times_s[region].append(now_s - start_s)
 
     async def _generate_load(self, region, load, group):
@@ -128,7 +128,7 @@
 
 def test_a_request_waits_for_a_local_slot_no_longer_than_the_network_cost():
     table = Fleet(daemons_per_region=1).tables_by_region["a"][0]
-    query = ChoiceRequest(services=frozenset({"s"}), load_below=FULL_LOAD)
+    query = ReplicaQuery(services=frozenset({"s"}), load_below=FULL_LOAD)
     for name in ("r-a1", "r-a2"):
         table.get(name).in_flight = SLOTS
     assert table.choose(query, 10.0) is None
@@ -138,10 +138,10 @@
 
 
 def test_with_a_single_region_recorded_round_trips_do_not_affect_the_choice():
-    table = ReplicaTable(Places(zone="a1", regions={"a1": "a", "a2": "a"}), seed=1)
+    table = ReplicaTable(Topology(zone="a1", region_by_zone={"a1": "a", "a2": "a"}), seed=1)
     for zone in ("a1", "a2"):
         table.put(ReplicaInfo(replica_id=zone, service="s", address="h:1", zone=zone, slots=100))
-    table.distances.observe("a2", 0.5, 0.0)
+    table.distances.record_round_trip("a2", 0.5, 0.0)
     table.get("a1").in_flight = 2
     assert table.choose(QUERY, 0.0).info.replica_id == "a1"
     table.get("a1").in_flight = 3
@@ -149,21 +149,21 @@
 
 
 def test_the_round_trip_estimate_rises_only_if_no_sample_of_a_window_was_short():
-    distances = Distances(Places(zone="a1", regions=REGIONS))
-    distances.observe("b1", 0.02, 0.0)
-    distances.observe("b1", 0.9, 1.0)
-    distances.observe("b1", 0.03, WINDOW_S)
+    distances = ZoneDistances(Topology(zone="a1", region_by_zone=REGIONS))
+    distances.record_round_trip("b1", 0.02, 0.0)
+    distances.record_round_trip("b1", 0.9, 1.0)
+    distances.record_round_trip("b1", 0.03, RTT_WINDOW_S)
     assert distances.round_trip_s("b1") == 0.02
     for step in range(1, 8):
-        distances.observe("b1", 0.3, WINDOW_S * (1 + step))
+        distances.record_round_trip("b1", 0.3, RTT_WINDOW_S * (1 + step))
     assert distances.round_trip_s("b1") > 0.25
 
 
 def test_a_long_round_trip_raises_the_answer_timeout_and_a_short_one_does_not_lower_it():
-    distances = Distances(Places(zone="a1", regions=REGIONS))
-    assert distances.patience_s(0.1, "a1") == 0.1
-    distances.observe("b1", 0.02, 0.0)
+    distances = ZoneDistances(Topology(zone="a1", region_by_zone=REGIONS))
+    assert distances.answer_timeout_s(0.1, "a1") == 0.1
+    distances.record_round_trip("b1", 0.02, 0.0)
     for step in range(1, 9):
-        distances.observe("b1", 0.4, step * WINDOW_S)
-    assert distances.patience_s(0.1, "b1") > 0.35 + ANSWER_MARGIN_S
-    assert distances.patience_s(0.3) == distances.patience_s(0.1, "b1")
+        distances.record_round_trip("b1", 0.4, step * RTT_WINDOW_S)
+    assert distances.answer_timeout_s(0.1, "b1") > 0.35 + ANSWER_MARGIN_S
+    assert distances.answer_timeout_s(0.3) == distances.answer_timeout_s(0.1, "b1")
--- a/tests/test_jobs_daemons.py
+++ b/tests/test_jobs_daemons.py
@@ -11,7 +11,7 @@
 import pytest
 
 from passgate.clock import monotonic_s, run_virtual
-from passgate.decisions import JobEndFailed
+from passgate.decisions import JobEndUnconfirmed
 from passgate.emulator.shared_log import MemorySharedLog, SharedLogFaults
 from passgate.errors import DurabilityUnknown, LogUnavailable, NotFound, NotReady
 from passgate.jobs.reader import find_job
@@ -26,7 +26,7 @@
     FOLLOW_AFTER_USE_S,
     partition_of,
 )
-from passgate.sharedlog.group import REFRESH_S
+from passgate.sharedlog.group import DIRECTORY_REFRESH_S
 from tests.job_daemons import (
     FAULTS,
     HOST,
@@ -47,7 +47,7 @@
     async def main():
         log = MemorySharedLog()
         daemons = await start_daemons(log, 3)
-        await asyncio.sleep(REFRESH_S)
+        await asyncio.sleep(DIRECTORY_REFRESH_S)
         for number, daemon in enumerate(daemons):
             log.cut_off = {f"d{number}"}
             began_s = monotonic_s()
@@ -69,15 +69,17 @@
     async def main():
         log = MemorySharedLog()
         daemons = await start_daemons(log, 4)
-        await asyncio.sleep(REFRESH_S)
+        await asyncio.sleep(DIRECTORY_REFRESH_S)
         await daemons[0].service.submit(job_spec("j", 10, host=host), monotonic_s() + 3.0)
         await asyncio.sleep(1.0)
         owner = await daemons[0].read_owner("j", host)
-        victim = next(daemon for daemon in daemons if daemon.member.held() and daemon.name != owner)
+        victim = next(
+            daemon for daemon in daemons if daemon.member.assigned_partitions() and daemon.name != owner
+        )
         log.cut_off = {victim.name.split(".")[0]}
         await asyncio.sleep(2.0)
-        seen = len((await victim.service.read(host, "j", 0, 1.0)).results)
-        page = await victim.service.read(host, "j", seen, 1.0)
+        seen = len((await victim.service.read_results(host, "j", 0, 1.0)).results)
+        page = await victim.service.read_results(host, "j", seen, 1.0)
         assert page.results
         for daemon in daemons:
             await daemon.kill()
@@ -91,30 +93,30 @@
     async def main():
         log = MemorySharedLog()
         daemons = await start_daemons(log, 4)
-        await asyncio.sleep(REFRESH_S)
+        await asyncio.sleep(DIRECTORY_REFRESH_S)
         await daemons[0].service.submit(job_spec("j", 12), monotonic_s() + 3.0)
         await asyncio.sleep(0.5)
         log.cut_off = {"d0", "d1", "d2"}
         await asyncio.sleep(4.0)
         await daemons[1].service.submit(job_spec("k", 2), monotonic_s() + 2.0)
         for daemon in daemons:
-            seen = len((await daemon.service.read(HOST, "j", 0, 1.0)).results)
-            page = await daemon.service.read(HOST, "j", seen, 1.0)
+            seen = len((await daemon.service.read_results(HOST, "j", 0, 1.0)).results)
+            page = await daemon.service.read_results(HOST, "j", seen, 1.0)
             assert page.results or seen == page.total
-            assert (await daemon.service.read(HOST, "k", 0, 1.0)).total == 2
-        await daemons[2].service.end(HOST, "k", monotonic_s() + 2.0)
-        assert (await find_job(daemons[3].shards.of(HOST), "k")).cancelled
+            assert (await daemon.service.read_results(HOST, "k", 0, 1.0)).total == 2
+        await daemons[2].service.cancel(HOST, "k", monotonic_s() + 2.0)
+        assert (await find_job(daemons[3].shards.of_host(HOST), "k")).cancelled
         for daemon in daemons:
             await daemon.kill()
 
     run_virtual(main())
 
 
-def test_a_job_that_no_daemon_can_put_on_the_log_is_answered_by_its_deadline():
+def test_a_submission_that_no_daemon_can_append_fails_by_its_deadline():
     async def main():
         log = MemorySharedLog()
         daemons = await start_daemons(log, 3)
-        await asyncio.sleep(REFRESH_S)
+        await asyncio.sleep(DIRECTORY_REFRESH_S)
         log.faults.silent = True
         for daemon in daemons:
             deadline_s = monotonic_s() + 2.0
@@ -160,10 +162,10 @@
         for daemon in daemons:
             assert (await daemon.read_all("j"))[0]
         with pytest.raises(NotFound):
-            await daemons[1].service.read(HOST, "unknown", 0, 0.0)
-        await daemons[2].service.end(HOST, "j", monotonic_s() + 2)
+            await daemons[1].service.read_results(HOST, "unknown", 0, 0.0)
+        await daemons[2].service.cancel(HOST, "j", monotonic_s() + 2)
         for daemon in daemons:
-            assert (await find_job(daemon.shards.of(HOST), "j")).cancelled
+            assert (await find_job(daemon.shards.of_host(HOST), "j")).cancelled
             await daemon.kill()
 
     run_virtual(main())
@@ -177,15 +179,15 @@
         daemons = await start_daemons(log, 3)
         await daemons[0].service.submit(job_spec("j", 50), monotonic_s() + 2)
         await asyncio.sleep(0.5)
-        other = next(daemon for daemon in daemons if not daemon.shards.of(HOST).is_current)
+        other = next(daemon for daemon in daemons if not daemon.shards.of_host(HOST).is_current)
         network_by_log[log].cut(lambda address, zone: address)
         log.faults = SharedLogFaults(refusing=True)
         with pytest.raises(DurabilityUnknown):
-            await other.service.end(HOST, "j", monotonic_s() + 1)
-        assert JobEndFailed(job_id="j", reason="durability_unknown") in other.events
+            await other.service.cancel(HOST, "j", monotonic_s() + 1)
+        assert JobEndUnconfirmed(job_id="j", reason="durability_unknown") in other.events
         log.faults = SharedLogFaults()
         await asyncio.sleep(1.0)
-        assert (await find_job(other.shards.of(HOST), "j")).cancelled
+        assert (await find_job(other.shards.of_host(HOST), "j")).cancelled
         for daemon in daemons:
             await daemon.kill()
 
@@ -213,7 +215,7 @@
     run_virtual(main())
 
 
-def test_an_append_in_doubt_is_never_called_refused_later():
+def test_an_unconfirmed_append_is_not_reported_as_refused_later():
     async def main():
         log = MemorySharedLog()
         daemon = Daemon(log, "d0").start()
@@ -301,7 +303,7 @@
         for number in range(8):
             await daemon.service.submit(job_spec(f"j{number}", count=1), monotonic_s() + 5.0)
             accepted_s = monotonic_s()
-            while not daemon.shards.running:
+            while not daemon.shards.running_jobs:
                 await asyncio.sleep(0.005)
             spent.append(monotonic_s() - accepted_s)
             await wait_until_complete([daemon], [f"j{number}"])
@@ -329,19 +331,19 @@
         await daemons[0].service.submit(job_spec("j", 4), monotonic_s() + 2)
         await wait_until_complete(daemons, ["j"])
         fill_partition(log)
-        await asyncio.sleep(FOLLOW_AFTER_USE_S + REFRESH_S)
+        await asyncio.sleep(FOLLOW_AFTER_USE_S + DIRECTORY_REFRESH_S)
         part = partition_of(HOST, log.parts)
-        first = next(daemon for daemon in daemons if daemon.shards.watches(part))
+        first = next(daemon for daemon in daemons if daemon.shards.is_watcher_of(part))
         log.faults = SLOW_LOG
         log.groups.deal_anew()
-        while not any(daemon.shards.watches(part) for daemon in daemons if daemon is not first):
+        while not any(daemon.shards.is_watcher_of(part) for daemon in daemons if daemon is not first):
             await asyncio.sleep(0.02)
         await asyncio.sleep(0.5)
         for daemon in daemons:
-            page = await daemon.service.read(HOST, "j", 0, 0.0)
+            page = await daemon.service.read_results(HOST, "j", 0, 0.0)
             assert len(page.results) == 4
-        watching = {daemon.name for daemon in daemons if daemon.shards.watches(part)}
-        following = {daemon.name for daemon in daemons if daemon.shards.of(HOST).followed_tail.following}
+        watching = {daemon.name for daemon in daemons if daemon.shards.is_watcher_of(part)}
+        following = {daemon.name for daemon in daemons if daemon.shards.of_host(HOST).followed_tail.following}
         assert following <= watching | {first.name}
         for daemon in daemons:
             await daemon.kill()
@@ -354,7 +356,7 @@
     while True:
         for daemon in daemons:
             with contextlib.suppress(NotReady):
-                await daemon.service.read(HOST, "j", 0, 0.0)
+                await daemon.service.read_results(HOST, "j", 0, 0.0)
 
 
 def test_daemons_wait_for_a_watcher_that_reads_the_log_instead_of_reading_it_themselves():
@@ -381,7 +383,7 @@
         following = {
             f"d{number}"
             for number, daemon in enumerate(daemons)
-            if daemon.shards.of(HOST).followed_tail.following
+            if daemon.shards.of_host(HOST).followed_tail.following
         }
         assert following <= watched
         assert len(watched) < len(daemons)
--- a/tests/test_jobs_fold.py
+++ b/tests/test_jobs_fold.py
@@ -2,14 +2,14 @@
 
 import pytest
 
-from passgate.jobs.fold import JobFold
+from passgate.jobs.fold import JobProjection
 from passgate.jobs.records import (
     Batch,
     ItemProgressed,
     ItemsDone,
     ItemSpec,
+    JobCancelled,
     JobClaimed,
-    JobEnded,
     JobSpec,
     Result,
     ResultState,
@@ -53,7 +53,7 @@
     """Applies batches to a projection at increasing offsets."""
 
     def __init__(self):
-        self.fold = JobFold()
+        self.fold = JobProjection()
         self.offset = 0
 
     def add(self, writer, *entries, now_s=0.0):
@@ -131,7 +131,7 @@
 
 def test_a_cancelled_job_is_not_open_and_keeps_its_results(log):
     log.add("d1.x", done_entry("a"))
-    log.add("d2.x", JobEnded(job_id="j"))
+    log.add("d2.x", JobCancelled(job_id="j"))
     job = log.fold.jobs["j"]
     assert not job.is_open
     assert [result.item_id for result in job.results] == ["a"]
--- a/tests/test_jobs_reader.py
+++ b/tests/test_jobs_reader.py
@@ -45,7 +45,7 @@
 
 def append_result(daemon, number):
     result = Result(item_id=f"i{number}", state=ResultState.SUCCEEDED, text="t", versions=(1,))
-    daemon.shards.of(HOST).journal.put(ItemsDone(job_id="j", results=(result,)))
+    daemon.shards.of_host(HOST).journal.put(ItemsDone(job_id="j", results=(result,)))
 
 
 async def read_while_appending(daemon, results, wait_s=1.0):
@@ -56,7 +56,7 @@
     began_s = monotonic_s()
 
     async def read():
-        page = await daemon.service.read(HOST, "j", 0, wait_s)
+        page = await daemon.service.read_results(HOST, "j", 0, wait_s)
         return len(page.results), monotonic_s() - began_s
 
     reading = asyncio.get_running_loop().create_task(read())
--- a/tests/test_jobs_regions.py
+++ b/tests/test_jobs_regions.py
@@ -8,16 +8,16 @@
 import pytest
 
 from passgate.clock import monotonic_s, run_virtual
-from passgate.eligibility.places import Places
+from passgate.eligibility.places import Topology
 from passgate.emulator.shared_log import MemorySharedLog
 from passgate.errors import DurabilityUnknown, LogUnavailable, NoRegionAllowed, NotReady
-from passgate.gateway.distance import WINDOW_S, Distances
-from passgate.gateway.routes import ITEM_TIME_TO_LIVE_S, ConfigHolder, GatewayConfig, Route, RoutePart
+from passgate.gateway.distance import RTT_WINDOW_S, ZoneDistances
+from passgate.gateway.routes import ITEM_TIME_TO_LIVE_S, ConfigHolder, GatewayConfig, Route, WeightedService
 from passgate.jobs.bound_bodies import BodiesReader, RestrictedJob, bodies_topic
 from passgate.jobs.reader import find_job
 from passgate.jobs.records import BodiesLocation, ItemBodies, ResultState, RewardSpec
 from passgate.jobs.runner import EXPIRY_MARGIN_S
-from passgate.sharedlog.group import REFRESH_S
+from passgate.sharedlog.group import DIRECTORY_REFRESH_S
 from tests.job_daemons import (
     HOST,
     TAKEOVER_LIMIT_S,
@@ -35,7 +35,11 @@
 
 def configuration(version, *regions):
     route = Route(
-        name="r", host=HOST, path_prefix="/p/", parts=(RoutePart("s", 1),), allowed_regions=frozenset(regions)
+        name="r",
+        host=HOST,
+        path_prefix="/p/",
+        parts=(WeightedService("s", 1),),
+        allowed_regions=frozenset(regions),
     )
     return GatewayConfig(version=version, routes=(route,))
 
@@ -53,7 +57,7 @@
     def __init__(self, log, *regions):
         self.log = log
         self.config = ConfigHolder()
-        self.config.offer(configuration(1, *regions))
+        self.config.apply_if_newer(configuration(1, *regions))
         self.daemons = [
             Daemon(
                 log, f"d{number}{zone}", zone=zone, config=self.config, region_by_zone=REGION_BY_ZONE
@@ -69,7 +73,7 @@
         """Return the regions of the daemons that hold bodies of a job."""
         found = set()
         for daemon in self.daemons:
-            job = daemon.shards.of(HOST).fold.jobs.get(job_id)
+            job = daemon.shards.of_host(HOST).projection.jobs.get(job_id)
             if job is not None and any(item.body or item.reward.body for item in job.spec().items):
                 found.add(REGION_BY_ZONE[daemon.zone])
         return found
@@ -124,7 +128,7 @@
     await submit(fleet.daemons_in("a")[0], "j")
     await asyncio.sleep(PROPAGATION_S)
     for daemon in fleet.daemons:
-        assert await daemon.service.body(HOST, "j", "j-0") == BODY
+        assert await daemon.service.read_body(HOST, "j", "j-0") == BODY
     assert fleet.regions_with_bodies("j") == {"b"}
 
 
@@ -134,9 +138,9 @@
     await asyncio.sleep(PROPAGATION_S)
     network_by_log[fleet.log].cut(lambda address, zone: address[2:].startswith("b"))
     with pytest.raises(NotReady):
-        await fleet.daemons_in("a")[0].service.body(HOST, "j", "j-0")
+        await fleet.daemons_in("a")[0].service.read_body(HOST, "j", "j-0")
     network_by_log[fleet.log].heal()
-    assert await fleet.daemons_in("a")[0].service.body(HOST, "j", "j-0") == BODY
+    assert await fleet.daemons_in("a")[0].service.read_body(HOST, "j", "j-0") == BODY
 
 
 @with_fleet("b")
@@ -148,7 +152,7 @@
         await daemon.kill()
     fleet.daemons = fleet.daemons_in("a") + fleet.daemons_in("c")
     await asyncio.sleep(6.0)
-    job = await find_job(fleet.daemons[0].shards.of(HOST), "j")
+    job = await find_job(fleet.daemons[0].shards.of_host(HOST), "j")
     assert job.is_open and job.owner in {daemon.name for daemon in lost}
     fleet.daemons += [
         Daemon(
@@ -173,11 +177,11 @@
     await asyncio.sleep(PROPAGATION_S)
     before = await fleet.owner_region("j")
     allowed = next(region for region in "abc" if region != before)
-    fleet.config.offer(configuration(2, allowed))
+    fleet.config.apply_if_newer(configuration(2, allowed))
     await asyncio.sleep(TAKEOVER_LIMIT_S)
     assert await fleet.owner_region("j") == allowed
     owner = daemon_of_writer(fleet.daemons, await fleet.daemons_in("a")[0].read_owner("j"))
-    assert [daemon.name for daemon in fleet.daemons if daemon.shards.running] == [owner.name]
+    assert [daemon.name for daemon in fleet.daemons if daemon.shards.running_jobs] == [owner.name]
     await wait_until_complete(fleet.daemons, ["j"])
 
 
@@ -185,7 +189,7 @@
 async def test_bodies_stay_in_their_regions_when_the_route_of_their_job_is_removed(fleet):
     await submit(fleet.daemons_in("b")[0], "j", count=30)
     await asyncio.sleep(PROPAGATION_S)
-    fleet.config.offer(GatewayConfig(version=2, routes=()))
+    fleet.config.apply_if_newer(GatewayConfig(version=2, routes=()))
     await asyncio.sleep(PROPAGATION_S)
     assert fleet.regions_with_bodies("j") == {"b"}
 
@@ -215,21 +219,21 @@
 
 @with_fleet()
 async def test_a_region_cut_off_from_the_log_accepts_jobs_through_another_region(fleet):
-    await asyncio.sleep(REFRESH_S)
+    await asyncio.sleep(DIRECTORY_REFRESH_S)
     cut_off_region(fleet, "a")
     await asyncio.sleep(3.0)
     began_s = monotonic_s()
     await submit(fleet.daemons_in("a")[0], "j")
     assert monotonic_s() - began_s < 1.5
     await asyncio.sleep(PROPAGATION_S)
-    assert (await fleet.daemons_in("a")[0].service.read(HOST, "j", 0, 1.0)).total == 4
+    assert (await fleet.daemons_in("a")[0].service.read_results(HOST, "j", 0, 1.0)).total == 4
     fleet.log.cut_off = set()
     await wait_until_complete(fleet.daemons, ["j"])
 
 
 @with_fleet("a")
 async def test_a_job_restricted_to_a_region_cut_off_from_the_log_goes_to_no_other_region(fleet):
-    await asyncio.sleep(REFRESH_S)
+    await asyncio.sleep(DIRECTORY_REFRESH_S)
     cut_off_region(fleet, "a")
     await asyncio.sleep(3.0)
     with pytest.raises((LogUnavailable, DurabilityUnknown)):
@@ -242,9 +246,9 @@
 def test_a_job_that_no_region_may_serve_is_refused():
     async def main():
         fleet = Fleet(MemorySharedLog(), "a")
-        fleet.config.terms_for = allow_no_region(fleet.config.terms_for)
+        fleet.config.send_context_for = allow_no_region(fleet.config.send_context_for)
         for daemon in fleet.daemons:
-            daemon.shards.restricted_bodies._find_send_context = fleet.config.terms_for
+            daemon.shards.restricted_bodies._find_send_context = fleet.config.send_context_for
         await asyncio.sleep(2.5)
         with pytest.raises(NoRegionAllowed):
             await submit(fleet.daemons_in("a")[0], "j")
@@ -255,7 +259,7 @@
 
 def allow_no_region(terms_for):
     def terms(*arguments):
-        return msgspec.structs.replace(terms_for(*arguments), regions=frozenset())
+        return msgspec.structs.replace(terms_for(*arguments), allowed_regions=frozenset())
 
     return terms
 
@@ -263,10 +267,10 @@
 @with_fleet("a")
 async def test_items_of_a_job_that_no_daemon_may_own_any_more_expire(fleet):
     await submit(fleet.daemons_in("a")[0], "j", count=30)
-    partition = fleet.daemons_in("a")[0].shards.of(HOST)
+    partition = fleet.daemons_in("a")[0].shards.of_host(HOST)
     while len((await find_job(partition, "j")).results) < 2:
         await asyncio.sleep(0.05)
-    no_region = allow_no_region(fleet.config.terms_for)
+    no_region = allow_no_region(fleet.config.send_context_for)
     for daemon in fleet.daemons:
         daemon.shards.restricted_bodies._find_send_context = no_region
     await asyncio.sleep(PROPAGATION_S)
@@ -278,7 +282,7 @@
     job = await find_job(partition, "j")
     assert job.results[: len(results_before)] == results_before and not job.is_open
     assert {result.state for result in job.results[len(results_before) :]} == {ResultState.DEAD}
-    assert not any(daemon.shards.running for daemon in fleet.daemons)
+    assert not any(daemon.shards.running_jobs for daemon in fleet.daemons)
 
 
 def test_failed_reads_of_bodies_are_retried_with_growing_pauses_and_mismatched_bodies_are_not():
@@ -314,10 +318,10 @@
 
 
 def test_timeouts_do_not_change_with_distances_within_one_region():
-    distances = Distances(Places(zone="a1", regions={"a1": "a", "a2": "a"}))
+    distances = ZoneDistances(Topology(zone="a1", region_by_zone={"a1": "a", "a2": "a"}))
     for step in range(10):
-        distances.observe("a2", 3.0, WINDOW_S * step)
-    assert distances.patience_s(0.1) == distances.patience_s(0.1, "a2") == 0.1
+        distances.record_round_trip("a2", 3.0, RTT_WINDOW_S * step)
+    assert distances.answer_timeout_s(0.1) == distances.answer_timeout_s(0.1, "a2") == 0.1
 
 
 @with_fleet("b")
@@ -325,9 +329,9 @@
     await submit(fleet.daemons_in("b")[0], "j", count=400)
     await asyncio.sleep(PROPAGATION_S)
     assert fleet.regions_with_bodies("j") == {"b"}
-    fleet.config.offer(configuration(2, "a"))
+    fleet.config.apply_if_newer(configuration(2, "a"))
     await asyncio.sleep(PROPAGATION_S)
     assert fleet.regions_with_bodies("j") == {"a"}
-    fleet.config.offer(configuration(3, "b"))
+    fleet.config.apply_if_newer(configuration(3, "b"))
     await asyncio.sleep(PROPAGATION_S)
     assert fleet.regions_with_bodies("j") == {"b"}
--- a/tests/test_jobs_silence.py
+++ b/tests/test_jobs_silence.py
@@ -6,7 +6,7 @@
 import pytest
 
 from passgate.clock import monotonic_s, run_virtual
-from passgate.jobs.silence import MAX_SILENCE_LIMIT_S, StreamSilence, silence_limit_s
+from passgate.jobs.silence import MAX_SILENCE_LIMIT_S, StallDetector, silence_limit_s
 
 PAUSE_S = 0.04
 TOLERANCE_S = 0.05
@@ -18,7 +18,7 @@
 
 async def send_data(silence, replica_id):
     while True:
-        silence.heard(replica_id, monotonic_s())
+        silence.record_data(replica_id, monotonic_s())
         await asyncio.sleep(PAUSE_S)
 
 
@@ -34,18 +34,18 @@
 
 def test_a_silent_stream_stalls_soon_while_other_replicas_send_data():
     assert (
-        run_virtual(time_until_stalled_s(StreamSilence(), ["other"]))
+        run_virtual(time_until_stalled_s(StallDetector(), ["other"]))
         <= silence_limit_s(PAUSE_S) + TOLERANCE_S
     )
 
 
 def test_the_limit_is_longer_while_all_replicas_are_silent():
-    after_s = run_virtual(time_until_stalled_s(StreamSilence(), []))
+    after_s = run_virtual(time_until_stalled_s(StallDetector(), []))
     assert MAX_SILENCE_LIMIT_S <= after_s <= MAX_SILENCE_LIMIT_S + silence_limit_s(PAUSE_S)
 
 
 def test_the_limit_is_longer_while_other_streams_of_the_replica_send_data():
-    assert run_virtual(time_until_stalled_s(StreamSilence(), ["r", "other"])) >= MAX_SILENCE_LIMIT_S
+    assert run_virtual(time_until_stalled_s(StallDetector(), ["r", "other"])) >= MAX_SILENCE_LIMIT_S
 
 
 def test_the_limit_grows_with_the_usual_pause():
@@ -60,14 +60,14 @@
 
 def test_data_that_arrived_while_the_event_loop_was_blocked_is_read():
     async def main():
-        silence = StreamSilence()
+        silence = StallDetector()
         arrived = asyncio.get_running_loop().create_future()
 
         async def read():
             return await asyncio.shield(arrived)
 
         waiting = asyncio.get_running_loop().create_task(silence.wait_for("r", read, 0.05))
-        silence.heard("other", monotonic_s() + 1.0)
+        silence.record_data("other", monotonic_s() + 1.0)
         await asyncio.sleep(0)
         time.sleep(0.3)  # blocks the event loop, as a suspension of the process does
         await asyncio.sleep(0.01)
--- a/tests/test_jobs_takeover.py
+++ b/tests/test_jobs_takeover.py
@@ -11,7 +11,7 @@
 from passgate.jobs.reader import find_job
 from passgate.jobs.records import ItemsDone
 from passgate.jobs.shards import partition_of
-from passgate.sharedlog.group import REFRESH_S
+from passgate.sharedlog.group import DIRECTORY_REFRESH_S
 from tests.job_daemons import (
     HOST,
     ITEM_S,
@@ -36,19 +36,21 @@
     await asyncio.sleep(1.0)
     log.groups.deal_anew()
     await asyncio.sleep(2.5)
-    owner = next(daemon for daemon in daemons if daemon.shards.running)
-    assert not owner.shards.watches(partition_of(host, log.parts))
+    owner = next(daemon for daemon in daemons if daemon.shards.running_jobs)
+    assert not owner.shards.is_watcher_of(partition_of(host, log.parts))
     return [owner, *(daemon for daemon in daemons if daemon is not owner)]
 
 
 def partition_number(daemon, host):
-    return daemon.shards.of(host).number
+    return daemon.shards.of_host(host).number
 
 
 def non_watcher_in(daemons, zone, host=HOST):
     """Return a daemon of a zone that doesn't watch the partition, and leaves jobs to the zone's watcher."""
     in_zone = [daemon for daemon in daemons if daemon.zone == zone]
-    return next(daemon for daemon in in_zone if not daemon.shards.watches(partition_number(daemon, host)))
+    return next(
+        daemon for daemon in in_zone if not daemon.shards.is_watcher_of(partition_number(daemon, host))
+    )
 
 
 def test_a_new_job_stays_with_an_owner_that_was_idle_before():
@@ -66,7 +68,7 @@
         await non_watcher_in(daemons, "z0", host).service.submit(job_spec("new", 4, host), monotonic_s() + 2)
         await asyncio.sleep(4 * ITEM_S + 1.0)
         for daemon in daemons:
-            assert (await find_job(daemon.shards.of(host), "new")).epoch == FIRST_EPOCH
+            assert (await find_job(daemon.shards.of_host(host), "new")).epoch == FIRST_EPOCH
             await daemon.kill()
 
     for host in (HOST, "h1", "h2", "h3"):
@@ -120,13 +122,13 @@
     async def main():
         log = MemorySharedLog()
         daemons = await start_daemons(log, 3)
-        held = [daemon.member.held() for daemon in daemons]
+        held = [daemon.member.assigned_partitions() for daemon in daemons]
         await daemons[0].service.submit(job_spec("j"), monotonic_s() + 2)
         for daemon in daemons:
             await daemon.kill()
         back = [Daemon(log, f"d{number}", incarnation=1, zone="z0").start() for number in range(3)]
         await asyncio.sleep(0.1)
-        assert [daemon.member.held() for daemon in back] == held
+        assert [daemon.member.assigned_partitions() for daemon in back] == held
         await asyncio.sleep(0.4)
         assert await back[0].read_owner("j") in {daemon.name for daemon in back}
         await wait_until_complete(back, ["j"])
@@ -219,7 +221,7 @@
         log.groups.shift += 1  # another daemon than the owner will watch
         restarted_s = monotonic_s()
         daemons = [Daemon(log, f"d{number}", incarnation=1).start() for number in range(3)]
-        while not any(daemon.shards.running for daemon in daemons):
+        while not any(daemon.shards.running_jobs for daemon in daemons):
             await asyncio.sleep(0.02)
         assert monotonic_s() - restarted_s < TAKEOVER_LIMIT_S
 
@@ -233,12 +235,12 @@
         log = MemorySharedLog()
         large = await start_daemons(log, 4)
         small = Daemon(log, "s", zone="z0", cores=0.5).start()
-        await asyncio.sleep(REFRESH_S)
+        await asyncio.sleep(DIRECTORY_REFRESH_S)
         network_by_log[log].cut(lambda address, zone: address)
         await small.service.submit(job_spec("j", 2), monotonic_s() + 2)
         await asyncio.sleep(0.5)
         assert (await large[0].read_owner("j")) in {daemon.name for daemon in large}
-        assert not small.shards.running
+        assert not small.shards.running_jobs
         await wait_until_complete(large, ["j"])
         for daemon in (small, *large):
             await daemon.kill()
@@ -255,15 +257,17 @@
         name = owner.name.partition(".")[0]
         log.cut_off = {name}
         cut_s = monotonic_s()
-        while not any(daemon.shards.running for daemon in others):
+        while not any(daemon.shards.running_jobs for daemon in others):
             await asyncio.sleep(0.02)
         assert monotonic_s() - cut_s < RELEASE_LIMIT_S
-        assert not owner.shards.running
-        unacknowledged = owner.shards.of(HOST).journal.unacknowledged_entries()
+        assert not owner.shards.running_jobs
+        unacknowledged = owner.shards.of_host(HOST).journal.unacknowledged_entries()
         texts = {entry.results[0].text for entry in unacknowledged if isinstance(entry, ItemsDone)}
         assert texts
         await asyncio.sleep(0.5)
-        result_texts = {result.text for result in (await find_job(others[0].shards.of(HOST), "j")).results}
+        result_texts = {
+            result.text for result in (await find_job(others[0].shards.of_host(HOST), "j")).results
+        }
         assert texts <= result_texts
         log.cut_off = set()
         await wait_until_complete(others, ["j"])
@@ -281,8 +285,8 @@
         await asyncio.sleep(4.0)
         log.faults = SharedLogFaults()
         await asyncio.sleep(2.0)
-        assert owner.shards.running
-        assert (await find_job(others[0].shards.of(HOST), "j")).epoch == FIRST_EPOCH
+        assert owner.shards.running_jobs
+        assert (await find_job(others[0].shards.of_host(HOST), "j")).epoch == FIRST_EPOCH
         await wait_until_complete(others, ["j"])
         for daemon in (owner, *others):
             await daemon.kill()
@@ -297,7 +301,7 @@
         log = MemorySharedLog()
         owner, *others = await owner_and_others(log)
         log.cut_off = {owner.name.partition(".")[0]}
-        while owner.shards.running:
+        while owner.shards.running_jobs:
             await asyncio.sleep(0.02)
         for daemon in others:
             await daemon.kill()
--- a/tests/test_platform_daemon.py
+++ b/tests/test_platform_daemon.py
@@ -17,7 +17,7 @@
 from passgate.daemon.http_client import make_http_client
 from passgate.errors import PassgateError
 from passgate.jobs import item_run
-from passgate.platform.front import Front
+from passgate.platform.front import FrontRequestHandler
 from passgate.platform.log_client import PlatformLog
 from passgate.platform.program import make_daemon
 from passgate.platform.settings import SettingsWatcher, parse_settings
@@ -60,7 +60,7 @@
 
     async def start(self, *, ready=True):
         """Start the daemon; with ``ready``, return when it is ready."""
-        self.daemon, self.task = await start_daemon_anywhere("d1", self.log.address)
+        self.daemon, self.task = await start_daemon_at_free_ports("d1", self.log.address)
         if ready:
             await self.until(self.daemon.ready)
 
@@ -114,10 +114,10 @@
     settings = parse_settings(text)
     http = make_http_client()
     daemon = make_daemon(settings, http, PlatformLog(http, settings.log_address))
-    return daemon, asyncio.get_running_loop().create_task(daemon.run(Front(daemon).handle))
+    return daemon, asyncio.get_running_loop().create_task(daemon.run(FrontRequestHandler(daemon).handle))
 
 
-async def start_daemon_anywhere(name, log_address):
+async def start_daemon_at_free_ports(name, log_address):
     """Start a daemon at free ports, again if another process takes one before the daemon listens there."""
     for _ in range(MAX_PORT_ATTEMPTS):
         daemon, task = start_daemon(
@@ -345,7 +345,7 @@
     world.configure(1, stand_ins.batch_route())
     await world.start()
     # The daemon takes the replica to hold version 3, but it still generates events of version 1.
-    world.daemon.replicas.get("i-1").observed_versions["m"] = 3
+    world.daemon.replicas.get("i-1").reported_versions["m"] = 3
     ids = [f"item{number}" for number in range(6)]
     await world.call("POST", "/stream/j", stand_ins.job_body(ids, min_version=3), request_id="job1")
     rows = await world.all_results("job1")
@@ -389,7 +389,7 @@
     world.log.faults.refusing = False
     await asyncio.sleep(0.5)
     assert replica.runs == []
-    tail = world.daemon.shards.of(HOST).tail
+    tail = world.daemon.job_partitions.of_host(HOST).tail
     await world.until(lambda: tail.freshness.age_s(asyncio.get_running_loop().time()) < 1)
     assert (await world.call("GET", "/-/lots/job1")).status == 404
 
@@ -405,7 +405,7 @@
     )
     assert answer.status not in (202, 408, 421, 429, 503)
     world.log.faults.lost_appends = 0.0
-    await world.until(lambda: "job1" in world.daemon.shards.of(HOST).fold.jobs)
+    await world.until(lambda: "job1" in world.daemon.job_partitions.of_host(HOST).projection.jobs)
     assert (await world.all_results("job1"))[0]["state"] == "succeeded"
 
 
@@ -563,11 +563,11 @@
         log = PlatformLog(world.http, "127.0.0.1:1")
         watcher = SettingsWatcher(world.daemon, log, str(path))
         path.write_text(stand_ins.settings_text("d1", world.log.address, *addresses, grace_s=5))
-        watcher.read()
+        watcher.reload()
         assert world.daemon.settings.stop_grace_s == 5
         assert (await log.newest("keyed.op", 0)).records
         path.write_text("node: [")
-        watcher.read()
+        watcher.reload()
         assert world.daemon.settings.stop_grace_s == 5
 
 
@@ -592,7 +592,7 @@
     world.configure(1, stand_ins.batch_route())
     await world.start()
     item_id = next(f"item{n}" for n in range(99) if stand_ins.event_count(f"item{n}") >= 13)
-    with unittest.mock.patch.object(item_run, "LONG_EVENTS", 4):
+    with unittest.mock.patch.object(item_run, "LONG_OUTPUT_EVENTS", 4):
         await world.submit([item_id])
         await world.until(lambda: slower.runs)
         faster = world.replica("i-2", "llm", models={"m": 1}.items(), event_s=0.06)
@@ -660,7 +660,7 @@
     app = world.replica("i-1", "app")
     world.configure(1, stand_ins.safe_route())
     await world.start()
-    world.daemon._ingress.refuse_new()
+    world.daemon._ingress.refuse_new_requests()
     answer = await world.call("POST", "/call/x", b"")
     assert (answer.status, app.runs) == (503, [])
 
@@ -697,7 +697,9 @@
     assert all(later - first > 1.0 for first, later in zip(began_s, began_s[per_s:], strict=False))
     replica.cold_ms = 0
     replica.tell()
-    await world.until(lambda: not world.daemon.replicas.cold.is_cold(info_of(world, "i-1"), loop_time_s()))
+    await world.until(
+        lambda: not world.daemon.replicas.cold_replicas.is_cold(info_of(world, "i-1"), loop_time_s())
+    )
     answers = [await world.call("POST", "/call/x", b"", request_id=f"w{number}") for number in range(20)]
     assert {answer.status for answer in answers} == {200}
 
--- a/tests/test_refusals.py
+++ b/tests/test_refusals.py
@@ -11,8 +11,8 @@
 from passgate.gateway.messages import (
     GUARANTEED_NOT_RUN_STATUSES,
     IncomingRequest,
-    answered_status,
     error_answer,
+    error_status,
 )
 from tests import platform_stand_ins as stand_ins
 from tests.crashing_world import in_crashing_world as in_world
@@ -37,7 +37,7 @@
 def test_a_guaranteed_not_run_status_is_only_given_for_errors_with_not_run(kind, execution):
     answer = error_answer(kind("x", execution=execution))
     assert answer.status not in GUARANTEED_NOT_RUN_STATUSES or execution is ExecutionStatus.NOT_RUN
-    assert answer.status == answered_status(kind("x", execution=execution))
+    assert answer.status == error_status(kind("x", execution=execution))
 
 
 def test_error_classes_that_may_have_run_by_default_get_no_guaranteed_not_run_status():
@@ -167,7 +167,7 @@
     ingress._write_answer = lambda answer, method, connection: written.append(answer.status)
     request = IncomingRequest(method="POST", path="/a", host="h", headers=(), body=b"", received_s=0.0)
     await ingress._handle(request, None)
-    ingress.refuse_new()
+    ingress.refuse_new_requests()
     await ingress._handle(request, None)
     assert (written, len(handled)) == ([502, 503], 1)
 
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from passgate.clock import monotonic_s
-from passgate.eligibility.places import Places
+from passgate.eligibility.places import Topology
 from passgate.errors import InvalidConfiguration
 from passgate.gateway.routes import ConfigHolder
 from passgate.platform.documents import decode_config
@@ -207,10 +207,10 @@
 
 def version_after_offer(document):
     """Return the active version after a configuration document was offered while version 1 was active."""
-    holder = ConfigHolder(Places(zone="a", regions={"a": "east", "b": "west"}))
-    holder.offer(decode_config(json.dumps(stand_ins.config_document(1, [], [])).encode()))
+    holder = ConfigHolder(Topology(zone="a", region_by_zone={"a": "east", "b": "west"}))
+    holder.apply_if_newer(decode_config(json.dumps(stand_ins.config_document(1, [], [])).encode()))
     with contextlib.suppress(msgspec.DecodeError, InvalidConfiguration):
-        holder.offer(decode_config(json.dumps(document).encode()))
+        holder.apply_if_newer(decode_config(json.dumps(document).encode()))
     return holder.version
 
 
--- a/tests/test_replica_lives.py
+++ b/tests/test_replica_lives.py
@@ -10,18 +10,18 @@
 from passgate.clock import run_virtual
 from passgate.decisions import DecisionLog
 from passgate.discovery.view import DiscoveryView, ReplicaUpdate
-from passgate.eligibility.places import Places
-from passgate.eligibility.replica_info import ReplicaInfo, ReplicaLife
+from passgate.eligibility.places import Topology
+from passgate.eligibility.replica_info import ReplicaIncarnation, ReplicaInfo
 from passgate.emulator.shared_log import MemorySharedLog
 from passgate.errors import BackendUnreachable, ExecutionStatus
-from passgate.gateway.replicas import ASSUMED_LATENCY_S, ChoiceRequest, ReplicaTable
-from passgate.jobs.silence import StreamSilence
+from passgate.gateway.replicas import DEFAULT_LATENCY_S, ReplicaQuery, ReplicaTable
+from passgate.jobs.silence import StallDetector
 from passgate.platform.documents import decode_replica, decode_report
-from passgate.quarantine.service import Crashes
+from passgate.quarantine.service import CrashQuarantine
 from passgate.versions.doubtful_orders import UNCONFIRMED_LIFETIME_S
-from passgate.versions.loader import Loader, ReplicaReport, WantedVersions, read_life
+from passgate.versions.loader import Loader, ReplicaReport, TargetVersions, read_incarnation
 
-QUERY = ChoiceRequest(services=frozenset({"s"}), model="m")
+QUERY = ReplicaQuery(services=frozenset({"s"}), model="m")
 PACKAGE_ROOT = pathlib.Path(__file__).parent.parent / "passgate"
 CHECKED_PACKAGES = [
     "sharedlog",
@@ -49,11 +49,11 @@
 
 def make_info(start_ms=0, replica_id="r", **fields):
     defaults = {"service": "s", "address": "127.0.0.1:1", "zone": "z", "slots": 4}
-    return ReplicaInfo(replica_id=replica_id, born_unix_ms=start_ms, **defaults | fields)
+    return ReplicaInfo(replica_id=replica_id, started_unix_ms=start_ms, **defaults | fields)
 
 
 def make_table(*infos):
-    replicas = ReplicaTable(Places(zone="z"), seed=1)
+    replicas = ReplicaTable(Topology(zone="z"), seed=1)
     for each in infos:
         replicas.put(each)
     return replicas
@@ -63,17 +63,17 @@
     replicas = make_table(make_info(10))
     old = replicas.get("r")
     old.in_flight = 3
-    old.observed_versions["m"] = 7
-    replicas.observe_latency(old.life, 2.0, now_s=0.0)
-    replicas.observe_load(old.life, 4, now_s=0.0)
-    old.refused(now_s=0.0)
-    replicas.set_aside(old.life, now_s=0.0)
+    old.reported_versions["m"] = 7
+    replicas.record_latency(old.incarnation, 2.0, now_s=0.0)
+    replicas.record_load(old.incarnation, 4, now_s=0.0)
+    old.record_refusal(now_s=0.0)
+    replicas.eject(old.incarnation, now_s=0.0)
     replicas.put(make_info(20))
     new = replicas.get("r")
     assert new is not old
-    assert (new.in_flight, new.load(0.0), new.version_of("m")) == (0, 0.0, 0)
-    assert new.recent_latency_s(0.0) == ASSUMED_LATENCY_S
-    assert not new.seems_loading(0.0)
+    assert (new.in_flight, new.load(0.0), new.weight_version("m")) == (0, 0.0, 0)
+    assert new.expected_latency_s(0.0) == DEFAULT_LATENCY_S
+    assert not new.is_probably_loading(0.0)
     assert replicas.choose(QUERY, now_s=0.0) is new
 
 
@@ -82,37 +82,43 @@
     old = replicas.get("r")
     replicas.put(make_info(20))
     new = replicas.get("r")
-    replicas.observe_latency(old.life, 2.0, now_s=0.0)
-    replicas.observe_load(old.life, 4, now_s=0.0)
-    replicas.health.failed(old.life, 0.0, unreachable=True)
-    replicas.set_aside(old.life, now_s=0.0)
-    assert replicas.of(old.life) is None
+    replicas.record_latency(old.incarnation, 2.0, now_s=0.0)
+    replicas.record_load(old.incarnation, 4, now_s=0.0)
+    replicas.health.record_failure(old.incarnation, 0.0, unreachable=True)
+    replicas.eject(old.incarnation, now_s=0.0)
+    assert replicas.find_incarnation(old.incarnation) is None
     assert not replicas.put(make_info(10, draining=True))
     assert replicas.get("r") is new and not new.info.draining
     assert replicas.choose(QUERY, now_s=0.0) is new
-    assert new.load(0.0) == 0.0 and new.recent_latency_s(0.0) == ASSUMED_LATENCY_S
+    assert new.load(0.0) == 0.0 and new.expected_latency_s(0.0) == DEFAULT_LATENCY_S
 
 
 def test_health_of_old_incarnations_is_dropped():
     replicas = make_table(make_info(10))
     for start_ms in range(11, 50):
-        replicas.health.failed(ReplicaLife("r", start_ms - 1), 0.0)
+        replicas.health.record_failure(ReplicaIncarnation("r", start_ms - 1), 0.0)
         replicas.put(make_info(start_ms))
-    assert len(replicas.health._states) == 0
+    assert len(replicas.health._record_by_replica) == 0
 
 
 def test_exclusions_and_prompt_caches_of_an_old_incarnation_do_not_apply_to_the_new_one():
     replicas = make_table(make_info(20), make_info(20, "other"))
-    excluding_old = ChoiceRequest(services=frozenset({"s"}), excluded=frozenset({ReplicaLife("r", 10)}))
-    assert {replicas.choose(excluding_old, now_s=0.0).life.replica_id for _ in range(40)} == {"r", "other"}
-    preferring_old = ChoiceRequest(services=frozenset({"s"}), preferred=ReplicaLife("r", 10))
-    assert {replicas.choose(preferring_old, now_s=0.0).life.replica_id for _ in range(40)} == {"r", "other"}
+    excluding_old = ReplicaQuery(services=frozenset({"s"}), excluded=frozenset({ReplicaIncarnation("r", 10)}))
+    assert {replicas.choose(excluding_old, now_s=0.0).incarnation.replica_id for _ in range(40)} == {
+        "r",
+        "other",
+    }
+    preferring_old = ReplicaQuery(services=frozenset({"s"}), preferred=ReplicaIncarnation("r", 10))
+    assert {replicas.choose(preferring_old, now_s=0.0).incarnation.replica_id for _ in range(40)} == {
+        "r",
+        "other",
+    }
 
 
 def test_a_new_incarnation_has_not_sent_anything_yet():
-    silence = StreamSilence()
-    silence.heard(ReplicaLife("r", 10), now_s=5.0)
-    assert silence.seems_lost(ReplicaLife("r", 20), since_s=4.0)
+    silence = StallDetector()
+    silence.record_data(ReplicaIncarnation("r", 10), now_s=5.0)
+    assert silence.seems_stalled(ReplicaIncarnation("r", 20), since_s=4.0)
 
 
 def test_without_a_start_time_a_replica_keeps_its_state():
@@ -120,20 +126,26 @@
     state = replicas.get("r")
     replicas.put(make_info(draining=True))
     assert replicas.get("r") is state and state.info.draining
-    assert ReplicaLife("r").text() == "r"
+    assert ReplicaIncarnation("r").to_text() == "r"
 
 
 @pytest.mark.parametrize(
-    "incarnation", [ReplicaLife("r"), ReplicaLife("r", 9), ReplicaLife("a@1"), ReplicaLife("a@1", 2)]
+    "incarnation",
+    [
+        ReplicaIncarnation("r"),
+        ReplicaIncarnation("r", 9),
+        ReplicaIncarnation("a@1"),
+        ReplicaIncarnation("a@1", 2),
+    ],
 )
 def test_an_incarnation_is_parsed_from_its_text(incarnation):
-    assert ReplicaLife.from_text(incarnation.text()) == incarnation
+    assert ReplicaIncarnation.from_text(incarnation.to_text()) == incarnation
 
 
 @pytest.mark.parametrize("source", ["log", "relay"])
 def test_a_late_entry_of_an_older_incarnation_is_ignored(source):
     async def main():
-        replicas = ReplicaTable(Places(zone="z"))
+        replicas = ReplicaTable(Topology(zone="z"))
         view = DiscoveryView(replicas, DecisionLog("d", write=len))
         apply_late = view.apply if source == "log" else view.apply_relayed
         view.apply(ReplicaUpdate(replica_id="r", at=1, info=make_info(10)))
@@ -153,9 +165,9 @@
 
 def test_the_start_time_is_read_from_entries_and_reports():
     entry = b'{"service":"s","address":"10.0.0.1:80","zone":"z","slots":4,"state":"ready","born":12}'
-    assert decode_replica("r", entry).life == ReplicaLife("r", 12)
+    assert decode_replica("r", entry).incarnation == ReplicaIncarnation("r", 12)
     assert decode_report(b'{"seq":2,"born":12}').born_unix_ms == 12
-    assert decode_report(b'{"seq":2}').is_of(ReplicaLife("r", 12))
+    assert decode_report(b'{"seq":2}').is_from(ReplicaIncarnation("r", 12))
 
 
 # --- load orders -----------------------------------------------------------------------
@@ -190,10 +202,10 @@
 
 def make_loader(control, *infos):
     decisions = DecisionLog("d", write=len)
-    replicas, wanted = make_table(*infos), WantedVersions(decisions)
+    replicas, wanted = make_table(*infos), TargetVersions(decisions)
     wanted.offer("m", 2)
-    log, life_of = MemorySharedLog().client("d"), partial(read_life, control)
-    guard = Crashes(log, "crashes", replicas.set_aside, decisions, life_of).guard
+    log, life_of = MemorySharedLog().client("d"), partial(read_incarnation, control)
+    guard = CrashQuarantine(log, "crashes", replicas.eject, decisions, life_of).guard
     return replicas, Loader(wanted, replicas, LeaderStub(), control, "d", {}, guard, decisions)
 
 
@@ -223,7 +235,7 @@
     control.current_report = make_report(start_ms=20, orders_taken=4, version=9)
     await asyncio.sleep(2.0)
     assert control.orders == []
-    assert replicas.get("r").version_of("m") == 1
+    assert replicas.get("r").weight_version("m") == 1
     replicas.put(make_info(20, model_versions={"m": 1}))
     control.current_report = make_report(start_ms=20, orders_taken=0)
     await asyncio.sleep(0.5)
--- a/tests/test_routing_dispatcher.py
+++ b/tests/test_routing_dispatcher.py
@@ -391,7 +391,7 @@
         with pytest.raises(BackendRefused):
             await routed.generate(request())
         names = ["e0", "e1", "e2"]
-        assert routed.scheduler.health.usable(names, 0.0) == names
+        assert routed.scheduler.health.filter_usable(names, 0.0) == names
 
     run(main())
     assert len(engine.calls) == 1
--- a/tests/test_routing_queues.py
+++ b/tests/test_routing_queues.py
@@ -237,7 +237,7 @@
 
 def test_unreachable_replicas_hold_batch_work_and_refuse_people():
     work = scheduler()
-    work.health.failed("e0", 0.0, unreachable=True)
+    work.health.record_failure("e0", 0.0, unreachable=True)
     assert fill(work, 1) == []
     with pytest.raises(NoReplicaAvailable) as raised:
         work.submit(item(5, interactive=True), PEOPLE, 0.0)
--- a/tests/test_routing_views.py
+++ b/tests/test_routing_views.py
@@ -97,23 +97,23 @@
     names = ["e1", "e2", "e3"]
     now_s = 0.0
     for _ in range(20):
-        health.failed("e1", now_s, unreachable=True)
-        assert "e1" not in health.usable(names, now_s + 0.5)
+        health.record_failure("e1", now_s, unreachable=True)
+        assert "e1" not in health.filter_usable(names, now_s + 0.5)
         now_s += MAX_EJECTION_S
-        assert "e1" in health.usable(names, now_s)
-        health.sent("e1", now_s)
-        assert "e1" not in health.usable(names, now_s)
+        assert "e1" in health.filter_usable(names, now_s)
+        health.record_send("e1", now_s)
+        assert "e1" not in health.filter_usable(names, now_s)
         now_s += 2.0
-    health.succeeded("e1")
-    assert health.usable(names, now_s) == names
+    health.record_success("e1")
+    assert health.filter_usable(names, now_s) == names
 
 
 def test_failing_requests_never_eject_the_whole_pool():
     health = ReplicaHealth()
     for name in ("e1", "e2", "e3"):
         for _ in range(5):
-            health.failed(name, 0.0)
-    assert health.usable(["e1", "e2", "e3"], 0.1) == ["e1", "e2", "e3"]
+            health.record_failure(name, 0.0)
+    assert health.filter_usable(["e1", "e2", "e3"], 0.1) == ["e1", "e2", "e3"]
 
 
 def attempt(key, **changes):
--- a/tests/test_sharedlog_candidacy.py
+++ b/tests/test_sharedlog_candidacy.py
@@ -5,7 +5,11 @@
 from passgate.clock import run_virtual
 from passgate.decisions import DecisionLog
 from passgate.emulator.shared_log import MemorySharedLog
-from passgate.sharedlog.candidacy import SHORTAGE_CONFIRMATION_S, SUFFICIENT_LARGER_MEMBERS, Candidacy
+from passgate.sharedlog.candidacy import (
+    SHORTAGE_CONFIRMATION_S,
+    SUFFICIENT_LARGER_MEMBERS,
+    GroupMembershipPolicy,
+)
 from passgate.sharedlog.group import GroupDirectory, GroupMember
 from passgate.sharedlog.member_names import member_name
 
@@ -20,7 +24,7 @@
     """The group membership of a daemon."""
 
     def __init__(self, log, name, cores):
-        candidacy = Candidacy(cores)
+        candidacy = GroupMembershipPolicy(cores)
         client = log.client(name)
         address = f"{name}:1"
         self.member = GroupMember(
@@ -29,11 +33,11 @@
             member_name(name, address, cores),
             "t",
             DecisionLog(name, write=len),
-            candidacy=candidacy,
+            membership_policy=candidacy,
         )
         self.directory = GroupDirectory(client, "g", "t", candidacy)
         loop = asyncio.get_running_loop()
-        self.tasks = [loop.create_task(self.member.run()), loop.create_task(self.directory.keep_known())]
+        self.tasks = [loop.create_task(self.member.run()), loop.create_task(self.directory.keep_fresh())]
 
     def kill(self):
         for task in self.tasks:
@@ -41,7 +45,7 @@
 
     @property
     def partition_count(self):
-        return len(self.member.held())
+        return len(self.member.assigned_partitions())
 
 
 def run_scenario(scenario):
--- a/tests/test_sharedlog_silence.py
+++ b/tests/test_sharedlog_silence.py
@@ -8,8 +8,8 @@
 from passgate.decisions import DecisionLog
 from passgate.emulator.shared_log import MemorySharedLog
 from passgate.jobs.journal import Journal
-from passgate.jobs.records import JobEnded
-from passgate.sharedlog.candidacy import Candidacy
+from passgate.jobs.records import JobCancelled
+from passgate.sharedlog.candidacy import GroupMembershipPolicy
 from passgate.sharedlog.group import GroupMember
 from passgate.sharedlog.hedge import HEDGE_DELAY_S
 from passgate.sharedlog.tail import RecordTail, TailSettings
@@ -34,7 +34,7 @@
         journal = Journal(log.client("d"), "t", 0, "d.a", **sizes)
         task = asyncio.get_running_loop().create_task(journal.run())
         log.faults.silent = True
-        appended = journal.put(JobEnded(job_id="j"))
+        appended = journal.put(JobCancelled(job_id="j"))
         returned_s = await make_log_silent(log, silent_s)
         await appended
         assert monotonic_s() - returned_s < MAX_RESUME_S
@@ -52,7 +52,7 @@
         assert await tail.wait_caught_up(1.0)
         returned_s = await make_log_silent(log, silent_s)
         log.add("t", 0, [b"x"])
-        assert await tail.wait_past(0, 5.0)
+        assert await tail.wait_until_applied(0, 5.0)
         assert monotonic_s() - returned_s < MAX_RESUME_S
         task.cancel()
 
@@ -64,13 +64,18 @@
     async def main():
         log = MemorySharedLog()
         member = GroupMember(
-            log.client("d"), "g", "d", "t", DecisionLog("d", write=len), candidacy=Candidacy(2.0)
+            log.client("d"),
+            "g",
+            "d",
+            "t",
+            DecisionLog("d", write=len),
+            membership_policy=GroupMembershipPolicy(2.0),
         )
         task = asyncio.get_running_loop().create_task(member.run())
         await asyncio.sleep(1.0)
-        assert member.held()
+        assert member.assigned_partitions()
         returned_s = await make_log_silent(log, silent_s)
-        while not member.held():
+        while not member.assigned_partitions():
             await asyncio.sleep(0.01)
         assert monotonic_s() - returned_s < 2 * MAX_RESUME_S
         task.cancel()
--- a/tests/test_suspended_machine.py
+++ b/tests/test_suspended_machine.py
@@ -7,10 +7,10 @@
 
 from passgate.clock import monotonic_s
 from passgate.decisions import DecisionLog
-from passgate.duties.wall_clock import AgreedWallClock
+from passgate.duties.wall_clock import SynchronizedWallClock
 from passgate.platform import program
 from passgate.sharedlog.log import LogPage
-from passgate.sharedlog.tail import SLOWEST_ANSWER_S, RecordTail, TailSettings
+from passgate.sharedlog.tail import MAX_RESPONSE_DELAY_S, RecordTail, TailSettings
 from passgate.versions.leadership import Leadership
 
 SUSPENDED_S = 8.0
@@ -62,7 +62,7 @@
         assert monotonic_s() - started_s >= SUSPENDED_S
         assert sleeper.done()
 
-    with program.runner() as runner:
+    with program.make_runner() as runner:
         runner.run(main())
 
 
@@ -87,7 +87,7 @@
     following = loop.create_task(tail.run())
     while log.calls < 3:
         await asyncio.sleep(0.005)
-    max_response_s = TailSettings(topic="t").wait_s + SLOWEST_ANSWER_S
+    max_response_s = TailSettings(topic="t").wait_s + MAX_RESPONSE_DELAY_S
     assert tail.freshness.age_s(monotonic_s()) >= SUSPENDED_S - max_response_s
     following.cancel()
 
@@ -100,11 +100,11 @@
     class Journal:
         writer = "me"
 
-        def read_back(self, batch):
+        def take_send_time_s(self, batch):
             return monotonic_s()
 
     leadership = Leadership(Fold(), Journal(), None, DecisionLog("d", write=len), lease_s=LEASE_S)
-    leadership.read_back(None)
+    leadership.confirm_batch(None)
     assert leadership.may_order()
     loop.suspended_s += SUSPENDED_S
     assert not leadership.may_order()
@@ -112,6 +112,6 @@
 
 @run_on_suspendable_loop
 async def test_agreed_wall_clock_includes_suspensions(loop):
-    clock = AgreedWallClock(lambda: 1000.0, monotonic_s)
+    clock = SynchronizedWallClock(lambda: 1000.0, monotonic_s)
     loop.suspended_s += SUSPENDED_S
     assert clock.now_s() >= 1000.0 + SUSPENDED_S
--- a/tests/test_versions_lead_fold.py
+++ b/tests/test_versions_lead_fold.py
@@ -4,21 +4,21 @@
 
 from passgate.jobs.records import (
     Batch,
-    JobNoted,
     LeaderClaimed,
+    WeightDemand,
     WriterAlive,
     WriterStopped,
     decode_batch,
     encode_batch,
 )
-from passgate.versions.lead_fold import LeadFold
+from passgate.versions.lead_fold import LeadershipProjection
 
 
 class LogFeeder:
     """Appends batches to a projection at rising offsets."""
 
     def __init__(self):
-        self.projection = LeadFold()
+        self.projection = LeadershipProjection()
         self.offset = 0
 
     def append(self, writer, *entries, now_s=0.0):
@@ -67,6 +67,6 @@
 
 
 def test_the_newest_job_of_a_model_replaces_older_ones(log):
-    log.append("d1.a", JobNoted(model="m", lag=1, items=8))
-    log.append("d2.a", JobNoted(model="m", lag=0, items=16))
-    assert log.projection.newest_jobs["m"] == JobNoted(model="m", lag=0, items=16)
+    log.append("d1.a", WeightDemand(model="m", lag=1, items=8))
+    log.append("d2.a", WeightDemand(model="m", lag=0, items=16))
+    assert log.projection.newest_demand_by_model["m"] == WeightDemand(model="m", lag=0, items=16)
--- a/tests/test_versions_load_plan.py
+++ b/tests/test_versions_load_plan.py
@@ -1,6 +1,6 @@
 """The share of replicas that loads each version, the turns of models, and the limit of concurrent loads."""
 
-from passgate.eligibility.replica_info import ReplicaInfo, ReplicaLife
+from passgate.eligibility.replica_info import ReplicaIncarnation, ReplicaInfo
 from passgate.gateway.replicas import ReplicaState
 from passgate.versions.load_plan import LoadLimit, ModelDemand, plan_loads
 
@@ -27,7 +27,7 @@
             return rounds
         versions = {need.model: need.version for need in needs}
         for load in planned:
-            load.state.observed_versions[load.model] = versions[load.model]
+            load.state.reported_versions[load.model] = versions[load.model]
         rounds.append([choice.model for choice in planned])
 
 
@@ -46,7 +46,7 @@
         needs = [ModelDemand(model=model, version=version, lag=1, items=48) for model in "abc"]
         load_counts.append(sum(len(models) for models in execute_plan(states, needs, concurrent_loads=9)))
         for model in "abc":
-            serving = [state for state in states if state.version_of(model) >= version - 1]
+            serving = [state for state in states if state.weight_version(model) >= version - 1]
             assert len(serving) >= 15
     assert sum(load_counts) <= 8 * 24
 
@@ -54,19 +54,19 @@
 def test_a_single_model_is_loaded_by_all_replicas():
     states = make_replicas(5, "a")
     execute_plan(states, [ModelDemand(model="a", version=2, lag=1)], concurrent_loads=2)
-    assert all(state.version_of("a") == 2 for state in states)
+    assert all(state.weight_version("a") == 2 for state in states)
 
 
 def test_a_trainer_that_accepts_only_the_newest_version_gets_its_share_of_replicas():
     states = make_replicas(6, "ab")
     execute_plan(states, [ModelDemand(model="a", version=2, lag=0)], concurrent_loads=2)
-    assert sum(state.version_of("a") == 2 for state in states) == 3
+    assert sum(state.weight_version("a") == 2 for state in states) == 3
 
 
 def test_a_large_job_gets_enough_replicas_for_all_its_items():
     states = make_replicas(12, "abc")
     execute_plan(states, [ModelDemand(model="a", version=3, lag=1, items=90)], concurrent_loads=4)
-    assert sum(state.version_of("a") >= 2 for state in states) == 12
+    assert sum(state.weight_version("a") >= 2 for state in states) == 12
 
 
 def test_loading_and_excluded_replicas_get_no_order():
@@ -75,8 +75,8 @@
     planned = plan_loads(
         needs,
         states,
-        model_by_loading_replica={ReplicaLife("r00"): "a"},
-        excluded={ReplicaLife("r01")},
+        model_by_loading_replica={ReplicaIncarnation("r00"): "a"},
+        excluded={ReplicaIncarnation("r01")},
         now_s=0.0,
     )
     assert [choice.state.info.replica_id for choice in planned] == ["r02"]
