--- a/passgate/caller_client.py
+++ b/passgate/caller_client.py
@@ -19,8 +19,8 @@
 import msgspec
 from msgspec import UNSET
 
-from passgate.clients.calls import HttpAnswer, HttpCall, SendPolicy, remaining_s
 from passgate.clients.curl import HttpClient
+from passgate.clients.http_call import HttpAnswer, HttpCall, SendPolicy, remaining_s
 from passgate.clock import monotonic_s
 from passgate.errors import (
     BackendUnreachable,
--- a/passgate/check/socket_client.py
+++ b/passgate/check/socket_client.py
@@ -14,8 +14,8 @@
 
 from passgate.caller_client import CallerClient
 from passgate.check.events import AnyEvent, RequestCutOff
-from passgate.clients.calls import HttpAnswer
 from passgate.clients.curl import HttpClient
+from passgate.clients.http_call import HttpAnswer
 from passgate.clock import monotonic_s
 from passgate.errors import BackendUnreachable, ExecutionStatus, IncompleteAnswer
 
--- a/passgate/check/socket_run.py
+++ b/passgate/check/socket_run.py
@@ -35,8 +35,8 @@
 from passgate.check.socket_observation import observations
 from passgate.check.socket_operators import SocketOperator, watch_daemon
 from passgate.check.socket_report import SocketReport, find_violations, make_cells
-from passgate.clients.calls import HttpCall, SendPolicy
 from passgate.clients.curl import HttpClient
+from passgate.clients.http_call import HttpCall, SendPolicy
 from passgate.clock import monotonic_s
 from passgate.demo_deployment import DeploymentProcesses, pool_of_model
 from passgate.emulator.admin_client import StandInAdmin
--- a/passgate/check/specification/leadership.py
+++ b/passgate/check/specification/leadership.py
@@ -18,7 +18,7 @@
 
 from passgate.check.specification.kernel import Mutant, Specification, Step
 from passgate.jobs.records import Batch, LeaderClaimed, WriterAlive
-from passgate.versions.lead_fold import LeadershipProjection
+from passgate.versions.leadership_projection import LeadershipProjection
 
 DAEMONS = 2
 MAX_TICKS = 4
--- a/passgate/check/specification/replica_lives.py
+++ b/passgate/check/specification/replica_lives.py
@@ -19,8 +19,8 @@
 
 from passgate.check.specification.kernel import Mutant, Specification, Step
 from passgate.eligibility.replica_info import ReplicaIncarnation
-from passgate.versions.doubtful_orders import UnconfirmedOrders
 from passgate.versions.loader import ReplicaReport
+from passgate.versions.unconfirmed_orders import UnconfirmedOrders
 
 LIVES = 2
 LAST_VERSION = 4
--- a/passgate/check/specification/usage_reports.py
+++ b/passgate/check/specification/usage_reports.py
@@ -17,9 +17,9 @@
 from minicheck import Protocol
 
 from passgate.check.specification.kernel import Mutant, Specification, Step
-from passgate.duties.usage_fold import UsageProjection
+from passgate.duties.usage_projection import UsageProjection
 from passgate.jobs.records import Batch, LeaderClaimed, UsageCommitted, UsageCounted
-from passgate.versions.lead_fold import LeadershipProjection
+from passgate.versions.leadership_projection import LeadershipProjection
 
 DAEMONS = 2
 MAX_RECORDS = 5
--- a/passgate/clients/replies.py
+++ b/passgate/clients/answer_decoding.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from passgate.clients import wire
-from passgate.clients.calls import HttpAnswer
+from passgate.clients.http_call import HttpAnswer
 from passgate.errors import (
     BackendRefused,
     BackendUnreachable,
--- a/passgate/clients/curl.py
+++ b/passgate/clients/curl.py
@@ -20,8 +20,8 @@
 from tornado.httpclient import HTTPRequest, HTTPResponse
 from tornado.httputil import HTTPHeaders
 
-from passgate.clients.calls import HttpAnswer, HttpCall, HttpLimits
-from passgate.clients.connections import ConnectionSockets
+from passgate.clients.connection_sockets import ConnectionSockets
+from passgate.clients.http_call import HttpAnswer, HttpCall, HttpLimits
 from passgate.clients.transfer import Transfer
 from passgate.errors import BackendUnreachable, ExecutionStatus
 
--- a/passgate/clients/http_app.py
+++ b/passgate/clients/http_app.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 from passgate.clients import wire
-from passgate.clients.calls import HttpAnswer, HttpCall, control_get, remaining_s, send_policy
+from passgate.clients.answer_decoding import control_call_error, decode_body, decode_error, retry_after_s
 from passgate.clients.curl import HttpClient
-from passgate.clients.replies import control_call_error, decode_body, decode_error, retry_after_s
+from passgate.clients.http_call import HttpAnswer, HttpCall, control_get, remaining_s, send_policy
 from passgate.errors import AnswerMismatch, BackendRefused, ExecutionStatus, PassgateError
 from passgate.schema import AppRequest, AppResponse, LoadReport
 
--- a/passgate/clients/http_engine.py
+++ b/passgate/clients/http_engine.py
@@ -11,7 +11,9 @@
 import msgspec
 
 from passgate.clients import wire
-from passgate.clients.calls import (
+from passgate.clients.answer_decoding import control_call_error, decode_body, decode_error, engine_failure
+from passgate.clients.curl import HttpClient
+from passgate.clients.http_call import (
     CONTROL_TIMEOUT_S,
     HttpAnswer,
     HttpCall,
@@ -20,8 +22,6 @@
     remaining_s,
     send_policy,
 )
-from passgate.clients.curl import HttpClient
-from passgate.clients.replies import control_call_error, decode_body, decode_error, engine_failure
 from passgate.clients.stream_verifier import StreamVerifier
 from passgate.clients.transfer import Transfer
 from passgate.errors import (
--- a/passgate/clients/http_log.py
+++ b/passgate/clients/http_log.py
@@ -12,9 +12,9 @@
 import msgspec
 
 from passgate.clients import wire
-from passgate.clients.calls import HttpAnswer, HttpCall, SendPolicy
+from passgate.clients.answer_decoding import decode_body, decode_error
 from passgate.clients.curl import HttpClient
-from passgate.clients.replies import decode_body, decode_error
+from passgate.clients.http_call import HttpAnswer, HttpCall, SendPolicy
 from passgate.errors import ExecutionStatus, LogAppendUnknown, LogError, LogUnavailable, PassgateError
 from passgate.interfaces import LogBatch
 
--- a/passgate/clients/http_platform.py
+++ b/passgate/clients/http_platform.py
@@ -10,9 +10,9 @@
 import msgspec
 
 from passgate.clients import wire
-from passgate.clients.calls import HttpAnswer, HttpCall, SendPolicy
+from passgate.clients.answer_decoding import decode_body
 from passgate.clients.curl import HttpClient
-from passgate.clients.replies import decode_body
+from passgate.clients.http_call import HttpAnswer, HttpCall, SendPolicy
 from passgate.errors import PassgateError, PlatformError
 from passgate.schema import MachineInfo
 
--- a/passgate/clients/stream_verifier.py
+++ b/passgate/clients/stream_verifier.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from passgate.clients import wire
-from passgate.clients.replies import reported_failure
+from passgate.clients.answer_decoding import reported_failure
 from passgate.errors import (
     AnswerMismatch,
     ErrorBody,
--- a/passgate/clients/transfer.py
+++ b/passgate/clients/transfer.py
@@ -16,8 +16,12 @@
 from tornado.httpclient import HTTPError, HTTPResponse
 from tornado.httputil import HTTPHeaders, HTTPInputError
 
-from passgate.clients.calls import HttpAnswer, HttpCall, HttpLimits, SendPolicy
-from passgate.clients.connections import ConnectionEndpoints, ConnectionSockets, set_unacknowledged_timeout
+from passgate.clients.connection_sockets import (
+    ConnectionEndpoints,
+    ConnectionSockets,
+    set_unacknowledged_timeout,
+)
+from passgate.clients.http_call import HttpAnswer, HttpCall, HttpLimits, SendPolicy
 from passgate.clock import monotonic_s
 from passgate.errors import (
     BackendUnreachable,
--- a/passgate/daemon/cold_sending.py
+++ b/passgate/daemon/cold_permits.py
@@ -15,17 +15,17 @@
 
 from passgate.clock import monotonic_s
 from passgate.decisions import ColdReplicasChanged, DecisionLog, PermitCountsReported
-from passgate.duties.usage_channel import CONTROL_PARTITION
+from passgate.duties.usage_forwarder import CONTROL_PARTITION
 from passgate.eligibility.cold_replicas import ColdLimit
-from passgate.eligibility.permit_grantor import PermitIssuer
-from passgate.eligibility.permit_peers import CHECK_INTERVAL_S, PERMITS_METHOD, PermitClient
+from passgate.eligibility.permit_client import CHECK_INTERVAL_S, PERMITS_METHOD, PermitClient
+from passgate.eligibility.permit_issuer import PermitIssuer
 from passgate.eligibility.permits import PermitCounters
-from passgate.gateway.replicas import ReplicaTable
+from passgate.gateway.replica_table import ReplicaTable
 from passgate.gateway.routes import NO_VERSION, ConfigHolder
 from passgate.gateway.settings import GatewaySettings
 from passgate.peers.transport import PeerTransport
 from passgate.sharedlog.group import GroupDirectory
-from passgate.versions.control import ControlTopic
+from passgate.versions.control_topic import ControlTopic
 
 REPORT_INTERVAL_S = 1.0
 """Least time between two decision lines about permits or about cold replicas."""
--- a/passgate/daemon/control_topic.py
+++ b/passgate/daemon/control_topic.py
@@ -4,15 +4,15 @@
 
 from passgate.daemon.topics import LogTopics
 from passgate.decisions import DecisionLog
-from passgate.duties.folds import DutyProjections
-from passgate.duties.usage_channel import CONTROL_PARTITION
+from passgate.duties.projections import DutyProjections
+from passgate.duties.usage_forwarder import CONTROL_PARTITION
 from passgate.gateway.settings import GatewaySettings
 from passgate.jobs.journal import Journal
 from passgate.jobs.liveness import LivenessProber
 from passgate.jobs.peers import JobPeerClient
 from passgate.sharedlog.group import GroupMember
 from passgate.sharedlog.log import SharedLog
-from passgate.versions.control import ControlTopic
+from passgate.versions.control_topic import ControlTopic
 
 ELECTABLE_PARTITIONS = 3
 """A daemon may lead while it watches a partition below this number; so many daemons of a zone may lead."""
--- a/passgate/daemon/gateway_daemon.py
+++ b/passgate/daemon/gateway_daemon.py
@@ -13,11 +13,11 @@
 
 from passgate.clients.curl import HttpClient
 from passgate.clock import monotonic_s
-from passgate.daemon.cold_sending import ColdPermitService
+from passgate.daemon.cold_permits import ColdPermitService
 from passgate.daemon.control_topic import make_control_topic
+from passgate.daemon.graceful_shutdown import RELEASE_TIMEOUT_S, GracefulShutdown
 from passgate.daemon.job_partitions import make_job_partitions
 from passgate.daemon.job_runner_factory import JobRunnerFactory
-from passgate.daemon.planned_stop import RELEASE_TIMEOUT_S, GracefulShutdown
 from passgate.daemon.replica_table import make_replica_table
 from passgate.daemon.topics import LogTopics
 from passgate.decisions import (
@@ -32,16 +32,16 @@
 from passgate.discovery.service import Discovery, ReplicaDecoder
 from passgate.discovery.view import DiscoveryView
 from passgate.duties.calls import DutyClient
-from passgate.duties.folds import DutyProjections
+from passgate.duties.projections import DutyProjections
 from passgate.duties.service import Duties
 from passgate.eligibility.evacuation import EvacuatedZones
 from passgate.errors import InvalidConfiguration
-from passgate.gateway.configuration_peers import CONFIGURATION_METHOD, PeerConfigurationPoller
-from passgate.gateway.dialect import HeaderNames
 from passgate.gateway.forwarder import Forwarder
+from passgate.gateway.header_names import HeaderNames
 from passgate.gateway.ingress import Ingress, RequestHandler, make_probe_handler
 from passgate.gateway.metrics import GatewayMetrics
-from passgate.gateway.replica_call import ReplicaClient
+from passgate.gateway.peer_configuration import CONFIGURATION_METHOD, PeerConfigurationPoller
+from passgate.gateway.replica_client import ReplicaClient
 from passgate.gateway.routes import ConfigHolder, GatewayConfig
 from passgate.gateway.settings import GatewaySettings
 from passgate.gateway.stream_forwarder import StreamForwarder
@@ -49,11 +49,11 @@
 from passgate.jobs.records import writer_name
 from passgate.jobs.service import JobService
 from passgate.peers.transport import PeerTransport
-from passgate.quarantine.peers import CRASH_REPORTS_METHOD, CrashReportExchange
-from passgate.quarantine.service import CrashQuarantine
-from passgate.sharedlog.candidacy import GroupMembershipPolicy
-from passgate.sharedlog.counted import InstrumentedLog
+from passgate.quarantine.crash_quarantine import CrashQuarantine
+from passgate.quarantine.crash_report_exchange import CRASH_REPORTS_METHOD, CrashReportExchange
 from passgate.sharedlog.group import GroupDirectory, GroupMember, OtherZoneDirectories, group_of_zone
+from passgate.sharedlog.group_membership_policy import GroupMembershipPolicy
+from passgate.sharedlog.instrumented_log import InstrumentedLog
 from passgate.sharedlog.log import SharedLog
 from passgate.sharedlog.member_names import member_name
 from passgate.sharedlog.tail import Freshness, KeyedTail, TailSettings
--- a/passgate/daemon/http_client.py
+++ b/passgate/daemon/http_client.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from passgate.clients.calls import HttpLimits
 from passgate.clients.curl import HttpClient
+from passgate.clients.http_call import HttpLimits
 
 CONNECT_TIMEOUT_S = 0.7
 """Time to open a connection; shorter than the 1 s after which the kernel resends a lost SYN."""
--- a/passgate/daemon/job_partitions.py
+++ b/passgate/daemon/job_partitions.py
@@ -7,11 +7,11 @@
 from passgate.decisions import DecisionLog
 from passgate.gateway.routes import ConfigHolder
 from passgate.gateway.settings import GatewaySettings
-from passgate.jobs.bound_bodies import RestrictedBodies
+from passgate.jobs.partitions import JobPartitions, JobPartitionSettings
 from passgate.jobs.peers import JobPeerClient
-from passgate.jobs.shards import JobPartitions, JobPartitionSettings
-from passgate.sharedlog.candidacy import GroupMembershipPolicy
+from passgate.jobs.restricted_bodies import RestrictedBodies
 from passgate.sharedlog.group import GroupMember
+from passgate.sharedlog.group_membership_policy import GroupMembershipPolicy
 from passgate.sharedlog.log import SharedLog
 
 
--- a/passgate/daemon/job_runner_factory.py
+++ b/passgate/daemon/job_runner_factory.py
@@ -7,19 +7,19 @@
 from collections.abc import Container
 
 from passgate.decisions import DecisionLog
-from passgate.gateway.dialect import HeaderNames
-from passgate.gateway.replica_call import ReplicaClient
-from passgate.gateway.replicas import ReplicaTable
+from passgate.gateway.header_names import HeaderNames
+from passgate.gateway.replica_client import ReplicaClient
+from passgate.gateway.replica_table import ReplicaTable
 from passgate.gateway.routes import ConfigHolder, WeightedServicePicker
 from passgate.jobs.durations import OutputDurations
-from passgate.jobs.fold import JobProjection, JobState
-from passgate.jobs.group_replicas import GroupAffinity
+from passgate.jobs.group_affinity import GroupAffinity
 from passgate.jobs.item_run import ItemRunContext
 from passgate.jobs.journal import Journal
+from passgate.jobs.projection import JobProjection, JobState
 from passgate.jobs.reward_call import RewardCallContext
 from passgate.jobs.runner import JobRunner
-from passgate.jobs.silence import StallDetector
-from passgate.jobs.waiting import WaitQueues
+from passgate.jobs.stall_detector import StallDetector
+from passgate.jobs.wait_queues import WaitQueues
 
 
 class JobRunnerFactory:
--- a/passgate/daemon/replica_table.py
+++ b/passgate/daemon/replica_table.py
@@ -7,7 +7,7 @@
 from passgate.eligibility.known_service import KnownServiceRule
 from passgate.eligibility.regions import RegionRule
 from passgate.gateway.metrics import GatewayMetrics
-from passgate.gateway.replicas import ReplicaTable
+from passgate.gateway.replica_table import ReplicaTable
 from passgate.gateway.routes import ConfigHolder
 from passgate.gateway.settings import GatewaySettings
 
--- a/passgate/demo.py
+++ b/passgate/demo.py
@@ -22,8 +22,8 @@
 from rich.table import Table
 
 from passgate.caller_client import CallerClient
-from passgate.clients.calls import HttpCall, SendPolicy
 from passgate.clients.curl import HttpClient
+from passgate.clients.http_call import HttpCall, SendPolicy
 from passgate.demo_deployment import DeploymentProcesses, pool_of_model
 from passgate.emulator.admin_client import StandInAdmin
 from passgate.emulator.callers import Callers
--- a/passgate/demo_deployment.py
+++ b/passgate/demo_deployment.py
@@ -17,8 +17,8 @@
 import msgspec
 import yaml
 
-from passgate.clients.calls import HttpCall, SendPolicy
 from passgate.clients.curl import HttpClient
+from passgate.clients.http_call import HttpCall, SendPolicy
 from passgate.clock import monotonic_s
 from passgate.emulator.admin_messages import StandInAddresses
 from passgate.emulator.parameters import DeploymentParameters
--- a/passgate/discovery/view.py
+++ b/passgate/discovery/view.py
@@ -13,9 +13,9 @@
 
 from passgate.clock import monotonic_s
 from passgate.decisions import DecisionLog, ReplicaChanged
-from passgate.discovery.unusable import UnusableEntries
+from passgate.discovery.unusable_entries import UnusableEntries
 from passgate.eligibility.replica_info import ReplicaInfo
-from passgate.gateway.replicas import ReplicaState, ReplicaTable
+from passgate.gateway.replica_table import ReplicaState, ReplicaTable
 from passgate.sharedlog.tail import BEHIND_AFTER_S, Freshness
 
 GONE_RETENTION_S = 120.0
--- a/passgate/duties/folds.py
+++ b/passgate/duties/projections.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from passgate.duties.scaling_fold import ScalingProjection
-from passgate.duties.usage_fold import UsageProjection
+from passgate.duties.scaling_projection import ScalingProjection
+from passgate.duties.usage_projection import UsageProjection
 
 
 class DutyProjections:
--- a/passgate/duties/service.py
+++ b/passgate/duties/service.py
@@ -10,20 +10,20 @@
 from passgate.decisions import DecisionLog
 from passgate.duties.calls import CallRateLimiter, DutyClient
 from passgate.duties.clock_sync import CLOCK_METHOD, ClockSync
-from passgate.duties.folds import DutyProjections
 from passgate.duties.meter import UsageMeter
+from passgate.duties.projections import DutyProjections
 from passgate.duties.scaler import Scaler
-from passgate.duties.usage_channel import RECORD_COUNTS_METHOD, UsageForwarder
+from passgate.duties.usage_forwarder import RECORD_COUNTS_METHOD, UsageForwarder
 from passgate.duties.usage_reporter import UsageReporter
 from passgate.duties.wall_clock import SynchronizedWallClock
 from passgate.duties.windows import UsageWindows
 from passgate.errors import PeerCallFailed
-from passgate.gateway.replicas import ReplicaTable
+from passgate.gateway.replica_table import ReplicaTable
 from passgate.gateway.routes import ConfigHolder
 from passgate.gateway.settings import DutySettings, ScalingPolicy
 from passgate.peers.transport import PeerTransport
 from passgate.sharedlog.group import GroupDirectory
-from passgate.versions.control import ControlTopic
+from passgate.versions.control_topic import ControlTopic
 
 RATE_LIMIT_SHARE = 0.5
 """Share of the platform's call rate that one leader uses; its predecessor may have used the other half in
--- a/passgate/duties/usage_reporter.py
+++ b/passgate/duties/usage_reporter.py
@@ -12,7 +12,7 @@
 from passgate.clock import monotonic_s
 from passgate.decisions import DecisionLog, UsageReportSent, UsageWindowCommitted
 from passgate.duties.calls import CallRateLimiter, DutyClient, DutyOutcome, UsageReport
-from passgate.duties.usage_fold import UsageProjection
+from passgate.duties.usage_projection import UsageProjection
 from passgate.duties.windows import UsageWindows
 from passgate.jobs.journal import Journal
 from passgate.jobs.records import UsageCommitted, UsageReported
--- a/passgate/eligibility/permit_peers.py
+++ b/passgate/eligibility/permit_client.py
@@ -17,7 +17,7 @@
 
 from passgate.clock import monotonic_s
 from passgate.eligibility.cold_replicas import ColdReplicas
-from passgate.eligibility.permit_grantor import PermitIssuer, PermitRequest, PermitResponse
+from passgate.eligibility.permit_issuer import PermitIssuer, PermitRequest, PermitResponse
 from passgate.eligibility.permits import PERMIT_LIFETIME_S, PermitPool
 from passgate.errors import PeerError
 from passgate.peers.transport import PeerTransport
--- a/passgate/eligibility/regions.py
+++ b/passgate/eligibility/regions.py
@@ -13,9 +13,9 @@
 
 from collections.abc import Callable
 
-from passgate.eligibility.places import Topology
 from passgate.eligibility.replica_info import ReplicaInfo
 from passgate.eligibility.rules import SendContext, SendKind
+from passgate.eligibility.topology import Topology
 
 SendCounter = Callable[[str, bool], None]
 """Called with the region that a request was sent to, and whether it differs from this daemon's region."""
--- a/passgate/gateway/forwarder.py
+++ b/passgate/gateway/forwarder.py
@@ -23,8 +23,8 @@
 from passgate.gateway.access import Caller
 from passgate.gateway.forwarder_base import ForwardedRequest, ForwarderBase, no_replica_error
 from passgate.gateway.messages import GatewayAnswer, IncomingRequest, error_status
-from passgate.gateway.replica_call import ReplicaAnswer, cancel_and_wait, end_to_end_headers
-from passgate.gateway.replicas import ReplicaState
+from passgate.gateway.replica_client import ReplicaAnswer, cancel_and_wait, end_to_end_headers
+from passgate.gateway.replica_table import ReplicaState
 from passgate.gateway.routes import Route
 
 HEDGE_DELAY_SHARE = 0.4
--- a/passgate/gateway/forwarder_base.py
+++ b/passgate/gateway/forwarder_base.py
@@ -20,10 +20,10 @@
 )
 from passgate.errors.base import ExecutionStatus, PassgateError
 from passgate.gateway.access import Caller
-from passgate.gateway.dialect import HeaderNames
+from passgate.gateway.header_names import HeaderNames
 from passgate.gateway.messages import IncomingRequest
-from passgate.gateway.replica_call import ReplicaClient, ReplicaRequest
-from passgate.gateway.replicas import ReplicaQuery, ReplicaState, ReplicaTable
+from passgate.gateway.replica_client import ReplicaClient, ReplicaRequest
+from passgate.gateway.replica_table import ReplicaQuery, ReplicaState, ReplicaTable
 from passgate.gateway.routes import ConfigHolder, Route, RouteKind, WeightedServicePicker
 from passgate.quarantine.identity import RequestIdentity
 
--- a/passgate/gateway/metrics.py
+++ b/passgate/gateway/metrics.py
@@ -147,7 +147,7 @@
         self.registry.register(_ExclusionCollector(counts))
 
     def count_log_call(self, call: str, subject: str, outcome: str) -> None:
-        """Count a call to the log, made by :mod:`passgate.sharedlog.counted`."""
+        """Count a call to the log, made by :mod:`passgate.sharedlog.instrumented_log`."""
         self._log_calls.labels(call, subject, outcome).inc()
 
     def count_region_send(self, region: str, spilled: bool) -> None:
--- a/passgate/gateway/replica_call.py
+++ b/passgate/gateway/replica_client.py
@@ -12,8 +12,8 @@
 import msgspec
 from tornado.httputil import HTTPHeaders
 
-from passgate.clients.calls import HttpCall, SendPolicy
 from passgate.clients.curl import HttpClient
+from passgate.clients.http_call import HttpCall, SendPolicy
 from passgate.clients.transfer import Transfer
 from passgate.clock import monotonic_s
 from passgate.eligibility.replica_info import ReplicaIncarnation
@@ -28,9 +28,9 @@
     SendTooLate,
 )
 from passgate.gateway.access import replica_headers
-from passgate.gateway.dialect import HeaderNames
+from passgate.gateway.header_names import HeaderNames
 from passgate.gateway.messages import GUARANTEED_NOT_RUN_STATUSES
-from passgate.gateway.replicas import ReplicaState, ReplicaTable
+from passgate.gateway.replica_table import ReplicaState, ReplicaTable
 from passgate.quarantine.guard import CrashGuard, ReplicaEndpoint
 from passgate.quarantine.identity import CRASH_LIMIT, RequestIdentity
 
--- a/passgate/gateway/replicas.py
+++ b/passgate/gateway/replica_table.py
@@ -20,11 +20,11 @@
 from passgate.eligibility.cold_replicas import ColdReplicas
 from passgate.eligibility.cold_rule import ColdRule
 from passgate.eligibility.permits import PermitPool
-from passgate.eligibility.places import Topology
 from passgate.eligibility.replica_info import ReplicaIncarnation, ReplicaInfo
 from passgate.eligibility.rules import ANY_REGION_REQUEST, DrainingRule, SendContext, SendRules
-from passgate.gateway.distance import ZoneDistances
-from passgate.gateway.spill import LocalCapacityWaits, spillover_share
+from passgate.eligibility.topology import Topology
+from passgate.gateway.spillover import LocalCapacityWaits, spillover_share
+from passgate.gateway.zone_distances import ZoneDistances
 from passgate.routing.replica_health import ReplicaHealth
 
 LATENCY_SMOOTHING = 0.2
--- a/passgate/gateway/routes.py
+++ b/passgate/gateway/routes.py
@@ -16,9 +16,9 @@
 
 import msgspec
 
-from passgate.eligibility.places import Topology
 from passgate.eligibility.regions import intersect_regions
 from passgate.eligibility.rules import ANY_REGION_REQUEST, SendContext
+from passgate.eligibility.topology import Topology
 from passgate.errors import InvalidConfiguration
 from passgate.gateway.access import ApiKeyIndex, Tenant
 
--- a/passgate/gateway/settings.py
+++ b/passgate/gateway/settings.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from passgate.eligibility.places import Topology
+from passgate.eligibility.topology import Topology
 
 
 class ScalingPolicy(enum.Enum):
--- a/passgate/gateway/distance.py
+++ b/passgate/gateway/zone_distances.py
@@ -21,7 +21,7 @@
 
 import msgspec
 
-from passgate.eligibility.places import Topology
+from passgate.eligibility.topology import Topology
 
 OTHER_ZONE_COST_S = 0.0025
 """Cost of another zone of the local region, and minimum cost of a zone elsewhere: traffic is billed."""
--- a/passgate/jobs/group_replicas.py
+++ b/passgate/jobs/group_affinity.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from passgate.eligibility.replica_info import ReplicaIncarnation
-from passgate.gateway.replicas import ReplicaQuery, ReplicaTable
+from passgate.gateway.replica_table import ReplicaQuery, ReplicaTable
 
 
 class GroupAffinity:
--- a/passgate/jobs/item_run.py
+++ b/passgate/jobs/item_run.py
@@ -23,19 +23,19 @@
     PassgateError,
     VersionTooOld,
 )
-from passgate.gateway.dialect import HeaderNames
-from passgate.gateway.replica_call import ReplicaAttempt, ReplicaClient, ReplicaRequest
-from passgate.gateway.replicas import FULL_LOAD, ReplicaQuery, ReplicaState, ReplicaTable
+from passgate.gateway.header_names import HeaderNames
+from passgate.gateway.replica_client import ReplicaAttempt, ReplicaClient, ReplicaRequest
+from passgate.gateway.replica_table import FULL_LOAD, ReplicaQuery, ReplicaState, ReplicaTable
 from passgate.gateway.routes import Route
-from passgate.jobs.checkpoint import ItemCheckpointer
 from passgate.jobs.durations import OutputDurations
 from passgate.jobs.event_stream import EventStream, RecordedEvents
-from passgate.jobs.group_replicas import GroupAffinity
+from passgate.jobs.group_affinity import GroupAffinity
+from passgate.jobs.item_checkpointer import ItemCheckpointer
+from passgate.jobs.job_timing import JobTiming
 from passgate.jobs.records import ItemSpec, JobSpec, Result, ResultState
 from passgate.jobs.reward_call import RewardCallContext
-from passgate.jobs.silence import FIRST_BYTES_LIMIT_S, StallDetector, silence_limit_s
-from passgate.jobs.timing import JobTiming
-from passgate.jobs.waiting import QueueKey, Rank, WaitQueues
+from passgate.jobs.stall_detector import FIRST_BYTES_LIMIT_S, StallDetector, silence_limit_s
+from passgate.jobs.wait_queues import QueueKey, Rank, WaitQueues
 from passgate.quarantine.identity import ITEM_CRASH_LIMIT
 
 SLOT_POLL_INTERVAL_S = 0.01
--- a/passgate/jobs/timing.py
+++ b/passgate/jobs/job_timing.py
@@ -20,7 +20,7 @@
 import msgspec
 
 from passgate.decisions import JobGroupsCompleted
-from passgate.jobs.groups import GroupProgress
+from passgate.jobs.group_progress import GroupProgress
 from passgate.jobs.records import ItemSpec, JobSpec
 
 
--- a/passgate/jobs/ownership.py
+++ b/passgate/jobs/ownership.py
@@ -15,12 +15,12 @@
 
 from passgate.clock import monotonic_s
 from passgate.decisions import DecisionLog, ItemResultRecorded, JobOwnershipClaimed, JobOwnershipReleased
-from passgate.jobs.fold import JobProjection, JobState
 from passgate.jobs.journal import Journal
 from passgate.jobs.liveness import WriterStatus
+from passgate.jobs.partition_owners import PartitionOwners, UnappendedEntries
+from passgate.jobs.projection import JobProjection, JobState
 from passgate.jobs.records import ItemProgressed, ItemsDone, JobClaimed, Result, ResultState, daemon_of
 from passgate.jobs.runner import EXPIRY_MARGIN_S, JobRunner
-from passgate.jobs.take_over import PartitionOwners, UnappendedEntries
 from passgate.sharedlog.tail import MAX_CURRENT_AGE_S, Freshness
 
 logger = logging.getLogger("passgate.jobs")
--- a/passgate/jobs/shards.py
+++ b/passgate/jobs/partitions.py
@@ -18,13 +18,13 @@
 
 from passgate.clock import monotonic_s
 from passgate.decisions import DecisionLog, RecordUnreadable
-from passgate.jobs.bound_bodies import BodiesReader, RestrictedBodies
-from passgate.jobs.fold import JobProjection, JobState
 from passgate.jobs.journal import Journal
 from passgate.jobs.ownership import UNLIMITED_TIME_TO_LIVE_S, Ownership
+from passgate.jobs.partition_owners import OwnerClient, PartitionOwners
+from passgate.jobs.projection import JobProjection, JobState
 from passgate.jobs.records import ItemBodies, WriterStopped, decode_batch
+from passgate.jobs.restricted_bodies import BodiesReader, RestrictedBodies
 from passgate.jobs.runner import JobRunner
-from passgate.jobs.take_over import OwnerClient, PartitionOwners
 from passgate.sharedlog.log import LogPage, SharedLog
 from passgate.sharedlog.tail import POLL_WAIT_S, OnDemandTail, RecordTail, TailSettings
 
--- a/passgate/jobs/peers.py
+++ b/passgate/jobs/peers.py
@@ -13,8 +13,8 @@
 
 from passgate.clock import monotonic_s
 from passgate.decisions import DecisionLog, JobPeerCallFailed
-from passgate.eligibility.places import Topology
 from passgate.eligibility.regions import is_region_allowed
+from passgate.eligibility.topology import Topology
 from passgate.errors import (
     BodiesElsewhere,
     ExecutionStatus,
@@ -26,11 +26,11 @@
     PeerError,
     PeerUnreachable,
 )
-from passgate.gateway.distance import ZoneDistances
+from passgate.gateway.zone_distances import ZoneDistances
 from passgate.jobs.liveness import AliveResponse
+from passgate.jobs.partition_owners import UnappendedEntries
 from passgate.jobs.reader import ResultPage
 from passgate.jobs.records import ItemProgressed, ItemsDone, JobSpec, encode_spec
-from passgate.jobs.take_over import UnappendedEntries
 from passgate.peers.transport import PeerTransport
 from passgate.sharedlog.group import GroupDirectory, OtherZoneDirectories
 from passgate.sharedlog.member_names import address_of
--- a/passgate/jobs/fold.py
+++ b/passgate/jobs/projection.py
@@ -24,9 +24,8 @@
 import msgspec
 
 from passgate.gateway.access import tenant_scoped_id
-from passgate.jobs.bound_bodies import RestrictedJob, with_bodies
 from passgate.jobs.event_stream import RecordedEvents
-from passgate.jobs.groups import GroupProgress
+from passgate.jobs.group_progress import GroupProgress
 from passgate.jobs.records import (
     Batch,
     ItemBodies,
@@ -43,6 +42,7 @@
     decode_spec,
     encode_spec,
 )
+from passgate.jobs.restricted_bodies import RestrictedJob, with_bodies
 
 FIRST_EPOCH = 1
 MAX_PENDING_JOBS = 256
--- a/passgate/jobs/reader.py
+++ b/passgate/jobs/reader.py
@@ -8,9 +8,9 @@
 
 from passgate.clock import monotonic_s
 from passgate.errors import BodiesElsewhere, ExecutionStatus, NotFound, NotReady
-from passgate.jobs.fold import JobState
+from passgate.jobs.partitions import JobPartition
+from passgate.jobs.projection import JobState
 from passgate.jobs.records import Result
-from passgate.jobs.shards import JobPartition
 
 MAX_PAGE_TEXT_BYTES = 450_000
 """Estimated size of a page's results; a page must fit into one message between daemons."""
--- a/passgate/jobs/bound_bodies.py
+++ b/passgate/jobs/restricted_bodies.py
@@ -30,9 +30,9 @@
 
 from passgate.clock import monotonic_s
 from passgate.decisions import DecisionLog, JobBodiesUnusable
-from passgate.eligibility.places import Topology
 from passgate.eligibility.regions import is_region_allowed
 from passgate.eligibility.rules import SendContext
+from passgate.eligibility.topology import Topology
 from passgate.errors import LogAppendUnknown, LogError, LogUnavailable
 from passgate.jobs.records import (
     COMPRESSION_LEVEL,
--- a/passgate/jobs/reward_call.py
+++ b/passgate/jobs/reward_call.py
@@ -20,9 +20,9 @@
 from passgate.eligibility.replica_info import ReplicaIncarnation
 from passgate.eligibility.rules import SendContext
 from passgate.errors import AnswerMismatch, ExecutionStatus, IncompleteAnswer, PassgateError
-from passgate.gateway.dialect import HeaderNames
-from passgate.gateway.replica_call import ReplicaAnswer, ReplicaClient, ReplicaRequest
-from passgate.gateway.replicas import ReplicaQuery, ReplicaState, ReplicaTable
+from passgate.gateway.header_names import HeaderNames
+from passgate.gateway.replica_client import ReplicaAnswer, ReplicaClient, ReplicaRequest
+from passgate.gateway.replica_table import ReplicaQuery, ReplicaState, ReplicaTable
 from passgate.gateway.routes import Route, WeightedServicePicker
 from passgate.jobs.records import RewardSpec, Score
 from passgate.quarantine.identity import ITEM_CRASH_LIMIT
--- a/passgate/jobs/runner.py
+++ b/passgate/jobs/runner.py
@@ -15,13 +15,13 @@
 from passgate.clock import monotonic_s
 from passgate.decisions import ItemResultRecorded
 from passgate.gateway.access import tenant_scoped_id
-from passgate.jobs.fold import JobProjection, JobState
 from passgate.jobs.item_run import ItemRun, ItemRunContext
+from passgate.jobs.job_timing import JobTiming
 from passgate.jobs.journal import Journal
+from passgate.jobs.projection import JobProjection, JobState
 from passgate.jobs.records import ItemsDone, ItemSpec, JobSpec, Result, ResultState, RewardSpec
 from passgate.jobs.reward_call import RewardCall
-from passgate.jobs.timing import JobTiming
-from passgate.jobs.waiting import Rank
+from passgate.jobs.wait_queues import Rank
 
 logger = logging.getLogger("passgate.jobs")
 
--- a/passgate/jobs/service.py
+++ b/passgate/jobs/service.py
@@ -30,6 +30,7 @@
 from passgate.gateway.messages import error_status
 from passgate.jobs.journal import Journal
 from passgate.jobs.liveness import CUT_OFF_AFTER_S, AliveResponse
+from passgate.jobs.partitions import JobPartition, JobPartitions
 from passgate.jobs.peers import (
     MAX_VIEW_AGE_FOR_PEERS_S,
     METHOD_ALIVE,
@@ -52,7 +53,6 @@
 )
 from passgate.jobs.reader import ResultPage, find_job, read_body, read_page, require_followed
 from passgate.jobs.records import JobCancelled, JobSpec, WeightDemand, decode_spec, job_pieces
-from passgate.jobs.shards import JobPartition, JobPartitions
 from passgate.sharedlog.tail import MAX_CURRENT_AGE_S
 
 PEER_APPEND_DELAY_S = 0.3
--- a/passgate/operator_client.py
+++ b/passgate/operator_client.py
@@ -14,8 +14,8 @@
 import msgspec
 
 from passgate import errors
-from passgate.clients.calls import HttpAnswer, HttpCall, SendPolicy
 from passgate.clients.curl import HttpClient
+from passgate.clients.http_call import HttpAnswer, HttpCall, SendPolicy
 from passgate.errors import ErrorBody, PassgateError
 from passgate.server.wire import (
     ApplyAnswer,
--- a/passgate/platform/duty_calls.py
+++ b/passgate/platform/duty_calls.py
@@ -4,8 +4,8 @@
 
 import msgspec
 
-from passgate.clients.calls import HttpCall, SendPolicy
 from passgate.clients.curl import HttpClient
+from passgate.clients.http_call import HttpCall, SendPolicy
 from passgate.duties.calls import DutyClient, DutyOutcome, ReplicaOrder, UsageReport
 from passgate.errors import PassgateError
 from passgate.platform import names
--- a/passgate/platform/front.py
+++ b/passgate/platform/http_api.py
@@ -6,8 +6,8 @@
 
 import msgspec
 
-from passgate.clients.calls import HttpCall, SendPolicy
 from passgate.clients.curl import HttpClient
+from passgate.clients.http_call import HttpCall, SendPolicy
 from passgate.daemon.gateway_daemon import GatewayDaemon
 from passgate.decisions import RequestRefused
 from passgate.errors import (
--- a/passgate/platform/log_client.py
+++ b/passgate/platform/log_client.py
@@ -16,8 +16,8 @@
 
 import msgspec
 
-from passgate.clients.calls import HttpAnswer, HttpCall, SendPolicy
 from passgate.clients.curl import HttpClient
+from passgate.clients.http_call import HttpAnswer, HttpCall, SendPolicy
 from passgate.errors import ExecutionStatus, LogAppendUnknown, LogUnavailable, MalformedRecord, PassgateError
 from passgate.platform import names
 from passgate.sharedlog.log import (
--- a/passgate/platform/names.py
+++ b/passgate/platform/names.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from passgate.gateway.dialect import HeaderNames
+from passgate.gateway.header_names import HeaderNames
 
 HEADERS = HeaderNames(
     request_id="X-Attempt-Id",
--- a/passgate/platform/program.py
+++ b/passgate/platform/program.py
@@ -17,11 +17,11 @@
 from passgate.gateway.settings import GatewaySettings
 from passgate.peers.peer_transport import TcpPeerTransport, parse_address
 from passgate.platform import names
-from passgate.platform.beliefs import OperatorTopicHandler, PlatformReplicaDecoder
 from passgate.platform.duty_calls import PlatformDutyCalls
-from passgate.platform.front import FrontRequestHandler, PlatformReplicaControl
+from passgate.platform.http_api import FrontRequestHandler, PlatformReplicaControl
 from passgate.platform.log_client import PlatformLog
 from passgate.platform.settings import SettingsWatcher, read_settings, settings_path
+from passgate.platform.topic_records import OperatorTopicHandler, PlatformReplicaDecoder
 from passgate.process_signals import block_signals, install_signal_handlers
 
 OPERATOR_READ_PAUSE_S = 0.05
--- a/passgate/quarantine/service.py
+++ b/passgate/quarantine/crash_quarantine.py
@@ -6,9 +6,9 @@
 
 from passgate.decisions import DecisionLog
 from passgate.eligibility.replica_info import ReplicaIncarnation
-from passgate.quarantine.channel import CrashReportLog
+from passgate.quarantine.crash_report_log import CrashReportLog
+from passgate.quarantine.crash_reports import CrashReportStore
 from passgate.quarantine.guard import CrashGuard, CrashGuardHooks
-from passgate.quarantine.ledger import CrashReportStore
 from passgate.quarantine.liveness import has_exited
 from passgate.sharedlog.log import SharedLog
 
--- a/passgate/quarantine/peers.py
+++ b/passgate/quarantine/crash_report_exchange.py
@@ -14,8 +14,8 @@
 
 from passgate.errors import PeerError
 from passgate.peers.transport import PeerTransport
-from passgate.quarantine.channel import CrashReportLog
-from passgate.quarantine.ledger import CrashReport
+from passgate.quarantine.crash_report_log import CrashReportLog
+from passgate.quarantine.crash_reports import CrashReport
 from passgate.sharedlog.member_names import address_of
 
 CRASH_REPORTS_METHOD = "crashes.exchange"
--- a/passgate/quarantine/channel.py
+++ b/passgate/quarantine/crash_report_log.py
@@ -17,8 +17,8 @@
 from passgate.decisions import CrashReportReceived, DecisionLog, RecordUnreadable
 from passgate.eligibility.replica_info import ReplicaIncarnation
 from passgate.errors import LogError
-from passgate.quarantine.last_chances import UNKNOWN_OFFSET, IsolatedRun
-from passgate.quarantine.ledger import CrashReport, CrashReportStore
+from passgate.quarantine.crash_reports import CrashReport, CrashReportStore
+from passgate.quarantine.isolated_runs import UNKNOWN_OFFSET, IsolatedRun
 from passgate.sharedlog.log import KeyedRecord, SharedLog
 from passgate.sharedlog.tail import KeyedTail, TailSettings
 
--- a/passgate/quarantine/ledger.py
+++ b/passgate/quarantine/crash_reports.py
@@ -27,7 +27,7 @@
 
 from passgate.eligibility.replica_info import ReplicaIncarnation
 from passgate.quarantine.identity import ITEM_CRASH_LIMIT
-from passgate.quarantine.last_chances import IsolatedRuns
+from passgate.quarantine.isolated_runs import IsolatedRuns
 
 REPORT_LIFETIME_S = 600.0
 """Age at which a report expires, so that a request is retried after a fix of the replicas."""
--- a/passgate/quarantine/guard.py
+++ b/passgate/quarantine/guard.py
@@ -23,9 +23,9 @@
     PassgateError,
     RequestQuarantined,
 )
+from passgate.quarantine.crash_reports import CrashReport, CrashReportStore
 from passgate.quarantine.identity import RequestIdentity
-from passgate.quarantine.last_chances import IsolatedRun
-from passgate.quarantine.ledger import CrashReport, CrashReportStore
+from passgate.quarantine.isolated_runs import IsolatedRun
 
 QUERY_INTERVAL_S = 1.0
 """Shortest time between two queries of a replica's incarnation, however many responses it sends."""
--- a/passgate/server/parts.py
+++ b/passgate/server/parts.py
@@ -7,9 +7,9 @@
 
 import msgspec
 
-from passgate.clients.calls import HttpLimits
 from passgate.clients.curl import HttpClient
 from passgate.clients.http_app import HttpAppClient
+from passgate.clients.http_call import HttpLimits
 from passgate.clients.http_engine import HttpEngineClient
 from passgate.clients.http_log import HttpLogClient
 from passgate.clients.http_platform import HttpMachineList, HttpWeightStore
--- a/passgate/sharedlog/group.py
+++ b/passgate/sharedlog/group.py
@@ -15,7 +15,7 @@
 from passgate.clock import monotonic_s
 from passgate.decisions import DecisionLog, PartitionsAssigned
 from passgate.errors import LogError
-from passgate.sharedlog.candidacy import ALWAYS_MEMBER_CORES, GroupMembershipPolicy
+from passgate.sharedlog.group_membership_policy import ALWAYS_MEMBER_CORES, GroupMembershipPolicy
 from passgate.sharedlog.hedge import call_hedged
 from passgate.sharedlog.log import GroupAssignment, GroupPartition, SharedLog
 
--- a/passgate/versions/control.py
+++ b/passgate/versions/control_topic.py
@@ -19,8 +19,8 @@
 from passgate.jobs.records import Batch, WriterStopped, decode_batch
 from passgate.sharedlog.log import LogPage, SharedLog
 from passgate.sharedlog.tail import OnDemandTail, RecordTail, TailSettings
-from passgate.versions.lead_fold import LeadershipProjection
 from passgate.versions.leadership import Leadership
+from passgate.versions.leadership_projection import LeadershipProjection
 
 LEASE_CHECK_INTERVAL_S = 0.1
 """Interval of lease checks; a quarter of the renewal interval."""
--- a/passgate/versions/leadership.py
+++ b/passgate/versions/leadership.py
@@ -15,7 +15,7 @@
 from passgate.jobs.liveness import WriterStatus
 from passgate.jobs.records import Batch, LeaderClaimed, daemon_of
 from passgate.sharedlog.tail import MAX_CURRENT_AGE_S, Freshness
-from passgate.versions.lead_fold import LeadershipProjection
+from passgate.versions.leadership_projection import LeadershipProjection
 
 TAKEOVER_MARGIN_S = 0.5
 """Silence beyond the lease after which other daemons claim leadership."""
--- a/passgate/versions/load_crashes.py
+++ b/passgate/versions/load_crashes.py
@@ -7,7 +7,7 @@
 from __future__ import annotations
 
 from passgate.decisions import DecisionLog, VersionLoadsSuspended
-from passgate.gateway.replicas import ReplicaState, ReplicaTable
+from passgate.gateway.replica_table import ReplicaState, ReplicaTable
 from passgate.quarantine.guard import CrashGuard, ReplicaEndpoint
 from passgate.quarantine.identity import RequestIdentity
 
--- a/passgate/versions/load_plan.py
+++ b/passgate/versions/load_plan.py
@@ -18,7 +18,7 @@
 import msgspec
 
 from passgate.eligibility.replica_info import ReplicaIncarnation
-from passgate.gateway.replicas import ReplicaState
+from passgate.gateway.replica_table import ReplicaState
 
 MAX_LOADING_SHARE = 0.4
 """Largest share of a service's replicas that load at the same time."""
--- a/passgate/versions/loader.py
+++ b/passgate/versions/loader.py
@@ -19,13 +19,13 @@
 from passgate.eligibility.replica_info import ReplicaIncarnation
 from passgate.eligibility.rules import CONTROL_MESSAGE
 from passgate.errors import ExecutionStatus, PassgateError
-from passgate.gateway.replicas import ReplicaState, ReplicaTable
+from passgate.gateway.replica_table import ReplicaState, ReplicaTable
 from passgate.jobs.records import WeightDemand
 from passgate.quarantine.guard import CrashGuard
-from passgate.versions.doubtful_orders import UnconfirmedOrders
 from passgate.versions.leadership import Leadership
 from passgate.versions.load_crashes import LoadCrashGuard
 from passgate.versions.load_plan import LoadLimit, ModelDemand, PlannedLoad, plan_loads
+from passgate.versions.unconfirmed_orders import UnconfirmedOrders
 
 logger = logging.getLogger("passgate.versions")
 
--- a/tests/cold_world.py
+++ b/tests/cold_world.py
@@ -9,13 +9,13 @@
 from passgate.clock import monotonic_s
 from passgate.decisions import DecisionLog
 from passgate.eligibility.cold_replicas import ColdLimit
-from passgate.eligibility.permit_grantor import PermitIssuer
-from passgate.eligibility.permit_peers import CHECK_INTERVAL_S, PERMITS_METHOD, PermitClient
-from passgate.eligibility.places import Topology
+from passgate.eligibility.permit_client import CHECK_INTERVAL_S, PERMITS_METHOD, PermitClient
+from passgate.eligibility.permit_issuer import PermitIssuer
 from passgate.eligibility.replica_info import ReplicaInfo
 from passgate.eligibility.rules import ANY_REGION_REQUEST
+from passgate.eligibility.topology import Topology
 from passgate.errors import SendForbidden
-from passgate.gateway.replicas import FULL_LOAD, ReplicaQuery, ReplicaTable
+from passgate.gateway.replica_table import FULL_LOAD, ReplicaQuery, ReplicaTable
 from passgate.peers.memory_transport import MemoryNetwork
 
 LIMIT = ColdLimit(max_duration_s=3.0, max_requests_per_s=29)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -10,8 +10,8 @@
 import pytest
 
 from passgate import clock
-from passgate.clients.calls import HttpCall
 from passgate.clients.curl import HttpClient
+from passgate.clients.http_call import HttpCall
 from passgate.errors import BackendRefused
 from passgate.schema import (
     AppResponse,
--- a/tests/crashing_world.py
+++ b/tests/crashing_world.py
@@ -5,9 +5,9 @@
 import functools
 import inspect
 
-from passgate.clients.calls import HttpCall, SendPolicy
+from passgate.clients.http_call import HttpCall, SendPolicy
 from passgate.errors import PassgateError
-from passgate.jobs.shards import partition_of
+from passgate.jobs.partitions import partition_of
 from tests import platform_stand_ins as stand_ins
 from tests.test_platform_daemon import HOST, World, start_daemon_at_free_ports
 
--- a/tests/job_daemons.py
+++ b/tests/job_daemons.py
@@ -6,12 +6,15 @@
 
 from passgate.clock import monotonic_s
 from passgate.decisions import DecisionLog
-from passgate.eligibility.places import Topology
+from passgate.eligibility.topology import Topology
 from passgate.errors import NotReady
-from passgate.gateway.distance import ZoneDistances
-from passgate.jobs.bound_bodies import RestrictedBodies
+from passgate.gateway.zone_distances import ZoneDistances
 from passgate.jobs.journal import Journal
 from passgate.jobs.liveness import LivenessProber
+from passgate.jobs.partitions import (
+    JobPartitions,
+    JobPartitionSettings,
+)
 from passgate.jobs.peers import JobPeerClient
 from passgate.jobs.reader import find_job
 from passgate.jobs.records import (
@@ -22,17 +25,14 @@
     ResultState,
     writer_name,
 )
+from passgate.jobs.restricted_bodies import RestrictedBodies
 from passgate.jobs.service import JobService
-from passgate.jobs.shards import (
-    JobPartitions,
-    JobPartitionSettings,
-)
 from passgate.peers.memory_transport import MemoryNetwork
-from passgate.sharedlog.candidacy import GroupMembershipPolicy
 from passgate.sharedlog.group import GroupDirectory, GroupMember, OtherZoneDirectories
+from passgate.sharedlog.group_membership_policy import GroupMembershipPolicy
 from passgate.sharedlog.member_names import member_name
 from passgate.sharedlog.tail import KeyedTail, TailSettings
-from passgate.versions.control import ControlTopic
+from passgate.versions.control_topic import ControlTopic
 
 LEASE_S = 3.0
 FAULTS = [
--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -6,7 +6,7 @@
 import time
 from dataclasses import dataclass, field
 
-from passgate.clients.calls import HttpCall, SendPolicy
+from passgate.clients.http_call import HttpCall, SendPolicy
 from passgate.errors import PassgateError
 from tests import platform_stand_ins as stand_ins
 from tests.soak.kept_connection import AnswerCut, KeptConnection
--- a/tests/test_clients_curl.py
+++ b/tests/test_clients_curl.py
@@ -10,8 +10,8 @@
 import pycurl
 import pytest
 
-from passgate.clients.calls import HttpCall, HttpLimits, SendPolicy
 from passgate.clients.curl import HttpClient
+from passgate.clients.http_call import HttpCall, HttpLimits, SendPolicy
 from passgate.clients.transfer import classify_failure
 from passgate.clock import monotonic_s
 from passgate.errors import (
--- a/tests/test_clients_http_platform.py
+++ b/tests/test_clients_http_platform.py
@@ -4,7 +4,7 @@
 import pytest
 from tornado.httputil import HTTPHeaders
 
-from passgate.clients.calls import HttpAnswer
+from passgate.clients.http_call import HttpAnswer
 from passgate.clients.http_platform import HttpMachineList
 from passgate.clients.wire import MachinesAnswer
 from passgate.errors import PlatformError
--- a/tests/test_clients_stream_verifier.py
+++ b/tests/test_clients_stream_verifier.py
@@ -7,8 +7,8 @@
 from tornado.httputil import HTTPHeaders
 
 from passgate.clients import wire
-from passgate.clients.calls import HttpAnswer
-from passgate.clients.replies import engine_failure
+from passgate.clients.answer_decoding import engine_failure
+from passgate.clients.http_call import HttpAnswer
 from passgate.clients.stream_verifier import StreamVerifier
 from passgate.errors import (
     AnswerMismatch,
--- a/tests/test_cold_replicas.py
+++ b/tests/test_cold_replicas.py
@@ -7,7 +7,7 @@
 
 from passgate.clock import monotonic_s, run_virtual
 from passgate.eligibility.cold_replicas import MAX_ENTRY_DELAY_S
-from passgate.eligibility.permit_peers import MAX_REQUEST_INTERVAL_S
+from passgate.eligibility.permit_client import MAX_REQUEST_INTERVAL_S
 from passgate.eligibility.permits import GRANT_WINDOW_S, PERMIT_LIFETIME_S
 from passgate.eligibility.rules import CONTROL_MESSAGE
 from tests.cold_world import LIMIT, QUERY, World
--- a/tests/test_cold_send.py
+++ b/tests/test_cold_send.py
@@ -10,12 +10,12 @@
 from passgate.clock import monotonic_s
 from passgate.eligibility.cold_replicas import ColdLimit
 from passgate.eligibility.permits import MAX_SEND_DELAY_S, PERMIT_LIFETIME_S
-from passgate.eligibility.places import Topology
 from passgate.eligibility.replica_info import ReplicaInfo
+from passgate.eligibility.topology import Topology
 from passgate.errors import AnswerMismatch, BackendRefused, ExecutionStatus, SendTooLate
-from passgate.gateway.dialect import HeaderNames
-from passgate.gateway.replica_call import ReplicaClient, ReplicaRequest
-from passgate.gateway.replicas import ReplicaTable
+from passgate.gateway.header_names import HeaderNames
+from passgate.gateway.replica_client import ReplicaClient, ReplicaRequest
+from passgate.gateway.replica_table import ReplicaTable
 from tests.test_clients_curl import raw_server, reply_ok
 
 NAMES = HeaderNames(**{name: f"X-{name.replace('_', '-')}" for name in HeaderNames.__struct_fields__})
--- a/tests/test_crash_guard.py
+++ b/tests/test_crash_guard.py
@@ -18,8 +18,10 @@
     RequestQuarantined,
 )
 from passgate.peers.memory_transport import MemoryNetwork
-from passgate.quarantine import ledger as report_module
-from passgate.quarantine.channel import MAX_CURRENT_AGE_S, POLL_WAIT_S, CrashReportLog
+from passgate.quarantine import crash_reports as report_module
+from passgate.quarantine.crash_report_exchange import EXCHANGE_INTERVAL_S, CrashReportExchange
+from passgate.quarantine.crash_report_log import MAX_CURRENT_AGE_S, POLL_WAIT_S, CrashReportLog
+from passgate.quarantine.crash_reports import REPORT_LIFETIME_S, CrashReport, CrashReportStore
 from passgate.quarantine.guard import (
     MAX_DISCOVERY_DELAY_S,
     QUERY_INTERVAL_S,
@@ -28,8 +30,6 @@
     ReplicaEndpoint,
 )
 from passgate.quarantine.identity import CRASH_LIMIT, ITEM_CRASH_LIMIT, RequestIdentity
-from passgate.quarantine.ledger import REPORT_LIFETIME_S, CrashReport, CrashReportStore
-from passgate.quarantine.peers import EXCHANGE_INTERVAL_S, CrashReportExchange
 from passgate.sharedlog.member_names import member_name
 
 TOPIC, SERVICE = "keyed.crashes", "app"
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -14,12 +14,12 @@
 from passgate.discovery.service import Discovery, ReplicaDecoder, ReplicaTopics
 from passgate.discovery.view import DiscoveryView, ReplicaUpdate
 from passgate.eligibility.cold_replicas import ColdLimit
-from passgate.eligibility.places import Topology
 from passgate.eligibility.replica_info import ReplicaInfo
+from passgate.eligibility.topology import Topology
 from passgate.emulator.shared_log import MemorySharedLog, SharedLogFaults
-from passgate.gateway.replicas import ReplicaTable
-from passgate.sharedlog.candidacy import GroupMembershipPolicy
+from passgate.gateway.replica_table import ReplicaTable
 from passgate.sharedlog.group import GroupMember
+from passgate.sharedlog.group_membership_policy import GroupMembershipPolicy
 
 DIRECT_LIMIT = 20
 ENTRIES_TOPIC = "keyed.raw"
--- a/tests/test_discovery_other_writers.py
+++ b/tests/test_discovery_other_writers.py
@@ -22,18 +22,18 @@
     part_of,
 )
 from passgate.discovery.service import Discovery, ReplicaTopics
-from passgate.discovery.unusable import KEY_LOG_INTERVAL_S, LOG_INTERVAL_S, UnusableEntries
+from passgate.discovery.unusable_entries import KEY_LOG_INTERVAL_S, LOG_INTERVAL_S, UnusableEntries
 from passgate.discovery.view import RETURN_GRACE_S, DiscoveryView, ReplicaUpdate
 from passgate.eligibility.known_service import KnownServiceRule
-from passgate.eligibility.places import Topology
 from passgate.eligibility.replica_info import ReplicaInfo
+from passgate.eligibility.topology import Topology
 from passgate.emulator.shared_log import MemorySharedLog
 from passgate.errors import ExecutionStatus, MalformedRecord, NotReady
 from passgate.gateway.metrics import GatewayMetrics
-from passgate.gateway.replicas import ReplicaQuery, ReplicaTable
-from passgate.platform.beliefs import PlatformReplicaDecoder
-from passgate.platform.front import PlatformReplicaControl
+from passgate.gateway.replica_table import ReplicaQuery, ReplicaTable
+from passgate.platform.http_api import PlatformReplicaControl
 from passgate.platform.log_client import PlatformLog
+from passgate.platform.topic_records import PlatformReplicaDecoder
 from passgate.sharedlog.log import KeyedRecord
 from passgate.sharedlog.tail import KeyedTail, TailSettings
 
--- a/tests/test_duties_scaling.py
+++ b/tests/test_duties_scaling.py
@@ -9,17 +9,17 @@
 from passgate.decisions import DecisionLog
 from passgate.duties.calls import CallRateLimiter, DutyOutcome
 from passgate.duties.scaler import BOOT_MARGIN_S, Scaler
-from passgate.duties.scaling_fold import ScalingProjection
 from passgate.duties.scaling_policy import ZoneReplicas, spread_replicas
+from passgate.duties.scaling_projection import ScalingProjection
 from passgate.eligibility.evacuation import EvacuatedZones
-from passgate.eligibility.places import Topology
 from passgate.eligibility.replica_info import ReplicaInfo
+from passgate.eligibility.topology import Topology
 from passgate.emulator.shared_log import MemorySharedLog
-from passgate.gateway.replicas import ReplicaTable
+from passgate.gateway.replica_table import ReplicaTable
 from passgate.gateway.routes import ConfigHolder, GatewayConfig, ScalingRule, Service
 from passgate.jobs.journal import Journal
 from passgate.jobs.records import WeightDemand, writer_name
-from passgate.versions.control import ControlTopic
+from passgate.versions.control_topic import ControlTopic
 
 RULE = ScalingRule(least=1, most=4, boot_s=2.0, spot_price=0.2, zone_prices={"a": 1.0, "b": 0.8})
 JOURNAL_LIMITS = {"record_bytes": 262_144, "append_bytes": 2_000_000}
--- a/tests/test_duties_usage.py
+++ b/tests/test_duties_usage.py
@@ -12,8 +12,8 @@
 from passgate.decisions import DecisionLog
 from passgate.duties.calls import CallRateLimiter, DutyOutcome
 from passgate.duties.meter import FLUSH_INTERVAL_S, UsageMeter
-from passgate.duties.usage_channel import RECORD_COUNTS_METHOD, UsageForwarder
-from passgate.duties.usage_fold import UsageProjection
+from passgate.duties.usage_forwarder import RECORD_COUNTS_METHOD, UsageForwarder
+from passgate.duties.usage_projection import UsageProjection
 from passgate.duties.usage_reporter import UsageReporter
 from passgate.duties.wall_clock import SynchronizedWallClock
 from passgate.duties.windows import UsageWindows
@@ -21,7 +21,7 @@
 from passgate.jobs.journal import Journal
 from passgate.jobs.records import UsageCommitted, UsageCounted, writer_name
 from passgate.peers.memory_transport import MemoryNetwork
-from passgate.versions.control import ControlTopic
+from passgate.versions.control_topic import ControlTopic
 
 WINDOWS = UsageWindows(length_s=5.0)
 DUE_S = 10.0
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -12,17 +12,17 @@
 from passgate.clock import monotonic_s, run_virtual
 from passgate.decisions import DecisionLog, EvacuationEnded, ZoneEvacuated
 from passgate.eligibility.evacuation import EvacuatedZones, EvacuationChange, EvacuationRule, EvacuationView
-from passgate.eligibility.places import Topology
 from passgate.eligibility.replica_info import ReplicaIncarnation, ReplicaInfo
+from passgate.eligibility.topology import Topology
 from passgate.emulator.shared_log import MemorySharedLog
 from passgate.errors import InvalidConfiguration
-from passgate.gateway.configuration_peers import POLL_AFTER_S, ConfigurationSnapshot
-from passgate.gateway.replicas import ReplicaQuery, ReplicaTable
-from passgate.jobs.group_replicas import GroupAffinity
+from passgate.gateway.peer_configuration import POLL_AFTER_S, ConfigurationSnapshot
+from passgate.gateway.replica_table import ReplicaQuery, ReplicaTable
+from passgate.jobs.group_affinity import GroupAffinity
 from passgate.jobs.records import WeightDemand
-from passgate.platform.beliefs import OperatorTopicHandler
 from passgate.platform.documents import zone_of_evacuation_key
-from passgate.quarantine.service import CrashQuarantine
+from passgate.platform.topic_records import OperatorTopicHandler
+from passgate.quarantine.crash_quarantine import CrashQuarantine
 from passgate.sharedlog.log import KeyedRecord
 from passgate.versions.loader import Loader, ReplicaReport, TargetVersions, read_incarnation
 from tests import test_duties_scaling as scaling
--- a/tests/test_gateway_configuration_peers.py
+++ b/tests/test_gateway_configuration_peers.py
@@ -10,7 +10,7 @@
 from passgate.decisions import DecisionLog
 from passgate.eligibility.evacuation import EvacuatedZones
 from passgate.gateway.access import Tenant
-from passgate.gateway.configuration_peers import (
+from passgate.gateway.peer_configuration import (
     CONFIGURATION_METHOD,
     POLL_AFTER_S,
     ConfigurationSnapshot,
--- a/tests/test_gateway_distance.py
+++ b/tests/test_gateway_distance.py
@@ -4,10 +4,10 @@
 import collections
 
 from passgate.clock import monotonic_s, run_virtual
-from passgate.eligibility.places import Topology
 from passgate.eligibility.replica_info import ReplicaInfo
-from passgate.gateway.distance import ANSWER_MARGIN_S, RTT_WINDOW_S, ZoneDistances
-from passgate.gateway.replicas import FULL_LOAD, ReplicaQuery, ReplicaTable
+from passgate.eligibility.topology import Topology
+from passgate.gateway.replica_table import FULL_LOAD, ReplicaQuery, ReplicaTable
+from passgate.gateway.zone_distances import ANSWER_MARGIN_S, RTT_WINDOW_S, ZoneDistances
 
 REGIONS = {f"{region}{number}": region for region in "abc" for number in (1, 2)}
 SLOTS, SERVICE_TIME_S, NETWORK_COST_S = 4, 0.05, 0.024
--- a/tests/test_gateway_replicas.py
+++ b/tests/test_gateway_replicas.py
@@ -1,8 +1,8 @@
 """Choice of a replica after one refused a request; with free slots, that one is probably loading weights."""
 
-from passgate.eligibility.places import Topology
 from passgate.eligibility.replica_info import ReplicaInfo
-from passgate.gateway.replicas import ASSUMED_LOADING_S, FULL_LOAD, ReplicaQuery, ReplicaTable
+from passgate.eligibility.topology import Topology
+from passgate.gateway.replica_table import ASSUMED_LOADING_S, FULL_LOAD, ReplicaQuery, ReplicaTable
 
 QUERY = ReplicaQuery(services=frozenset({"s"}), load_below=FULL_LOAD)
 
--- a/tests/test_jobs_daemons.py
+++ b/tests/test_jobs_daemons.py
@@ -14,6 +14,10 @@
 from passgate.decisions import JobEndUnconfirmed
 from passgate.emulator.shared_log import MemorySharedLog, SharedLogFaults
 from passgate.errors import DurabilityUnknown, LogUnavailable, NotFound, NotReady
+from passgate.jobs.partitions import (
+    FOLLOW_AFTER_USE_S,
+    partition_of,
+)
 from passgate.jobs.reader import find_job
 from passgate.jobs.records import (
     Batch,
@@ -22,10 +26,6 @@
     ResultState,
     encode_batch,
 )
-from passgate.jobs.shards import (
-    FOLLOW_AFTER_USE_S,
-    partition_of,
-)
 from passgate.sharedlog.group import DIRECTORY_REFRESH_S
 from tests.job_daemons import (
     FAULTS,
--- a/tests/test_jobs_fold.py
+++ b/tests/test_jobs_projection.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from passgate.jobs.fold import JobProjection
+from passgate.jobs.projection import JobProjection
 from passgate.jobs.records import (
     Batch,
     ItemProgressed,
--- a/tests/test_jobs_regions.py
+++ b/tests/test_jobs_regions.py
@@ -8,14 +8,14 @@
 import pytest
 
 from passgate.clock import monotonic_s, run_virtual
-from passgate.eligibility.places import Topology
+from passgate.eligibility.topology import Topology
 from passgate.emulator.shared_log import MemorySharedLog
 from passgate.errors import DurabilityUnknown, LogUnavailable, NoRegionAllowed, NotReady
-from passgate.gateway.distance import RTT_WINDOW_S, ZoneDistances
 from passgate.gateway.routes import ITEM_TIME_TO_LIVE_S, ConfigHolder, GatewayConfig, Route, WeightedService
-from passgate.jobs.bound_bodies import BodiesReader, RestrictedJob, bodies_topic
+from passgate.gateway.zone_distances import RTT_WINDOW_S, ZoneDistances
 from passgate.jobs.reader import find_job
 from passgate.jobs.records import BodiesLocation, ItemBodies, ResultState, RewardSpec
+from passgate.jobs.restricted_bodies import BodiesReader, RestrictedJob, bodies_topic
 from passgate.jobs.runner import EXPIRY_MARGIN_S
 from passgate.sharedlog.group import DIRECTORY_REFRESH_S
 from tests.job_daemons import (
--- a/tests/test_jobs_silence.py
+++ b/tests/test_jobs_stalls.py
@@ -6,7 +6,7 @@
 import pytest
 
 from passgate.clock import monotonic_s, run_virtual
-from passgate.jobs.silence import MAX_SILENCE_LIMIT_S, StallDetector, silence_limit_s
+from passgate.jobs.stall_detector import MAX_SILENCE_LIMIT_S, StallDetector, silence_limit_s
 
 PAUSE_S = 0.04
 TOLERANCE_S = 0.05
--- a/tests/test_jobs_takeover.py
+++ b/tests/test_jobs_takeover.py
@@ -6,11 +6,11 @@
 
 from passgate.clock import monotonic_s, run_virtual
 from passgate.emulator.shared_log import MemorySharedLog, SharedLogFaults
-from passgate.jobs.fold import FIRST_EPOCH
 from passgate.jobs.ownership import TAKEOVER_AFTER_S, TAKEOVER_JITTER_S
+from passgate.jobs.partitions import partition_of
+from passgate.jobs.projection import FIRST_EPOCH
 from passgate.jobs.reader import find_job
 from passgate.jobs.records import ItemsDone
-from passgate.jobs.shards import partition_of
 from passgate.sharedlog.group import DIRECTORY_REFRESH_S
 from tests.job_daemons import (
     HOST,
--- a/tests/test_jobs_timing.py
+++ b/tests/test_jobs_timing.py
@@ -1,7 +1,7 @@
 """The report that breaks down the time of a job."""
 
+from passgate.jobs.job_timing import JobTiming
 from passgate.jobs.records import ItemSpec, JobSpec
-from passgate.jobs.timing import JobTiming
 
 
 def item(item_id, group):
--- a/tests/test_jobs_waiting.py
+++ b/tests/test_jobs_waiting.py
@@ -1,7 +1,7 @@
 """The order in which the items of several jobs get replicas."""
 
 from passgate.jobs.durations import OutputDurations
-from passgate.jobs.fold import JobState
+from passgate.jobs.projection import JobState
 from passgate.jobs.records import ItemSpec, JobSpec
 from passgate.jobs.runner import JobRunner
 
--- a/tests/test_platform_daemon.py
+++ b/tests/test_platform_daemon.py
@@ -12,12 +12,12 @@
 import msgspec
 import pytest
 
-from passgate.clients.calls import HttpCall, SendPolicy
-from passgate.daemon import planned_stop as shutdown
+from passgate.clients.http_call import HttpCall, SendPolicy
+from passgate.daemon import graceful_shutdown as shutdown
 from passgate.daemon.http_client import make_http_client
 from passgate.errors import PassgateError
 from passgate.jobs import item_run
-from passgate.platform.front import FrontRequestHandler
+from passgate.platform.http_api import FrontRequestHandler
 from passgate.platform.log_client import PlatformLog
 from passgate.platform.program import make_daemon
 from passgate.platform.settings import SettingsWatcher, parse_settings
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from passgate.clock import monotonic_s
-from passgate.eligibility.places import Topology
+from passgate.eligibility.topology import Topology
 from passgate.errors import InvalidConfiguration
 from passgate.gateway.routes import ConfigHolder
 from passgate.platform.documents import decode_config
--- a/tests/test_replica_lives.py
+++ b/tests/test_replica_lives.py
@@ -10,16 +10,16 @@
 from passgate.clock import run_virtual
 from passgate.decisions import DecisionLog
 from passgate.discovery.view import DiscoveryView, ReplicaUpdate
-from passgate.eligibility.places import Topology
 from passgate.eligibility.replica_info import ReplicaIncarnation, ReplicaInfo
+from passgate.eligibility.topology import Topology
 from passgate.emulator.shared_log import MemorySharedLog
 from passgate.errors import BackendUnreachable, ExecutionStatus
-from passgate.gateway.replicas import DEFAULT_LATENCY_S, ReplicaQuery, ReplicaTable
-from passgate.jobs.silence import StallDetector
+from passgate.gateway.replica_table import DEFAULT_LATENCY_S, ReplicaQuery, ReplicaTable
+from passgate.jobs.stall_detector import StallDetector
 from passgate.platform.documents import decode_replica, decode_report
-from passgate.quarantine.service import CrashQuarantine
-from passgate.versions.doubtful_orders import UNCONFIRMED_LIFETIME_S
+from passgate.quarantine.crash_quarantine import CrashQuarantine
 from passgate.versions.loader import Loader, ReplicaReport, TargetVersions, read_incarnation
+from passgate.versions.unconfirmed_orders import UNCONFIRMED_LIFETIME_S
 
 QUERY = ReplicaQuery(services=frozenset({"s"}), model="m")
 PACKAGE_ROOT = pathlib.Path(__file__).parent.parent / "passgate"
@@ -37,12 +37,12 @@
     "discovery/view.py",  # discovery has one entry per identifier, ordered by offset
     "discovery/relay.py",  # as above
     "discovery/relayed_list.py",  # as above
-    "discovery/unusable.py",  # keys of discovery entries, whatever they contain
+    "discovery/unusable_entries.py",  # keys of discovery entries, whatever they contain
     "eligibility/cold_replicas.py",  # an unreachable replica may return as another incarnation, and cold
     "eligibility/permits.py",  # a cold replica's limit counts the requests to all its incarnations
-    "eligibility/permit_grantor.py",  # as above
-    "eligibility/permit_peers.py",  # as above
-    "versions/doubtful_orders.py",  # a late order reaches later incarnations
+    "eligibility/permit_issuer.py",  # as above
+    "eligibility/permit_client.py",  # as above
+    "versions/unconfirmed_orders.py",  # a late order reaches later incarnations
 }
 """Modules that key state by identifier on purpose."""
 
@@ -315,7 +315,7 @@
 
 
 IDENTIFIER_PARAMETERS = {
-    "gateway/replicas.py": 2,  # entries that discovery lists or has removed under an identifier
+    "gateway/replica_table.py": 2,  # entries that discovery lists or has removed under an identifier
     "versions/loader.py": 1,  # reads the report at an address, which states the incarnation
 }
 MAX_KEYS_IN_REPLICA_TABLE = 6
@@ -335,7 +335,7 @@
                 parameter_count_by_file |= (
                     {name: len(lines)} if (lines := list(lines_with_identifier_parameters(tree))) else {}
                 )
-    table_lines = key_lines_by_file.pop("gateway/replicas.py", [])
+    table_lines = key_lines_by_file.pop("gateway/replica_table.py", [])
     assert key_lines_by_file == {}
     assert len(table_lines) <= MAX_KEYS_IN_REPLICA_TABLE
     assert (
--- a/tests/test_sharedlog_candidacy.py
+++ b/tests/test_sharedlog_candidacy.py
@@ -5,12 +5,12 @@
 from passgate.clock import run_virtual
 from passgate.decisions import DecisionLog
 from passgate.emulator.shared_log import MemorySharedLog
-from passgate.sharedlog.candidacy import (
+from passgate.sharedlog.group import GroupDirectory, GroupMember
+from passgate.sharedlog.group_membership_policy import (
     SHORTAGE_CONFIRMATION_S,
     SUFFICIENT_LARGER_MEMBERS,
     GroupMembershipPolicy,
 )
-from passgate.sharedlog.group import GroupDirectory, GroupMember
 from passgate.sharedlog.member_names import member_name
 
 PARTITIONS = 12
--- a/tests/test_sharedlog_silence.py
+++ b/tests/test_sharedlog_silence.py
@@ -9,8 +9,8 @@
 from passgate.emulator.shared_log import MemorySharedLog
 from passgate.jobs.journal import Journal
 from passgate.jobs.records import JobCancelled
-from passgate.sharedlog.candidacy import GroupMembershipPolicy
 from passgate.sharedlog.group import GroupMember
+from passgate.sharedlog.group_membership_policy import GroupMembershipPolicy
 from passgate.sharedlog.hedge import HEDGE_DELAY_S
 from passgate.sharedlog.tail import RecordTail, TailSettings
 
--- a/tests/test_versions_lead_fold.py
+++ b/tests/test_versions_lead_fold.py
@@ -11,7 +11,7 @@
     decode_batch,
     encode_batch,
 )
-from passgate.versions.lead_fold import LeadershipProjection
+from passgate.versions.leadership_projection import LeadershipProjection
 
 
 class LogFeeder:
