--- a/passgate/clients/http_log.py
+++ b/passgate/clients/http_log.py
@@ -12,9 +12,9 @@
 import msgspec
 
 from passgate.clients import wire
-from passgate.clients.calls import HttpAnswer, HttpCall, SendPolicy
+from passgate.clients.answer_decoding import decode_body, decode_error
 from passgate.clients.curl import HttpClient
-from passgate.clients.replies import decode_body, decode_error
+from passgate.clients.http_call import HttpAnswer, HttpCall, SendPolicy
 from passgate.errors import ExecutionStatus, LogAppendUnknown, LogError, LogUnavailable, PassgateError
 from passgate.interfaces import LogBatch
 
@@ -28,7 +28,7 @@
     def __init__(self, http: HttpClient, address: str, credential: str | None = None) -> None:
         self._http = http
         self._base_url = f"http://{address}/v1/streams"
-        self._headers = wire.authorization(credential)
+        self._headers = wire.authorization_headers(credential)
 
     async def append(self, stream: str, payloads: Sequence[bytes], timeout_s: float) -> int:
         """Append records and return the offset of the first; raises LogUnavailable or LogAppendUnknown."""
--- a/passgate/clients/http_platform.py
+++ b/passgate/clients/http_platform.py
@@ -10,9 +10,9 @@
 import msgspec
 
 from passgate.clients import wire
-from passgate.clients.calls import HttpAnswer, HttpCall, SendPolicy
+from passgate.clients.answer_decoding import decode_body
 from passgate.clients.curl import HttpClient
-from passgate.clients.replies import decode_body
+from passgate.clients.http_call import HttpAnswer, HttpCall, SendPolicy
 from passgate.errors import PassgateError, PlatformError
 from passgate.schema import MachineInfo
 
@@ -29,7 +29,7 @@
     def __init__(self, http: HttpClient, address: str, credential: str | None = None) -> None:
         self._http = http
         self._base_url = f"http://{address}/v1"
-        self._headers = {**wire.authorization(credential), "Accept-Encoding": "gzip"}
+        self._headers = {**wire.authorization_headers(credential), "Accept-Encoding": "gzip"}
 
     async def _send(
         self, method: str, path: str, body: bytes | None = None, *, entity_tag: str = ""
--- a/passgate/daemon/replica_table.py
+++ b/passgate/daemon/replica_table.py
@@ -7,7 +7,7 @@
 from passgate.eligibility.known_service import KnownServiceRule
 from passgate.eligibility.regions import RegionRule
 from passgate.gateway.metrics import GatewayMetrics
-from passgate.gateway.replicas import ReplicaTable
+from passgate.gateway.replica_table import ReplicaTable
 from passgate.gateway.routes import ConfigHolder
 from passgate.gateway.settings import GatewaySettings
 
@@ -20,10 +20,12 @@
     The table itself adds the rules for draining and cold replicas.  When a zone's evacuation ends, the zone's
     replicas count as cold.
     """
-    replicas = ReplicaTable(settings.places)
-    evacuated_zones.on_ended.append(lambda zone: replicas.turned_cold(zone, monotonic_s()))
-    replicas.rules.add(RegionRule(settings.places, metrics.count_region_send))
-    replicas.rules.add(EvacuationRule(evacuated_zones))
-    replicas.rules.add(KnownServiceRule(config.names_service))
-    metrics.show_kept_back(replicas.rules.kept_back)
+    replicas = ReplicaTable(settings.topology)
+    evacuated_zones.on_evacuation_ended.append(
+        lambda zone: replicas.mark_zone_possibly_cold(zone, monotonic_s())
+    )
+    replicas.send_rules.add(RegionRule(settings.topology, metrics.count_region_send))
+    replicas.send_rules.add(EvacuationRule(evacuated_zones))
+    replicas.send_rules.add(KnownServiceRule(config.has_service))
+    metrics.register_exclusions(replicas.send_rules.exclusion_counts)
     return replicas
--- a/passgate/decisions/leader_events.py
+++ b/passgate/decisions/leader_events.py
@@ -9,7 +9,7 @@
     """This daemon leads from now on and may send orders to replicas."""
 
     fence: int
-    """Fencing number of its leadership."""
+    """Fencing token of its leadership."""
     previous: str
     """Not in use; always empty."""
 
@@ -18,32 +18,32 @@
     """This daemon does not lead any more and sends no orders."""
 
     fence: int
-    """Fencing number of its lost leadership."""
+    """Fencing token of its lost leadership."""
     reason: str
 
 
-class VersionWanted(Event, tag="version_wanted"):
+class TargetVersionChanged(Event, tag="version_wanted"):
     """The operator has named a newer target version of a model's weights."""
 
     model: str
     version: int
 
 
-class OrderSent(Event, tag="order_sent"):
+class LoadOrderSent(Event, tag="order_sent"):
     """An order to load weights was sent to a replica, and was answered or has failed."""
 
     replica_id: str
     model: str
     version: int
     fence: int
-    """Fencing number of the leadership under which it was sent."""
+    """Fencing token of the leadership under which it was sent."""
     expected: int
     """Number of orders that the replica must have taken before, so that no order is applied twice."""
     outcome: str
     """HTTP status of the answer, or ``unanswered``."""
 
 
-class LoadHeld(Event, tag="load_held"):
+class VersionLoadsSuspended(Event, tag="load_held"):
     """Load orders for a version were suspended or resumed, as replicas crashed while they loaded it."""
 
     model: str
@@ -69,12 +69,12 @@
     window: int
     """Number of the window."""
     fence: int
-    """Fencing number of the leadership under which it was sent."""
+    """Fencing token of the leadership under which it was sent."""
     outcome: str
     """``accepted``, ``refused``, or ``unknown`` when the report may still be counted."""
 
 
-class ReplicaOrderSent(Event, tag="replicas_ordered"):
+class ReplicaCountOrderSent(Event, tag="replicas_ordered"):
     """An order for a number of replicas was sent to the platform, or has failed."""
 
     service: str
@@ -86,6 +86,6 @@
     present: int
     """Replicas of the service and kind that are listed in the zone and not draining."""
     fence: int
-    """Fencing number of the order; a later decision about the same replicas has a higher one."""
+    """Fencing token of the order; a later decision about the same replicas has a higher one."""
     outcome: str
     """``accepted``, ``refused``, or ``unknown`` when the order may still be carried out."""
--- a/passgate/duties/service.py
+++ b/passgate/duties/service.py
@@ -8,22 +8,22 @@
 
 from passgate.clock import monotonic_s
 from passgate.decisions import DecisionLog
-from passgate.duties.calls import CallRateLimiter, DutyCalls
+from passgate.duties.calls import CallRateLimiter, DutyClient
 from passgate.duties.clock_sync import CLOCK_METHOD, ClockSync
-from passgate.duties.folds import DutyFolds
 from passgate.duties.meter import UsageMeter
+from passgate.duties.projections import DutyProjections
 from passgate.duties.scaler import Scaler
-from passgate.duties.usage_channel import RECORD_COUNTS_METHOD, UsageForwarder
+from passgate.duties.usage_forwarder import RECORD_COUNTS_METHOD, UsageForwarder
 from passgate.duties.usage_reporter import UsageReporter
-from passgate.duties.wall_clock import AgreedWallClock
+from passgate.duties.wall_clock import SynchronizedWallClock
 from passgate.duties.windows import UsageWindows
 from passgate.errors import PeerCallFailed
-from passgate.gateway.replicas import ReplicaTable
+from passgate.gateway.replica_table import ReplicaTable
 from passgate.gateway.routes import ConfigHolder
 from passgate.gateway.settings import DutySettings, ScalingPolicy
 from passgate.peers.transport import PeerTransport
 from passgate.sharedlog.group import GroupDirectory
-from passgate.versions.control import ControlTopic
+from passgate.versions.control_topic import ControlTopic
 
 RATE_LIMIT_SHARE = 0.5
 """Share of the platform's call rate that one leader uses; its predecessor may have used the other half in
@@ -36,18 +36,18 @@
     def __init__(
         self,
         settings: DutySettings,
-        client: DutyCalls,
+        client: DutyClient,
         control: ControlTopic,
-        projections: DutyFolds,
+        projections: DutyProjections,
         transport: PeerTransport,
         directory: GroupDirectory,
         decisions: DecisionLog,
         *,
         config: ConfigHolder,
         replicas: ReplicaTable,
-        evacuated: Container[str],
+        evacuated_zones: Container[str],
         member: str,
-        holder: str,
+        daemon_id: str,
     ) -> None:
         """Connect the parts.
 
@@ -58,20 +58,20 @@
             projections: projections of that topic that the duties use.
             transport: carries requests to other daemons.
             directory: the daemons that watch partitions in this zone.
-            decisions: log of decisions.
+            decisions: decision log.
             config: the active configuration.
             replicas: the replicas that are present.
-            evacuated: zones in which no replica counts and none is ordered.
+            evacuated_zones: zones in which no replica counts and none is ordered.
             member: this daemon's name in the directory.
-            holder: this daemon's name in calls to the platform.
+            daemon_id: this daemon's name in calls to the platform.
         """
         self._reports_usage = settings.usage
         windows = UsageWindows(length_s=settings.usage_window_s)
-        clock = AgreedWallClock(time.time, monotonic_s)
+        clock = SynchronizedWallClock(time.time, monotonic_s)
         journal = control.journal
-        self._clock_sync = ClockSync(clock, transport, lambda: directory.others(member))
+        self._clock_sync = ClockSync(clock, transport, lambda: directory.other_members(member))
         self._usage_forwarder = UsageForwarder(
-            transport, journal, lambda: control.fold.leader, directory.member_of
+            transport, journal, lambda: control.leadership_projection.leader, directory.holder_of
         )
         self.meter = UsageMeter(journal.writer, windows, clock.now_s, self._usage_forwarder.send)
         rate_limiter = CallRateLimiter(settings.calls_per_s * RATE_LIMIT_SHARE)
@@ -84,7 +84,7 @@
             windows,
             clock.now_s,
             decisions,
-            holder=holder,
+            daemon_id=daemon_id,
             due_s=settings.usage_due_s,
         )
         self._scaler: Scaler | None = None
@@ -97,10 +97,10 @@
                 rate_limiter,
                 config,
                 replicas,
-                control.fold.newest_jobs,
+                control.leadership_projection.newest_demand_by_model,
                 decisions,
-                evacuated_zones=evacuated,
-                holder=holder,
+                evacuated_zones=evacuated_zones,
+                daemon_id=daemon_id,
             )
 
     async def run(self) -> None:
@@ -113,7 +113,7 @@
             if self._scaler is not None:
                 group.create_task(self._scaler.run())
 
-    async def answer_peer(self, sender: str, method: str, payload: bytes) -> bytes:
+    async def handle_peer_request(self, sender: str, method: str, payload: bytes) -> bytes:
         """Handle a request of another daemon; raises PeerCallFailed."""
         if method == RECORD_COUNTS_METHOD:
             return await self._usage_forwarder.handle_request(payload)
--- a/passgate/emulator/admin_client.py
+++ b/passgate/emulator/admin_client.py
@@ -7,9 +7,9 @@
 import msgspec
 
 from passgate.clients import wire
-from passgate.clients.calls import HttpAnswer, HttpCall, SendPolicy
+from passgate.clients.answer_decoding import decode_body, decode_error
 from passgate.clients.curl import HttpClient
-from passgate.clients.replies import decode_body, decode_error
+from passgate.clients.http_call import HttpAnswer, HttpCall, SendPolicy
 from passgate.emulator.admin_messages import (
     EmulatorState,
     FaultCommand,
@@ -32,7 +32,7 @@
     def __init__(self, http: HttpClient, address: str, credential: str | None = None) -> None:
         self._http = http
         self._base_url = f"http://{address}/admin"
-        self._headers = wire.authorization(credential)
+        self._headers = wire.authorization_headers(credential)
 
     async def addresses(self) -> StandInAddresses:
         """Return the addresses of all emulator servers."""
--- a/passgate/emulator/app_server.py
+++ b/passgate/emulator/app_server.py
@@ -53,7 +53,7 @@
 
     async def _serve_load_report(self) -> None:
         report = await self.server.model.load_report(self.server.app_address)
-        self.reply(wire.AppLoadAnswer.of(report))
+        self.reply(wire.AppLoadAnswer.from_report(report))
 
     async def _forward(self, request: AppRequest) -> None:
         self.server.count_received(request.request_id)
--- a/passgate/emulator/shared_log.py
+++ b/passgate/emulator/shared_log.py
@@ -27,8 +27,8 @@
 from passgate.sharedlog.log import (
     MAX_PAGE_BYTES,
     AppendConflict,
+    GroupAssignment,
     GroupPartition,
-    GroupShare,
     HistoryGone,
     KeyedRecord,
     KeyedSnapshot,
@@ -232,7 +232,7 @@
 
     async def join(
         self, group: str, member: str, topics: Sequence[str], *, lifetime_s: float, generation: int
-    ) -> GroupShare:
+    ) -> GroupAssignment:
         """Join a group or renew the membership; see :class:`SharedLog`."""
         await self._send_call(LogUnavailable)
         partitions = [(topic, part) for topic in topics for part in range(self._log.parts)]
@@ -241,7 +241,7 @@
         )
         await self._send_answer(LogUnavailable)
         assigned = frozenset(GroupPartition(topic, part) for topic, part in assignment.partitions)
-        return GroupShare(generation=assignment.generation, partitions=assigned)
+        return GroupAssignment(generation=assignment.generation, partitions=assigned)
 
     async def leave(self, group: str, member: str) -> None:
         """Leave a group, which moves the member's partitions to the others."""
--- a/passgate/gateway/configuration_peers.py
+++ b/passgate/gateway/peer_configuration.py
@@ -1,7 +1,7 @@
 """Fetches newer configurations and evacuations from peer daemons while the log is unreachable.
 
 A revoked API key must stop working also on daemons that can not read the log.  A daemon whose view of
-the operator's topic is older than ASK_AFTER_S polls a few peers, and applies what they report only if
+the operator's topic is older than POLL_AFTER_S polls a few peers, and applies what they report only if
 it is newer: a configuration of a higher version, evacuations as of a higher log offset.
 """
 
@@ -14,7 +14,7 @@
 import msgspec
 
 from passgate.clock import monotonic_s
-from passgate.decisions import ConfigurationLearned, DecisionLog
+from passgate.decisions import ConfigurationReceivedFromPeer, DecisionLog
 from passgate.eligibility.evacuation import EvacuatedZones, EvacuationView
 from passgate.errors import PeerError
 from passgate.gateway.routes import ConfigHolder, GatewayConfig
@@ -22,14 +22,14 @@
 from passgate.sharedlog.member_names import address_of
 
 CONFIGURATION_METHOD = "configuration.newer"
-ASK_AFTER_S = 1.3
+POLL_AFTER_S = 1.3
 """Age of the own view from which on peers are polled; the log's long poll confirms the view every 1 s."""
 POLL_INTERVAL_S = 0.5
 """Pause between polls; it leaves several polls within the 3 s in which a configuration must be applied."""
 MAX_PEERS_POLLED = 3
 """Peers polled at once, as some of them may not reach the log either."""
-ANSWER_TIMEOUT_S = 0.4
-"""Time limit of a peer's answer; it covers a daemon that is short of processor time."""
+RESPONSE_TIMEOUT_S = 0.4
+"""Timeout of a peer's response; it covers a daemon that is short of processor time."""
 AGE_CHECK_INTERVAL_S = 0.1
 """Time between checks of the own view's age."""
 NEVER_S = float("-inf")
@@ -50,7 +50,7 @@
     view: EvacuationView
 
 
-class KnownConfiguration(msgspec.Struct, frozen=True, kw_only=True):
+class ConfigurationSnapshot(msgspec.Struct, frozen=True, kw_only=True):
     """Answer to a ConfigurationQuery."""
 
     age_s: float
@@ -61,13 +61,13 @@
     """None from a daemon of an earlier release, or from one that has not read the topic yet."""
 
 
-class ConfigurationPeers:
+class PeerConfigurationPoller:
     """Polls peer daemons for the operator's configuration and evacuations, and answers their queries."""
 
     def __init__(
         self,
         transport: PeerTransport,
-        list_peers: Callable[[], list[str]],
+        list_other_members: Callable[[], list[str]],
         config_holder: ConfigHolder,
         evacuated_zones: EvacuatedZones,
         log_age_s: Callable[[], float],
@@ -78,7 +78,7 @@
 
         Args:
             transport: carries queries to peers.
-            list_peers: returns the names of the other daemons in random order; the first ones are polled.
+            list_other_members: returns the names of the other daemons in random order; the first are polled.
             config_holder: holds the active configuration, with which the version is compared.
             evacuated_zones: is updated with peers' views.
             log_age_s: returns the time since this daemon's own view of the operator's topic was confirmed.
@@ -86,7 +86,7 @@
             decisions: decision log.
         """
         self._transport = transport
-        self._list_peers = list_peers
+        self._list_other_members = list_other_members
         self._config_holder = config_holder
         self._evacuated_zones = evacuated_zones
         self._log_age_s = log_age_s
@@ -97,7 +97,7 @@
         self._evacuations_confirmed_at_s = NEVER_S
         """The same for the evacuated zones; separate, as peers of earlier releases don't report them."""
 
-    def age_s(self) -> float:
+    def configuration_age_s(self) -> float:
         """Return the time since the log or a peer confirmed the active configuration as the newest."""
         return min(self._log_age_s(), monotonic_s() - self._config_confirmed_at_s)
 
@@ -108,10 +108,10 @@
     async def run(self) -> None:
         """Poll peers whenever the own view of the log is too old; runs until cancelled."""
         while True:
-            if self._log_age_s() < ASK_AFTER_S:
+            if self._log_age_s() < POLL_AFTER_S:
                 await asyncio.sleep(AGE_CHECK_INTERVAL_S)
                 continue
-            peers = self._list_peers()[:MAX_PEERS_POLLED]
+            peers = self._list_other_members()[:MAX_PEERS_POLLED]
             await asyncio.gather(*(self._poll_peer(peer) for peer in peers))
             await asyncio.sleep(POLL_INTERVAL_S)
 
@@ -120,9 +120,9 @@
         queried_at_s = monotonic_s()
         try:
             payload = await self._transport.call(
-                address_of(peer), CONFIGURATION_METHOD, query, ANSWER_TIMEOUT_S
+                address_of(peer), CONFIGURATION_METHOD, query, RESPONSE_TIMEOUT_S
             )
-            snapshot = msgspec.json.decode(payload, type=KnownConfiguration)
+            snapshot = msgspec.json.decode(payload, type=ConfigurationSnapshot)
         except (PeerError, msgspec.DecodeError):
             return  # other peers are polled at the same time, and the poll is repeated
         if snapshot.config is not None and snapshot.config.version > self._config_holder.version:
@@ -133,7 +133,7 @@
 
     def _apply_newer_config(self, peer: str, config: GatewayConfig, age_s: float) -> None:
         self._decisions.write(
-            ConfigurationLearned(
+            ConfigurationReceivedFromPeer(
                 version=config.version,
                 peer=address_of(peer),
                 age_ms=round(age_s * 1000, 1),
@@ -143,14 +143,14 @@
         self._apply_config(config)
 
     def _apply_evacuations(self, peer: str, snapshot: EvacuationSnapshot, queried_at_s: float) -> None:
-        self._evacuated_zones.learn(snapshot.view, peer=address_of(peer), age_s=snapshot.age_s)
+        self._evacuated_zones.adopt_newer_view(snapshot.view, peer=address_of(peer), age_s=snapshot.age_s)
         if snapshot.view.offset >= self._evacuated_zones.view.offset:
             self._evacuations_confirmed_at_s = max(
                 self._evacuations_confirmed_at_s, queried_at_s - snapshot.age_s
             )
 
-    def answer(self, payload: bytes) -> bytes:
-        """Answer a peer's ConfigurationQuery with an encoded KnownConfiguration.
+    def handle_request(self, payload: bytes) -> bytes:
+        """Answer a peer's ConfigurationQuery with an encoded ConfigurationSnapshot.
 
         Raises msgspec.DecodeError for an unreadable payload.
         """
@@ -158,8 +158,8 @@
         table = self._config_holder.table
         is_newer = table is not None and table.config.version > query.version
         return msgspec.json.encode(
-            KnownConfiguration(
-                age_s=self.age_s(),
+            ConfigurationSnapshot(
+                age_s=self.configuration_age_s(),
                 config=table.config if is_newer else None,
                 evacuations=self._evacuation_snapshot(),
             )
--- a/passgate/jobs/records.py
+++ b/passgate/jobs/records.py
@@ -3,7 +3,7 @@
 One log record is a batch of entries by one writer, as zlib-compressed JSON.  The names of the
 fields and the tags are part of the stored format.
 
->>> batch = Batch(writer="d1.a", entries=(JobEnded(job_id="j"),))
+>>> batch = Batch(writer="d1.a", entries=(JobCancelled(job_id="j"),))
 >>> decode_batch(encode_batch(batch)) == batch
 True
 """
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from passgate.sharedlog.member_names import ADDRESS_MARK
+from passgate.sharedlog.member_names import ADDRESS_SEPARATOR
 
 COMPRESSION_LEVEL = 1
 
@@ -56,7 +56,7 @@
     """Where the bodies of a region-restricted job are stored, apart from the job itself."""
 
     topic: str
-    part: int
+    partition: int = msgspec.field(name="part")
     """Partition of the topic."""
     first: int
     """Offset of the first record that may hold a piece of the bodies."""
@@ -90,7 +90,7 @@
     """A job with all its items, as submitted."""
 
     job_id: str
-    """Unique over all tenants; see :func:`passgate.gateway.access.scoped_id`."""
+    """Unique over all tenants; see :func:`passgate.gateway.access.tenant_scoped_id`."""
     host: str
     path: str
     """Host and path of the submission; they select the job's route."""
@@ -178,24 +178,24 @@
     """Event identifier of the last event so far."""
     parent: str = ""
     """Run whose events this run continues; set in the run's first record only."""
-    whole: bool = False
+    complete: bool = msgspec.field(name="whole", default=False)
     """Whether these events complete the output, which then waits for its reward call."""
 
 
-class JobEnded(Entry, tag="end"):
+class JobCancelled(Entry, tag="end"):
     """The caller cancelled the job: no item of it is run any more."""
 
     job_id: str
 
 
 class LeaderClaimed(Entry, tag="lead"):
-    """``holder`` leads from now on.
+    """``leader`` leads from now on.
 
     Ignored when another claim was accepted after the one at ``after``, or when the previous
     leader appended a record after ``seen``.
     """
 
-    holder: str
+    leader: str = msgspec.field(name="holder")
     after: int
     """Offset of the last accepted claim; -1 when there is none."""
     seen: int = -1
@@ -213,7 +213,7 @@
     """Fence of the writer's leadership, -1 when it does not lead; for readers that did not read its claim."""
 
 
-class JobNoted(Entry, tag="need"):
+class WeightDemand(Entry, tag="need"):
     """What a new job requires of its model's weights, for the leader, which does not read the jobs."""
 
     model: str
@@ -223,7 +223,7 @@
     """Number of items of the job."""
 
 
-Counts = dict[str, int]
+CountByTenant = dict[str, int]
 """Maps tenants to numbers of requests."""
 
 
@@ -235,14 +235,14 @@
     number: int
     """Sequence number of that daemon's counts; a repeated record is counted once."""
     window: int
-    counts: Counts
+    counts: CountByTenant
 
 
 class UsageCommitted(Entry, tag="usage_commit"):
     """Contents of a window's report, fixed before it is first sent; every send must be identical."""
 
     window: int
-    counts: Counts
+    counts: CountByTenant
 
 
 class UsageReported(Entry, tag="usage_sent"):
@@ -252,7 +252,7 @@
 
 
 class ReplicasDecided(Entry, tag="scale"):
-    """Target number of a service's spot or regular replicas in a zone; its offset fences the order."""
+    """Target number of a service's spot or on-demand replicas in a zone; its offset fences the order."""
 
     service: str
     zone: str
@@ -275,11 +275,11 @@
     | JobClaimed
     | ItemsDone
     | ItemProgressed
-    | JobEnded
+    | JobCancelled
     | LeaderClaimed
     | WriterStopped
     | WriterAlive
-    | JobNoted
+    | WeightDemand
     | UsageCounted
     | UsageCommitted
     | UsageReported
@@ -294,7 +294,7 @@
     >>> writer_name("front-1", "5f3a", "10.1.0.10:7720")
     'front-1.5f3a@10.1.0.10:7720'
     """
-    return f"{daemon_id}.{incarnation}{ADDRESS_MARK}{peer_address}"
+    return f"{daemon_id}.{incarnation}{ADDRESS_SEPARATOR}{peer_address}"
 
 
 def daemon_of(writer: str) -> str:
@@ -303,7 +303,7 @@
     >>> daemon_of("front-1.5f3a@10.1.0.10:7720")
     'front-1'
     """
-    return writer.partition(ADDRESS_MARK)[0].rpartition(".")[0]
+    return writer.partition(ADDRESS_SEPARATOR)[0].rpartition(".")[0]
 
 
 class Batch(msgspec.Struct, frozen=True, kw_only=True):
--- a/passgate/jobs/runner.py
+++ b/passgate/jobs/runner.py
@@ -13,15 +13,15 @@
 import msgspec
 
 from passgate.clock import monotonic_s
-from passgate.decisions import ItemListed
-from passgate.gateway.access import scoped_id
-from passgate.jobs.fold import JobFold, JobState
-from passgate.jobs.item_run import ItemRun, ItemTools
+from passgate.decisions import ItemResultRecorded
+from passgate.gateway.access import tenant_scoped_id
+from passgate.jobs.item_run import ItemRun, ItemRunContext
+from passgate.jobs.job_timing import JobTiming
 from passgate.jobs.journal import Journal
+from passgate.jobs.projection import JobProjection, JobState
 from passgate.jobs.records import ItemsDone, ItemSpec, JobSpec, Result, ResultState, RewardSpec
 from passgate.jobs.reward_call import RewardCall
-from passgate.jobs.timing import JobTiming
-from passgate.jobs.waiting import Rank
+from passgate.jobs.wait_queues import Rank
 
 logger = logging.getLogger("passgate.jobs")
 
@@ -36,7 +36,9 @@
 class JobRunner:
     """Runs one job; its task must be cancelled when this daemon no longer owns the job."""
 
-    def __init__(self, job: JobState, projection: JobFold, journal: Journal, context: ItemTools) -> None:
+    def __init__(
+        self, job: JobState, projection: JobProjection, journal: Journal, context: ItemRunContext
+    ) -> None:
         self._job = job
         self._projection = projection
         self._journal = journal
@@ -73,7 +75,7 @@
         for item in self._spec.items:
             if item.id not in self._job.position_by_item:
                 dead = Result(item_id=item.id, state=ResultState.DEAD)
-                self._append_result(item, dead, attempts=0, began_s=self._job.known_since_s)
+                self._append_result(item, dead, attempts=0, started_s=self._job.known_since_s)
 
     def record_progress(self, min_age_s: float = 0.0) -> None:
         """Queue the new events of all items that have run for at least ``min_age_s`` for the log."""
@@ -99,7 +101,7 @@
 
     def _item_key(self, item_id: str) -> str:
         """Return the key of an item in the projection's mappings: its id, scoped by tenant."""
-        return scoped_id(self._spec.tenant, item_id)
+        return tenant_scoped_id(self._spec.tenant, item_id)
 
     def _expected_s(self, item: ItemSpec) -> float:
         return self._context.durations.expected_s(self._spec.model, self._context.expected_tokens(item))
@@ -117,7 +119,7 @@
         earlier_result = self._earlier_result(item.id)
         if earlier_result is not None:
             task_group.create_task(
-                self._score_and_append(item, earlier_result, attempts=0, began_s=monotonic_s())
+                self._score_and_append(item, earlier_result, attempts=0, started_s=monotonic_s())
             )
             return
         recorded_events = self._projection.recorded_events_by_item.get(self._item_key(item.id))
@@ -170,16 +172,18 @@
                 self._spec.model, tokens, monotonic_s() - run.last_attempt_sent_s
             )
 
-    async def _score_and_append(self, item: ItemSpec, result: Result, attempts: int, began_s: float) -> None:
+    async def _score_and_append(
+        self, item: ItemSpec, result: Result, attempts: int, started_s: float
+    ) -> None:
         """Send the item's reward call, if it has one, and append the result."""
         if item.reward is not None and result.state is ResultState.SUCCEEDED:
             result = await self._score_result(item, item.reward, result)
-        self._append_result(item, result, attempts, began_s)
+        self._append_result(item, result, attempts, started_s)
 
     async def _score_result(self, item: ItemSpec, reward: RewardSpec, result: Result) -> Result:
         if result.score is not None and result.score.call_id == reward.id:
             return result
-        call = RewardCall(self._spec.job_id, item.id, reward, self._context.rewards, self._spec.tenant)
+        call = RewardCall(self._spec.job_id, item.id, reward, self._context.reward_context, self._spec.tenant)
         score = await call.request_score(self._context.route.max_attempts)
         if score is None:
             return Result(item_id=item.id, state=ResultState.DEAD)
@@ -190,16 +194,16 @@
             await asyncio.sleep(CHECKPOINT_INTERVAL_S)
             self.record_progress(MIN_CHECKPOINT_AGE_S)
 
-    def _append_result(self, item: ItemSpec, result: Result, attempts: int, began_s: float) -> None:
+    def _append_result(self, item: ItemSpec, result: Result, attempts: int, started_s: float) -> None:
         self._journal.put(ItemsDone(job_id=self._spec.job_id, results=(result,)))
         self._context.decisions.write(
-            ItemListed(
+            ItemResultRecorded(
                 job_id=self._spec.job_id,
                 item_id=result.item_id,
                 state=result.state.value,
                 versions=result.versions,
                 attempts=attempts,
-                elapsed_ms=round((monotonic_s() - began_s) * 1000, 1),
+                elapsed_ms=round((monotonic_s() - started_s) * 1000, 1),
                 scored=result.score is not None,
             )
         )
--- a/passgate/quarantine/peers.py
+++ b/passgate/quarantine/crash_report_exchange.py
@@ -14,8 +14,8 @@
 
 from passgate.errors import PeerError
 from passgate.peers.transport import PeerTransport
-from passgate.quarantine.channel import CrashReportLog
-from passgate.quarantine.ledger import CrashReport
+from passgate.quarantine.crash_report_log import CrashReportLog
+from passgate.quarantine.crash_reports import CrashReport
 from passgate.sharedlog.member_names import address_of
 
 CRASH_REPORTS_METHOD = "crashes.exchange"
@@ -37,21 +37,24 @@
     reports: tuple[CrashReport, ...] = ()
 
 
-class CrashPeers:
+class CrashReportExchange:
     """Exchanges reports with other daemons, and responds to their exchanges."""
 
     def __init__(
-        self, transport: PeerTransport, list_others: Callable[[], list[str]], report_log: CrashReportLog
+        self,
+        transport: PeerTransport,
+        list_other_members: Callable[[], list[str]],
+        report_log: CrashReportLog,
     ) -> None:
         """Create the exchange.
 
         Args:
             transport: sends requests to other daemons.
-            list_others: returns the names of other daemons, in any order.
+            list_other_members: returns the names of the other daemons, in any order.
             report_log: this daemon's reader and writer of the crash-report topic.
         """
         self._transport = transport
-        self._list_others = list_others
+        self._list_other_members = list_other_members
         self._report_log = report_log
 
     async def run(self) -> None:
@@ -60,7 +63,7 @@
             if self._report_log.is_current():
                 await asyncio.sleep(CHECK_INTERVAL_S)
                 continue
-            members = self._list_others()[:MAX_PEERS]
+            members = self._list_other_members()[:MAX_PEERS]
             await asyncio.gather(*(self._exchange(member) for member in members))
             await asyncio.sleep(EXCHANGE_INTERVAL_S)
 
@@ -76,7 +79,7 @@
             return
         self._report_log.merge_reports(received.reports)
 
-    def answer(self, payload: bytes) -> bytes:
+    def handle_request(self, payload: bytes) -> bytes:
         """Merge another daemon's reports and return those that this daemon knew before.
 
         Raises:
--- a/passgate/quarantine/channel.py
+++ b/passgate/quarantine/crash_report_log.py
@@ -14,11 +14,11 @@
 import msgspec
 
 from passgate.clock import monotonic_s, unix_s
-from passgate.decisions import CrashReported, DecisionLog, RecordUnreadable
-from passgate.eligibility.replica_info import ReplicaLife
+from passgate.decisions import CrashReportReceived, DecisionLog, RecordUnreadable
+from passgate.eligibility.replica_info import ReplicaIncarnation
 from passgate.errors import LogError
-from passgate.quarantine.last_chances import UNKNOWN_OFFSET, IsolatedRun
-from passgate.quarantine.ledger import CrashReport, CrashReportStore
+from passgate.quarantine.crash_reports import CrashReport, CrashReportStore
+from passgate.quarantine.isolated_runs import UNKNOWN_OFFSET, IsolatedRun
 from passgate.sharedlog.log import KeyedRecord, SharedLog
 from passgate.sharedlog.tail import KeyedTail, TailSettings
 
@@ -34,7 +34,7 @@
 """Value of a record that deletes its key."""
 MAX_CURRENT_AGE_S = 2.5
 """Age of the view of the topic up to which it is current; longer than POLL_WAIT_S, after which it is
-confirmed without news."""
+confirmed even without new records."""
 MAX_EXCHANGED_REPORTS = 256
 """Most reports, the newest ones, in an exchange with another daemon; about 40 KB."""
 KEY_SEPARATOR = "/"
@@ -52,7 +52,7 @@
         log: SharedLog,
         topic: str,
         reports: CrashReportStore,
-        eject: Callable[[ReplicaLife, float], None],
+        eject: Callable[[ReplicaIncarnation, float], None],
         decisions: DecisionLog,
     ) -> None:
         """Create the reader and writer; :meth:`run` starts them.
@@ -62,7 +62,7 @@
             topic: keyed topic of the records.
             reports: store that is kept up to date with the topic.
             eject: ejects a crashed incarnation from the choice of replicas, as of a loop time.
-            decisions: log of decision lines.
+            decisions: decision log.
         """
         self._eject = eject
         self._log = log
@@ -70,7 +70,9 @@
         self._reports = reports
         self._decisions = decisions
         settings = TailSettings(topic=topic, wait_s=POLL_WAIT_S, urgent=True)
-        self._tail = KeyedTail(log, settings, replace=self._apply_snapshot, update=self._apply_records)
+        self._tail = KeyedTail(
+            log, settings, on_snapshot=self._apply_snapshot, on_records=self._apply_records
+        )
         self._pending_by_key: dict[str, bytes] = {}
         """Key to the value that is to be appended to the log; `TOMBSTONE` deletes the key."""
         self._has_pending = asyncio.Event()
@@ -160,7 +162,7 @@
         """
         keys_in_effect = {record.key for record in records if record.value}
         for fingerprint, incarnation in self._reports.report_keys():
-            key = KEY_SEPARATOR.join((fingerprint, incarnation.text()))
+            key = KEY_SEPARATOR.join((fingerprint, incarnation.to_text()))
             if key not in keys_in_effect and key not in self._pending_by_key:
                 self._reports.remove(fingerprint, incarnation)
         self._reports.isolated_runs.retain(
@@ -198,7 +200,7 @@
         if self._reports.add(report, monotonic_s()):
             self._eject(report.incarnation, monotonic_s())
             self._decisions.write(
-                CrashReported(
+                CrashReportReceived(
                     replica_id=report.replica_id,
                     fingerprint=report.fingerprint,
                     source=source,
@@ -209,14 +211,14 @@
 
 
 def _key_of(record: Record) -> str:
-    pair = (record.fingerprint, record.incarnation.text())
+    pair = (record.fingerprint, record.incarnation.to_text())
     prefix = (ISOLATED_RUN_PREFIX,) if isinstance(record, IsolatedRun) else ()
     return KEY_SEPARATOR.join(prefix + pair)
 
 
-def _parse_key(key: str) -> tuple[str, ReplicaLife]:
+def _parse_key(key: str) -> tuple[str, ReplicaIncarnation]:
     """Return the fingerprint and the incarnation that a key names."""
     fingerprint, _, incarnation = key.removeprefix(ISOLATED_RUN_PREFIX + KEY_SEPARATOR).partition(
         KEY_SEPARATOR
     )
-    return fingerprint, ReplicaLife.from_text(incarnation)
+    return fingerprint, ReplicaIncarnation.from_text(incarnation)
--- a/passgate/routing/app_call.py
+++ b/passgate/routing/app_call.py
@@ -74,7 +74,7 @@
         self._execution.record_end(attempt_number, ExecutionStatus.RAN)
         if response.request_id != self._request.request_id:
             raise AnswerMismatch(execution=ExecutionStatus.RAN, received=response.request_id)
-        self._context.slots.scheduler.health.succeeded(replica.replica_id)
+        self._context.slots.scheduler.health.record_success(replica.replica_id)
         self._context.retry_budget.record_success()
         return AppResponse(
             request_id=response.request_id,
--- a/passgate/routing/attempt_failure.py
+++ b/passgate/routing/attempt_failure.py
@@ -58,7 +58,7 @@
         scheduler.load_tracker.record_version(replica_id, model, int(error.details.get("version", "0")))
         return RetryDecision.RETRY
     unreachable = isinstance(error, BackendUnreachable) and error.execution is ExecutionStatus.NOT_RUN
-    scheduler.health.failed(replica_id, now_s, unreachable=unreachable)
+    scheduler.health.record_failure(replica_id, now_s, unreachable=unreachable)
     return RetryDecision.RESTART if isinstance(error, AnswerMismatch) else RetryDecision.RETRY
 
 
--- a/passgate/routing/generate_call.py
+++ b/passgate/routing/generate_call.py
@@ -158,7 +158,7 @@
 
         def on_chunk(_: Attempt, chunk: GenerateChunk) -> None:
             if attempt.received_tokens == len(chunk.tokens):
-                scheduler.health.succeeded(replica_id)
+                scheduler.health.record_success(replica_id)
             scheduler.record_chunk(item, replica_id, chunk, monotonic_s())
             self._emit(attempt, chunk)
             self._cancel_overtaken(attempt)
@@ -226,7 +226,7 @@
         scheduler = self._context.slots.scheduler
         current_id = attempt.replica.replica_id
         if order.reason is HedgeReason.STALLED:
-            scheduler.health.failed(current_id, monotonic_s())
+            scheduler.health.record_failure(current_id, monotonic_s())
         self._save_progress(attempt)
         item = self._make_work_item()
         replica = scheduler.place_hedge(item, frozenset({current_id}), monotonic_s())
--- a/passgate/routing/load_poller.py
+++ b/passgate/routing/load_poller.py
@@ -138,7 +138,7 @@
         failures = self._failure_count_by_replica.get(replica_id, 0) + 1
         self._failure_count_by_replica[replica_id] = failures
         if failures >= 2:
-            self._context.slots.scheduler.health.failed(replica_id, monotonic_s(), unreachable=True)
+            self._context.slots.scheduler.health.record_failure(replica_id, monotonic_s(), unreachable=True)
 
     def _clean_up(self) -> None:
         now_s = monotonic_s()
--- a/passgate/routing/replica_chooser.py
+++ b/passgate/routing/replica_chooser.py
@@ -105,7 +105,7 @@
         eligible = [replica for replica in replicas if self._has_accepted_version(replica, item)]
         if not eligible:
             return NoReplicaReason.NOT_ELIGIBLE
-        usable = set(self._health.usable([replica.replica_id for replica in eligible], now_s))
+        usable = set(self._health.filter_usable([replica.replica_id for replica in eligible], now_s))
         with_capacity = {
             replica.replica_id: replica
             for replica in eligible
@@ -141,7 +141,7 @@
         replica_ids = [replica.replica_id for replica in self.subset(pool)]
         return {
             replica_id: self._load_tracker.time_per_token_s(replica_id)
-            for replica_id in self._health.usable(replica_ids, now_s)
+            for replica_id in self._health.filter_usable(replica_ids, now_s)
         }
 
     def _may_join_batch(self, replica_id: str, item: WorkItem) -> bool:
--- a/passgate/routing/work_scheduler.py
+++ b/passgate/routing/work_scheduler.py
@@ -195,7 +195,7 @@
 
     def apply_report(self, report: LoadReport, now_s: float) -> None:
         """Apply a load report read at ``now_s`` to health, directory and load."""
-        self.health.reached(report.replica_id)
+        self.health.record_load_report(report.replica_id)
         self.directory.record_report(report, now_s)
         replica = self.directory.get(report.replica_id)
         if replica is not None and replica.role is MachineRole.APP:
@@ -255,7 +255,7 @@
 
     def _record_start(self, item: WorkItem, choice: ReplicaChoice, now_s: float) -> None:
         replica_id = choice.replica.replica_id
-        self.health.sent(replica_id, now_s)
+        self.health.record_send(replica_id, now_s)
         self.load_tracker.record_start(
             replica_id,
             item.key,
@@ -271,8 +271,8 @@
         if not item.interactive:
             return
         replica_ids = [replica.replica_id for replica in self.chooser.subset(pool)]
-        if not self.health.usable(replica_ids, now_s):
-            next_retry_s = self.health.next_return_s(now_s)
+        if not self.health.filter_usable(replica_ids, now_s):
+            next_retry_s = self.health.next_retry_s(now_s)
             retry_after_s = NO_REPLICA_RETRY_AFTER_S if next_retry_s is None else next_retry_s - now_s
             raise NoReplicaAvailable(
                 "all replicas of the pool are ejected after failures",
--- a/tests/test_clients_curl.py
+++ b/tests/test_clients_curl.py
@@ -10,8 +10,8 @@
 import pycurl
 import pytest
 
-from passgate.clients.calls import HttpCall, HttpLimits, SendPolicy
 from passgate.clients.curl import HttpClient
+from passgate.clients.http_call import HttpCall, HttpLimits, SendPolicy
 from passgate.clients.transfer import classify_failure
 from passgate.clock import monotonic_s
 from passgate.errors import (
@@ -418,6 +418,6 @@
         transfer = http.start(call)
         time.sleep(2 * LAST_SEND_S)  # noqa: ASYNC251 - blocks the event loop, like a process that is suspended
         with pytest.raises(SendTooLate) as caught:
-            await transfer.head()
+            await transfer.wait_for_head()
         assert caught.value.execution is ExecutionStatus.NOT_RUN
         assert len(raw.heads) == 1
--- a/tests/test_routing_dispatcher.py
+++ b/tests/test_routing_dispatcher.py
@@ -404,7 +404,7 @@
         with pytest.raises(BackendRefused):
             await dispatcher.generate(make_request())
         names = ["e0", "e1", "e2"]
-        assert dispatcher.scheduler.health.usable(names, 0.0) == names
+        assert dispatcher.scheduler.health.filter_usable(names, 0.0) == names
 
     run(main())
     assert len(engine.calls) == 1
--- a/tests/test_routing_queues.py
+++ b/tests/test_routing_queues.py
@@ -241,7 +241,7 @@
 
 def test_unreachable_replica_delays_batch_and_rejects_interactive_requests():
     scheduler = make_scheduler()
-    scheduler.health.failed("e0", 0.0, unreachable=True)
+    scheduler.health.record_failure("e0", 0.0, unreachable=True)
     assert submit_and_place(scheduler, 1) == []
     with pytest.raises(NoReplicaAvailable) as raised:
         scheduler.submit(make_item(5, interactive=True), INTERACTIVE, 0.0)
