--- a/passgate/check/specification/leadership.py
+++ b/passgate/check/specification/leadership.py
@@ -78,7 +78,7 @@
         for offset, entry in enumerate(log):
             holder = f"d{entry.writer}"
             body = (
-                LeaderClaimed(holder=holder, after=entry.after, seen=entry.seen)
+                LeaderClaimed(leader=holder, after=entry.after, seen=entry.seen)
                 if entry.claim
                 else WriterAlive()
             )
--- a/passgate/check/specification/replica_lives.py
+++ b/passgate/check/specification/replica_lives.py
@@ -110,7 +110,7 @@
             orders_taken=report.orders_taken,
             busy=False,
             model_versions={MODEL: report.version},
-            born_unix_ms=report.life,
+            started_unix_ms=report.life,
         )
         if not told.is_from(_life(state.listed)) and "take_old_report" not in self._mutants:
             return state
--- a/passgate/check/specification/usage_reports.py
+++ b/passgate/check/specification/usage_reports.py
@@ -170,7 +170,7 @@
 def _body(offset: int, entry: Entry) -> LeaderClaimed | UsageCounted | UsageCommitted:
     if entry.kind == CLAIM:
         # No lease is modelled, so a claim always names the leader's last record.
-        return LeaderClaimed(holder=f"d{entry.writer}", after=entry.value, seen=entry.value)
+        return LeaderClaimed(leader=f"d{entry.writer}", after=entry.value, seen=entry.value)
     if entry.kind == COUNT:
         return UsageCounted(meter=f"d{entry.writer}", number=offset, window=WINDOW, counts={TENANT: 1})
     return UsageCommitted(window=WINDOW, counts={TENANT: entry.value})
--- a/passgate/daemon/cold_permits.py
+++ b/passgate/daemon/cold_permits.py
@@ -121,7 +121,7 @@
             transport: sends permit requests to other daemons.
             directory: the group members of this daemon's zone.
             log_age_s: returns the age of this daemon's view of the log.
-            decisions: receives the decision events.
+            decisions: decision log.
         """
         self._replicas = replicas
         self._log_age_s = log_age_s
@@ -139,10 +139,10 @@
         self._permit_client = PermitClient(
             transport,
             self._issuer,
-            permits=replicas.permit_pool,
-            cold=replicas.cold_replicas,
+            permit_pool=replicas.permit_pool,
+            cold_replicas=replicas.cold_replicas,
             find_watcher=lambda: directory.holder_of(CONTROL_PARTITION),
-            list_others=lambda: directory.other_members(""),
+            list_other_members=lambda: directory.other_members(""),
             log_age_s=lambda: log_age_s() if self._limits.has_limits else 0.0,
         )
         self._last_reported_cold: list[str] = []
@@ -151,8 +151,8 @@
         """Permit counters when they were last reported."""
         self._last_report_s = 0.0
         self.peer_method = PERMITS_METHOD
-        """Method name of the peer calls that :attr:`answer_peer` handles."""
-        self.answer_peer = self._permit_client.handle_request
+        """Method name of the peer calls that :attr:`handle_peer_request` handles."""
+        self.handle_peer_request = self._permit_client.handle_request
         """Answers a permit request, given the sender's address and the encoded request.
 
         Raises msgspec.DecodeError for a payload that is no permit request.
--- a/passgate/daemon/gateway_daemon.py
+++ b/passgate/daemon/gateway_daemon.py
@@ -87,7 +87,7 @@
         replica_control: ReplicaControl,
         replica_decoder: ReplicaDecoder,
         peer_transport: PeerTransport,
-        duty_calls: DutyClient | None = None,
+        duty_client: DutyClient | None = None,
     ) -> None:
         """Create the parts; nothing runs until :meth:`run`.
 
@@ -100,7 +100,7 @@
             replica_control: sends orders and queries to replicas.
             replica_decoder: decodes entries of discovery.
             peer_transport: carries calls between daemons.
-            duty_calls: calls for the singleton duties; None where the platform has none.
+            duty_client: makes the calls of the singleton duties; None where the platform has none.
         """
         self.settings = settings
         self.http = http
@@ -109,7 +109,7 @@
         self.metrics = GatewayMetrics()
         self.decisions = DecisionLog(settings.daemon_id, observe=self.metrics.observe)
         log = InstrumentedLog(log, self.metrics.count_log_call)
-        self.config = ConfigHolder(settings.places)
+        self.config = ConfigHolder(settings.topology)
         self.evacuated_zones = EvacuatedZones(self.decisions)
         self.replicas = make_replica_table(settings, self.config, self.evacuated_zones, self.metrics)
         self.target_versions = TargetVersions(self.decisions)
@@ -171,10 +171,10 @@
             decisions=self.decisions,
         )
         self._duties: Duties | None = None
-        if settings.duties is not None and duty_calls is not None:
+        if settings.duties is not None and duty_client is not None:
             self._duties = Duties(
                 settings.duties,
-                duty_calls,
+                duty_client,
                 self._control_topic,
                 duty_projections,
                 peer_transport,
@@ -184,9 +184,9 @@
                 replicas=self.replicas,
                 evacuated_zones=self.evacuated_zones,
                 member=member,
-                holder=settings.daemon_id,
+                daemon_id=settings.daemon_id,
             )
-        self._configuration_peers = PeerConfigurationPoller(
+        self._configuration_poller = PeerConfigurationPoller(
             peer_transport,
             lambda: self._group_directory.other_members(member),
             self.config,
@@ -274,7 +274,9 @@
                 max_body_bytes=limits.max_body_bytes, idle_timeout_s=limits.idle_timeout_s
             )
 
-    def follow_keyed_topic(self, topic: str, gap_s: float, replace: Callable, update: Callable) -> None:
+    def follow_keyed_topic(
+        self, topic: str, gap_s: float, on_snapshot: Callable, on_records: Callable
+    ) -> None:
         """Register a keyed topic to follow; its reading begins with :meth:`run`.
 
         The first topic that is registered must be the operator's: its freshness is the age of the log's view.
@@ -282,11 +284,13 @@
         Args:
             topic: the topic.
             gap_s: pause between two reads.
-            replace: takes the newest record of each key, and the offset of the next record.
-            update: takes further records, and the offset of the first of them.
+            on_snapshot: takes the newest record of each key, and the offset of the next record.
+            on_records: takes further records, and the offset of the first of them.
         """
         settings = TailSettings(topic=topic, gap_s=gap_s, urgent=True)
-        self._keyed_tails.append(KeyedTail(self._log, settings, replace=replace, update=update))
+        self._keyed_tails.append(
+            KeyedTail(self._log, settings, on_snapshot=on_snapshot, on_records=on_records)
+        )
 
     # --- lifecycle -----------------------------------------------------------------
 
@@ -313,7 +317,7 @@
 
         True once neither the log nor a peer has confirmed it as the newest for LOG_LOST_AFTER_S.
         """
-        return self._configuration_peers.configuration_age_s() >= LOG_LOST_AFTER_S
+        return self._configuration_poller.configuration_age_s() >= LOG_LOST_AFTER_S
 
     @property
     def configuration_expired(self) -> bool:
@@ -321,7 +325,7 @@
         settings = self.settings
         return (
             settings.fail_closed
-            and self._configuration_peers.configuration_age_s() > settings.configuration_age_s
+            and self._configuration_poller.configuration_age_s() > settings.configuration_age_s
         )
 
     @property
@@ -349,7 +353,7 @@
         self._ingress.listen(self.settings.front_address)
         self._probe_ingress.listen(self.settings.ready_address)
         self.decisions.write(self._started_event())
-        self._peer_transport.start(_ignore_message, self._answer_peer)
+        self._peer_transport.start(_ignore_message, self._handle_peer_request)
         background = [
             self._discovery.run(),
             self._crash_quarantine.run(),
@@ -387,7 +391,7 @@
         """Update the gauges and return all metrics in the text format of Prometheus."""
         self.metrics.log_age_seconds.set(self._log_age_s())
         self.metrics.evacuated_zones.set(len(self.evacuated_zones))
-        self.metrics.evacuation_age_seconds.set(self._configuration_peers.evacuations_age_s())
+        self.metrics.evacuation_age_seconds.set(self._configuration_poller.evacuations_age_s())
         self.metrics.in_flight.set(self._ingress.in_flight)
         self.metrics.jobs_owned.set(self.job_partitions.running_jobs)
         self.metrics.is_leader.set(self._control_topic.leadership.leads)
@@ -405,23 +409,23 @@
             group.create_task(self._group_directory.keep_fresh())
             group.create_task(self._other_zones.keep_fresh())
             group.create_task(self._version_loader.run())
-            group.create_task(self._configuration_peers.run())
+            group.create_task(self._configuration_poller.run())
             group.create_task(self._crash_report_exchange.run())
             group.create_task(self.cold_permits.run())
             if self._duties is not None:
                 group.create_task(self._duties.run())
 
-    async def _answer_peer(self, sender: str, method: str, payload: bytes) -> bytes:
+    async def _handle_peer_request(self, sender: str, method: str, payload: bytes) -> bytes:
         """Return the answer to a call of another daemon; calls about jobs are the default."""
         if self._duties is not None and method.startswith(DUTY_METHOD_PREFIX):
-            return await self._duties.answer_peer(sender, method, payload)
+            return await self._duties.handle_peer_request(sender, method, payload)
         if method == CONFIGURATION_METHOD:
-            return self._configuration_peers.handle_request(payload)
+            return self._configuration_poller.handle_request(payload)
         if method == self.cold_permits.peer_method:
-            return self.cold_permits.answer_peer(sender, payload)
+            return self.cold_permits.handle_peer_request(sender, payload)
         if method == CRASH_REPORTS_METHOD:
             return self._crash_report_exchange.handle_request(payload)
-        return await self.jobs.answer_peer(sender, method, payload)
+        return await self.jobs.handle_peer_request(sender, method, payload)
 
     async def _check_state_periodically(self) -> None:
         """Update the lifecycle chart and flush the decision log, until cancelled."""
--- a/passgate/daemon/graceful_shutdown.py
+++ b/passgate/daemon/graceful_shutdown.py
@@ -52,7 +52,7 @@
             lifecycle: the daemon's lifecycle chart, in its state ``stopping``.
             release_ownership: releases the daemon's jobs and leadership and leaves the group.
             flush_usage: sends the usage counts that only this daemon holds; called once no request can start.
-            decisions: receives the decision events.
+            decisions: decision log.
             grace_s: time from SIGTERM to SIGKILL.
         """
         self._ingress = ingress
--- a/passgate/daemon/job_partitions.py
+++ b/passgate/daemon/job_partitions.py
@@ -41,7 +41,7 @@
         peers: asks other daemons about jobs.
         decisions: receives the decision events.
     """
-    shard_settings = JobPartitionSettings(
+    partition_settings = JobPartitionSettings(
         topic=topics.jobs,
         partition_count=settings.log_parts,
         writer=writer,
@@ -50,11 +50,16 @@
         retention_s=settings.job_retention_s,
     )
     bodies = RestrictedBodies(
-        log, config.send_context_for, settings.places, shard_settings, decisions, config.item_time_to_live_s
+        log,
+        config.send_context_for,
+        settings.topology,
+        partition_settings,
+        decisions,
+        config.item_time_to_live_s,
     )
     return JobPartitions(
         log,
-        shard_settings,
+        partition_settings,
         member.assigned_partitions,
         runner_factory.make,
         peers,
--- a/passgate/daemon/job_runner_factory.py
+++ b/passgate/daemon/job_runner_factory.py
@@ -41,7 +41,7 @@
             replicas: the known replicas.
             header_names: names of the platform's HTTP headers.
             config: the active configuration.
-            decisions: receives the decision events.
+            decisions: decision log.
             evacuated_zones: the zones that are being evacuated.
         """
         self._replica_client = replica_client
@@ -50,13 +50,13 @@
         self._config = config
         self._decisions = decisions
         self._evacuated_zones = evacuated_zones
-        self._wait_queue = WaitQueues()
+        self._wait_queues = WaitQueues()
         self._output_durations = OutputDurations()
-        self._stream_silence = StallDetector()
+        self._stall_detector = StallDetector()
         self._reward_context = RewardCallContext(
             find_route=config.find_route,
             find_send_context=config.send_context_for,
-            caller=replica_client,
+            replica_client=replica_client,
             replicas=replicas,
             header_names=header_names,
             decisions=decisions,
@@ -78,14 +78,14 @@
             return None
         context = ItemRunContext(
             route=route,
-            caller=self._replica_client,
+            replica_client=self._replica_client,
             replicas=self._replicas,
             header_names=self._header_names,
             decisions=self._decisions,
-            wait_queues=self._wait_queue,
+            wait_queues=self._wait_queues,
             durations=self._output_durations,
             reward_context=self._reward_context,
-            stall_detector=self._stream_silence,
+            stall_detector=self._stall_detector,
             find_send_context=self._config.send_context_for,
             group_affinity=GroupAffinity(self._replicas, self._evacuated_zones),
         )
--- a/passgate/daemon/replica_table.py
+++ b/passgate/daemon/replica_table.py
@@ -20,11 +20,11 @@
     The table itself adds the rules for draining and cold replicas.  When a zone's evacuation ends, the zone's
     replicas count as cold.
     """
-    replicas = ReplicaTable(settings.places)
+    replicas = ReplicaTable(settings.topology)
     evacuated_zones.on_evacuation_ended.append(
         lambda zone: replicas.mark_zone_possibly_cold(zone, monotonic_s())
     )
-    replicas.send_rules.add(RegionRule(settings.places, metrics.count_region_send))
+    replicas.send_rules.add(RegionRule(settings.topology, metrics.count_region_send))
     replicas.send_rules.add(EvacuationRule(evacuated_zones))
     replicas.send_rules.add(KnownServiceRule(config.has_service))
     metrics.register_exclusions(replicas.send_rules.exclusion_counts)
--- a/passgate/decisions/cold_events.py
+++ b/passgate/decisions/cold_events.py
@@ -20,13 +20,13 @@
     """This daemon has led for long enough that it may issue permits from now on."""
 
     fence: int
-    """Fencing number of its leadership."""
+    """Fencing token of its leadership."""
 
 
 class PermitCountsReported(Event, tag="permits_counted"):
     """Increases of the permit counters since the last event of this kind; reported at most once a second.
 
-    The counters carry the names of the fields of :class:`passgate.eligibility.permits.PermitTally`.
+    The counters carry the names of the fields of :class:`passgate.eligibility.permits.PermitCounters`.
     """
 
     given: int
--- a/passgate/decisions/leader_events.py
+++ b/passgate/decisions/leader_events.py
@@ -9,7 +9,7 @@
     """This daemon leads from now on and may send orders to replicas."""
 
     fence: int
-    """Fencing number of its leadership."""
+    """Fencing token of its leadership."""
     previous: str
     """Not in use; always empty."""
 
@@ -18,7 +18,7 @@
     """This daemon does not lead any more and sends no orders."""
 
     fence: int
-    """Fencing number of its lost leadership."""
+    """Fencing token of its lost leadership."""
     reason: str
 
 
@@ -36,7 +36,7 @@
     model: str
     version: int
     fence: int
-    """Fencing number of the leadership under which it was sent."""
+    """Fencing token of the leadership under which it was sent."""
     expected: int
     """Number of orders that the replica must have taken before, so that no order is applied twice."""
     outcome: str
@@ -69,7 +69,7 @@
     window: int
     """Number of the window."""
     fence: int
-    """Fencing number of the leadership under which it was sent."""
+    """Fencing token of the leadership under which it was sent."""
     outcome: str
     """``accepted``, ``refused``, or ``unknown`` when the report may still be counted."""
 
@@ -86,6 +86,6 @@
     present: int
     """Replicas of the service and kind that are listed in the zone and not draining."""
     fence: int
-    """Fencing number of the order; a later decision about the same replicas has a higher one."""
+    """Fencing token of the order; a later decision about the same replicas has a higher one."""
     outcome: str
     """``accepted``, ``refused``, or ``unknown`` when the order may still be carried out."""
--- a/passgate/discovery/relayed_list.py
+++ b/passgate/discovery/relayed_list.py
@@ -56,7 +56,7 @@
             list_topic: keyed topic of the list's parts.
             view: receives what is read.
             on_changes: called with each record of a relay and whether it was appended just now.
-            decisions: log of decisions.
+            decisions: decision log.
             rng: draws when the list is read again.
         """
         self._log = log
--- a/passgate/discovery/service.py
+++ b/passgate/discovery/service.py
@@ -89,7 +89,7 @@
             view: the replicas as this daemon knows them.
             daemon_id: identifies this daemon to other relays.
             may_relay: returns whether this daemon is selected to relay a long list.
-            decisions: log of decisions.
+            decisions: decision log.
             direct_limit: replicas up to which a list is short.
             seed: seeds the random times of the fallback and of reading the list again; None for a random
                 seed.
@@ -227,7 +227,9 @@
     def _follow_directly(self) -> KeyedTail:
         if self._direct_tail is None:
             settings = TailSettings(topic=self._topics.entries, gap_s=DIRECT_READ_PAUSE_S)
-            tail = KeyedTail(self._log, settings, replace=self._apply_list, update=self._apply_entries)
+            tail = KeyedTail(
+                self._log, settings, on_snapshot=self._apply_list, on_records=self._apply_entries
+            )
             self._direct_tail = (tail, asyncio.get_running_loop().create_task(tail.run()))
         return self._direct_tail[0]
 
--- a/passgate/discovery/view.py
+++ b/passgate/discovery/view.py
@@ -104,7 +104,7 @@
         changed = had_lapsed or known is None or known.info != update.info
         self._newest_start_ms_by_replica_id[update.replica_id] = update.info.started_unix_ms
         self._log_listed(update.info, known)
-        self._replicas.apply_entry(update.info, monotonic_s(), listed=update.listed)
+        self._replicas.apply_entry(update.info, monotonic_s(), from_full_list=update.listed)
         return changed
 
     def _log_listed(self, info: ReplicaInfo, known: ReplicaState | None) -> None:
--- a/passgate/duties/scaler.py
+++ b/passgate/duties/scaler.py
@@ -60,7 +60,7 @@
         decisions: DecisionLog,
         *,
         evacuated_zones: Container[str],
-        holder: str,
+        daemon_id: str,
     ) -> None:
         """Create the scaler.
 
@@ -73,9 +73,9 @@
             config: the active configuration, which sets the limits.
             replicas: the replicas that are present.
             newest_demand_by_model: model to what its newest job requires.
-            decisions: log of decisions.
+            decisions: decision log.
             evacuated_zones: zones in which no replica counts and none is ordered.
-            holder: this daemon's name in calls to the platform.
+            daemon_id: this daemon's name in calls to the platform.
         """
         self._projection = projection
         self._journal = journal
@@ -87,7 +87,7 @@
         self._newest_demand_by_model = newest_demand_by_model
         self._decisions = decisions
         self._evacuated_zones = evacuated_zones
-        self._holder = holder
+        self._daemon_id = daemon_id
         self._pacing_by_pool: dict[ReplicaPool, _PoolPacing] = {}
 
     async def run(self) -> None:
@@ -157,7 +157,7 @@
                 zone=pool.zone,
                 spot=pool.spot,
                 count=decision.count,
-                holder=self._holder,
+                holder=self._daemon_id,
                 fence=decision.fence,
             )
         )
@@ -206,7 +206,7 @@
         counts = Counter((state.info.zone, state.info.spot) for state in states if not state.info.draining)
         zone_names = {*zones, *(zone for zone, _ in counts)}
         return {
-            zone: ZoneReplicas(ordinary=counts[zone, False], spot=counts[zone, True])
+            zone: ZoneReplicas(on_demand=counts[zone, False], spot=counts[zone, True])
             for zone in sorted(zone_names)
             if zone not in self._evacuated_zones
         }
--- a/passgate/duties/scaling_policy.py
+++ b/passgate/duties/scaling_policy.py
@@ -1,13 +1,13 @@
 """Computes how many replicas of which kind a service needs for the current steps of its trainers.
 
 Trainers wait for the last item of a step, so a service gets as many slots as the newest step of each model
-has items, up to the operator's maximum per zone.  Present ordinary replicas stay; further ones are spread
+has items, up to the operator's maximum per zone.  Present on-demand replicas stay; further ones are spread
 evenly, cheapest zone first, as spot replicas if these are cheaper.
 
 >>> rule = ScalingRule(least=1, most=4, boot_s=4.0, spot_price=0.2, zone_prices={"a": 1.0, "b": 0.8})
->>> present = {"a": ZoneReplicas(ordinary=2), "b": ZoneReplicas(ordinary=2)}
+>>> present = {"a": ZoneReplicas(on_demand=2), "b": ZoneReplicas(on_demand=2)}
 >>> spread_replicas(rule, present, total=7)
-{'a': ZoneReplicas(ordinary=2, spot=1), 'b': ZoneReplicas(ordinary=2, spot=2)}
+{'a': ZoneReplicas(on_demand=2, spot=1), 'b': ZoneReplicas(on_demand=2, spot=2)}
 """
 
 from __future__ import annotations
@@ -23,13 +23,13 @@
 class ZoneReplicas(msgspec.Struct, frozen=True, kw_only=True):
     """Numbers of a service's replicas in one zone, by kind."""
 
-    ordinary: int = 0
+    on_demand: int = 0
     spot: int = 0
 
     @property
     def total(self) -> int:
         """Number of replicas of both kinds."""
-        return self.ordinary + self.spot
+        return self.on_demand + self.spot
 
 
 def replicas_needed(items: Iterable[int], slots_per_replica: int) -> int:
@@ -57,10 +57,10 @@
     """
     zones = sorted(present, key=lambda zone: (rule.zone_prices.get(zone, 1.0), zone))
     spot_by_zone = dict.fromkeys(zones, 0)
-    missing = total - sum(replicas.ordinary for replicas in present.values())
+    missing = total - sum(replicas.on_demand for replicas in present.values())
     while missing > 0:
         zones_below_maximum = [
-            zone for zone in zones if present[zone].ordinary + spot_by_zone[zone] < rule.most
+            zone for zone in zones if present[zone].on_demand + spot_by_zone[zone] < rule.most
         ]
         if not zones_below_maximum:
             break
@@ -72,9 +72,9 @@
         missing -= 1
     if rule.spot_price < 1.0:
         return {
-            zone: ZoneReplicas(ordinary=present[zone].ordinary, spot=spot_by_zone[zone])
+            zone: ZoneReplicas(on_demand=present[zone].on_demand, spot=spot_by_zone[zone])
             for zone in sorted(zones)
         }
     return {
-        zone: ZoneReplicas(ordinary=present[zone].ordinary + spot_by_zone[zone]) for zone in sorted(zones)
+        zone: ZoneReplicas(on_demand=present[zone].on_demand + spot_by_zone[zone]) for zone in sorted(zones)
     }
--- a/passgate/duties/service.py
+++ b/passgate/duties/service.py
@@ -47,7 +47,7 @@
         replicas: ReplicaTable,
         evacuated_zones: Container[str],
         member: str,
-        holder: str,
+        daemon_id: str,
     ) -> None:
         """Connect the parts.
 
@@ -58,12 +58,12 @@
             projections: projections of that topic that the duties use.
             transport: carries requests to other daemons.
             directory: the daemons that watch partitions in this zone.
-            decisions: log of decisions.
+            decisions: decision log.
             config: the active configuration.
             replicas: the replicas that are present.
             evacuated_zones: zones in which no replica counts and none is ordered.
             member: this daemon's name in the directory.
-            holder: this daemon's name in calls to the platform.
+            daemon_id: this daemon's name in calls to the platform.
         """
         self._reports_usage = settings.usage
         windows = UsageWindows(length_s=settings.usage_window_s)
@@ -84,7 +84,7 @@
             windows,
             clock.now_s,
             decisions,
-            holder=holder,
+            daemon_id=daemon_id,
             due_s=settings.usage_due_s,
         )
         self._scaler: Scaler | None = None
@@ -100,7 +100,7 @@
                 control.leadership_projection.newest_demand_by_model,
                 decisions,
                 evacuated_zones=evacuated_zones,
-                holder=holder,
+                daemon_id=daemon_id,
             )
 
     async def run(self) -> None:
@@ -113,7 +113,7 @@
             if self._scaler is not None:
                 group.create_task(self._scaler.run())
 
-    async def answer_peer(self, sender: str, method: str, payload: bytes) -> bytes:
+    async def handle_peer_request(self, sender: str, method: str, payload: bytes) -> bytes:
         """Handle a request of another daemon; raises PeerCallFailed."""
         if method == RECORD_COUNTS_METHOD:
             return await self._usage_forwarder.handle_request(payload)
--- a/passgate/duties/usage_forwarder.py
+++ b/passgate/duties/usage_forwarder.py
@@ -51,7 +51,7 @@
         self,
         transport: PeerTransport,
         journal: Journal,
-        current_leader: Callable[[], str],
+        find_leader: Callable[[], str],
         find_watcher: Callable[[int], Awaitable[str | None]],
     ) -> None:
         """Connect the forwarder.
@@ -59,12 +59,12 @@
         Args:
             transport: carries requests to other daemons.
             journal: this daemon's writer of the control topic.
-            current_leader: returns the writer that is leader; empty if this daemon does not know it.
+            find_leader: returns the writer that is leader; empty if this daemon does not know it.
             find_watcher: returns the watcher of a partition in this zone, if one is known.
         """
         self._transport = transport
         self._journal = journal
-        self._current_leader = current_leader
+        self._find_leader = find_leader
         self._find_watcher = find_watcher
         self._reported_leader = ""
         """Leader named in the last response; empty if it did not confirm since."""
@@ -72,7 +72,7 @@
     async def send(self, entries: Sequence[UsageCounted]) -> bool:
         """Put counts on the log in the cheapest way that works; return whether they are on it."""
         request = RecordCountsRequest(entries=tuple(entries))
-        leader = self._current_leader() or self._reported_leader
+        leader = self._find_leader() or self._reported_leader
         if leader == self._journal.writer:
             return await self._append(entries)
         if leader and await self._request_append(address_of(leader), request, REQUEST_TIMEOUT_S):
@@ -111,7 +111,7 @@
         request.
         """
         request = msgspec.json.decode(payload, type=RecordCountsRequest)
-        leader = self._current_leader()
+        leader = self._find_leader()
         should_forward = leader and leader != self._journal.writer and not request.forwarded
         if should_forward:
             forwarded = msgspec.structs.replace(request, forwarded=True)
--- a/passgate/duties/usage_reporter.py
+++ b/passgate/duties/usage_reporter.py
@@ -45,7 +45,7 @@
         wall_clock_s: Callable[[], float],
         decisions: DecisionLog,
         *,
-        holder: str,
+        daemon_id: str,
         due_s: float,
     ) -> None:
         """Create the reporter.
@@ -58,8 +58,8 @@
             rate_limiter: rate limit of the calls of all duties.
             windows: the usage windows of the wall clock.
             wall_clock_s: returns the time of day.
-            decisions: log of decisions.
-            holder: this daemon's name in calls to the platform.
+            decisions: decision log.
+            daemon_id: this daemon's name in calls to the platform.
             due_s: time after a window's end within which its report is due.
         """
         self._projection = projection
@@ -70,7 +70,7 @@
         self._windows = windows
         self._wall_clock_s = wall_clock_s
         self._decisions = decisions
-        self._holder = holder
+        self._daemon_id = daemon_id
         self._settle_s = max(due_s - SEND_RESERVE_S, MIN_SETTLE_S)
         self._pending_commit: asyncio.Future[int] | None = None
         self._first_led_window: int | None = None
@@ -124,7 +124,7 @@
         report = UsageReport(
             window=window,
             counts=self._projection.unreported_counts_by_window[window],
-            holder=self._holder,
+            holder=self._daemon_id,
             fence=fence,
         )
         outcome = await self._client.report_usage(report)
--- a/passgate/eligibility/cold_replicas.py
+++ b/passgate/eligibility/cold_replicas.py
@@ -24,7 +24,7 @@
 
 MAX_ENTRY_DELAY_S = 1.0
 """Longest time between writing an entry and reading it here while the log is available."""
-DISTANT_PAST_S = float("-inf")
+NEVER_S = float("-inf")
 """Loop time before any other; the end of a period that was never recorded."""
 
 
@@ -86,7 +86,7 @@
     def record_reported_cold(self, replica_id: str, remaining_s: float, now_s: float) -> None:
         """Record that another daemon reported a replica to stay cold; a later known end is kept."""
         self._cold_until_s_by_id[replica_id] = max(
-            self._cold_until_s_by_id.get(replica_id, DISTANT_PAST_S), now_s + remaining_s
+            self._cold_until_s_by_id.get(replica_id, NEVER_S), now_s + remaining_s
         )
 
     def mark_unreachable(self, info: ReplicaInfo, now_s: float) -> None:
@@ -127,9 +127,9 @@
         if self.limit_of(info.service) is None:
             return 0.0
         possibly_cold = self._possibly_cold_by_id.get(info.replica_id)
-        possibly_until_s = possibly_cold.until_s if possibly_cold is not None else DISTANT_PAST_S
+        possibly_until_s = possibly_cold.until_s if possibly_cold is not None else NEVER_S
         return max(
-            self._cold_until_s_by_id.get(info.replica_id, DISTANT_PAST_S) - now_s,
+            self._cold_until_s_by_id.get(info.replica_id, NEVER_S) - now_s,
             possibly_until_s - now_s,
             0.0,
         )
--- a/passgate/eligibility/cold_rule.py
+++ b/passgate/eligibility/cold_rule.py
@@ -31,13 +31,13 @@
 
     name = "cold"
 
-    def __init__(self, cold: ColdReplicas, permits: PermitPool) -> None:
-        self._cold = cold
-        self._permits = permits
+    def __init__(self, cold_replicas: ColdReplicas, permit_pool: PermitPool) -> None:
+        self._cold_replicas = cold_replicas
+        self._permit_pool = permit_pool
 
     def allows(self, replica: ReplicaInfo, context: SendContext, now_s: float) -> bool:
         """Whether the replica is warm or a permit for it is held."""
-        return not self._needs_permit(replica, context, now_s) or self._permits.has_permit(
+        return not self._needs_permit(replica, context, now_s) or self._permit_pool.has_permit(
             replica.replica_id, now_s
         )
 
@@ -48,19 +48,19 @@
             Loop time until which the request may leave this daemon; None if it needs no permit.
         """
         if self._needs_permit(replica, context, now_s):
-            return self._permits.use_permit(replica.replica_id, now_s) + MAX_SEND_DELAY_S
+            return self._permit_pool.use_permit(replica.replica_id, now_s) + MAX_SEND_DELAY_S
         return None
 
     def may_claim_permit(self, replica: ReplicaInfo, context: SendContext, now_s: float) -> bool:
         """Whether a permit is left that no recently chosen request has claimed; true if none is needed."""
         if not self._needs_permit(replica, context, now_s):
             return True
-        return self._permits.has_unclaimed_permit(replica.replica_id, now_s)
+        return self._permit_pool.has_unclaimed_permit(replica.replica_id, now_s)
 
     def claim_permit(self, replica: ReplicaInfo, context: SendContext, now_s: float) -> None:
         """Claim a permit for the request for which the replica was chosen, if it needs one."""
         if self._needs_permit(replica, context, now_s):
-            self._permits.claim_permit(replica.replica_id, now_s)
+            self._permit_pool.claim_permit(replica.replica_id, now_s)
 
     def _needs_permit(self, replica: ReplicaInfo, context: SendContext, now_s: float) -> bool:
-        return context.kind is SendKind.REQUEST and self._cold.is_cold(replica, now_s)
+        return context.kind is SendKind.REQUEST and self._cold_replicas.is_cold(replica, now_s)
--- a/passgate/eligibility/evacuation.py
+++ b/passgate/eligibility/evacuation.py
@@ -136,12 +136,12 @@
 
     name = "evacuation"
 
-    def __init__(self, evacuated: EvacuatedZones) -> None:
-        self._evacuated = evacuated
+    def __init__(self, evacuated_zones: EvacuatedZones) -> None:
+        self._evacuated_zones = evacuated_zones
 
     def allows(self, replica: ReplicaInfo, context: SendContext, now_s: float) -> bool:
         """Whether the replica's zone is not evacuated."""
-        return replica.zone not in self._evacuated
+        return replica.zone not in self._evacuated_zones
 
     def record_send(self, replica: ReplicaInfo, context: SendContext, now_s: float) -> None:
         """Do nothing; the rule counts no sends."""
--- a/passgate/eligibility/permit_client.py
+++ b/passgate/eligibility/permit_client.py
@@ -40,7 +40,8 @@
 CHECK_INTERVAL_S = 0.1
 """Interval of the checks of the leadership and of the age of the log's view."""
 STALE_LOG_AGE_S = 1.3
-"""Age of the view of the log from which it counts as stale; without news it is confirmed every second."""
+"""Age of the view of the log from which it counts as stale; even without new records it is confirmed every
+second."""
 COLD_REQUEST_INTERVAL_S = 0.5
 """Shortest time between two requests for the list of cold replicas if no permits are needed."""
 MAX_REQUESTS_PER_ROUND = 4
@@ -54,10 +55,10 @@
         self,
         transport: PeerTransport,
         issuer: PermitIssuer,
-        permits: PermitPool,
-        cold: ColdReplicas,
+        permit_pool: PermitPool,
+        cold_replicas: ColdReplicas,
         find_watcher: Callable[[], Awaitable[str | None]],
-        list_others: Callable[[], list[str]],
+        list_other_members: Callable[[], list[str]],
         log_age_s: Callable[[], float],
     ) -> None:
         """Create the client; it has at most one request in flight.
@@ -65,18 +66,18 @@
         Args:
             transport: sends requests to other daemons.
             issuer: this daemon's permit issuer, which responds in case it leads.
-            permits: the permits that this daemon holds.
-            cold: the cold replicas as this daemon knows them.
+            permit_pool: the permits that this daemon holds.
+            cold_replicas: the cold replicas as this daemon knows them.
             find_watcher: returns the name of a daemon that probably knows the leader, or None.
-            list_others: returns the names of other daemons, in any order.
+            list_other_members: returns the names of the other daemons, in any order.
             log_age_s: returns the age of this daemon's view of the log.
         """
         self._transport = transport
         self._issuer = issuer
-        self._permits = permits
-        self._cold = cold
+        self._permit_pool = permit_pool
+        self._cold_replicas = cold_replicas
         self._find_watcher = find_watcher
-        self._list_others = list_others
+        self._list_other_members = list_other_members
         self._log_age_s = log_age_s
         self.leader_address = ""
         """Address of the daemon that responded as leader last; empty if none did."""
@@ -91,8 +92,8 @@
         while True:
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(CHECK_INTERVAL_S):
-                    await self._permits.permits_requested.wait()
-            if self._permits.requested_services_by_id or self._must_request_cold():
+                    await self._permit_pool.permits_requested.wait()
+            if self._permit_pool.requested_services_by_id or self._must_request_cold():
                 await self._request_once()
                 await asyncio.sleep(self._request_interval_s)
 
@@ -106,9 +107,9 @@
         request = self._make_request()
         response = await self._request_from_leader(request)
         if response is None:
-            self._permits.counters.unanswered += 1
+            self._permit_pool.counters.unanswered += 1
         elif request.count and not response.granted:
-            self._permits.counters.wanting += 1
+            self._permit_pool.counters.wanting += 1
         was_granted = response is not None and bool(response.granted)
         self._request_interval_s = (
             MIN_REQUEST_INTERVAL_S
@@ -120,8 +121,8 @@
         include_cold = self._log_age_s() >= STALE_LOG_AGE_S
         if include_cold:
             self._cold_requested_s = monotonic_s()
-        service_by_replica_id = self._permits.take_requested()
-        used = self._permits.counters.used
+        service_by_replica_id = self._permit_pool.take_requested()
+        used = self._permit_pool.counters.used
         count = (
             min(REQUESTED_PER_USED_PERMIT * (used - self._used_at_last_request) + 1, MAX_PERMITS_PER_REQUEST)
             if service_by_replica_id
@@ -157,7 +158,7 @@
         watcher = await self._find_watcher()
         return [
             self._transport.address,
-            *(address_of(name) for name in [watcher or "", *self._list_others()]),
+            *(address_of(name) for name in [watcher or "", *self._list_other_members()]),
         ]
 
     async def _request_from(self, address: str, request: PermitRequest) -> PermitResponse | None:
@@ -176,9 +177,9 @@
                 logger.info("permits_unreadable", extra={"peer": address, "error": str(error)})
                 return None
         now_s = monotonic_s()
-        self._permits.add(response.granted or {}, requested_s, now_s)
+        self._permit_pool.add(response.granted or {}, requested_s, now_s)
         for replica_id, remaining_ms in response.remaining_cold_ms_by_id.items():
-            self._cold.record_reported_cold(replica_id, remaining_ms / 1000, now_s)
+            self._cold_replicas.record_reported_cold(replica_id, remaining_ms / 1000, now_s)
         return response
 
     def handle_request(self, sender: str, payload: bytes) -> bytes:
--- a/passgate/eligibility/permit_issuer.py
+++ b/passgate/eligibility/permit_issuer.py
@@ -67,13 +67,13 @@
             limit_of: returns the limit of a service, or None.
             list_cold_ms: returns the IDs of the cold replicas, each with the time for which it stays cold.
             counters: counters of permits.
-            decisions: log of decision lines.
+            decisions: decision log.
         """
         self._lease = lease
         self._find_leader = find_leader
         self._limit_of = limit_of
         self._list_cold_ms = list_cold_ms
-        self._counts = counters
+        self._counters = counters
         self._decisions = decisions
         self._allocator = PermitAllocator()
         self._announced_fence: int | None = None
@@ -110,7 +110,7 @@
             if limit is not None:
                 limit_by_replica_id[replica_id] = limit.max_requests_per_s
         granted = self._allocator.grant(requester, limit_by_replica_id, request.count, monotonic_s())
-        self._counts.given += sum(granted.values())
-        self._counts.refused += request.count > 0 and not granted
+        self._counters.given += sum(granted.values())
+        self._counters.refused += request.count > 0 and not granted
         remaining_cold_ms_by_id = self._list_cold_ms() if request.include_cold else {}
         return PermitResponse(granted=granted, remaining_cold_ms_by_id=remaining_cold_ms_by_id)
--- a/passgate/eligibility/topology.py
+++ b/passgate/eligibility/topology.py
@@ -1,7 +1,7 @@
 """Zones and the regions that they belong to, from the settings.
 
->>> places = Topology(zone="a1", region_by_zone={"a1": "a", "a2": "a", "b1": "b"})
->>> places.region, places.region_of("b1"), places.region_of("unknown")
+>>> topology = Topology(zone="a1", region_by_zone={"a1": "a", "a2": "a", "b1": "b"})
+>>> topology.region, topology.region_of("b1"), topology.region_of("unknown")
 ('a', 'b', '')
 """
 
--- a/passgate/errors/platform.py
+++ b/passgate/errors/platform.py
@@ -56,7 +56,7 @@
 
 
 class SupersededEpoch(PassgateError):
-    """A claim, record or order was rejected, as a later epoch or fencing number is current."""
+    """A claim, record or order was rejected, as a later epoch or fencing token is current."""
 
     code = "superseded_epoch"
     http_status = 409
--- a/passgate/gateway/forwarder_base.py
+++ b/passgate/gateway/forwarder_base.py
@@ -170,7 +170,7 @@
             return False
         return True
 
-    def _send_terms(self, forwarding: ForwardedRequest) -> SendContext:
+    def _send_context(self, forwarding: ForwardedRequest) -> SendContext:
         """Return the request's region restriction by the active configuration, which may have changed."""
         request, tenant = forwarding.request, forwarding.caller.tenant
         accepted_regions = forwarding.route.allowed_regions
@@ -178,14 +178,14 @@
 
     def _check_regions(self, forwarding: ForwardedRequest) -> None:
         """Raise NoRegionAllowed if the request has not run and no region may serve it."""
-        if self._send_terms(forwarding).allowed_regions == frozenset() and not forwarding.may_have_run:
+        if self._send_context(forwarding).allowed_regions == frozenset() and not forwarding.may_have_run:
             raise NoRegionAllowed("route and tenant allow no region in common")
 
     def _choose_replica(self, forwarding: ForwardedRequest) -> ReplicaState | None:
         query = ReplicaQuery(
             services=frozenset({forwarding.service}),
             excluded=frozenset(forwarding.tried_replicas),
-            terms=self._send_terms(forwarding),
+            send_context=self._send_context(forwarding),
         )
         return self._replicas.choose(query, monotonic_s())
 
@@ -206,7 +206,7 @@
             priority=forwarding.route.priority if forwarding.route.kind is RouteKind.STREAMING else None,
             repeatable=forwarding.repeatable,
             tenant=forwarding.caller.tenant,
-            terms=self._send_terms(forwarding),
+            send_context=self._send_context(forwarding),
         )
 
     def _no_replica_error(self, forwarding: ForwardedRequest, reason: str) -> PassgateError:
@@ -215,7 +215,7 @@
         It is NoReplicaInRegions if the request is region-restricted and no replica was tried, else
         NoReplicaAvailable.
         """
-        if forwarding.tried_replicas or self._send_terms(forwarding).allowed_regions is None:
+        if forwarding.tried_replicas or self._send_context(forwarding).allowed_regions is None:
             return no_replica_error(reason)
         return NoReplicaInRegions(reason, execution=ExecutionStatus.NOT_RUN, retry_after_s=RETRY_AFTER_S)
 
--- a/passgate/gateway/peer_configuration.py
+++ b/passgate/gateway/peer_configuration.py
@@ -1,7 +1,7 @@
 """Fetches newer configurations and evacuations from peer daemons while the log is unreachable.
 
 A revoked API key must stop working also on daemons that can not read the log.  A daemon whose view of
-the operator's topic is older than ASK_AFTER_S polls a few peers, and applies what they report only if
+the operator's topic is older than POLL_AFTER_S polls a few peers, and applies what they report only if
 it is newer: a configuration of a higher version, evacuations as of a higher log offset.
 """
 
@@ -28,8 +28,8 @@
 """Pause between polls; it leaves several polls within the 3 s in which a configuration must be applied."""
 MAX_PEERS_POLLED = 3
 """Peers polled at once, as some of them may not reach the log either."""
-ANSWER_TIMEOUT_S = 0.4
-"""Time limit of a peer's answer; it covers a daemon that is short of processor time."""
+RESPONSE_TIMEOUT_S = 0.4
+"""Timeout of a peer's response; it covers a daemon that is short of processor time."""
 AGE_CHECK_INTERVAL_S = 0.1
 """Time between checks of the own view's age."""
 NEVER_S = float("-inf")
@@ -67,7 +67,7 @@
     def __init__(
         self,
         transport: PeerTransport,
-        list_peers: Callable[[], list[str]],
+        list_other_members: Callable[[], list[str]],
         config_holder: ConfigHolder,
         evacuated_zones: EvacuatedZones,
         log_age_s: Callable[[], float],
@@ -78,7 +78,7 @@
 
         Args:
             transport: carries queries to peers.
-            list_peers: returns the names of the other daemons in random order; the first ones are polled.
+            list_other_members: returns the names of the other daemons in random order; the first are polled.
             config_holder: holds the active configuration, with which the version is compared.
             evacuated_zones: is updated with peers' views.
             log_age_s: returns the time since this daemon's own view of the operator's topic was confirmed.
@@ -86,7 +86,7 @@
             decisions: decision log.
         """
         self._transport = transport
-        self._list_peers = list_peers
+        self._list_other_members = list_other_members
         self._config_holder = config_holder
         self._evacuated_zones = evacuated_zones
         self._log_age_s = log_age_s
@@ -111,7 +111,7 @@
             if self._log_age_s() < POLL_AFTER_S:
                 await asyncio.sleep(AGE_CHECK_INTERVAL_S)
                 continue
-            peers = self._list_peers()[:MAX_PEERS_POLLED]
+            peers = self._list_other_members()[:MAX_PEERS_POLLED]
             await asyncio.gather(*(self._poll_peer(peer) for peer in peers))
             await asyncio.sleep(POLL_INTERVAL_S)
 
@@ -120,7 +120,7 @@
         queried_at_s = monotonic_s()
         try:
             payload = await self._transport.call(
-                address_of(peer), CONFIGURATION_METHOD, query, ANSWER_TIMEOUT_S
+                address_of(peer), CONFIGURATION_METHOD, query, RESPONSE_TIMEOUT_S
             )
             snapshot = msgspec.json.decode(payload, type=ConfigurationSnapshot)
         except (PeerError, msgspec.DecodeError):
@@ -150,7 +150,7 @@
             )
 
     def handle_request(self, payload: bytes) -> bytes:
-        """Answer a peer's ConfigurationQuery with an encoded KnownConfiguration.
+        """Answer a peer's ConfigurationQuery with an encoded ConfigurationSnapshot.
 
         Raises msgspec.DecodeError for an unreadable payload.
         """
--- a/passgate/gateway/replica_client.py
+++ b/passgate/gateway/replica_client.py
@@ -82,7 +82,7 @@
     """Tenant sent to the replica; see :func:`passgate.gateway.access.replica_headers`."""
     crash_limit: int = CRASH_LIMIT
     """Number of crashed replicas from which on the request is quarantined."""
-    terms: SendContext = ANY_REGION_REQUEST
+    send_context: SendContext = ANY_REGION_REQUEST
     """What the send rules need to know of it."""
 
     @property
@@ -140,7 +140,7 @@
         self.crash_guard = crash_guard
 
     def start_attempt(self, state: ReplicaState, request: ReplicaRequest) -> ReplicaAttempt:
-        """Send a request to a replica; the caller must close the returned exchange.
+        """Send a request to a replica; the caller must close the returned attempt.
 
         Raises:
             RequestQuarantined: the request has crashed replicas; it was not sent.
@@ -149,7 +149,7 @@
         """
         # The checks are made here, and not only by callers, so that no request can bypass them.
         self.crash_guard.raise_if_quarantined(request.identity)
-        not_sent_after_s = self._replicas.send_rules.admit(state.info, request.terms, monotonic_s())
+        not_sent_after_s = self._replicas.send_rules.admit(state.info, request.send_context, monotonic_s())
         return ReplicaAttempt(
             self._http, self._replicas, self._header_names, self.crash_guard, state, request, not_sent_after_s
         )
@@ -161,11 +161,11 @@
             BackendRefused: the replica refused the request without running it.
             PassgateError: any other failure, with its execution status.
         """
-        exchange = self.start_attempt(state, request)
+        attempt = self.start_attempt(state, request)
         try:
-            return await exchange.read_answer()
+            return await attempt.read_answer()
         finally:
-            exchange.close()
+            attempt.close()
 
 
 class ReplicaAttempt:
@@ -271,7 +271,7 @@
         self._replicas.cold_replicas.record_response(self._state.info, monotonic_s())
         if status in GUARANTEED_NOT_RUN_STATUSES:
             self._reject_unconfirmed_refusal(status)
-        self._crash_guard.record_response(self._replica_place(), self.started_s)
+        self._crash_guard.record_response(self._replica_endpoint(), self.started_s)
         self._state.record_answer_start()
         return status
 
@@ -339,9 +339,9 @@
         """
         if self._state.info.draining or self._replicas.find_latest_incarnation(self.incarnation) is None:
             return
-        self._crash_guard.record_failed_attempt(self._request.identity, self._replica_place(), error)
+        self._crash_guard.record_failed_attempt(self._request.identity, self._replica_endpoint(), error)
 
-    def _replica_place(self) -> ReplicaEndpoint:
+    def _replica_endpoint(self) -> ReplicaEndpoint:
         latest = self._replicas.find_latest_incarnation(self.incarnation)
         return ReplicaEndpoint(
             incarnation=self.incarnation,
--- a/passgate/gateway/replica_table.py
+++ b/passgate/gateway/replica_table.py
@@ -40,7 +40,7 @@
 FASTER_LATENCY_SHARE = 0.5
 """A replica is much faster than another one if its latency is below this share of the other's."""
 LATENCY_HALF_LIFE_S = 4.0
-"""Time without an observation after which the latency has moved halfway back to ASSUMED_LATENCY_S."""
+"""Time without an observation after which the latency has moved halfway back to DEFAULT_LATENCY_S."""
 ASSUMED_LOADING_S = 1.0
 """Time for which a replica that refused despite free slots is assumed to be loading weights."""
 LOADING_SCORE_PENALTY = 3.0
@@ -65,7 +65,7 @@
     """Replica with a small bonus in the score, such as one that has the prompt's prefix cached."""
     load_below: float = math.inf
     """Exclusive upper limit of the load, which counts requests per slot."""
-    terms: SendContext = ANY_REGION_REQUEST
+    send_context: SendContext = ANY_REGION_REQUEST
     """What the send rules need to know of the request."""
 
 
@@ -105,7 +105,7 @@
         return (self.in_flight + other_requests) / max(self.info.slots, 1)
 
     def expected_latency_s(self, now_s: float) -> float:
-        """Return the smoothed latency, which decays to ASSUMED_LATENCY_S while nothing is observed."""
+        """Return the smoothed latency, which decays to DEFAULT_LATENCY_S while nothing is observed."""
         half_lives = (now_s - self.latency_recorded_at_s) / LATENCY_HALF_LIFE_S
         return DEFAULT_LATENCY_S + (self.latency_s - DEFAULT_LATENCY_S) * 0.5 ** max(half_lives, 0.0)
 
@@ -123,9 +123,9 @@
 class ReplicaTable:
     """All listed replicas by incarnation, with the choice of one for a request."""
 
-    def __init__(self, places: Topology, seed: int | None = None) -> None:
-        self.places = places
-        self.distances = ZoneDistances(places)
+    def __init__(self, topology: Topology, seed: int | None = None) -> None:
+        self.topology = topology
+        self.distances = ZoneDistances(topology)
         self._local_capacity_waits = LocalCapacityWaits()
         self.cold_replicas = ColdReplicas()
         """The cold replicas; none until its ``limit_of`` is set."""
@@ -142,9 +142,9 @@
         self._random = random.Random(seed)
         self.health: ReplicaHealth[ReplicaIncarnation] = ReplicaHealth()
 
-    def apply_entry(self, info: ReplicaInfo, now_s: float, *, listed: bool = False) -> None:
-        """Apply a discovery entry that was just read; ``listed`` if it was part of a complete list."""
-        self.cold_replicas.apply_entry(info, now_s, from_full_list=listed)
+    def apply_entry(self, info: ReplicaInfo, now_s: float, *, from_full_list: bool = False) -> None:
+        """Apply a discovery entry that was just read; ``from_full_list`` if it was part of a full list."""
+        self.cold_replicas.apply_entry(info, now_s, from_full_list=from_full_list)
         self.put(info)
 
     def put(self, info: ReplicaInfo) -> bool:
@@ -187,7 +187,7 @@
             self.cold_replicas.mark_unreachable(state.info, now_s)
 
     def mark_zone_possibly_cold(self, zone: str, now_s: float) -> None:
-        """Treat all replicas of a zone as just turned cold, until later entries say that they are warm."""
+        """Mark all replicas of a zone as possibly cold, until later entries say that they are warm."""
         infos = [state.info for state in self._state_by_incarnation.values() if state.info.zone == zone]
         self.cold_replicas.mark_possibly_cold(infos, now_s)
 
@@ -220,7 +220,7 @@
         if best is None or best.load(now_s) >= FULL_LOAD:
             self._request_permits(query, now_s)
         if best is not None:
-            self._cold_rule.claim_permit(best.info, query.terms, now_s)
+            self._cold_rule.claim_permit(best.info, query.send_context, now_s)
         return best
 
     def _request_permits(self, query: ReplicaQuery, now_s: float) -> None:
@@ -258,7 +258,7 @@
         remote = [state for state in candidates if not self.distances.is_local_region(state.info.zone)][
             :MAX_REMOTE_CANDIDATES
         ]
-        request_class = (query.services, query.model, query.terms.allowed_regions)
+        request_class = (query.services, query.model, query.send_context.allowed_regions)
         best_local = min(local, key=lambda state: self._score(state, query, now_s), default=None)
         best_remote = min(remote, key=lambda state: self._score(state, query, now_s), default=None)
         if best_local is not None:
@@ -301,10 +301,10 @@
         """Whether a replica matches a query, no send rule excludes it, and a permit is free if it is cold."""
         if not self._matches(state, query, now_s):
             return False
-        if not self.send_rules.allows(state.info, query.terms, now_s):
+        if not self.send_rules.allows(state.info, query.send_context, now_s):
             return False
         return not self.cold_replicas.any_may_be_cold or self._cold_rule.may_claim_permit(
-            state.info, query.terms, now_s
+            state.info, query.send_context, now_s
         )
 
     def _matches(self, state: ReplicaState, query: ReplicaQuery, now_s: float) -> bool:
@@ -317,10 +317,10 @@
         return not query.model or state.weight_version(query.model) >= query.min_version
 
     def _score(self, state: ReplicaState, query: ReplicaQuery, now_s: float) -> float:
-        """Return a score that is the lower, the better; units are multiples of ASSUMED_LATENCY_S."""
+        """Return a score that is the lower, the better; units are multiples of DEFAULT_LATENCY_S."""
         load = state.load(now_s)
         score = (1.0 + load) * state.expected_latency_s(now_s) / DEFAULT_LATENCY_S + load
-        if state.info.zone != self.places.zone:
+        if state.info.zone != self.topology.zone:
             score += self.distances.network_cost_s(state.info.zone) / DEFAULT_LATENCY_S
         if state.is_probably_loading(now_s):
             score += LOADING_SCORE_PENALTY
--- a/passgate/gateway/routes.py
+++ b/passgate/gateway/routes.py
@@ -148,18 +148,18 @@
 class RouteTable:
     """A compiled configuration: routes by host with the longest prefix first, and the API key index."""
 
-    def __init__(self, config: GatewayConfig, places: Topology | None = None) -> None:
+    def __init__(self, config: GatewayConfig, topology: Topology | None = None) -> None:
         """Compile a configuration; raises InvalidConfiguration.
 
         Args:
             config: the configuration.
-            places: zones and regions of the deployment, for checking allowed regions; None if unknown.
+            topology: zones and regions of the deployment, for checking allowed regions; None if unknown.
         """
         self.config = config
         self.api_key_index = ApiKeyIndex(config.tenants)
         self._tenant_by_name = {tenant.name: tenant for tenant in config.tenants}
         for owner in (*config.routes, *config.tenants):
-            _validate_regions(owner, places)
+            _validate_regions(owner, topology)
         routed = {part.service for route in config.routes for part in route.parts}
         self.services = frozenset(routed | {service.name for service in config.services})
         """Names of all services that are configured or used by a route."""
@@ -187,12 +187,12 @@
         return found.allowed_regions if found is not None else frozenset()
 
 
-def _validate_regions(owner: Route | Tenant, places: Topology | None) -> None:
+def _validate_regions(owner: Route | Tenant, topology: Topology | None) -> None:
     """Raise InvalidConfiguration if an allowed region of a route or tenant does not exist.
 
     A misspelt region would otherwise have all requests of its owner refused.
     """
-    known_regions = frozenset(places.region_by_zone.values()) if places is not None else frozenset()
+    known_regions = frozenset(topology.region_by_zone.values()) if topology is not None else frozenset()
     for region in owner.allowed_regions:
         if not region or (known_regions and region not in known_regions):
             raise InvalidConfiguration("an allowed region is not known", holder=owner.name, region=region)
@@ -201,10 +201,10 @@
 class ConfigHolder:
     """Holds the active configuration; its version never decreases."""
 
-    def __init__(self, places: Topology | None = None) -> None:
-        """Start without a configuration; ``places`` names the regions that configurations may use."""
+    def __init__(self, topology: Topology | None = None) -> None:
+        """Start without a configuration; ``topology`` names the regions that configurations may use."""
         self.table: RouteTable | None = None
-        self._places = places
+        self._topology = topology
 
     @property
     def version(self) -> int:
@@ -251,7 +251,7 @@
         """
         if self.table is not None and config.version <= self.table.config.version:
             return False
-        self.table = RouteTable(config, self._places)
+        self.table = RouteTable(config, self._topology)
         return True
 
 
--- a/passgate/gateway/settings.py
+++ b/passgate/gateway/settings.py
@@ -82,6 +82,6 @@
     """Requests in a second that a cold replica may get in addition."""
 
     @property
-    def places(self) -> Topology:
+    def topology(self) -> Topology:
         """Zone of the daemon, and the regions of all zones."""
         return Topology(zone=self.zone, region_by_zone=self.regions)
--- a/passgate/gateway/stream_forwarder.py
+++ b/passgate/gateway/stream_forwarder.py
@@ -51,52 +51,52 @@
         have run.  The returned stream raises PassgateError from its iterator when it ends incomplete.
         """
         stream = self._begin_forwarding(request, route, caller)
-        exchange = await self._open_stream(stream)
-        if exchange.status != OK_STATUS:
+        attempt = await self._open_stream(stream)
+        if attempt.status != OK_STATUS:
             try:
-                answer = await exchange.read_answer()
+                answer = await attempt.read_answer()
             finally:
-                exchange.close()
+                attempt.close()
             self._record_end(stream, answer.status, "")
             return GatewayAnswer(
                 status=answer.status, headers=tuple(end_to_end_headers(answer.headers)), body=answer.body
             )
-        headers = tuple(end_to_end_headers(exchange.headers.get_all()))
-        return StreamAnswer(status=OK_STATUS, headers=headers, chunks=self._stream_events(stream, exchange))
+        headers = tuple(end_to_end_headers(attempt.headers.get_all()))
+        return StreamAnswer(status=OK_STATUS, headers=headers, chunks=self._stream_events(stream, attempt))
 
     async def _open_stream(self, stream: ForwardedRequest) -> ReplicaAttempt:
-        """Return an exchange whose head has arrived; raises PassgateError if no replica sends one."""
+        """Return an attempt whose head has arrived; raises PassgateError if no replica sends one."""
         while True:
-            exchange = await self._start_attempt(stream)
+            attempt = await self._start_attempt(stream)
             timeout_s = stream.answer_by_s - monotonic_s()
             if stream.route.resumable and stream.may_be_sent_again:
                 timeout_s = min(timeout_s, HEAD_TIMEOUT_FACTOR * stream.route.target_latency_s)
             try:
                 async with asyncio.timeout(max(timeout_s, 0.0)):
-                    await exchange.wait_for_head()
-                return exchange
+                    await attempt.wait_for_head()
+                return attempt
             except TimeoutError as error:
-                exchange.record_timeout()
-                exchange.close()
+                attempt.record_timeout()
+                attempt.close()
                 stream.may_have_run = True
                 self._record_failed_stream(
-                    stream, exchange, DeadlineExceeded("no answer head within the time limit")
+                    stream, attempt, DeadlineExceeded("no answer head within the time limit")
                 )
                 if not stream.may_be_sent_again or monotonic_s() >= stream.answer_by_s:
                     raise self._end_with_error(stream, "no answer head within the time limit") from error
             except PassgateError as error:
-                exchange.close()
-                self._record_failed_stream(stream, exchange, error)
+                attempt.close()
+                self._record_failed_stream(stream, attempt, error)
                 if not stream.may_be_sent_again:
                     raise self._end_with_error(stream, error.code) from error
             except asyncio.CancelledError:
-                exchange.close()
+                attempt.close()
                 raise
 
     def _record_failed_stream(
-        self, stream: ForwardedRequest, exchange: ReplicaAttempt, error: PassgateError
+        self, stream: ForwardedRequest, attempt: ReplicaAttempt, error: PassgateError
     ) -> None:
-        self._record_failed_attempt(stream, exchange.incarnation, error, exchange.started_s)
+        self._record_failed_attempt(stream, attempt.incarnation, error, attempt.started_s)
 
     async def _start_attempt(self, stream: ForwardedRequest) -> ReplicaAttempt:
         """Check that the request may be sent, choose a replica and send; raises PassgateError if not sent."""
@@ -118,7 +118,7 @@
         return self._replica_client.start_attempt(state, self._replica_request(stream))
 
     async def _stream_events(
-        self, stream: ForwardedRequest, exchange: ReplicaAttempt
+        self, stream: ForwardedRequest, attempt: ReplicaAttempt
     ) -> AsyncGenerator[bytes, None]:
         """Yield bytes of complete events, from further replicas if the stream may be continued.
 
@@ -127,40 +127,40 @@
         try:
             while True:
                 try:
-                    async for events in self._read_attempt_events(stream, exchange):
+                    async for events in self._read_attempt_events(stream, attempt):
                         yield events
                     self._record_end(stream, OK_STATUS, "")
                     return
                 except (PassgateError, TimeoutError) as error:
-                    exchange.close()
+                    attempt.close()
                     stream.may_have_run = True
                     failure = (
                         error if isinstance(error, PassgateError) else IncompleteAnswer("no data in time")
                     )
-                    self._record_failed_stream(stream, exchange, failure)
+                    self._record_failed_stream(stream, attempt, failure)
                     if not stream.may_be_sent_again or monotonic_s() >= stream.answer_by_s:
                         raise self._end_with_error(stream, "the stream broke off") from error
-                exchange = await self._open_stream(stream)
-                if exchange.status != OK_STATUS:
+                attempt = await self._open_stream(stream)
+                if attempt.status != OK_STATUS:
                     raise self._end_with_error(
-                        stream, f"the resume request was answered with {exchange.status}"
+                        stream, f"the resume request was answered with {attempt.status}"
                     )
         finally:
-            exchange.close()
+            attempt.close()
 
     async def _read_attempt_events(
-        self, stream: ForwardedRequest, exchange: ReplicaAttempt
+        self, stream: ForwardedRequest, attempt: ReplicaAttempt
     ) -> AsyncGenerator[bytes, None]:
         """Yield bytes of complete events of one attempt.
 
-        Raises IncompleteAnswer, MovedElsewhere, the exchange's errors, or TimeoutError after a pause.
+        Raises IncompleteAnswer, MovedElsewhere, the attempt's errors, or TimeoutError after a pause.
         """
         pending = b""
         count = 0
         last_event_s = 0.0
         while True:
             async with asyncio.timeout(self._read_timeout_s(stream)):
-                data = await exchange.read()
+                data = await attempt.read()
             if not data:
                 break
             *complete, pending = (pending + data.replace(b"\r\n", b"\n")).split(EVENT_SEPARATOR)
@@ -170,15 +170,15 @@
                 self._count_run_once(stream)
                 now_s = monotonic_s()
                 if last_event_s:
-                    exchange.record_event_interval((now_s - last_event_s) / len(complete))
+                    attempt.record_event_interval((now_s - last_event_s) / len(complete))
                 last_event_s = now_s
                 yield EVENT_SEPARATOR.join(complete) + EVENT_SEPARATOR
                 count += len(complete)
-                if count >= MIN_EVENTS_BEFORE_MOVE and self._should_move(stream, exchange):
+                if count >= MIN_EVENTS_BEFORE_MOVE and self._should_move(stream, attempt):
                     raise MovedElsewhere("another replica is much faster")
-        if pending.strip() or not exchange.is_complete:
+        if pending.strip() or not attempt.is_complete:
             raise IncompleteAnswer("the stream ended without its end mark or within an event")
-        exchange.record_stream_success()
+        attempt.record_stream_success()
 
     def _count_run_once(self, stream: ForwardedRequest) -> None:
         """Count the request's run for the usage report, at the first event of its first attempt with one."""
@@ -186,7 +186,7 @@
             stream.usage_counted = True
             self._count_run(stream, self._usage_wall_s())
 
-    def _should_move(self, stream: ForwardedRequest, exchange: ReplicaAttempt) -> bool:
+    def _should_move(self, stream: ForwardedRequest, attempt: ReplicaAttempt) -> bool:
         """Whether a resumable stream should continue at another replica, which is much faster."""
         if not stream.route.resumable or not stream.may_be_sent_again:
             return False
@@ -194,9 +194,9 @@
             services=frozenset({stream.service}),
             excluded=frozenset(stream.tried_replicas),
             load_below=FULL_LOAD,
-            terms=self._send_terms(stream),
+            send_context=self._send_context(stream),
         )
-        return self._replicas.has_faster(exchange.incarnation, query, monotonic_s())
+        return self._replicas.has_faster(attempt.incarnation, query, monotonic_s())
 
     def _read_timeout_s(self, stream: ForwardedRequest) -> float:
         left_s = max(stream.answer_by_s - monotonic_s(), 0.0)
--- a/passgate/gateway/zone_distances.py
+++ b/passgate/gateway/zone_distances.py
@@ -3,8 +3,8 @@
 RTT samples come from calls that are made anyway: new connections to replicas and queries to other
 daemons.  A zone without samples has a default that depends on whether it is in the local region.
 
->>> places = Topology(zone="a1", region_by_zone={"a1": "a", "a2": "a", "b1": "b"})
->>> distances = ZoneDistances(places)
+>>> topology = Topology(zone="a1", region_by_zone={"a1": "a", "a2": "a", "b1": "b"})
+>>> distances = ZoneDistances(topology)
 >>> [round(distances.network_cost_s(zone) * 1000, 1) for zone in ("a1", "a2", "b1")]
 [0.0, 2.5, 24.5]
 >>> distances.record_round_trip("b1", 0.012, now_s=1.0)
@@ -31,8 +31,8 @@
 """Length of the window whose shortest sample counts; longer samples include time on a busy machine."""
 RTT_RISE_SHARE = 0.5
 """Share of the difference by which the estimate rises to a window's longer minimum."""
-ANSWER_MARGIN_S = 0.05
-"""Time beyond the RTT that a daemon has for an answer: a few iterations of a busy event loop."""
+RESPONSE_MARGIN_S = 0.05
+"""Time beyond the RTT that a daemon has for a response: a few iterations of a busy event loop."""
 
 
 class _RoundTripEstimate(msgspec.Struct):
@@ -48,9 +48,9 @@
 class ZoneDistances:
     """Estimated RTT and network cost from this daemon to each zone."""
 
-    def __init__(self, places: Topology) -> None:
-        self.places = places
-        self.has_multiple_regions = len(set(places.region_by_zone.values())) > 1
+    def __init__(self, topology: Topology) -> None:
+        self.topology = topology
+        self.has_multiple_regions = len(set(topology.region_by_zone.values())) > 1
         """Whether the zones are in more than one region."""
         self._estimates_by_zone: dict[str, _RoundTripEstimate] = {}
         self._cost_s_by_zone: dict[str, float] = {}
@@ -79,13 +79,13 @@
         return estimate.estimate_s if estimate is not None else self._default_round_trip_s(zone)
 
     def _default_round_trip_s(self, zone: str) -> float:
-        if zone == self.places.zone:
+        if zone == self.topology.zone:
             return DEFAULT_SAME_ZONE_RTT_S
         return DEFAULT_SAME_REGION_RTT_S if self.is_local_region(zone) else DEFAULT_OTHER_REGION_RTT_S
 
     def is_local_region(self, zone: str) -> bool:
         """Whether a zone is in this daemon's region; always true with a single region."""
-        return not self.has_multiple_regions or self.places.region_of(zone) == self.places.region
+        return not self.has_multiple_regions or self.topology.region_of(zone) == self.topology.region
 
     def network_cost_s(self, zone: str) -> float:
         """Return the cost of sending to a zone instead of the own one, as a time; 0 for the own zone."""
@@ -95,15 +95,15 @@
         return cost_s
 
     def _compute_network_cost_s(self, zone: str) -> float:
-        if zone == self.places.zone:
+        if zone == self.topology.zone:
             return 0.0
         if self.is_local_region(zone):
             return OTHER_ZONE_COST_S
-        return max(self.round_trip_s(zone) - self.round_trip_s(self.places.zone), OTHER_ZONE_COST_S)
+        return max(self.round_trip_s(zone) - self.round_trip_s(self.topology.zone), OTHER_ZONE_COST_S)
 
     def other_zones_nearest_first(self) -> list[str]:
         """Return all zones but the own one: first the local region's, then the others', by rising RTT."""
-        zones = [zone for zone in self.places.region_by_zone if zone != self.places.zone]
+        zones = [zone for zone in self.topology.region_by_zone if zone != self.topology.zone]
         return sorted(zones, key=lambda zone: (not self.is_local_region(zone), self.round_trip_s(zone), zone))
 
     def fallback_zones(self) -> list[str]:
@@ -117,14 +117,14 @@
         remote = [zone for zone in zones if not self.is_local_region(zone)]
         return local[:1] + remote[:1]
 
-    def answer_timeout_s(self, minimum_s: float, zone: str | None = None) -> float:
-        """Return the time limit for a daemon's answer to a query that it can answer immediately.
+    def response_timeout_s(self, minimum_s: float, zone: str | None = None) -> float:
+        """Return the timeout of a daemon's response to a request that it can handle immediately.
 
         Args:
-            minimum_s: time limit for a daemon nearby; always returned with a single region.
+            minimum_s: timeout for a daemon nearby; always returned with a single region.
             zone: zone of the daemon; None if it may be in any zone, then the longest RTT counts.
         """
         if not self.has_multiple_regions:
             return minimum_s
-        zones = [zone] if zone is not None else [self.places.zone, *self.places.region_by_zone]
-        return max(minimum_s, max(map(self.round_trip_s, zones)) + ANSWER_MARGIN_S)
+        zones = [zone] if zone is not None else [self.topology.zone, *self.topology.region_by_zone]
+        return max(minimum_s, max(map(self.round_trip_s, zones)) + RESPONSE_MARGIN_S)
--- a/passgate/jobs/item_checkpointer.py
+++ b/passgate/jobs/item_checkpointer.py
@@ -56,7 +56,7 @@
             versions=versions,
             last_id=self._stream.last_event_id,
             parent=self._parent_run_id,
-            whole=complete,
+            complete=complete,
         )
         self._recorded_count = self._stream.event_count
         self._parent_run_id = ""
--- a/passgate/jobs/item_run.py
+++ b/passgate/jobs/item_run.py
@@ -58,7 +58,7 @@
     """Dependencies that all item runs of a job share."""
 
     route: Route
-    caller: ReplicaClient
+    replica_client: ReplicaClient
     replicas: ReplicaTable
     header_names: HeaderNames
     decisions: DecisionLog
@@ -127,7 +127,7 @@
         self._reserved_replica: ReplicaState | None = None
         """Replica at which a slot is reserved for the next attempt."""
         self._identity = self._build_request().identity
-        self._crashes = context.caller.crash_guard
+        self._crash_guard = context.replica_client.crash_guard
 
     def _is_usable(self, recorded_events: RecordedEvents) -> bool:
         """Whether the run may resume after recorded events: all were made by accepted weights."""
@@ -153,7 +153,7 @@
     def _reserve_slot(self, state: ReplicaState) -> None:
         self._reserved_replica = state
         state.in_flight += 1
-        self._crashes.announce_run(self._identity, state.incarnation)
+        self._crash_guard.announce_run(self._identity, state.incarnation)
 
     async def _wait_in_queue(self, queue_key: QueueKey) -> ReplicaState | None:
         """Wait in a queue for a replica with a free slot; return None once another queue is the right one."""
@@ -172,7 +172,7 @@
         if self._reserved_replica is not None:
             self._reserved_replica.in_flight -= 1
             self._reserved_replica = None
-            self._crashes.withdraw_run(self._identity)
+            self._crash_guard.withdraw_run(self._identity)
 
     def _replica_query(
         self,
@@ -182,18 +182,20 @@
         avoided_replicas = frozenset() if avoided_replica is None else frozenset({avoided_replica})
         query = ReplicaQuery(
             services=self._context.route.services,
-            excluded=self._crashes.excluded_replicas(self._identity) | replicas_to_avoid | avoided_replicas,
+            excluded=self._crash_guard.excluded_replicas(self._identity)
+            | replicas_to_avoid
+            | avoided_replicas,
             model=self._job.model,
             min_version=self._job.min_version,
             load_below=FULL_LOAD,
-            terms=self._context.send_context_of(self._job),
+            send_context=self._context.send_context_of(self._job),
         )
         preferred = self._context.group_affinity.choose_preferred(self.item.group, query, monotonic_s())
         return msgspec.structs.replace(query, preferred=preferred)
 
     def _choose_replica(self) -> ReplicaState | None:
         replicas, now_s = self._context.replicas, monotonic_s()
-        if replicas_to_avoid := self._crashes.replicas_to_avoid():
+        if replicas_to_avoid := self._crash_guard.replicas_to_avoid():
             state = replicas.choose(self._replica_query(self._avoided_replica, replicas_to_avoid), now_s)
             if state is not None:
                 return state
@@ -205,12 +207,12 @@
     @property
     def is_quarantined(self) -> bool:
         """Whether the item must not be sent now, because replicas crashed while running it."""
-        return self._crashes.is_quarantined(self._identity)
+        return self._crash_guard.is_quarantined(self._identity)
 
     @property
     def bypasses_queue(self) -> bool:
         """Whether the item is quarantined or needs an isolated run, so that it does not wait in the queue."""
-        return self.is_quarantined or self._crashes.needs_isolated_run(self._identity)
+        return self.is_quarantined or self._crash_guard.needs_isolated_run(self._identity)
 
     async def run(self) -> Result:
         """Run the item, over as many attempts as it takes, and return its result.
@@ -221,24 +223,24 @@
         while True:
             if self._reserved_replica is None:
                 await self._wait_for_next_attempt()
-            if not await self._crashes.confirm_run(self._identity):
+            if not await self._crash_guard.confirm_run(self._identity):
                 self.release_slot()
                 continue
             state = self._reserved_replica
             assert state is not None
             self._reserved_replica = None
-            state.in_flight -= 1  # the exchange counts itself as in flight from here on
+            state.in_flight -= 1  # the attempt counts itself as in flight from here on
             try:
                 result = await self._run_attempt(state)
             finally:
-                self._crashes.withdraw_run(self._identity)
+                self._crash_guard.withdraw_run(self._identity)
             if result is not None:
                 return result
 
     async def _wait_for_next_attempt(self) -> None:
         """Wait until the item may be sent and a slot is reserved for it."""
         await self._wait_out_quarantine()
-        if self._crashes.needs_isolated_run(self._identity):
+        if self._crash_guard.needs_isolated_run(self._identity):
             await self._wait_outside_queue()
             return
         self._rank = Rank(latest_start_s=self._rank.latest_start_s, unsent=False, tie_breaker=id(self))
@@ -246,18 +248,18 @@
 
     async def _wait_out_quarantine(self) -> None:
         """Wait while the item is quarantined; the job's runner cancels the wait when the item expires."""
-        await self._crashes.delay_isolated_run(self._identity)
+        await self._crash_guard.delay_isolated_run(self._identity)
         if not self.is_quarantined:
             return
         fingerprint = self._identity.fingerprint()
         self._context.decisions.write(
             ItemQuarantined(job_id=self._job.job_id, item_id=self.item.id, fingerprint=fingerprint)
         )
-        await self._crashes.wait_until_released(self._identity)
+        await self._crash_guard.wait_until_released(self._identity)
 
     async def _run_attempt(self, state: ReplicaState) -> Result | None:
         try:
-            return await self._run_exchange(self._open_exchange(state))
+            return await self._receive_output(self._start_attempt(state))
         except (BackendRefused, MovedElsewhere) as error:
             self._record_failure(state.incarnation, error)
         except PassgateError as error:
@@ -280,39 +282,39 @@
             )
         )
 
-    def _open_exchange(self, state: ReplicaState) -> ReplicaAttempt:
+    def _start_attempt(self, state: ReplicaState) -> ReplicaAttempt:
         """Send the item and record the attempt; nothing is recorded when a rule excludes the replica."""
-        exchange = self._context.caller.start_attempt(state, self._build_request())
+        attempt = self._context.replica_client.start_attempt(state, self._build_request())
         self.attempts += 1
-        self.last_attempt_sent_s = exchange.started_s
+        self.last_attempt_sent_s = attempt.started_s
         self._item_times.record_send(self.last_attempt_sent_s)
-        self._context.group_affinity.record_send(self.item.group, exchange.incarnation)
+        self._context.group_affinity.record_send(self.item.group, attempt.incarnation)
         self._context.decisions.write(
             ItemSent(
                 job_id=self._job.job_id,
                 item_id=self.item.id,
-                replica_id=exchange.incarnation.replica_id,
+                replica_id=attempt.incarnation.replica_id,
                 attempt=self.attempts,
                 events_kept=self._stream.event_count,
             )
         )
-        return exchange
+        return attempt
 
-    async def _run_exchange(self, exchange: ReplicaAttempt) -> Result | None:
+    async def _receive_output(self, attempt: ReplicaAttempt) -> Result | None:
         try:
             status = await self._context.stall_detector.wait_for(
-                exchange.incarnation, exchange.wait_for_head, FIRST_BYTES_LIMIT_S
+                attempt.incarnation, attempt.wait_for_head, FIRST_BYTES_LIMIT_S
             )
             if status != HTTP_OK:
                 return self._handle_error_status(status)
-            self._begin_stream(exchange)
-            await self._read_events(exchange)
+            self._begin_stream(attempt)
+            await self._read_events(attempt)
         except TimeoutError as error:
-            exchange.record_stall()
+            attempt.record_stall()
             raise IncompleteAnswer("the stream is silent") from error
         finally:
-            exchange.close()
-        exchange.record_stream_success()
+            attempt.close()
+        attempt.record_stream_success()
         return Result(
             item_id=self.item.id,
             state=ResultState.SUCCEEDED,
@@ -320,7 +322,7 @@
             versions=self._stream.versions,
         )
 
-    def _move_if_slow(self, exchange: ReplicaAttempt, attempt_events: int, now_s: float) -> None:
+    def _move_if_slow(self, attempt: ReplicaAttempt, attempt_events: int, now_s: float) -> None:
         """Raise MovedElsewhere when another replica with a free slot is sufficiently faster.
 
         Checks after every few events of the attempt.  A long output moves also for a smaller gain, but
@@ -328,12 +330,12 @@
         """
         if attempt_events < PACE_CHECK_EVENTS or attempt_events % PACE_CHECK_EVENTS:
             return
-        query = self._replica_query(exchange.incarnation)
-        if self._context.replicas.has_faster(exchange.incarnation, query, now_s):
+        query = self._replica_query(attempt.incarnation)
+        if self._context.replicas.has_faster(attempt.incarnation, query, now_s):
             raise MovedElsewhere("another replica is much faster")
         is_long = self._stream.event_count >= LONG_OUTPUT_EVENTS and not self._moved_for_length
         if is_long and self._context.replicas.has_faster(
-            exchange.incarnation, query, now_s, LONG_OUTPUT_MAX_TIME_RATIO
+            attempt.incarnation, query, now_s, LONG_OUTPUT_MAX_TIME_RATIO
         ):
             self._moved_for_length = True
             raise MovedElsewhere("another replica is faster for a long output")
@@ -353,7 +355,7 @@
             priority=self._priority,
             tenant=self._job.tenant,
             crash_limit=ITEM_CRASH_LIMIT,
-            terms=self._context.send_context_of(self._job),
+            send_context=self._context.send_context_of(self._job),
         )
 
     @property
@@ -371,25 +373,25 @@
                 return dead_result
         raise IncompleteAnswer(f"replica answered {status}", execution=ExecutionStatus.RAN)
 
-    def _begin_stream(self, exchange: ReplicaAttempt) -> None:
-        version_header = exchange.headers.get(self._context.header_names.weight_versions, "")
+    def _begin_stream(self, attempt: ReplicaAttempt) -> None:
+        version_header = attempt.headers.get(self._context.header_names.weight_versions, "")
         version = int(version_header) if version_header.isdigit() else None
         if version is not None:
-            exchange.record_weight_version(self._job.model, version)
+            attempt.record_weight_version(self._job.model, version)
             if version < self._job.min_version:
                 raise VersionTooOld("replica holds an older version", version=version)
         self._stream.begin_attempt(version)
 
-    async def _read_events(self, exchange: ReplicaAttempt) -> None:
-        stall_detector, replica = self._context.stall_detector, exchange.incarnation
+    async def _read_events(self, attempt: ReplicaAttempt) -> None:
+        stall_detector, replica = self._context.stall_detector, attempt.incarnation
         limit_s = FIRST_BYTES_LIMIT_S
         last_data_s: float | None = None
         events_before_attempt = self._stream.event_count
         while True:
-            data = await stall_detector.wait_for(replica, exchange.read, limit_s)
+            data = await stall_detector.wait_for(replica, attempt.read, limit_s)
             if not data:
                 break
-            limit_s = silence_limit_s(exchange.expected_event_interval_s)
+            limit_s = silence_limit_s(attempt.expected_event_interval_s)
             count_before = self._stream.event_count
             self._stream.feed(data)
             now_s = monotonic_s()
@@ -397,12 +399,12 @@
             if self._stream.event_count > count_before:
                 self._item_times.record_events(now_s, self._stream.event_count - count_before)
             if last_data_s is not None and self._stream.event_count > count_before:
-                exchange.record_event_interval(
+                attempt.record_event_interval(
                     (now_s - last_data_s) / (self._stream.event_count - count_before)
                 )
             last_data_s = now_s
-            self._move_if_slow(exchange, self._stream.event_count - events_before_attempt, now_s)
-        if self._stream.has_partial_event or not exchange.is_complete:
+            self._move_if_slow(attempt, self._stream.event_count - events_before_attempt, now_s)
+        if self._stream.has_partial_event or not attempt.is_complete:
             raise IncompleteAnswer("the stream broke off")
         if any(version < self._job.min_version for version in self._stream.versions):
             self._stream.discard_events()
--- a/passgate/jobs/ownership.py
+++ b/passgate/jobs/ownership.py
@@ -47,7 +47,7 @@
 NO_OWNER = ""
 """Owner of a job that any watcher may claim at once."""
 
-JobRunnerFactory = Callable[[JobState], JobRunner | None]
+MakeJobRunner = Callable[[JobState], JobRunner | None]
 """Makes a job's runner; returns None while the job matches no route."""
 
 
@@ -59,7 +59,7 @@
         projection: JobProjection,
         journal: Journal,
         freshness: Freshness,
-        make_runner: JobRunnerFactory,
+        make_runner: MakeJobRunner,
         owners: PartitionOwners,
         decisions: DecisionLog,
         may_own: Callable[[JobState], bool] = lambda job: True,
@@ -73,7 +73,7 @@
             freshness: age of this daemon's view of the partition.
             make_runner: makes the runner of a job.
             owners: contact with the owners of jobs.
-            decisions: receives the decision lines.
+            decisions: decision log.
             may_own: returns whether a job's bodies may be held in this daemon's region.
             time_to_live_s: returns after which time the items of a job expire, also at daemons that
                 can't run it.
--- a/passgate/jobs/partitions.py
+++ b/passgate/jobs/partitions.py
@@ -39,7 +39,7 @@
 STATE_TTL_S = 30.0
 """Time for which the state of a partition is kept after it was last needed."""
 
-JobRunnerFactory = Callable[[JobProjection, Journal, JobState], JobRunner | None]
+MakePartitionJobRunner = Callable[[JobProjection, Journal, JobState], JobRunner | None]
 """Makes a job's runner; returns None while the job matches no route."""
 
 
@@ -72,7 +72,7 @@
         number: int,
         log: SharedLog,
         settings: JobPartitionSettings,
-        make_runner: JobRunnerFactory,
+        make_runner: MakePartitionJobRunner,
         owners: PartitionOwners,
         decisions: DecisionLog,
         restricted_bodies: RestrictedBodies | None = None,
@@ -93,7 +93,7 @@
             record_bytes=settings.record_bytes,
             append_bytes=settings.append_bytes,
         )
-        tail_settings = TailSettings(topic=settings.topic, part=number, gap_s=READ_PAUSE_S)
+        tail_settings = TailSettings(topic=settings.topic, partition=number, gap_s=READ_PAUSE_S)
         self.followed_tail = OnDemandTail(RecordTail(log, tail_settings, self._apply))
         self.ownership = Ownership(
             self.projection,
@@ -203,7 +203,7 @@
         log: SharedLog,
         settings: JobPartitionSettings,
         watched_partitions: Callable[[], frozenset[int]],
-        make_runner: JobRunnerFactory,
+        make_runner: MakePartitionJobRunner,
         peers: OwnerClient,
         decisions: DecisionLog,
         *,
@@ -219,7 +219,7 @@
             watched_partitions: returns the partitions that this daemon watches for its zone.
             make_runner: makes the runner of a job.
             peers: calls the owners of jobs.
-            decisions: receives the decision lines.
+            decisions: decision log.
             may_own_new: returns whether this daemon is large enough to own a job that no watcher takes.
             log_answers: returns whether the log has recently answered this daemon.
             restricted_bodies: stores the bodies of region-restricted jobs; None where no job is restricted.
--- a/passgate/jobs/peers.py
+++ b/passgate/jobs/peers.py
@@ -69,14 +69,14 @@
 class AliveRequest(msgspec.Struct, frozen=True, kw_only=True):
     """Asks which incarnation of a daemon runs at an address; the reply is an :class:`AliveResponse`."""
 
-    part: int
+    partition: int = msgspec.field(name="part")
     """Partition about whose jobs the caller has to decide."""
 
 
 class ReleaseJobsRequest(msgspec.Struct, frozen=True, kw_only=True):
     """Asks a daemon that is cut off from the log to stop its runs of a partition's jobs."""
 
-    part: int
+    partition: int = msgspec.field(name="part")
     """Number of the partition."""
 
 
@@ -89,7 +89,7 @@
 class OwnRequest(msgspec.Struct, frozen=True, kw_only=True):
     """Asks a watcher whether it will own a new job of its partition."""
 
-    part: int
+    partition: int = msgspec.field(name="part")
     """Number of the partition."""
 
 
@@ -105,7 +105,7 @@
 
     spec: bytes
     """The job, encoded by :func:`passgate.jobs.records.encode_spec`."""
-    patience_s: float
+    timeout_s: float = msgspec.field(name="patience_s")
     """Time after which the caller does not wait any more."""
 
 
@@ -134,7 +134,7 @@
 
     host: str
     job_id: str
-    patience_s: float
+    timeout_s: float = msgspec.field(name="patience_s")
     """Time after which the caller does not wait any more."""
     relay: bool = False
     """Whether to append the cancellation without checking that the job exists."""
@@ -162,7 +162,7 @@
             transport: carries the calls.
             directory: members of this daemon's zone and the partitions that they watch.
             member_name: this daemon's own name among them.
-            decisions: receives the decision lines.
+            decisions: decision log.
             distances: round-trip times to the zones; None to treat all daemons as near.
             other_zones: directories of the other zones; None to call no daemon there.
         """
@@ -178,18 +178,18 @@
     @property
     def zone(self) -> str:
         """Zone of this daemon."""
-        return self._distances.places.zone
+        return self._distances.topology.zone
 
     async def probe(self, writer: str, partition: int) -> AliveResponse | None:
         """Return the response of the daemon at a writer's address; None without a valid response."""
-        request = msgspec.json.encode(AliveRequest(part=partition))
+        request = msgspec.json.encode(AliveRequest(partition=partition))
         try:
-            began_s = monotonic_s()
-            timeout_s = self._distances.answer_timeout_s(ALIVE_TIMEOUT_S)
+            started_s = monotonic_s()
+            timeout_s = self._distances.response_timeout_s(ALIVE_TIMEOUT_S)
             payload = await self._transport.call(address_of(writer), METHOD_ALIVE, request, timeout_s)
             alive = msgspec.json.decode(payload, type=AliveResponse)
             if alive.zone:
-                self._distances.record_round_trip(alive.zone, monotonic_s() - began_s, monotonic_s())
+                self._distances.record_round_trip(alive.zone, monotonic_s() - started_s, monotonic_s())
             return alive
         except (PeerError, msgspec.DecodeError):
             return None  # expected of a writer that has ended, so no decision line is written
@@ -199,9 +199,9 @@
 
         Returns no entries when the writer does not respond, or is not cut off any more.
         """
-        request = msgspec.json.encode(ReleaseJobsRequest(part=partition))
+        request = msgspec.json.encode(ReleaseJobsRequest(partition=partition))
         try:
-            timeout_s = self._distances.answer_timeout_s(RELEASE_JOBS_TIMEOUT_S)
+            timeout_s = self._distances.response_timeout_s(RELEASE_JOBS_TIMEOUT_S)
             payload = await self._transport.call(address_of(writer), METHOD_RELEASE_JOBS, request, timeout_s)
             return msgspec.json.decode(payload, type=ReleaseJobsResponse).entries
         except (PeerError, msgspec.DecodeError) as error:
@@ -213,8 +213,10 @@
     async def find_owner(self, partition: int) -> str:
         """Return the writer name of the zone's watcher if it will own a new job, else an empty string."""
         try:
-            timeout_s = self._distances.answer_timeout_s(OWN_TIMEOUT_S, self.zone)
-            payload = await self._call_watcher(partition, METHOD_OWN, OwnRequest(part=partition), timeout_s)
+            timeout_s = self._distances.response_timeout_s(OWN_TIMEOUT_S, self.zone)
+            payload = await self._call_watcher(
+                partition, METHOD_OWN, OwnRequest(partition=partition), timeout_s
+            )
         except PeerError:
             return ""
         return msgspec.json.decode(payload, type=OwnResponse).writer
@@ -225,17 +227,17 @@
         Without an owner from the start, the job would wait until a watcher with a fresh view of the log
         claims it.
         """
-        request = OwnRequest(part=partition)
+        request = OwnRequest(partition=partition)
         for zone, watcher in await self._watchers_in_other_zones(partition):
-            if not is_region_allowed(regions, self._distances.places.region_of(zone)):
+            if not is_region_allowed(regions, self._distances.topology.region_of(zone)):
                 continue
-            timeout_s = self._distances.answer_timeout_s(OWN_TIMEOUT_S, zone)
-            began_s = monotonic_s()
+            timeout_s = self._distances.response_timeout_s(OWN_TIMEOUT_S, zone)
+            started_s = monotonic_s()
             try:
                 payload = await self._call_member(watcher, partition, METHOD_OWN, request, timeout_s)
             except PeerError:
                 continue  # the failed call has written a decision line; try the next watcher
-            self._distances.record_round_trip(zone, monotonic_s() - began_s, monotonic_s())
+            self._distances.record_round_trip(zone, monotonic_s() - started_s, monotonic_s())
             if writer := msgspec.json.decode(payload, type=OwnResponse).writer:
                 return writer
         return ""
@@ -248,7 +250,7 @@
         Raises PeerError when no daemon has confirmed it; the job may be on the log even then, unless the
         error's execution is NOT_RUN.
         """
-        request = SubmitRequest(spec=encode_spec(spec), patience_s=timeout_s)
+        request = SubmitRequest(spec=encode_spec(spec), timeout_s=timeout_s)
         await self._call_any(partition, METHOD_SUBMIT, request, timeout_s, regions)
 
     async def read_results(self, partition: int, request: ReadResultsRequest) -> ResultPage:
@@ -280,7 +282,7 @@
         """Read the body of an item at the watchers of other zones in turn; raises PeerError or NotFound."""
         failure: PassgateError | None = None
         for zone, watcher in await self._watchers_in_other_zones(partition):
-            timeout_s = self._distances.answer_timeout_s(RESPONSE_TIMEOUT_S, zone)
+            timeout_s = self._distances.response_timeout_s(RESPONSE_TIMEOUT_S, zone)
             try:
                 return await self._call_member(watcher, partition, METHOD_BODY, request, timeout_s)
             except (PeerError, BodiesElsewhere) as error:
@@ -297,19 +299,19 @@
 
     def _response_timeout_s(self) -> float:
         """Return the timeout of a response from any zone, as the watcher may be in another one."""
-        return self._distances.answer_timeout_s(RESPONSE_TIMEOUT_S)
+        return self._distances.response_timeout_s(RESPONSE_TIMEOUT_S)
 
     async def cancel_job(self, partition: int, request: CancelRequest) -> None:
         """Have the partition's watcher cancel a job; return once that is on the log.
 
         Raises PeerError or NotFound.
         """
-        await self._call_watcher(partition, METHOD_CANCEL, request, request.patience_s)
+        await self._call_watcher(partition, METHOD_CANCEL, request, request.timeout_s)
 
     async def cancel_job_via_any(self, partition: int, request: CancelRequest) -> None:
         """Have any daemon cancel a job, without a check that it exists; raises PeerError."""
         relay_request = msgspec.structs.replace(request, relay=True)
-        await self._call_any(partition, METHOD_CANCEL, relay_request, request.patience_s)
+        await self._call_any(partition, METHOD_CANCEL, relay_request, request.timeout_s)
 
     async def _call_until_caught_up(
         self, partition: int, method: str, request: msgspec.Struct, timeout_s: float
@@ -365,12 +367,12 @@
 
     def _members_to_call(self, regions: frozenset[str] | None) -> list[str]:
         """Return members in some regions in reverse order of the calls: those of the own zone are last."""
-        places = self._distances.places
+        topology = self._distances.topology
         remote_members = self._other_zones.known_members() if self._other_zones is not None else []
         remote_members = [
             (zone, member)
             for zone, member in remote_members
-            if is_region_allowed(regions, places.region_of(zone))
+            if is_region_allowed(regions, topology.region_of(zone))
         ]
         local_region_members = [
             member for zone, member in remote_members if self._distances.is_local_region(zone)
@@ -379,7 +381,7 @@
             member for zone, member in remote_members if not self._distances.is_local_region(zone)
         ]
         members = [*local_region_members, *other_region_members[:MAX_CALLED_PER_DISTANCE]][::-1]
-        if is_region_allowed(regions, places.region):
+        if is_region_allowed(regions, topology.region):
             members += self._directory.other_members(self._member_name)[:MAX_CALLED_IN_ZONE]
         return members
 
@@ -408,7 +410,7 @@
                     call = self._call_member(members.pop(), partition, method, request, timeout_s)
                     pending_calls.add(asyncio.get_running_loop().create_task(call))
                 next_call_delay_s = (
-                    self._distances.answer_timeout_s(NEXT_CALL_DELAY_S, self.zone) if members else None
+                    self._distances.response_timeout_s(NEXT_CALL_DELAY_S, self.zone) if members else None
                 )
                 done, pending_calls = await asyncio.wait(
                     pending_calls, timeout=next_call_delay_s, return_when=asyncio.FIRST_COMPLETED
--- a/passgate/jobs/projection.py
+++ b/passgate/jobs/projection.py
@@ -259,7 +259,7 @@
         recorded.data.extend(entry.data)
         recorded.versions.extend(entry.versions)
         recorded.last_event_id = entry.last_id
-        recorded.complete = entry.whole
+        recorded.complete = entry.complete
 
     @staticmethod
     def _replaces_events(entry: ItemProgressed, recorded: RecordedEvents | None, by_owner: bool) -> bool:
--- a/passgate/jobs/records.py
+++ b/passgate/jobs/records.py
@@ -56,7 +56,7 @@
     """Where the bodies of a region-restricted job are stored, apart from the job itself."""
 
     topic: str
-    part: int
+    partition: int = msgspec.field(name="part")
     """Partition of the topic."""
     first: int
     """Offset of the first record that may hold a piece of the bodies."""
@@ -90,7 +90,7 @@
     """A job with all its items, as submitted."""
 
     job_id: str
-    """Unique over all tenants; see :func:`passgate.gateway.access.scoped_id`."""
+    """Unique over all tenants; see :func:`passgate.gateway.access.tenant_scoped_id`."""
     host: str
     path: str
     """Host and path of the submission; they select the job's route."""
@@ -178,7 +178,7 @@
     """Event identifier of the last event so far."""
     parent: str = ""
     """Run whose events this run continues; set in the run's first record only."""
-    whole: bool = False
+    complete: bool = msgspec.field(name="whole", default=False)
     """Whether these events complete the output, which then waits for its reward call."""
 
 
@@ -189,13 +189,13 @@
 
 
 class LeaderClaimed(Entry, tag="lead"):
-    """``holder`` leads from now on.
+    """``leader`` leads from now on.
 
     Ignored when another claim was accepted after the one at ``after``, or when the previous
     leader appended a record after ``seen``.
     """
 
-    holder: str
+    leader: str = msgspec.field(name="holder")
     after: int
     """Offset of the last accepted claim; -1 when there is none."""
     seen: int = -1
@@ -252,7 +252,7 @@
 
 
 class ReplicasDecided(Entry, tag="scale"):
-    """Target number of a service's spot or regular replicas in a zone; its offset fences the order."""
+    """Target number of a service's spot or on-demand replicas in a zone; its offset fences the order."""
 
     service: str
     zone: str
--- a/passgate/jobs/restricted_bodies.py
+++ b/passgate/jobs/restricted_bodies.py
@@ -8,7 +8,7 @@
 >>> reward = RewardSpec(id="r", host="h", path="/", body=b"score")
 >>> item = ItemSpec(id="i", path="/p", body=b"secret", reward=reward)
 >>> spec = JobSpec(job_id="j", host="h", path="/p", items=(item,))
->>> bare = without_bodies(spec, BodiesLocation(topic="t", part=0, first=0, last=0, nonce="n"))
+>>> bare = without_bodies(spec, BodiesLocation(topic="t", partition=0, first=0, last=0, nonce="n"))
 >>> bare.items[0].body, bare.items[0].reward.body
 (b'', b'')
 >>> with_bodies(bare, bodies_of(spec)).items == spec.items
@@ -104,7 +104,7 @@
         self,
         log: SharedLog,
         find_send_context: SendContextLookup,
-        places: Topology,
+        topology: Topology,
         settings: RestrictedBodiesSettings,
         decisions: DecisionLog,
         time_to_live_s: Callable[[str, str], float],
@@ -114,15 +114,15 @@
         Args:
             log: holds the topics.
             find_send_context: returns the restrictions on a request.
-            places: the region of this daemon.
+            topology: the region of this daemon.
             settings: settings of the jobs' partitions.
-            decisions: receives the decision lines.
+            decisions: decision log.
             time_to_live_s: returns after which time items of a host and path expire.
         """
         self.time_to_live_s = time_to_live_s
         self._log = log
         self._jobs_topic = settings.topic
-        self._places = places
+        self._topology = topology
         self._find_send_context = find_send_context
         self.decisions = decisions
         self._max_piece_bytes = int(settings.record_bytes * MAX_PIECE_SHARE)
@@ -145,7 +145,7 @@
         regions_at_acceptance = location.regions if location is not None else frozenset()
         return is_region_allowed(
             self._find_send_context(host, path, tenant, regions_at_acceptance).allowed_regions,
-            self._places.region,
+            self._topology.region,
         )
 
     async def store_bodies(self, spec: JobSpec, partition: int, deadline_s: float) -> JobSpec:
@@ -164,7 +164,7 @@
             for piece in self._encoded_pieces(spec, nonce)
         ]
         location = BodiesLocation(
-            topic=topic, part=partition, first=offsets[0], last=offsets[-1], nonce=nonce, regions=regions
+            topic=topic, partition=partition, first=offsets[0], last=offsets[-1], nonce=nonce, regions=regions
         )
         return without_bodies(spec, location)
 
@@ -204,7 +204,7 @@
         pieces: dict[int, BodiesPiece] = {}
         offset = location.first
         while offset <= location.last:
-            page = await self._log.read(location.topic, location.part, offset, wait_s=0.0)
+            page = await self._log.read(location.topic, location.partition, offset, wait_s=0.0)
             if not page.records:
                 break
             for piece in filter(None, map(_decode_piece, page.records)):
--- a/passgate/jobs/reward_call.py
+++ b/passgate/jobs/reward_call.py
@@ -32,7 +32,7 @@
 POLL_INTERVAL_S = 0.02
 """Time between checks for a route and for a replica with a free slot."""
 TIMEOUT_PER_LATENCY = 8.0
-"""Timeout of an attempt in multiples of the replica's recent latency."""
+"""Timeout of an attempt in multiples of the replica's expected latency."""
 MIN_TIMEOUT_S, MAX_TIMEOUT_S = 0.4, 4.0
 """Bounds of an attempt's timeout."""
 FIRST_RETRY_PAUSE_S = 0.02
@@ -50,7 +50,7 @@
     """Returns the route for a host and path by the active configuration, or None."""
     find_send_context: Callable[[str, str, str | None], SendContext]
     """Returns the restrictions on a request by the active configuration, from its host, path and tenant."""
-    caller: ReplicaClient
+    replica_client: ReplicaClient
     replicas: ReplicaTable
     header_names: HeaderNames
     decisions: DecisionLog
@@ -83,7 +83,7 @@
         self._avoided_replica: ReplicaIncarnation | None = None
         self._retry_pause_s = FIRST_RETRY_PAUSE_S
         self._identity = self._build_request(MIN_TIMEOUT_S).identity
-        self._crashes = context.caller.crash_guard
+        self._crash_guard = context.replica_client.crash_guard
 
     async def request_score(self, item_max_attempts: int) -> Score | None:
         """Send the call until a replica returns a score; return None after too many answers of status 500.
@@ -93,8 +93,8 @@
                 number that the call's route allows, whichever is larger.
         """
         while True:
-            await self._crashes.delay_isolated_run(self._identity)
-            await self._crashes.wait_until_released(self._identity)
+            await self._crash_guard.delay_isolated_run(self._identity)
+            await self._crash_guard.wait_until_released(self._identity)
             route, state = await self._wait_for_slot()
             if not await self._confirm_slot(state):
                 continue
@@ -108,7 +108,7 @@
                 if self._error_answers >= max(route.max_attempts, item_max_attempts):
                     return None
             finally:
-                self._crashes.withdraw_run(self._identity)
+                self._crash_guard.withdraw_run(self._identity)
             await asyncio.sleep(self._retry_pause_s)
             self._retry_pause_s = min(self._retry_pause_s * 2.0, MAX_RETRY_PAUSE_S)
 
@@ -117,7 +117,7 @@
         while True:
             while (route := self._find_route()) is None:
                 await asyncio.sleep(POLL_INTERVAL_S)
-            if self._crashes.needs_isolated_run(self._identity):
+            if self._crash_guard.needs_isolated_run(self._identity):
                 # Does not block the queue, because the calls there may use other replicas.
                 state = await self._poll_for_slot(route)
             else:
@@ -130,11 +130,11 @@
         """Return whether the call may run in its reserved slot; release the slot if not."""
         may_run = False
         try:
-            may_run = await self._crashes.confirm_run(self._identity)
+            may_run = await self._crash_guard.confirm_run(self._identity)
         finally:
             if not may_run:
                 state.in_flight -= 1
-                self._crashes.withdraw_run(self._identity)
+                self._crash_guard.withdraw_run(self._identity)
         return may_run
 
     async def _poll_for_slot(self, route: Route) -> ReplicaState | None:
@@ -143,7 +143,7 @@
             state = self._choose_replica(self._context.service_picker.pick(route))
             if state is not None:
                 state.in_flight += 1
-                self._crashes.announce_run(self._identity, state.incarnation)
+                self._crash_guard.announce_run(self._identity, state.incarnation)
                 return state
             await asyncio.sleep(POLL_INTERVAL_S)
         return None
@@ -158,8 +158,8 @@
     def _choose_replica(self, service: str) -> ReplicaState | None:
         excluded = frozenset() if self._avoided_replica is None else frozenset({self._avoided_replica})
         self._avoided_replica = None  # exclude it once only: the service may have no other replica
-        excluded |= self._crashes.excluded_replicas(self._identity)
-        if replicas_to_avoid := self._crashes.replicas_to_avoid():
+        excluded |= self._crash_guard.excluded_replicas(self._identity)
+        if replicas_to_avoid := self._crash_guard.replicas_to_avoid():
             state = self._choose_replica_excluding(service, excluded | replicas_to_avoid)
             if state is not None:
                 return state
@@ -172,7 +172,7 @@
             services=frozenset({service}),
             excluded=excluded,
             load_below=MAX_LOAD,
-            terms=self._find_send_context(),
+            send_context=self._find_send_context(),
         )
         return self._context.replicas.choose(request, monotonic_s())
 
@@ -181,33 +181,33 @@
 
         Raises PassgateError for every other outcome.
         """
-        state.in_flight -= 1  # the exchange counts itself as in flight from here on
+        state.in_flight -= 1  # the attempt counts itself as in flight from here on
         timeout_s = self._timeout_s(state)
-        exchange = self._context.caller.start_attempt(state, self._build_request(timeout_s))
+        attempt = self._context.replica_client.start_attempt(state, self._build_request(timeout_s))
         self._attempt_count += 1
         self._context.decisions.write(
             RewardSent(
                 job_id=self._job_id,
                 item_id=self._item_id,
                 request_id=self._spec.id,
-                replica_id=exchange.incarnation.replica_id,
+                replica_id=attempt.incarnation.replica_id,
                 attempt=self._attempt_count,
             )
         )
         try:
             async with asyncio.timeout(timeout_s):
-                return self._check_answer(await exchange.read_answer())
+                return self._check_answer(await attempt.read_answer())
         except TimeoutError as error:
             self._timeouts += 1
-            exchange.record_timeout()
+            attempt.record_timeout()
             raise IncompleteAnswer("no answer to the reward call") from error
         finally:
-            exchange.close()
+            attempt.close()
 
     def _timeout_s(self, state: ReplicaState) -> float:
         """Return the next attempt's timeout; doubled for each earlier timeout, as some calls take long."""
-        recent_latency_s = state.expected_latency_s(monotonic_s())
-        timeout_s = max(TIMEOUT_PER_LATENCY * recent_latency_s, MIN_TIMEOUT_S) * 2.0**self._timeouts
+        expected_latency_s = state.expected_latency_s(monotonic_s())
+        timeout_s = max(TIMEOUT_PER_LATENCY * expected_latency_s, MIN_TIMEOUT_S) * 2.0**self._timeouts
         return min(timeout_s, MAX_TIMEOUT_S)
 
     def _build_request(self, timeout_s: float) -> ReplicaRequest:
@@ -221,7 +221,7 @@
             deadline_s=monotonic_s() + timeout_s,
             tenant=self._tenant,
             crash_limit=ITEM_CRASH_LIMIT,
-            terms=self._find_send_context(),
+            send_context=self._find_send_context(),
         )
 
     def _check_answer(self, answer: ReplicaAnswer) -> str:
--- a/passgate/jobs/runner.py
+++ b/passgate/jobs/runner.py
@@ -75,7 +75,7 @@
         for item in self._spec.items:
             if item.id not in self._job.position_by_item:
                 dead = Result(item_id=item.id, state=ResultState.DEAD)
-                self._append_result(item, dead, attempts=0, began_s=self._job.known_since_s)
+                self._append_result(item, dead, attempts=0, started_s=self._job.known_since_s)
 
     def record_progress(self, min_age_s: float = 0.0) -> None:
         """Queue the new events of all items that have run for at least ``min_age_s`` for the log."""
@@ -119,7 +119,7 @@
         earlier_result = self._earlier_result(item.id)
         if earlier_result is not None:
             task_group.create_task(
-                self._score_and_append(item, earlier_result, attempts=0, began_s=monotonic_s())
+                self._score_and_append(item, earlier_result, attempts=0, started_s=monotonic_s())
             )
             return
         recorded_events = self._projection.recorded_events_by_item.get(self._item_key(item.id))
@@ -172,11 +172,13 @@
                 self._spec.model, tokens, monotonic_s() - run.last_attempt_sent_s
             )
 
-    async def _score_and_append(self, item: ItemSpec, result: Result, attempts: int, began_s: float) -> None:
+    async def _score_and_append(
+        self, item: ItemSpec, result: Result, attempts: int, started_s: float
+    ) -> None:
         """Send the item's reward call, if it has one, and append the result."""
         if item.reward is not None and result.state is ResultState.SUCCEEDED:
             result = await self._score_result(item, item.reward, result)
-        self._append_result(item, result, attempts, began_s)
+        self._append_result(item, result, attempts, started_s)
 
     async def _score_result(self, item: ItemSpec, reward: RewardSpec, result: Result) -> Result:
         if result.score is not None and result.score.call_id == reward.id:
@@ -192,7 +194,7 @@
             await asyncio.sleep(CHECKPOINT_INTERVAL_S)
             self.record_progress(MIN_CHECKPOINT_AGE_S)
 
-    def _append_result(self, item: ItemSpec, result: Result, attempts: int, began_s: float) -> None:
+    def _append_result(self, item: ItemSpec, result: Result, attempts: int, started_s: float) -> None:
         self._journal.put(ItemsDone(job_id=self._spec.job_id, results=(result,)))
         self._context.decisions.write(
             ItemResultRecorded(
@@ -201,7 +203,7 @@
                 state=result.state.value,
                 versions=result.versions,
                 attempts=attempts,
-                elapsed_ms=round((monotonic_s() - began_s) * 1000, 1),
+                elapsed_ms=round((monotonic_s() - started_s) * 1000, 1),
                 scored=result.score is not None,
             )
         )
--- a/passgate/jobs/service.py
+++ b/passgate/jobs/service.py
@@ -96,7 +96,7 @@
         """
         if not spec.items or len({item.id for item in spec.items}) != len(spec.items):
             raise InvalidRequest("a job needs items with distinct ids", execution=ExecutionStatus.NOT_RUN)
-        began_s = monotonic_s()
+        started_s = monotonic_s()
         partition = self._partitions.of_host(spec.host)
         offset = UNKNOWN_OFFSET
         if spec.job_id not in partition.projection.jobs:
@@ -113,7 +113,7 @@
                 job_id=spec.job_id,
                 items=len(spec.items),
                 offset=offset,
-                elapsed_ms=round((monotonic_s() - began_s) * 1000, 1),
+                elapsed_ms=round((monotonic_s() - started_s) * 1000, 1),
             )
         )
 
@@ -142,8 +142,8 @@
 
         Raises DurabilityUnknown when the local append fails and the other daemon's outcome is unknown.
         """
-        patience_s = max(deadline_s - monotonic_s(), 0.0)
-        submit = self._peers.submit(partition.number, spec, patience_s, self._allowed_regions(spec))
+        timeout_s = max(deadline_s - monotonic_s(), 0.0)
+        submit = self._peers.submit(partition.number, spec, timeout_s, self._allowed_regions(spec))
         peer_append = asyncio.get_running_loop().create_task(submit)
         try:
             await asyncio.wait([local_append, peer_append], return_when=asyncio.FIRST_COMPLETED)
@@ -221,7 +221,7 @@
 
     async def read_results(self, host: str, job_id: str, position: int, wait_s: float) -> ResultPage:
         """Return results from a position on, after waiting for the first; raises NotFound or NotReady."""
-        began_s = monotonic_s()
+        started_s = monotonic_s()
         page = await self._read_results(host, job_id, position, wait_s)
         self._decisions.write(
             JobResultsRead(
@@ -229,7 +229,7 @@
                 position=position,
                 results=len(page.results),
                 total=page.total,
-                elapsed_ms=round((monotonic_s() - began_s) * 1000, 1),
+                elapsed_ms=round((monotonic_s() - started_s) * 1000, 1),
             )
         )
         return page
@@ -298,8 +298,8 @@
             if self._can_answer(partition):
                 await self._cancel_locally(partition, job_id, deadline_s)
                 return
-            patience_s = max((deadline_s - monotonic_s()) / 2, 0.0)
-            request = CancelRequest(host=host, job_id=job_id, patience_s=patience_s)
+            timeout_s = max((deadline_s - monotonic_s()) / 2, 0.0)
+            request = CancelRequest(host=host, job_id=job_id, timeout_s=timeout_s)
             cancel = self._peers.cancel_job_via_any if self._is_cut_off() else self._peers.cancel_job
             await cancel(partition.number, request)
         except (PeerError, NotReady):
@@ -340,7 +340,7 @@
 
     # --- for other daemons -------------------------------------------------------
 
-    async def answer_peer(self, sender: str, method: str, payload: bytes) -> bytes:
+    async def handle_peer_request(self, sender: str, method: str, payload: bytes) -> bytes:
         """Handle another daemon's call; return the encoded response.
 
         Args:
@@ -371,7 +371,7 @@
             spec = decode_spec(submit_request.spec)
             partition = self._partitions.of_host(spec.host)
             if spec.job_id not in partition.projection.jobs:
-                await self._append_locally(partition, spec, monotonic_s() + submit_request.patience_s)
+                await self._append_locally(partition, spec, monotonic_s() + submit_request.timeout_s)
             return b""
         if method == METHOD_READ:
             read_request = msgspec.json.decode(payload, type=ReadResultsRequest)
@@ -388,23 +388,23 @@
         raise PeerCallFailed("unknown method of a call about jobs", peer_code="unknown_method")
 
     def _answer_alive(self, request: AliveRequest) -> AliveResponse:
-        partition = self._partitions.get(request.part)
+        partition = self._partitions.get(request.partition)
         waiting_s = partition.journal.unacknowledged_for_s if partition is not None else 0.0
         return AliveResponse(writer=self._partitions.writer, zone=self._peers.zone, waiting_s=waiting_s)
 
     def _answer_release_jobs(self, request: ReleaseJobsRequest) -> ReleaseJobsResponse:
-        partition = self._partitions.get(request.part)
+        partition = self._partitions.get(request.partition)
         if partition is None or partition.journal.unacknowledged_for_s < CUT_OFF_AFTER_S:
             return ReleaseJobsResponse()
         return ReleaseJobsResponse(entries=tuple(partition.ownership.release_jobs()))
 
     def _answer_own(self, request: OwnRequest) -> OwnResponse:
-        is_watcher = self._partitions.is_watcher_of(request.part)
+        is_watcher = self._partitions.is_watcher_of(request.partition)
         return OwnResponse(writer=self._partitions.writer if is_watcher else "")
 
     async def _cancel_for_peer(self, request: CancelRequest) -> None:
         partition = self._partitions.of_host(request.host)
-        deadline_s = monotonic_s() + request.patience_s
+        deadline_s = monotonic_s() + request.timeout_s
         if request.relay:
             self._require_log_view()
             await self._append_cancellation(partition, request.job_id, deadline_s)
--- a/passgate/jobs/stall_detector.py
+++ b/passgate/jobs/stall_detector.py
@@ -10,7 +10,7 @@
 >>> detector.record_data(first, now_s=10.0)
 >>> detector.seems_stalled(second, since_s=9.9), detector.seems_stalled(first, since_s=9.9)
 (True, False)
->>> silence_limit_s(usual_pause_s=0.04)
+>>> silence_limit_s(event_interval_s=0.04)
 0.4
 """
 
@@ -23,8 +23,8 @@
 from passgate.clock import monotonic_s
 from passgate.eligibility.replica_info import ReplicaIncarnation
 
-MAX_USUAL_PAUSES = 10.0
-"""Limit for silence in multiples of the usual pause between events; prefills of others cause two or three."""
+MAX_EVENT_INTERVALS = 10.0
+"""Limit for silence in multiples of the usual interval of events; prefills of others cause two or three."""
 MIN_SILENCE_LIMIT_S = 0.3
 """Lower bound of the limit for silence between events."""
 FIRST_BYTES_LIMIT_S = 0.6
@@ -40,9 +40,9 @@
 T = TypeVar("T")
 
 
-def silence_limit_s(usual_pause_s: float) -> float:
-    """Return the limit for silence between events of a stream, from their usual pause."""
-    return min(max(MAX_USUAL_PAUSES * usual_pause_s, MIN_SILENCE_LIMIT_S), MAX_SILENCE_LIMIT_S)
+def silence_limit_s(event_interval_s: float) -> float:
+    """Return the limit for silence between events of a stream, from their usual interval."""
+    return min(max(MAX_EVENT_INTERVALS * event_interval_s, MIN_SILENCE_LIMIT_S), MAX_SILENCE_LIMIT_S)
 
 
 class StallDetector:
--- a/passgate/platform/documents.py
+++ b/passgate/platform/documents.py
@@ -304,7 +304,7 @@
         orders_taken=report.seq,
         busy=report.busy,
         model_versions={model.name: model.version for model in report.models},
-        born_unix_ms=report.born,
+        started_unix_ms=report.born,
     )
 
 
--- a/passgate/platform/duty_calls.py
+++ b/passgate/platform/duty_calls.py
@@ -27,10 +27,10 @@
     spot: bool = False
 
 
-class PlatformDutyCalls(DutyClient):
+class PlatformDutyClient(DutyClient):
     """Sends the calls of duties over HTTP, each at most once.
 
-    The holder and its fence token let the platform refuse a former leader.  A failed call is reported as
+    The holder and its fencing token let the platform refuse a former leader.  A failed call is reported as
     ``DutyOutcome.UNKNOWN``, not raised.
     """
 
--- a/passgate/platform/program.py
+++ b/passgate/platform/program.py
@@ -17,7 +17,7 @@
 from passgate.gateway.settings import GatewaySettings
 from passgate.peers.peer_transport import TcpPeerTransport, parse_address
 from passgate.platform import names
-from passgate.platform.duty_calls import PlatformDutyCalls
+from passgate.platform.duty_calls import PlatformDutyClient
 from passgate.platform.http_api import FrontRequestHandler, PlatformReplicaControl
 from passgate.platform.log_client import PlatformLog
 from passgate.platform.settings import SettingsWatcher, read_settings, settings_path
@@ -45,9 +45,9 @@
     control = PlatformReplicaControl(http)
     host, port = parse_address(settings.peer_address)
     peers = TcpPeerTransport(host, port)
-    duty_calls = PlatformDutyCalls(http, settings.duties.address) if settings.duties is not None else None
+    duty_client = PlatformDutyClient(http, settings.duties.address) if settings.duties is not None else None
     daemon = GatewayDaemon(
-        settings, names.HEADERS, topics, http, log, control, PlatformReplicaDecoder(), peers, duty_calls
+        settings, names.HEADERS, topics, http, log, control, PlatformReplicaDecoder(), peers, duty_client
     )
     handler = OperatorTopicHandler(daemon)
     daemon.follow_keyed_topic(
--- a/passgate/quarantine/crash_quarantine.py
+++ b/passgate/quarantine/crash_quarantine.py
@@ -30,7 +30,7 @@
             log: shared log with the reports.
             topic: keyed topic of the reports.
             eject: ejects a crashed incarnation from the choice of replicas, as of a loop time.
-            decisions: log of decision lines.
+            decisions: decision log.
             read_incarnation: queries the replica at an address, known as the given incarnation, for its
                 current one; returns None if it does not state it.
         """
--- a/passgate/quarantine/crash_report_exchange.py
+++ b/passgate/quarantine/crash_report_exchange.py
@@ -41,17 +41,20 @@
     """Exchanges reports with other daemons, and responds to their exchanges."""
 
     def __init__(
-        self, transport: PeerTransport, list_others: Callable[[], list[str]], report_log: CrashReportLog
+        self,
+        transport: PeerTransport,
+        list_other_members: Callable[[], list[str]],
+        report_log: CrashReportLog,
     ) -> None:
         """Create the exchange.
 
         Args:
             transport: sends requests to other daemons.
-            list_others: returns the names of other daemons, in any order.
+            list_other_members: returns the names of the other daemons, in any order.
             report_log: this daemon's reader and writer of the crash-report topic.
         """
         self._transport = transport
-        self._list_others = list_others
+        self._list_other_members = list_other_members
         self._report_log = report_log
 
     async def run(self) -> None:
@@ -60,7 +63,7 @@
             if self._report_log.is_current():
                 await asyncio.sleep(CHECK_INTERVAL_S)
                 continue
-            members = self._list_others()[:MAX_PEERS]
+            members = self._list_other_members()[:MAX_PEERS]
             await asyncio.gather(*(self._exchange(member) for member in members))
             await asyncio.sleep(EXCHANGE_INTERVAL_S)
 
--- a/passgate/quarantine/crash_report_log.py
+++ b/passgate/quarantine/crash_report_log.py
@@ -34,7 +34,7 @@
 """Value of a record that deletes its key."""
 MAX_CURRENT_AGE_S = 2.5
 """Age of the view of the topic up to which it is current; longer than POLL_WAIT_S, after which it is
-confirmed without news."""
+confirmed even without new records."""
 MAX_EXCHANGED_REPORTS = 256
 """Most reports, the newest ones, in an exchange with another daemon; about 40 KB."""
 KEY_SEPARATOR = "/"
@@ -62,7 +62,7 @@
             topic: keyed topic of the records.
             reports: store that is kept up to date with the topic.
             eject: ejects a crashed incarnation from the choice of replicas, as of a loop time.
-            decisions: log of decision lines.
+            decisions: decision log.
         """
         self._eject = eject
         self._log = log
@@ -70,7 +70,9 @@
         self._reports = reports
         self._decisions = decisions
         settings = TailSettings(topic=topic, wait_s=POLL_WAIT_S, urgent=True)
-        self._tail = KeyedTail(log, settings, replace=self._apply_snapshot, update=self._apply_records)
+        self._tail = KeyedTail(
+            log, settings, on_snapshot=self._apply_snapshot, on_records=self._apply_records
+        )
         self._pending_by_key: dict[str, bytes] = {}
         """Key to the value that is to be appended to the log; `TOMBSTONE` deletes the key."""
         self._has_pending = asyncio.Event()
--- a/passgate/sharedlog/group.py
+++ b/passgate/sharedlog/group.py
@@ -156,7 +156,7 @@
         self._last_read_s = float("-inf")
         self._read_task: asyncio.Task[None] | None = None
 
-    async def holder_of(self, part: int) -> str | None:
+    async def holder_of(self, partition: int) -> str | None:
         """Return the member that holds a partition; the last known one while the log is unavailable."""
         is_reading = self._read_task is not None and not self._read_task.done()
         if not is_reading and monotonic_s() - self._last_read_s > DIRECTORY_MAX_AGE_S:
@@ -164,11 +164,11 @@
             is_reading = True
         if self._read_task is not None and is_reading:
             await asyncio.wait([self._read_task], timeout=DIRECTORY_WAIT_S)
-        return self._member_by_partition.get(GroupPartition(self._topic, part))
+        return self._member_by_partition.get(GroupPartition(self._topic, partition))
 
-    def previous_holder_of(self, part: int) -> str | None:
+    def previous_holder_of(self, partition: int) -> str | None:
         """Return the member that held a partition before, if known."""
-        return self._previous_member_by_partition.get(GroupPartition(self._topic, part))
+        return self._previous_member_by_partition.get(GroupPartition(self._topic, partition))
 
     def other_members(self, member: str) -> list[str]:
         """Return the other members, as last known, in random order."""
--- a/passgate/sharedlog/tail.py
+++ b/passgate/sharedlog/tail.py
@@ -64,7 +64,7 @@
     """Which partition to follow, and how."""
 
     topic: str
-    part: int = 0
+    partition: int = 0
     gap_s: float = 0.0
     """Pause after each read, so that small records arrive in batches."""
     wait_s: float = POLL_WAIT_S
@@ -191,7 +191,7 @@
     async def _request_page(self, start: int, wait_s: float) -> LogPage:
         settings = self._settings
         return await self._log.read(
-            settings.topic, settings.part, start, wait_s=wait_s, max_bytes=self._max_page_bytes
+            settings.topic, settings.partition, start, wait_s=wait_s, max_bytes=self._max_page_bytes
         )
 
     def _confirm_if_at_end(self, page: LogPage, started_at_s: float, wait_s: float) -> bool:
@@ -317,8 +317,8 @@
 class KeyedTail(_Follower):
     """Follows a keyed topic: reads a snapshot of the newest values, then every change.
 
-    ``replace`` receives all records of a snapshot and the offset of the next change; ``update`` receives
-    further records and the offset of the first.
+    ``on_snapshot`` receives all records of a snapshot and the offset of the next change; ``on_records``
+    receives further records and the offset of the first.
     """
 
     def __init__(
@@ -326,12 +326,12 @@
         log: SharedLog,
         settings: TailSettings,
         *,
-        replace: Callable[[tuple[KeyedRecord, ...], int], None],
-        update: Callable[[tuple[KeyedRecord, ...], int], None],
+        on_snapshot: Callable[[tuple[KeyedRecord, ...], int], None],
+        on_records: Callable[[tuple[KeyedRecord, ...], int], None],
     ) -> None:
         super().__init__(log, settings)
-        self._replace = replace
-        self._update = update
+        self._on_snapshot = on_snapshot
+        self._on_records = on_records
         self._next_offset: int | None = None
         self._must_load_snapshot = True
         self._malformed_logged = False
@@ -358,7 +358,7 @@
         started_at_s = monotonic_s()
         page = await self._read_page(self._next_offset or 0, self.wait_s)
         if page.records and page.start == self._next_offset:
-            self._update(tuple(self._decode(record) for record in page.records), page.start)
+            self._on_records(tuple(self._decode(record) for record in page.records), page.start)
             self._next_offset = page.next_offset
         return self._confirm_if_at_end(page, started_at_s, self.wait_s)
 
@@ -377,9 +377,11 @@
 
     async def _load_snapshot(self) -> None:
         started_at_s = monotonic_s()
-        self._apply_snapshot(await self._log.newest(self._settings.topic, self._settings.part), started_at_s)
+        self._apply_snapshot(
+            await self._log.newest(self._settings.topic, self._settings.partition), started_at_s
+        )
 
     def _apply_snapshot(self, snapshot: KeyedSnapshot, started_at_s: float) -> None:
-        self._replace(snapshot.records, snapshot.next_offset)
+        self._on_snapshot(snapshot.records, snapshot.next_offset)
         self._next_offset = snapshot.next_offset
         self.freshness.confirm_current(started_at_s)
--- a/passgate/versions/leadership.py
+++ b/passgate/versions/leadership.py
@@ -47,7 +47,7 @@
             projection: the projection that decides who leads.
             journal: this daemon's writer of the control topic.
             freshness: how current this daemon's view of that topic is.
-            decisions: log of decisions.
+            decisions: decision log.
             lease_s: lease duration; a leader stops sending orders before it ends, others claim after it.
             status_of: returns the status of a writer as probed at its address since its last contact, or None
                 if no answer is known yet.
@@ -94,7 +94,7 @@
         elif not self.stopping and now_s >= self._next_claim_s and self._may_claim(now_s):
             self._next_claim_s = now_s + CLAIM_RETRY_S
             claim = LeaderClaimed(
-                holder=self._journal.writer,
+                leader=self._journal.writer,
                 after=self._projection.leader_fence,
                 seen=self._projection.last_leader_offset,
             )
--- a/passgate/versions/leadership_projection.py
+++ b/passgate/versions/leadership_projection.py
@@ -5,7 +5,7 @@
 
 >>> projection = LeadershipProjection()
 >>> for offset, writer in enumerate(("d1.a", "d2.a")):
-...     claim = LeaderClaimed(holder=writer, after=NO_CLAIM)
+...     claim = LeaderClaimed(leader=writer, after=NO_CLAIM)
 ...     projection.apply(offset, Batch(writer=writer, entries=(claim,)), now_s=0.0)
 >>> projection.leader, projection.leader_fence
 ('d1.a', 0)
@@ -58,7 +58,7 @@
     def _claim(self, offset: int, entry: LeaderClaimed) -> None:
         leader_not_renewed = not self.leader or entry.seen == self.last_leader_offset
         if entry.after == self.leader_fence and leader_not_renewed:
-            self.leader = entry.holder
+            self.leader = entry.leader
             self.leader_fence = offset
             self.last_leader_offset = offset
 
--- a/passgate/versions/loader.py
+++ b/passgate/versions/loader.py
@@ -51,13 +51,13 @@
     orders_taken: int
     busy: bool
     model_versions: dict[str, int]
-    born_unix_ms: int = 0
+    started_unix_ms: int = 0
     """Start time of the replica's process in Unix milliseconds; 0 if the replica does not report it."""
 
     def is_from(self, incarnation: ReplicaIncarnation) -> bool:
         """Return whether an incarnation made this report; True if either start time is unknown."""
-        return self.born_unix_ms == incarnation.started_unix_ms or not (
-            self.born_unix_ms and incarnation.started_unix_ms
+        return self.started_unix_ms == incarnation.started_unix_ms or not (
+            self.started_unix_ms and incarnation.started_unix_ms
         )
 
 
@@ -92,9 +92,11 @@
     try:
         report = await control.report(last_known.replica_id, address)
     except PassgateError as error:
-        logger.info("life_not_read", extra={"replica": last_known.to_text(), "error": str(error)})
+        logger.info("incarnation_not_read", extra={"replica": last_known.to_text(), "error": str(error)})
         return None
-    return ReplicaIncarnation(last_known.replica_id, report.born_unix_ms) if report.born_unix_ms else None
+    return (
+        ReplicaIncarnation(last_known.replica_id, report.started_unix_ms) if report.started_unix_ms else None
+    )
 
 
 class RunningLoad(msgspec.Struct, frozen=True, kw_only=True):
@@ -132,7 +134,7 @@
         replicas: ReplicaTable,
         leadership: Leadership,
         control: ReplicaControl,
-        holder: str,
+        daemon_id: str,
         newest_demand_by_model: Mapping[str, WeightDemand],
         crash_guard: CrashGuard,
         decisions: DecisionLog,
@@ -141,7 +143,7 @@
         self._replicas = replicas
         self._leadership = leadership
         self._control = control
-        self._holder = holder
+        self._daemon_id = daemon_id
         self._decisions = decisions
         self._crash_guard = LoadCrashGuard(crash_guard, replicas, decisions)
         self._newest_demand_by_model = newest_demand_by_model
@@ -171,7 +173,7 @@
             return
         now_s = monotonic_s()
         self._retry_at_s_by_replica = {
-            life: at_s for life, at_s in self._retry_at_s_by_replica.items() if now_s < at_s
+            incarnation: at_s for incarnation, at_s in self._retry_at_s_by_replica.items() if now_s < at_s
         }
         for planned in self._plan(now_s):
             service = planned.state.info.service
@@ -270,7 +272,7 @@
             address=state.info.address,
             model=model,
             version=self._targets.version_by_model[model],
-            holder=self._holder,
+            holder=self._daemon_id,
             fence=self._leadership.fence,
             expected=report.orders_taken,
         )
--- a/tests/cold_world.py
+++ b/tests/cold_world.py
@@ -52,7 +52,7 @@
         self.frozen = False
         self.log_age_s = lambda: 0.0
         self.reported_leader = ""
-        self.grantor = PermitIssuer(
+        self.issuer = PermitIssuer(
             self.lease,
             lambda: world.leader,
             {"s": LIMIT}.get,
@@ -62,7 +62,7 @@
         )
         self.peers = PermitClient(
             self.transport,
-            self.grantor,
+            self.issuer,
             self.table.permit_pool,
             self.table.cold_replicas,
             self._watcher,
@@ -99,7 +99,7 @@
     async def _tick(self):
         while True:
             if not self.frozen:
-                self.grantor.update()
+                self.issuer.update()
             await asyncio.sleep(CHECK_INTERVAL_S)
 
     async def send_requests(self, concurrency):
--- a/tests/job_daemons.py
+++ b/tests/job_daemons.py
@@ -96,14 +96,14 @@
         self.events = []
         decisions = DecisionLog(name, write=len, observe=self.events.append)
         member = member_name(name, self.transport.address, cores)
-        candidacy = GroupMembershipPolicy(cores)
+        membership_policy = GroupMembershipPolicy(cores)
         self.member = GroupMember(
-            self.client, f"watch.{zone}", member, "jobs", decisions, membership_policy=candidacy
+            self.client, f"watch.{zone}", member, "jobs", decisions, membership_policy=membership_policy
         )
         sizes = {"record_bytes": 262_144, "append_bytes": 2_000_000}
-        self.directory = directory = GroupDirectory(self.client, f"watch.{zone}", "jobs", candidacy)
-        places = Topology(zone=zone, region_by_zone=region_by_zone or {})
-        distances = ZoneDistances(places)
+        self.directory = directory = GroupDirectory(self.client, f"watch.{zone}", "jobs", membership_policy)
+        topology = Topology(zone=zone, region_by_zone=region_by_zone or {})
+        distances = ZoneDistances(topology)
         self.elsewhere = elsewhere = OtherZoneDirectories(
             self.client, "watch", "jobs", distances.other_zones_nearest_first, distances.fallback_zones
         )
@@ -126,25 +126,32 @@
             retention_s=150.0,
             **sizes,
         )
-        self.shards = JobPartitions(
+        self.job_partitions = JobPartitions(
             self.client,
             settings,
             self.member.assigned_partitions,
             self.make_runner,
             peers,
             decisions,
-            may_own_new=lambda: candidacy.should_join,
+            may_own_new=lambda: membership_policy.should_join,
             log_answers=self.member.is_log_responding,
             restricted_bodies=RestrictedBodies(
-                self.client, config.send_context_for, places, settings, decisions, config.item_time_to_live_s
+                self.client,
+                config.send_context_for,
+                topology,
+                settings,
+                decisions,
+                config.item_time_to_live_s,
             )
             if config
             else None,
         )
         settings = TailSettings(topic="keyed.op", gap_s=0.05)
-        self.operator_tail = KeyedTail(self.client, settings, replace=ignore_records, update=ignore_records)
+        self.operator_tail = KeyedTail(
+            self.client, settings, on_snapshot=ignore_records, on_records=ignore_records
+        )
         self.service = JobService(
-            self.shards,
+            self.job_partitions,
             peers,
             self.journal,
             lambda model: 0,
@@ -153,16 +160,16 @@
         )
         self.tasks = []
 
-    def make_runner(self, fold, journal, job):
+    def make_runner(self, projection, journal, job):
         return FakeRunner(self, journal, job)
 
     def start(self):
         loop = asyncio.get_running_loop()
-        self.transport.start(lambda sender, payload: None, self.service.answer_peer)
+        self.transport.start(lambda sender, payload: None, self.service.handle_peer_request)
         parts = (
             self.member.run(),
             self.control.run(),
-            self.shards.run(),
+            self.job_partitions.run(),
             self.directory.keep_fresh(),
             self.elsewhere.keep_fresh(),
             self.operator_tail.run(),
@@ -172,7 +179,7 @@
 
     async def stop(self):
         """Shut down gracefully: release the jobs and leave the group."""
-        await asyncio.wait([*self.shards.stop(), self.control.release_leadership()])
+        await asyncio.wait([*self.job_partitions.stop(), self.control.release_leadership()])
         await self.member.leave()
 
     async def kill(self):
@@ -183,7 +190,7 @@
 
     async def read_owner(self, job_id, host=HOST):
         """Return the owner of a job, as this daemon reads it from the log."""
-        return (await find_job(self.shards.of_host(host), job_id)).owner
+        return (await find_job(self.job_partitions.of_host(host), job_id)).owner
 
     async def read_all(self, job_id, host=HOST):
         """Return whether a job is complete and its results, as read here; None when it can't be read."""
--- a/tests/test_discovery_other_writers.py
+++ b/tests/test_discovery_other_writers.py
@@ -326,8 +326,8 @@
         tail = KeyedTail(
             client,
             TailSettings(topic=ENTRIES_TOPIC),
-            replace=lambda records, start: None,
-            update=lambda records, start: applied.extend((record.key, start) for record in records),
+            on_snapshot=lambda records, start: None,
+            on_records=lambda records, start: applied.extend((record.key, start) for record in records),
         )
         task = asyncio.create_task(tail.run())
         await asyncio.sleep(0.5)
--- a/tests/test_duties_scaling.py
+++ b/tests/test_duties_scaling.py
@@ -115,7 +115,7 @@
             self.control.leadership_projection.newest_demand_by_model,
             decisions,
             evacuated_zones=self.evacuated,
-            holder=name,
+            daemon_id=name,
         )
         for zone in ("a", "b"):
             info = ReplicaInfo(
@@ -221,7 +221,7 @@
 
 
 def test_added_replicas_are_spread_over_zones_up_to_the_maximum():
-    present = {"a": ZoneReplicas(ordinary=3), "b": ZoneReplicas(ordinary=4)}
+    present = {"a": ZoneReplicas(on_demand=3), "b": ZoneReplicas(on_demand=4)}
     spread = spread_replicas(RULE, present, total=20)
-    assert spread == {"a": ZoneReplicas(ordinary=3, spot=1), "b": ZoneReplicas(ordinary=4)}
+    assert spread == {"a": ZoneReplicas(on_demand=3, spot=1), "b": ZoneReplicas(on_demand=4)}
     assert BOOT_MARGIN_S > 0
--- a/tests/test_duties_usage.py
+++ b/tests/test_duties_usage.py
@@ -95,7 +95,7 @@
             WINDOWS,
             monotonic_s,
             decisions,
-            holder=name,
+            daemon_id=name,
             due_s=DUE_S,
         )
         self.name = name
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -88,7 +88,7 @@
 RECORDS = st.lists(st.builds(KeyedRecord, key=KEYS, value=VALUES))
 
 
-def make_beliefs():
+def make_topic_handler():
     def apply_configuration(config):
         raise msgspec.ValidationError("configurations are not read in these tests")
 
@@ -111,10 +111,10 @@
 @given(RECORDS, RECORDS)
 def test_view_follows_from_keys_of_any_records(snapshot, further):
     snapshot = list({record.key: record for record in snapshot}.values())
-    beliefs, zones = make_beliefs()
-    beliefs.apply_snapshot(tuple(snapshot), 7)
+    handler, zones = make_topic_handler()
+    handler.apply_snapshot(tuple(snapshot), 7)
     assert zones.view == EvacuationView(offset=7, zones=frozenset(evacuated_by(snapshot)))
-    beliefs.apply_records(tuple(further), 7)
+    handler.apply_records(tuple(further), 7)
     all_zones = frozenset(evacuated_by(snapshot + further))
     assert zones.view == EvacuationView(offset=7 + len(further), zones=all_zones)
 
@@ -122,8 +122,8 @@
 def test_key_without_zone_is_rejected_and_logged(caplog):
     with pytest.raises(InvalidConfiguration):
         zone_of_evacuation_key("evacuate/")
-    beliefs, zones = make_beliefs()
-    beliefs.apply_snapshot((KeyedRecord(key="evacuate/", value=b"{}"),), 1)
+    handler, zones = make_topic_handler()
+    handler.apply_snapshot((KeyedRecord(key="evacuate/", value=b"{}"),), 1)
     assert len(zones) == 0
     assert [record.message for record in caplog.records] == ["unreadable_record"]
 
@@ -137,7 +137,7 @@
         cut_off, connected = daemons[0], daemons[1:]
         peers.publish(daemons, peers.make_config(1))
         tasks = [daemon.start() for daemon in daemons]
-        cut_off.turned_away_s = monotonic_s()
+        cut_off.cut_off_s = monotonic_s()
         for offset, zones in ((4, {"a"}), (5, {"b"}), (9, set())):
             for daemon in connected:
                 daemon.evacuated.apply_snapshot(zones, offset)
@@ -156,7 +156,7 @@
         for daemon in daemons[1:]:
             daemon.evacuated.apply_snapshot(set(), 3)
         daemons[0].evacuated.apply_snapshot({"a"}, 4)
-        daemons[0].turned_away_s = monotonic_s()
+        daemons[0].cut_off_s = monotonic_s()
         task = daemons[0].start()
         for daemon in daemons[1:]:
             daemon.start()
@@ -171,7 +171,7 @@
 def test_messages_without_evacuations_are_compatible():
     async def main():
         _, (daemon, *_) = peers.make_daemons(2)
-        daemon.holder.apply_if_newer(peers.make_config(3))
+        daemon.config_holder.apply_if_newer(peers.make_config(3))
         old = msgspec.json.decode(b'{"age_s":0.1,"config":null}', type=ConfigurationSnapshot)
         assert old.evacuations is None
         known = msgspec.json.decode(daemon.peers.handle_request(b'{"version":3}'), type=ConfigurationSnapshot)
@@ -183,7 +183,7 @@
 def test_daemon_sends_no_view_before_it_has_read_the_log():
     async def main():
         _, (daemon, *_) = peers.make_daemons(2)
-        daemon.turned_away_s = float("-inf")
+        daemon.cut_off_s = float("-inf")
         assert b'"evacuations":null' in daemon.peers.handle_request(b'{"version":0}')
 
     run_virtual(main())
@@ -225,8 +225,8 @@
 
 def make_loader(replicas, jobs=None):
     leadership = types.SimpleNamespace(may_order=lambda: True, fence=1)
-    control, wanted = Control(replicas), TargetVersions(decision_log())
-    crashes = CrashQuarantine(
+    control, targets = Control(replicas), TargetVersions(decision_log())
+    quarantine = CrashQuarantine(
         MemorySharedLog().client("d"),
         "crashes",
         replicas.eject,
@@ -235,8 +235,8 @@
     )
     return (
         control,
-        wanted,
-        Loader(wanted, replicas, leadership, control, "d", jobs or {}, crashes.guard, decision_log()),
+        targets,
+        Loader(targets, replicas, leadership, control, "d", jobs or {}, quarantine.guard, decision_log()),
     )
 
 
@@ -244,9 +244,9 @@
     async def main():
         zones = EvacuatedZones(decision_log())
         replicas = replica_table(zones)
-        control, wanted, loads = make_loader(replicas)
+        control, targets, loads = make_loader(replicas)
         control.on_report = lambda zone: zones.apply_snapshot({"b"}, 1) if zone == "b" else None
-        wanted.offer("m", 2)
+        targets.offer("m", 2)
         task = asyncio.get_running_loop().create_task(loads.run())
         await asyncio.sleep(10.0)
         assert len(control.calls_to("b", "report")) == 1
@@ -263,9 +263,9 @@
         jobs = {
             model: WeightDemand(model=model, lag=0, items=items) for model, items in (("m", 8), ("n", 48))
         }
-        control, wanted, loads = make_loader(replicas, jobs)
-        wanted.offer("m", 2)
-        wanted.offer("n", 2)
+        control, targets, loads = make_loader(replicas, jobs)
+        targets.offer("m", 2)
+        targets.offer("n", 2)
         zones.apply_snapshot({"b"}, 1)
         task = asyncio.get_running_loop().create_task(loads.run())
         await asyncio.sleep(10.0)
--- a/tests/test_gateway_configuration_peers.py
+++ b/tests/test_gateway_configuration_peers.py
@@ -28,32 +28,32 @@
 
 
 class SimulatedDaemon:
-    """A configuration holder and its poller; the log is readable until ``turned_away_s``, a loop time."""
+    """A configuration holder and its poller; the log is readable until ``cut_off_s``, a loop time."""
 
     def __init__(self, network, number, daemons):
         self.daemons = daemons
         self.transport = network.transport(f"d{number}:7720", "z")
         self.name = f"d{number}@{self.transport.address}"
-        self.holder = ConfigHolder()
-        self.turned_away_s = None
+        self.config_holder = ConfigHolder()
+        self.cut_off_s = None
         decisions = DecisionLog("d", write=len)
         self.evacuated = EvacuatedZones(decisions)
         self.peers = PeerConfigurationPoller(
             self.transport,
-            self.list_peers,
-            self.holder,
+            self.list_other_members,
+            self.config_holder,
             self.evacuated,
             self.log_age_s,
-            self.holder.apply_if_newer,
+            self.config_holder.apply_if_newer,
             decisions,
         )
 
-    def list_peers(self):
+    def list_other_members(self):
         names = [daemon.name for daemon in self.daemons if daemon is not self]
         return random.sample(names, len(names))
 
     def log_age_s(self):
-        return 0.0 if self.turned_away_s is None else monotonic_s() - self.turned_away_s
+        return 0.0 if self.cut_off_s is None else monotonic_s() - self.cut_off_s
 
     async def answer_query(self, sender, method, payload):
         assert method == CONFIGURATION_METHOD
@@ -72,8 +72,8 @@
 
 def publish(daemons, new):
     for daemon in daemons:
-        if daemon.turned_away_s is None:
-            daemon.holder.apply_if_newer(new)
+        if daemon.cut_off_s is None:
+            daemon.config_holder.apply_if_newer(new)
 
 
 @pytest.mark.parametrize("seed", range(5))
@@ -84,11 +84,11 @@
         tasks = [daemon.start() for daemon in daemons]
         publish(daemons, make_config(1, "k1", "k2"))
         for daemon in daemons[::3]:
-            daemon.turned_away_s = monotonic_s()
+            daemon.cut_off_s = monotonic_s()
         for version in range(2, 6):
             publish(daemons, make_config(version, "k2"))
             await asyncio.sleep(APPLY_DEADLINE_S)
-            assert {daemon.holder.version for daemon in daemons} == {version}
+            assert {daemon.config_holder.version for daemon in daemons} == {version}
             assert all(daemon.peers.configuration_age_s() < APPLY_DEADLINE_S for daemon in daemons)
         for task in tasks:
             task.cancel()
@@ -101,13 +101,13 @@
         _, daemons = make_daemons(3)
         behind, ahead, _ = daemons
         publish(daemons, make_config(4, "k2"))
-        ahead.turned_away_s = monotonic_s()
-        ahead.holder.apply_if_newer(make_config(7, "k2"))
+        ahead.cut_off_s = monotonic_s()
+        ahead.config_holder.apply_if_newer(make_config(7, "k2"))
         task = ahead.start()
         for daemon in (behind, daemons[2]):
             daemon.start()
         await asyncio.sleep(5.0)
-        assert ahead.holder.version == 7
+        assert ahead.config_holder.version == 7
         task.cancel()
 
     run_virtual(main())
@@ -120,7 +120,7 @@
         tasks = [daemon.start() for daemon in daemons]
         await asyncio.sleep(10.0)
         assert all(daemon.transport.counters.frames_sent == 0 for daemon in daemons)
-        daemons[0].turned_away_s = monotonic_s()
+        daemons[0].cut_off_s = monotonic_s()
         network.cut(lambda address, zone: address == daemons[0].transport.address)
         await asyncio.sleep(POLL_AFTER_S + 4.0)
         assert daemons[0].peers.configuration_age_s() == pytest.approx(POLL_AFTER_S + 4.0, abs=0.2)
@@ -133,7 +133,7 @@
 def test_an_answer_contains_a_configuration_only_if_it_is_newer_than_the_query():
     async def main():
         _, (daemon, *_) = make_daemons(2)
-        daemon.holder.apply_if_newer(make_config(3, "k"))
+        daemon.config_holder.apply_if_newer(make_config(3, "k"))
         for version, expected in ((2, 3), (3, None), (9, None)):
             query = msgspec.json.encode({"version": version})
             answer = msgspec.json.decode(daemon.peers.handle_request(query), type=ConfigurationSnapshot)
--- a/tests/test_gateway_distance.py
+++ b/tests/test_gateway_distance.py
@@ -7,7 +7,7 @@
 from passgate.eligibility.replica_info import ReplicaInfo
 from passgate.eligibility.topology import Topology
 from passgate.gateway.replica_table import FULL_LOAD, ReplicaQuery, ReplicaTable
-from passgate.gateway.zone_distances import ANSWER_MARGIN_S, RTT_WINDOW_S, ZoneDistances
+from passgate.gateway.zone_distances import RESPONSE_MARGIN_S, RTT_WINDOW_S, ZoneDistances
 
 REGIONS = {f"{region}{number}": region for region in "abc" for number in (1, 2)}
 SLOTS, SERVICE_TIME_S, NETWORK_COST_S = 4, 0.05, 0.024
@@ -161,9 +161,9 @@
 
 def test_a_long_round_trip_raises_the_answer_timeout_and_a_short_one_does_not_lower_it():
     distances = ZoneDistances(Topology(zone="a1", region_by_zone=REGIONS))
-    assert distances.answer_timeout_s(0.1, "a1") == 0.1
+    assert distances.response_timeout_s(0.1, "a1") == 0.1
     distances.record_round_trip("b1", 0.02, 0.0)
     for step in range(1, 9):
         distances.record_round_trip("b1", 0.4, step * RTT_WINDOW_S)
-    assert distances.answer_timeout_s(0.1, "b1") > 0.35 + ANSWER_MARGIN_S
-    assert distances.answer_timeout_s(0.3) == distances.answer_timeout_s(0.1, "b1")
+    assert distances.response_timeout_s(0.1, "b1") > 0.35 + RESPONSE_MARGIN_S
+    assert distances.response_timeout_s(0.3) == distances.response_timeout_s(0.1, "b1")
--- a/tests/test_jobs_daemons.py
+++ b/tests/test_jobs_daemons.py
@@ -105,7 +105,7 @@
             assert page.results or seen == page.total
             assert (await daemon.service.read_results(HOST, "k", 0, 1.0)).total == 2
         await daemons[2].service.cancel(HOST, "k", monotonic_s() + 2.0)
-        assert (await find_job(daemons[3].shards.of_host(HOST), "k")).cancelled
+        assert (await find_job(daemons[3].job_partitions.of_host(HOST), "k")).cancelled
         for daemon in daemons:
             await daemon.kill()
 
@@ -144,7 +144,7 @@
             FOLLOW_AFTER_USE_S + 0.5
         )  # those that held the partition while the group formed read on
         part = partition_of(HOST, 4)
-        followers = [daemon for daemon in daemons if daemon.shards._get_or_create(part).is_current]
+        followers = [daemon for daemon in daemons if daemon.job_partitions._get_or_create(part).is_current]
         assert zones <= len(followers) <= zones + 1
         for daemon in daemons:
             await daemon.kill()
@@ -165,7 +165,7 @@
             await daemons[1].service.read_results(HOST, "unknown", 0, 0.0)
         await daemons[2].service.cancel(HOST, "j", monotonic_s() + 2)
         for daemon in daemons:
-            assert (await find_job(daemon.shards.of_host(HOST), "j")).cancelled
+            assert (await find_job(daemon.job_partitions.of_host(HOST), "j")).cancelled
             await daemon.kill()
 
     run_virtual(main())
@@ -179,7 +179,7 @@
         daemons = await start_daemons(log, 3)
         await daemons[0].service.submit(job_spec("j", 50), monotonic_s() + 2)
         await asyncio.sleep(0.5)
-        other = next(daemon for daemon in daemons if not daemon.shards.of_host(HOST).is_current)
+        other = next(daemon for daemon in daemons if not daemon.job_partitions.of_host(HOST).is_current)
         network_by_log[log].cut(lambda address, zone: address)
         log.faults = SharedLogFaults(refusing=True)
         with pytest.raises(DurabilityUnknown):
@@ -187,7 +187,7 @@
         assert JobEndUnconfirmed(job_id="j", reason="durability_unknown") in other.events
         log.faults = SharedLogFaults()
         await asyncio.sleep(1.0)
-        assert (await find_job(other.shards.of_host(HOST), "j")).cancelled
+        assert (await find_job(other.job_partitions.of_host(HOST), "j")).cancelled
         for daemon in daemons:
             await daemon.kill()
 
@@ -303,7 +303,7 @@
         for number in range(8):
             await daemon.service.submit(job_spec(f"j{number}", count=1), monotonic_s() + 5.0)
             accepted_s = monotonic_s()
-            while not daemon.shards.running_jobs:
+            while not daemon.job_partitions.running_jobs:
                 await asyncio.sleep(0.005)
             spent.append(monotonic_s() - accepted_s)
             await wait_until_complete([daemon], [f"j{number}"])
@@ -333,17 +333,19 @@
         fill_partition(log)
         await asyncio.sleep(FOLLOW_AFTER_USE_S + DIRECTORY_REFRESH_S)
         part = partition_of(HOST, log.parts)
-        first = next(daemon for daemon in daemons if daemon.shards.is_watcher_of(part))
+        first = next(daemon for daemon in daemons if daemon.job_partitions.is_watcher_of(part))
         log.faults = SLOW_LOG
         log.groups.deal_anew()
-        while not any(daemon.shards.is_watcher_of(part) for daemon in daemons if daemon is not first):
+        while not any(daemon.job_partitions.is_watcher_of(part) for daemon in daemons if daemon is not first):
             await asyncio.sleep(0.02)
         await asyncio.sleep(0.5)
         for daemon in daemons:
             page = await daemon.service.read_results(HOST, "j", 0, 0.0)
             assert len(page.results) == 4
-        watching = {daemon.name for daemon in daemons if daemon.shards.is_watcher_of(part)}
-        following = {daemon.name for daemon in daemons if daemon.shards.of_host(HOST).followed_tail.following}
+        watching = {daemon.name for daemon in daemons if daemon.job_partitions.is_watcher_of(part)}
+        following = {
+            daemon.name for daemon in daemons if daemon.job_partitions.of_host(HOST).followed_tail.following
+        }
         assert following <= watching | {first.name}
         for daemon in daemons:
             await daemon.kill()
@@ -383,7 +385,7 @@
         following = {
             f"d{number}"
             for number, daemon in enumerate(daemons)
-            if daemon.shards.of_host(HOST).followed_tail.following
+            if daemon.job_partitions.of_host(HOST).followed_tail.following
         }
         assert following <= watched
         assert len(watched) < len(daemons)
--- a/tests/test_jobs_liveness.py
+++ b/tests/test_jobs_liveness.py
@@ -30,7 +30,7 @@
 
 
 @pytest.mark.parametrize(
-    "answer, sign",
+    "answer, status",
     [
         (AliveResponse(writer=WRITER), WriterStatus.ALIVE),
         (AliveResponse(writer=WRITER, waiting_s=CUT_OFF_AFTER_S), WriterStatus.CUT_OFF),
@@ -38,12 +38,12 @@
         (None, WriterStatus.SILENT),
     ],
 )
-def test_the_response_determines_the_status_of_the_writer(answer, sign):
+def test_the_response_determines_the_status_of_the_writer(answer, status):
     async def main():
         liveness, _ = prober_with_responses([answer])
         assert liveness.status_of(WRITER, last_contact_s=float("-inf")) is None
         await asyncio.sleep(2 * ANSWER_S)
-        assert liveness.status_of(WRITER, last_contact_s=float("-inf")) is sign
+        assert liveness.status_of(WRITER, last_contact_s=float("-inf")) is status
 
     run_virtual(main())
 
--- a/tests/test_jobs_reader.py
+++ b/tests/test_jobs_reader.py
@@ -29,7 +29,7 @@
 class IdleDaemon(Daemon):
     """Daemon whose runners run no items."""
 
-    def make_runner(self, fold, journal, job):
+    def make_runner(self, projection, journal, job):
         return IdleRunner()
 
 
@@ -45,7 +45,7 @@
 
 def append_result(daemon, number):
     result = Result(item_id=f"i{number}", state=ResultState.SUCCEEDED, text="t", versions=(1,))
-    daemon.shards.of_host(HOST).journal.put(ItemsDone(job_id="j", results=(result,)))
+    daemon.job_partitions.of_host(HOST).journal.put(ItemsDone(job_id="j", results=(result,)))
 
 
 async def read_while_appending(daemon, results, wait_s=1.0):
--- a/tests/test_jobs_regions.py
+++ b/tests/test_jobs_regions.py
@@ -73,7 +73,7 @@
         """Return the regions of the daemons that hold bodies of a job."""
         found = set()
         for daemon in self.daemons:
-            job = daemon.shards.of_host(HOST).projection.jobs.get(job_id)
+            job = daemon.job_partitions.of_host(HOST).projection.jobs.get(job_id)
             if job is not None and any(item.body or item.reward.body for item in job.spec().items):
                 found.add(REGION_BY_ZONE[daemon.zone])
         return found
@@ -152,7 +152,7 @@
         await daemon.kill()
     fleet.daemons = fleet.daemons_in("a") + fleet.daemons_in("c")
     await asyncio.sleep(6.0)
-    job = await find_job(fleet.daemons[0].shards.of_host(HOST), "j")
+    job = await find_job(fleet.daemons[0].job_partitions.of_host(HOST), "j")
     assert job.is_open and job.owner in {daemon.name for daemon in lost}
     fleet.daemons += [
         Daemon(
@@ -181,7 +181,7 @@
     await asyncio.sleep(TAKEOVER_LIMIT_S)
     assert await fleet.owner_region("j") == allowed
     owner = daemon_of_writer(fleet.daemons, await fleet.daemons_in("a")[0].read_owner("j"))
-    assert [daemon.name for daemon in fleet.daemons if daemon.shards.running_jobs] == [owner.name]
+    assert [daemon.name for daemon in fleet.daemons if daemon.job_partitions.running_jobs] == [owner.name]
     await wait_until_complete(fleet.daemons, ["j"])
 
 
@@ -248,7 +248,7 @@
         fleet = Fleet(MemorySharedLog(), "a")
         fleet.config.send_context_for = allow_no_region(fleet.config.send_context_for)
         for daemon in fleet.daemons:
-            daemon.shards.restricted_bodies._find_send_context = fleet.config.send_context_for
+            daemon.job_partitions.restricted_bodies._find_send_context = fleet.config.send_context_for
         await asyncio.sleep(2.5)
         with pytest.raises(NoRegionAllowed):
             await submit(fleet.daemons_in("a")[0], "j")
@@ -257,22 +257,22 @@
     run_virtual(main())
 
 
-def allow_no_region(terms_for):
-    def terms(*arguments):
-        return msgspec.structs.replace(terms_for(*arguments), allowed_regions=frozenset())
+def allow_no_region(send_context_for):
+    def context_without_regions(*arguments):
+        return msgspec.structs.replace(send_context_for(*arguments), allowed_regions=frozenset())
 
-    return terms
+    return context_without_regions
 
 
 @with_fleet("a")
 async def test_items_of_a_job_that_no_daemon_may_own_any_more_expire(fleet):
     await submit(fleet.daemons_in("a")[0], "j", count=30)
-    partition = fleet.daemons_in("a")[0].shards.of_host(HOST)
+    partition = fleet.daemons_in("a")[0].job_partitions.of_host(HOST)
     while len((await find_job(partition, "j")).results) < 2:
         await asyncio.sleep(0.05)
     no_region = allow_no_region(fleet.config.send_context_for)
     for daemon in fleet.daemons:
-        daemon.shards.restricted_bodies._find_send_context = no_region
+        daemon.job_partitions.restricted_bodies._find_send_context = no_region
     await asyncio.sleep(PROPAGATION_S)
     results_before = list((await find_job(partition, "j")).results)
     assert 2 <= len(results_before) < 5
@@ -282,7 +282,7 @@
     job = await find_job(partition, "j")
     assert job.results[: len(results_before)] == results_before and not job.is_open
     assert {result.state for result in job.results[len(results_before) :]} == {ResultState.DEAD}
-    assert not any(daemon.shards.running_jobs for daemon in fleet.daemons)
+    assert not any(daemon.job_partitions.running_jobs for daemon in fleet.daemons)
 
 
 def test_failed_reads_of_bodies_are_retried_with_growing_pauses_and_mismatched_bodies_are_not():
@@ -294,7 +294,7 @@
             read=None,
         )
         reader = BodiesReader(bodies, deliver=lambda job_id, found: len(found) == 1)
-        location = BodiesLocation(topic="t", part=0, first=0, last=0, nonce="n")
+        location = BodiesLocation(topic="t", partition=0, first=0, last=0, nonce="n")
         job = RestrictedJob(job_id="j", host="h", path="/p/", tenant=None, location=location)
 
         async def unreadable(where):
@@ -321,7 +321,7 @@
     distances = ZoneDistances(Topology(zone="a1", region_by_zone={"a1": "a", "a2": "a"}))
     for step in range(10):
         distances.record_round_trip("a2", 3.0, RTT_WINDOW_S * step)
-    assert distances.answer_timeout_s(0.1) == distances.answer_timeout_s(0.1, "a2") == 0.1
+    assert distances.response_timeout_s(0.1) == distances.response_timeout_s(0.1, "a2") == 0.1
 
 
 @with_fleet("b")
--- a/tests/test_jobs_stalls.py
+++ b/tests/test_jobs_stalls.py
@@ -16,17 +16,17 @@
     await asyncio.sleep(3600.0)
 
 
-async def send_data(silence, replica_id):
+async def send_data(stall_detector, replica_id):
     while True:
-        silence.record_data(replica_id, monotonic_s())
+        stall_detector.record_data(replica_id, monotonic_s())
         await asyncio.sleep(PAUSE_S)
 
 
-async def time_until_stalled_s(silence, speaking):
-    tasks = [asyncio.get_running_loop().create_task(send_data(silence, name)) for name in speaking]
+async def time_until_stalled_s(stall_detector, speaking):
+    tasks = [asyncio.get_running_loop().create_task(send_data(stall_detector, name)) for name in speaking]
     began_s = monotonic_s()
     with pytest.raises(TimeoutError):
-        await silence.wait_for("r", wait_forever, silence_limit_s(PAUSE_S))
+        await stall_detector.wait_for("r", wait_forever, silence_limit_s(PAUSE_S))
     for task in tasks:
         task.cancel()
     return monotonic_s() - began_s
@@ -60,14 +60,14 @@
 
 def test_data_that_arrived_while_the_event_loop_was_blocked_is_read():
     async def main():
-        silence = StallDetector()
+        stall_detector = StallDetector()
         arrived = asyncio.get_running_loop().create_future()
 
         async def read():
             return await asyncio.shield(arrived)
 
-        waiting = asyncio.get_running_loop().create_task(silence.wait_for("r", read, 0.05))
-        silence.record_data("other", monotonic_s() + 1.0)
+        waiting = asyncio.get_running_loop().create_task(stall_detector.wait_for("r", read, 0.05))
+        stall_detector.record_data("other", monotonic_s() + 1.0)
         await asyncio.sleep(0)
         time.sleep(0.3)  # blocks the event loop, as a suspension of the process does
         await asyncio.sleep(0.01)
--- a/tests/test_jobs_takeover.py
+++ b/tests/test_jobs_takeover.py
@@ -36,20 +36,22 @@
     await asyncio.sleep(1.0)
     log.groups.deal_anew()
     await asyncio.sleep(2.5)
-    owner = next(daemon for daemon in daemons if daemon.shards.running_jobs)
-    assert not owner.shards.is_watcher_of(partition_of(host, log.parts))
+    owner = next(daemon for daemon in daemons if daemon.job_partitions.running_jobs)
+    assert not owner.job_partitions.is_watcher_of(partition_of(host, log.parts))
     return [owner, *(daemon for daemon in daemons if daemon is not owner)]
 
 
 def partition_number(daemon, host):
-    return daemon.shards.of_host(host).number
+    return daemon.job_partitions.of_host(host).number
 
 
 def non_watcher_in(daemons, zone, host=HOST):
     """Return a daemon of a zone that doesn't watch the partition, and leaves jobs to the zone's watcher."""
     in_zone = [daemon for daemon in daemons if daemon.zone == zone]
     return next(
-        daemon for daemon in in_zone if not daemon.shards.is_watcher_of(partition_number(daemon, host))
+        daemon
+        for daemon in in_zone
+        if not daemon.job_partitions.is_watcher_of(partition_number(daemon, host))
     )
 
 
@@ -68,7 +70,7 @@
         await non_watcher_in(daemons, "z0", host).service.submit(job_spec("new", 4, host), monotonic_s() + 2)
         await asyncio.sleep(4 * ITEM_S + 1.0)
         for daemon in daemons:
-            assert (await find_job(daemon.shards.of_host(host), "new")).epoch == FIRST_EPOCH
+            assert (await find_job(daemon.job_partitions.of_host(host), "new")).epoch == FIRST_EPOCH
             await daemon.kill()
 
     for host in (HOST, "h1", "h2", "h3"):
@@ -221,7 +223,7 @@
         log.groups.shift += 1  # another daemon than the owner will watch
         restarted_s = monotonic_s()
         daemons = [Daemon(log, f"d{number}", incarnation=1).start() for number in range(3)]
-        while not any(daemon.shards.running_jobs for daemon in daemons):
+        while not any(daemon.job_partitions.running_jobs for daemon in daemons):
             await asyncio.sleep(0.02)
         assert monotonic_s() - restarted_s < TAKEOVER_LIMIT_S
 
@@ -240,7 +242,7 @@
         await small.service.submit(job_spec("j", 2), monotonic_s() + 2)
         await asyncio.sleep(0.5)
         assert (await large[0].read_owner("j")) in {daemon.name for daemon in large}
-        assert not small.shards.running_jobs
+        assert not small.job_partitions.running_jobs
         await wait_until_complete(large, ["j"])
         for daemon in (small, *large):
             await daemon.kill()
@@ -257,16 +259,16 @@
         name = owner.name.partition(".")[0]
         log.cut_off = {name}
         cut_s = monotonic_s()
-        while not any(daemon.shards.running_jobs for daemon in others):
+        while not any(daemon.job_partitions.running_jobs for daemon in others):
             await asyncio.sleep(0.02)
         assert monotonic_s() - cut_s < RELEASE_LIMIT_S
-        assert not owner.shards.running_jobs
-        unacknowledged = owner.shards.of_host(HOST).journal.unacknowledged_entries()
+        assert not owner.job_partitions.running_jobs
+        unacknowledged = owner.job_partitions.of_host(HOST).journal.unacknowledged_entries()
         texts = {entry.results[0].text for entry in unacknowledged if isinstance(entry, ItemsDone)}
         assert texts
         await asyncio.sleep(0.5)
         result_texts = {
-            result.text for result in (await find_job(others[0].shards.of_host(HOST), "j")).results
+            result.text for result in (await find_job(others[0].job_partitions.of_host(HOST), "j")).results
         }
         assert texts <= result_texts
         log.cut_off = set()
@@ -285,8 +287,8 @@
         await asyncio.sleep(4.0)
         log.faults = SharedLogFaults()
         await asyncio.sleep(2.0)
-        assert owner.shards.running_jobs
-        assert (await find_job(others[0].shards.of_host(HOST), "j")).epoch == FIRST_EPOCH
+        assert owner.job_partitions.running_jobs
+        assert (await find_job(others[0].job_partitions.of_host(HOST), "j")).epoch == FIRST_EPOCH
         await wait_until_complete(others, ["j"])
         for daemon in (owner, *others):
             await daemon.kill()
@@ -301,7 +303,7 @@
         log = MemorySharedLog()
         owner, *others = await owner_and_others(log)
         log.cut_off = {owner.name.partition(".")[0]}
-        while owner.shards.running_jobs:
+        while owner.job_partitions.running_jobs:
             await asyncio.sleep(0.02)
         for daemon in others:
             await daemon.kill()
--- a/tests/test_jobs_waiting.py
+++ b/tests/test_jobs_waiting.py
@@ -23,22 +23,24 @@
     recorded_events_by_item = newest_result_by_item = {}
 
 
-def ranked_items(tools, job_id, folded_s, hints):
+def ranked_items(context, job_id, known_since_s, hints):
     items = tuple(ItemSpec(id=f"{job_id}{hint}", path="/p/x", headers={"hint": str(hint)}) for hint in hints)
     spec = JobSpec(job_id=job_id, host="h", path="/p/", items=items, model=MODEL)
-    runner = JobRunner(JobState(spec, "d.a", folded_s), EmptyProjection(), None, tools)
+    runner = JobRunner(JobState(spec, "d.a", known_since_s), EmptyProjection(), None, context)
     return [(rank, item.id) for rank, item in runner._ranked_items()]
 
 
 def test_long_items_of_a_newer_job_come_before_short_ones_of_an_older_job():
-    tools = FakeContext()
-    waiting = ranked_items(tools, "old", 0.0, [1000, 50, 900]) + ranked_items(tools, "new", 4.0, [1000, 50])
+    context = FakeContext()
+    waiting = ranked_items(context, "old", 0.0, [1000, 50, 900]) + ranked_items(
+        context, "new", 4.0, [1000, 50]
+    )
     assert [item for _, item in sorted(waiting)] == ["old1000", "old900", "new1000", "old50", "new50"]
 
 
 def test_without_known_durations_the_older_job_comes_first_and_starts_with_its_longest_item():
-    tools = FakeContext()
-    tools.durations = OutputDurations()
-    order = ranked_items(tools, "old", 0.0, [50, 1000])
+    context = FakeContext()
+    context.durations = OutputDurations()
+    order = ranked_items(context, "old", 0.0, [50, 1000])
     assert [item for _, item in order] == ["old1000", "old50"]
-    assert max(order)[0].latest_start_s < min(ranked_items(tools, "new", 4.0, [1000]))[0].latest_start_s
+    assert max(order)[0].latest_start_s < min(ranked_items(context, "new", 4.0, [1000]))[0].latest_start_s
--- a/tests/test_replica_lives.py
+++ b/tests/test_replica_lives.py
@@ -116,9 +116,9 @@
 
 
 def test_a_new_incarnation_has_not_sent_anything_yet():
-    silence = StallDetector()
-    silence.record_data(ReplicaIncarnation("r", 10), now_s=5.0)
-    assert silence.seems_stalled(ReplicaIncarnation("r", 20), since_s=4.0)
+    stall_detector = StallDetector()
+    stall_detector.record_data(ReplicaIncarnation("r", 10), now_s=5.0)
+    assert stall_detector.seems_stalled(ReplicaIncarnation("r", 20), since_s=4.0)
 
 
 def test_without_a_start_time_a_replica_keeps_its_state():
@@ -166,7 +166,7 @@
 def test_the_start_time_is_read_from_entries_and_reports():
     entry = b'{"service":"s","address":"10.0.0.1:80","zone":"z","slots":4,"state":"ready","born":12}'
     assert decode_replica("r", entry).incarnation == ReplicaIncarnation("r", 12)
-    assert decode_report(b'{"seq":2,"born":12}').born_unix_ms == 12
+    assert decode_report(b'{"seq":2,"born":12}').started_unix_ms == 12
     assert decode_report(b'{"seq":2}').is_from(ReplicaIncarnation("r", 12))
 
 
@@ -185,7 +185,7 @@
 
     def __init__(self):
         self.current_report = ReplicaReport(
-            orders_taken=0, busy=False, model_versions={"m": 1}, born_unix_ms=10
+            orders_taken=0, busy=False, model_versions={"m": 1}, started_unix_ms=10
         )
         self.orders = []
         self.unanswering = False
@@ -202,16 +202,16 @@
 
 def make_loader(control, *infos):
     decisions = DecisionLog("d", write=len)
-    replicas, wanted = make_table(*infos), TargetVersions(decisions)
-    wanted.offer("m", 2)
-    log, life_of = MemorySharedLog().client("d"), partial(read_incarnation, control)
-    guard = CrashQuarantine(log, "crashes", replicas.eject, decisions, life_of).guard
-    return replicas, Loader(wanted, replicas, LeaderStub(), control, "d", {}, guard, decisions)
+    replicas, targets = make_table(*infos), TargetVersions(decisions)
+    targets.offer("m", 2)
+    log, read_current_incarnation = MemorySharedLog().client("d"), partial(read_incarnation, control)
+    guard = CrashQuarantine(log, "crashes", replicas.eject, decisions, read_current_incarnation).guard
+    return replicas, Loader(targets, replicas, LeaderStub(), control, "d", {}, guard, decisions)
 
 
 def make_report(start_ms, orders_taken, version=1):
     return ReplicaReport(
-        orders_taken=orders_taken, busy=False, model_versions={"m": version}, born_unix_ms=start_ms
+        orders_taken=orders_taken, busy=False, model_versions={"m": version}, started_unix_ms=start_ms
     )
 
 
--- a/tests/test_sharedlog_candidacy.py
+++ b/tests/test_sharedlog_candidacy.py
@@ -24,7 +24,7 @@
     """The group membership of a daemon."""
 
     def __init__(self, log, name, cores):
-        candidacy = GroupMembershipPolicy(cores)
+        membership_policy = GroupMembershipPolicy(cores)
         client = log.client(name)
         address = f"{name}:1"
         self.member = GroupMember(
@@ -33,9 +33,9 @@
             member_name(name, address, cores),
             "t",
             DecisionLog(name, write=len),
-            membership_policy=candidacy,
+            membership_policy=membership_policy,
         )
-        self.directory = GroupDirectory(client, "g", "t", candidacy)
+        self.directory = GroupDirectory(client, "g", "t", membership_policy)
         loop = asyncio.get_running_loop()
         self.tasks = [loop.create_task(self.member.run()), loop.create_task(self.directory.keep_fresh())]
 
--- a/tests/test_suspended_machine.py
+++ b/tests/test_suspended_machine.py
@@ -94,7 +94,7 @@
 
 @run_on_suspendable_loop
 async def test_leader_sends_no_order_after_a_suspension(loop):
-    class Fold:
+    class Projection:
         leader, leader_fence = "me", 7
 
     class Journal:
@@ -103,7 +103,7 @@
         def take_send_time_s(self, batch):
             return monotonic_s()
 
-    leadership = Leadership(Fold(), Journal(), None, DecisionLog("d", write=len), lease_s=LEASE_S)
+    leadership = Leadership(Projection(), Journal(), None, DecisionLog("d", write=len), lease_s=LEASE_S)
     leadership.confirm_batch(None)
     assert leadership.may_order()
     loop.suspended_s += SUSPENDED_S
--- a/tests/test_versions_lead_fold.py
+++ b/tests/test_versions_lead_fold.py
@@ -34,27 +34,27 @@
 
 
 def test_concurrent_claims_have_one_winner_and_a_rising_fence(log):
-    first = log.append("d1.x", LeaderClaimed(holder="d1.x", after=-1))
-    log.append("d2.x", LeaderClaimed(holder="d2.x", after=-1))
+    first = log.append("d1.x", LeaderClaimed(leader="d1.x", after=-1))
+    log.append("d2.x", LeaderClaimed(leader="d2.x", after=-1))
     assert (log.projection.leader, log.projection.leader_fence) == ("d1.x", first)
     log.append("d1.x", WriterStopped())
     assert log.projection.leader == ""
-    second = log.append("d2.x", LeaderClaimed(holder="d2.x", after=first))
+    second = log.append("d2.x", LeaderClaimed(leader="d2.x", after=first))
     assert (log.projection.leader, log.projection.leader_fence) == ("d2.x", second)
     assert second > first
 
 
 def test_a_renewal_that_reaches_the_log_first_invalidates_a_claim(log):
-    first = log.append("d1.x", LeaderClaimed(holder="d1.x", after=-1))
+    first = log.append("d1.x", LeaderClaimed(leader="d1.x", after=-1))
     log.append("d1.x", WriterAlive(fence=first))
-    log.append("d2.x", LeaderClaimed(holder="d2.x", after=first, seen=first))
+    log.append("d2.x", LeaderClaimed(leader="d2.x", after=first, seen=first))
     assert log.projection.leader == "d1.x"
 
 
 def test_a_late_claim_is_rejected(log):
-    first = log.append("d1.x", LeaderClaimed(holder="d1.x", after=-1))
-    second = log.append("d2.x", LeaderClaimed(holder="d2.x", after=first, seen=first))
-    log.append("d3.x", LeaderClaimed(holder="d3.x", after=first, seen=first))
+    first = log.append("d1.x", LeaderClaimed(leader="d1.x", after=-1))
+    second = log.append("d2.x", LeaderClaimed(leader="d2.x", after=first, seen=first))
+    log.append("d3.x", LeaderClaimed(leader="d3.x", after=first, seen=first))
     assert (log.projection.leader, log.projection.leader_fence) == ("d2.x", second)
 
 
@@ -62,7 +62,7 @@
     log.offset = 500
     log.append("d1.x", WriterAlive(fence=120))
     assert (log.projection.leader, log.projection.leader_fence) == ("d1.x", 120)
-    log.append("d2.x", LeaderClaimed(holder="d2.x", after=-1))
+    log.append("d2.x", LeaderClaimed(leader="d2.x", after=-1))
     assert log.projection.leader == "d1.x"
 
 
