--- a/passgate/daemon/cold_permits.py
+++ b/passgate/daemon/cold_permits.py
@@ -39,22 +39,24 @@
     """Rate limit of a cold replica of each service, computed from the active configuration.
 
     >>> from passgate.gateway.routes import ColdStart, GatewayConfig, Service
-    >>> holder = ConfigHolder()
+    >>> config_holder = ConfigHolder()
     >>> service = Service(name="s", cold_start=ColdStart(lasts_s=3.0, requests_per_s=16.0))
-    >>> _ = holder.apply_if_newer(GatewayConfig(version=1, services=(service,)))
-    >>> ColdRateLimits(holder, lambda: (1.5, 5.0)).limit_for("s").max_requests_per_s
+    >>> _ = config_holder.apply_if_newer(GatewayConfig(version=1, services=(service,)))
+    >>> ColdRateLimits(config_holder, lambda: (1.5, 5.0)).limit_for("s").max_requests_per_s
     29
     """
 
-    def __init__(self, config: ConfigHolder, overshoot_and_slack: Callable[[], tuple[float, float]]) -> None:
+    def __init__(
+        self, config_holder: ConfigHolder, overshoot_and_slack: Callable[[], tuple[float, float]]
+    ) -> None:
         """Create the limits.
 
         Args:
-            config: the active configuration.
+            config_holder: the active configuration.
             overshoot_and_slack: returns the factor by which a configured rate is multiplied, and the requests
                 a second that are added to the product.
         """
-        self._config = config
+        self._config_holder = config_holder
         self._overshoot_and_slack = overshoot_and_slack
         self._computed_from: tuple[int, float, float] = (NO_VERSION, 0.0, 0.0)
         """Configuration version, overshoot and slack that the cached limits were computed from."""
@@ -62,7 +64,7 @@
 
     def limit_for(self, service: str) -> ColdLimit | None:
         """Return the limit of a service; None if it has none or no configuration is known."""
-        table = self._config.table
+        table = self._config_holder.table
         if table is None:
             return None
         overshoot, slack = self._overshoot_and_slack()
@@ -103,7 +105,7 @@
     def __init__(
         self,
         settings: Callable[[], GatewaySettings],
-        config: ConfigHolder,
+        config_holder: ConfigHolder,
         replicas: ReplicaTable,
         control: ControlTopic,
         transport: PeerTransport,
@@ -115,7 +117,7 @@
 
         Args:
             settings: returns the current settings, which may be reloaded.
-            config: the active configuration.
+            config_holder: the active configuration.
             replicas: the known replicas and this daemon's permits for them.
             control: the control topic, whose leader issues permits.
             transport: sends permit requests to other daemons.
@@ -126,7 +128,9 @@
         self._replicas = replicas
         self._log_age_s = log_age_s
         self._decisions = decisions
-        self._limits = ColdRateLimits(config, lambda: (settings().cold_overshoot, settings().cold_slack))
+        self._limits = ColdRateLimits(
+            config_holder, lambda: (settings().cold_overshoot, settings().cold_slack)
+        )
         replicas.cold_replicas.limit_of = self._limits.limit_for
         self._issuer = PermitIssuer(
             control.leadership,
--- a/passgate/daemon/gateway_daemon.py
+++ b/passgate/daemon/gateway_daemon.py
@@ -109,9 +109,9 @@
         self.metrics = GatewayMetrics()
         self.decisions = DecisionLog(settings.daemon_id, observe=self.metrics.observe)
         log = InstrumentedLog(log, self.metrics.count_log_call)
-        self.config = ConfigHolder(settings.topology)
+        self.config_holder = ConfigHolder(settings.topology)
         self.evacuated_zones = EvacuatedZones(self.decisions)
-        self.replicas = make_replica_table(settings, self.config, self.evacuated_zones, self.metrics)
+        self.replicas = make_replica_table(settings, self.config_holder, self.evacuated_zones, self.metrics)
         self.target_versions = TargetVersions(self.decisions)
         self._discovery = Discovery(
             log,
@@ -132,7 +132,12 @@
         )
         replica_client = ReplicaClient(http, self.replicas, header_names, self._crash_quarantine.guard)
         runner_factory = JobRunnerFactory(
-            replica_client, self.replicas, header_names, self.config, self.decisions, self.evacuated_zones
+            replica_client,
+            self.replicas,
+            header_names,
+            self.config_holder,
+            self.decisions,
+            self.evacuated_zones,
         )
         self._peer_transport = peer_transport
         member = member_name(settings.daemon_id, peer_transport.address, settings.cores)
@@ -180,7 +185,7 @@
                 peer_transport,
                 self._group_directory,
                 self.decisions,
-                config=self.config,
+                config_holder=self.config_holder,
                 replicas=self.replicas,
                 evacuated_zones=self.evacuated_zones,
                 member=member,
@@ -189,7 +194,7 @@
         self._configuration_poller = PeerConfigurationPoller(
             peer_transport,
             lambda: self._group_directory.other_members(member),
-            self.config,
+            self.config_holder,
             self.evacuated_zones,
             self._log_age_s,
             self.apply_configuration,
@@ -197,7 +202,7 @@
         )
         self.cold_permits = ColdPermitService(
             lambda: self.settings,
-            self.config,
+            self.config_holder,
             self.replicas,
             control=self._control_topic,
             transport=peer_transport,
@@ -213,17 +218,17 @@
         reports_usage = settings.duties is not None and settings.duties.usage
         usage_meter = self._duties.meter if self._duties is not None and reports_usage else None
         self.forwarder = Forwarder(
-            replica_client, self.replicas, header_names, self.decisions, self.config, usage_meter
+            replica_client, self.replicas, header_names, self.decisions, self.config_holder, usage_meter
         )
         self.stream_forwarder = StreamForwarder(
-            replica_client, self.replicas, header_names, self.decisions, self.config, usage_meter
+            replica_client, self.replicas, header_names, self.decisions, self.config_holder, usage_meter
         )
         self.job_partitions = make_job_partitions(
             log,
             settings,
             topics,
             writer,
-            config=self.config,
+            config_holder=self.config_holder,
             member=self._group_member,
             membership_policy=membership_policy,
             runner_factory=runner_factory,
@@ -263,7 +268,7 @@
         called before :meth:`run`, which creates the server on which the new limits are set.
         """
         try:
-            newer = self.config.apply_if_newer(config)
+            newer = self.config_holder.apply_if_newer(config)
         except InvalidConfiguration as error:
             self.decisions.write(ConfigurationRejected(version=config.version, reason=str(error)))
             return
@@ -300,7 +305,9 @@
 
     def _has_initial_state(self) -> bool:
         """Whether the configuration, the replicas and the crash reports have been read once."""
-        return self.config.table is not None and self._discovery.loaded and self._crash_quarantine.loaded
+        return (
+            self.config_holder.table is not None and self._discovery.loaded and self._crash_quarantine.loaded
+        )
 
     @property
     def _operator_topic_freshness(self) -> Freshness:
@@ -400,7 +407,7 @@
 
     async def _run_when_configured(self) -> None:
         """Wait for the first configuration, then run everything that depends on one, until cancelled."""
-        while self.config.table is None:
+        while self.config_holder.table is None:
             await asyncio.sleep(CONFIGURATION_POLL_S)
         async with asyncio.TaskGroup() as group:
             group.create_task(self._group_member.run())
--- a/passgate/daemon/job_partitions.py
+++ b/passgate/daemon/job_partitions.py
@@ -20,7 +20,7 @@
     settings: GatewaySettings,
     topics: LogTopics,
     writer: str,
-    config: ConfigHolder,
+    config_holder: ConfigHolder,
     member: GroupMember,
     membership_policy: GroupMembershipPolicy,
     runner_factory: JobRunnerFactory,
@@ -34,7 +34,7 @@
         settings: the daemon's settings.
         topics: names of the topics.
         writer: name under which this incarnation of the daemon writes to the log.
-        config: the active configuration.
+        config_holder: the active configuration.
         member: the daemon's membership in the group that watches partitions.
         membership_policy: decides whether this daemon may take ownership of new jobs.
         runner_factory: creates the runners of jobs.
@@ -51,11 +51,11 @@
     )
     bodies = RestrictedBodies(
         log,
-        config.send_context_for,
+        config_holder.send_context_for,
         settings.topology,
         partition_settings,
         decisions,
-        config.item_time_to_live_s,
+        config_holder.item_time_to_live_s,
     )
     return JobPartitions(
         log,
--- a/passgate/daemon/job_runner_factory.py
+++ b/passgate/daemon/job_runner_factory.py
@@ -30,7 +30,7 @@
         replica_client: ReplicaClient,
         replicas: ReplicaTable,
         header_names: HeaderNames,
-        config: ConfigHolder,
+        config_holder: ConfigHolder,
         decisions: DecisionLog,
         evacuated_zones: Container[str],
     ) -> None:
@@ -40,22 +40,22 @@
             replica_client: sends requests to replicas.
             replicas: the known replicas.
             header_names: names of the platform's HTTP headers.
-            config: the active configuration.
+            config_holder: the active configuration.
             decisions: decision log.
             evacuated_zones: the zones that are being evacuated.
         """
         self._replica_client = replica_client
         self._replicas = replicas
         self._header_names = header_names
-        self._config = config
+        self._config_holder = config_holder
         self._decisions = decisions
         self._evacuated_zones = evacuated_zones
         self._wait_queues = WaitQueues()
         self._output_durations = OutputDurations()
         self._stall_detector = StallDetector()
         self._reward_context = RewardCallContext(
-            find_route=config.find_route,
-            find_send_context=config.send_context_for,
+            find_route=config_holder.find_route,
+            find_send_context=config_holder.send_context_for,
             replica_client=replica_client,
             replicas=replicas,
             header_names=header_names,
@@ -73,7 +73,7 @@
             job: the job.
         """
         spec = job.spec()
-        route = self._config.find_route(spec.host, spec.path)
+        route = self._config_holder.find_route(spec.host, spec.path)
         if route is None:
             return None
         context = ItemRunContext(
@@ -86,7 +86,7 @@
             durations=self._output_durations,
             reward_context=self._reward_context,
             stall_detector=self._stall_detector,
-            find_send_context=self._config.send_context_for,
+            find_send_context=self._config_holder.send_context_for,
             group_affinity=GroupAffinity(self._replicas, self._evacuated_zones),
         )
         return JobRunner(job, projection, journal, context)
--- a/passgate/daemon/replica_table.py
+++ b/passgate/daemon/replica_table.py
@@ -13,7 +13,10 @@
 
 
 def make_replica_table(
-    settings: GatewaySettings, config: ConfigHolder, evacuated_zones: EvacuatedZones, metrics: GatewayMetrics
+    settings: GatewaySettings,
+    config_holder: ConfigHolder,
+    evacuated_zones: EvacuatedZones,
+    metrics: GatewayMetrics,
 ) -> ReplicaTable:
     """Return an empty table with the rules for regions, evacuated zones and unknown services.
 
@@ -26,6 +29,6 @@
     )
     replicas.send_rules.add(RegionRule(settings.topology, metrics.count_region_send))
     replicas.send_rules.add(EvacuationRule(evacuated_zones))
-    replicas.send_rules.add(KnownServiceRule(config.has_service))
+    replicas.send_rules.add(KnownServiceRule(config_holder.has_service))
     metrics.register_exclusions(replicas.send_rules.exclusion_counts)
     return replicas
--- a/passgate/duties/scaler.py
+++ b/passgate/duties/scaler.py
@@ -54,7 +54,7 @@
         leadership: Leadership,
         client: DutyClient,
         rate_limiter: CallRateLimiter,
-        config: ConfigHolder,
+        config_holder: ConfigHolder,
         replicas: ReplicaTable,
         newest_demand_by_model: Mapping[str, WeightDemand],
         decisions: DecisionLog,
@@ -70,7 +70,7 @@
             leadership: says whether this daemon may send orders.
             client: client for the platform.
             rate_limiter: rate limit of the calls of all duties.
-            config: the active configuration, which sets the limits.
+            config_holder: the active configuration, which sets the limits.
             replicas: the replicas that are present.
             newest_demand_by_model: model to what its newest job requires.
             decisions: decision log.
@@ -82,7 +82,7 @@
         self._leadership = leadership
         self._client = client
         self._rate_limiter = rate_limiter
-        self._config = config
+        self._config_holder = config_holder
         self._replicas = replicas
         self._newest_demand_by_model = newest_demand_by_model
         self._decisions = decisions
@@ -99,7 +99,7 @@
                 await self._send_unanswered_orders()
 
     def _decide_services(self) -> None:
-        table = self._config.table
+        table = self._config_holder.table
         services = table.config.services if table is not None else ()
         for service in services:
             if service.scaling is not None:
--- a/passgate/duties/service.py
+++ b/passgate/duties/service.py
@@ -43,7 +43,7 @@
         directory: GroupDirectory,
         decisions: DecisionLog,
         *,
-        config: ConfigHolder,
+        config_holder: ConfigHolder,
         replicas: ReplicaTable,
         evacuated_zones: Container[str],
         member: str,
@@ -59,7 +59,7 @@
             transport: carries requests to other daemons.
             directory: the daemons that watch partitions in this zone.
             decisions: decision log.
-            config: the active configuration.
+            config_holder: the active configuration.
             replicas: the replicas that are present.
             evacuated_zones: zones in which no replica counts and none is ordered.
             member: this daemon's name in the directory.
@@ -95,7 +95,7 @@
                 control.leadership,
                 client,
                 rate_limiter,
-                config,
+                config_holder,
                 replicas,
                 control.leadership_projection.newest_demand_by_model,
                 decisions,
--- a/passgate/gateway/forwarder.py
+++ b/passgate/gateway/forwarder.py
@@ -48,7 +48,7 @@
 class _RunningAttempt(msgspec.Struct, frozen=True, kw_only=True):
     """One attempt whose result is not collected yet."""
 
-    replica: ReplicaIncarnation
+    incarnation: ReplicaIncarnation
     sent_loop_s: float
     """Loop time at which it was sent."""
     sent_wall_s: float
@@ -139,7 +139,7 @@
         self._record_sent(forwarding, state)
         call = self._replica_client.fetch(state, self._replica_request(forwarding))
         running[asyncio.get_running_loop().create_task(call)] = _RunningAttempt(
-            replica=state.incarnation, sent_loop_s=monotonic_s(), sent_wall_s=self._usage_wall_s()
+            incarnation=state.incarnation, sent_loop_s=monotonic_s(), sent_wall_s=self._usage_wall_s()
         )
 
     async def _wait_for_attempts(self, forwarding: ForwardedRequest, running: RunningAttempts) -> None:
@@ -166,7 +166,7 @@
                 results.fallback_answer = answer
                 forwarding.may_have_run = True
             elif isinstance(error, PassgateError):
-                self._record_failed_attempt(forwarding, attempt.replica, error, attempt.sent_loop_s)
+                self._record_failed_attempt(forwarding, attempt.incarnation, error, attempt.sent_loop_s)
                 results.last_error = error
             else:
                 raise error
--- a/passgate/gateway/forwarder_base.py
+++ b/passgate/gateway/forwarder_base.py
@@ -114,11 +114,11 @@
         replicas: ReplicaTable,
         header_names: HeaderNames,
         decisions: DecisionLog,
-        config: ConfigHolder,
+        config_holder: ConfigHolder,
         usage: UsageRecorder | None = None,
     ) -> None:
         self._usage = usage
-        self._config = config
+        self._config_holder = config_holder
         self._replica_client = replica_client
         self._replicas = replicas
         self._header_names = header_names
@@ -130,7 +130,7 @@
         return ForwardedRequest(
             request=request,
             caller=caller,
-            configuration_version=self._config.version,
+            configuration_version=self._config_holder.version,
             route=route,
             service=self._service_picker.pick(route),
             request_id=request.header(self._header_names.request_id),
@@ -144,7 +144,7 @@
 
         Called before each attempt, as a key that is revoked while its request waits must not start a run.
         """
-        table = self._config.table
+        table = self._config_holder.table
         if table is None or table.config.version == forwarding.configuration_version:
             return
         table.api_key_index.authenticate(forwarding.request.headers, public=forwarding.route.public)
@@ -174,7 +174,7 @@
         """Return the request's region restriction by the active configuration, which may have changed."""
         request, tenant = forwarding.request, forwarding.caller.tenant
         accepted_regions = forwarding.route.allowed_regions
-        return self._config.send_context_for(request.host, request.path, tenant, accepted_regions)
+        return self._config_holder.send_context_for(request.host, request.path, tenant, accepted_regions)
 
     def _check_regions(self, forwarding: ForwardedRequest) -> None:
         """Raise NoRegionAllowed if the request has not run and no region may serve it."""
@@ -234,7 +234,7 @@
     def _record_failed_attempt(
         self,
         forwarding: ForwardedRequest,
-        replica: ReplicaIncarnation,
+        incarnation: ReplicaIncarnation,
         error: PassgateError,
         started_s: float,
     ) -> None:
@@ -245,7 +245,7 @@
             AttemptFailed(
                 request_id=forwarding.request_id,
                 route=forwarding.route.name,
-                replica_id=replica.replica_id,
+                replica_id=incarnation.replica_id,
                 fingerprint=forwarding.identity.fingerprint(),
                 reason=error.code,
                 execution=error.execution.value,
--- a/passgate/gateway/replica_client.py
+++ b/passgate/gateway/replica_client.py
@@ -104,7 +104,7 @@
     status: int
     headers: tuple[tuple[str, str], ...]
     body: bytes
-    replica: ReplicaIncarnation
+    incarnation: ReplicaIncarnation
 
     def header(self, name: str) -> str:
         """Return the value of the first header of a name, in any case, or ""."""
@@ -322,7 +322,7 @@
             status=status,
             headers=tuple(self._transfer.headers.get_all()),
             body=answer.body,
-            replica=self.incarnation,
+            incarnation=self.incarnation,
         )
 
     def record_success(self) -> None:
--- a/passgate/jobs/group_affinity.py
+++ b/passgate/jobs/group_affinity.py
@@ -28,13 +28,13 @@
         """Return the preferred replica of a group, or None."""
         return self._replica_by_group.get(group)
 
-    def record_send(self, group: str, replica: ReplicaIncarnation) -> None:
+    def record_send(self, group: str, incarnation: ReplicaIncarnation) -> None:
         """Prefer the replica that an item of the group was sent to."""
-        self._replica_by_group[group] = replica
+        self._replica_by_group[group] = incarnation
 
-    def record_refusal(self, group: str, replica: ReplicaIncarnation) -> None:
+    def record_refusal(self, group: str, incarnation: ReplicaIncarnation) -> None:
         """Drop the preference for a replica that refused an item of the group."""
-        if self.replica_of(group) == replica:
+        if self.replica_of(group) == incarnation:
             del self._replica_by_group[group]
 
     def choose_preferred(self, group: str, query: ReplicaQuery, now_s: float) -> ReplicaIncarnation | None:
--- a/passgate/jobs/item_run.py
+++ b/passgate/jobs/item_run.py
@@ -70,13 +70,13 @@
     """Returns the restrictions on a request, from its host, path, tenant and the regions allowed earlier."""
     group_affinity: GroupAffinity
 
-    def send_context_of(self, job: JobSpec) -> SendContext:
+    def send_context_of(self, spec: JobSpec) -> SendContext:
         """Return the restrictions on a job's items by the active configuration."""
-        return self.find_send_context(job.host, job.path, job.tenant, self.route.allowed_regions)
+        return self.find_send_context(spec.host, spec.path, spec.tenant, self.route.allowed_regions)
 
-    def queue_key(self, job: JobSpec) -> QueueKey:
+    def queue_key(self, spec: JobSpec) -> QueueKey:
         """Return the queue of a job's items; a new configuration may change it with the allowed regions."""
-        return QueueKey(model=job.model, regions=self.send_context_of(job).allowed_regions)
+        return QueueKey(model=spec.model, regions=self.send_context_of(spec).allowed_regions)
 
     def expected_tokens(self, item: ItemSpec) -> float:
         """Return the caller's estimate of the output's length in tokens, or 0 without a valid one."""
@@ -92,7 +92,7 @@
 
     def __init__(
         self,
-        job: JobSpec,
+        spec: JobSpec,
         item: ItemSpec,
         context: ItemRunContext,
         recorded_events: RecordedEvents | None,
@@ -106,7 +106,7 @@
         self._rank = rank
         self.started_s = monotonic_s()
         self.attempts = 0
-        self._job = job
+        self._spec = spec
         self._context = context
         self._stream = EventStream(context.header_names.weight_versions)
         usable_events = (
@@ -118,7 +118,7 @@
         """Loop time at which the last attempt was sent."""
         if usable_events is not None:
             self._stream.resume_after(usable_events)
-        self.checkpointer = ItemCheckpointer(job.job_id, item.id, self._stream, usable_events)
+        self.checkpointer = ItemCheckpointer(spec.job_id, item.id, self._stream, usable_events)
         self._error_answers = 0
         """Answers of status 500, over all attempts."""
         self._moved_for_length = False
@@ -133,11 +133,11 @@
         """Whether the run may resume after recorded events: all were made by accepted weights."""
         if not recorded_events.data or self._context.route.single_version:
             return False
-        return min(recorded_events.versions) >= self._job.min_version
+        return min(recorded_events.versions) >= self._spec.min_version
 
     async def wait_for_replica(self) -> None:
         """Wait in the queue until a replica has a free slot for the item, and reserve it."""
-        while (state := await self._wait_in_queue(self._context.queue_key(self._job))) is None:
+        while (state := await self._wait_in_queue(self._context.queue_key(self._spec))) is None:
             pass  # a new configuration has moved the item to another queue
         self._reserve_slot(state)
 
@@ -158,7 +158,7 @@
     async def _wait_in_queue(self, queue_key: QueueKey) -> ReplicaState | None:
         """Wait in a queue for a replica with a free slot; return None once another queue is the right one."""
         with self._context.wait_queues.queued(queue_key, self._rank):
-            while self._context.queue_key(self._job) == queue_key:
+            while self._context.queue_key(self._spec) == queue_key:
                 if (
                     self._context.wait_queues.is_first(queue_key, self._rank)
                     and (state := self._choose_replica()) is not None
@@ -185,10 +185,10 @@
             excluded=self._crash_guard.excluded_replicas(self._identity)
             | replicas_to_avoid
             | avoided_replicas,
-            model=self._job.model,
-            min_version=self._job.min_version,
+            model=self._spec.model,
+            min_version=self._spec.min_version,
             load_below=FULL_LOAD,
-            send_context=self._context.send_context_of(self._job),
+            send_context=self._context.send_context_of(self._spec),
         )
         preferred = self._context.group_affinity.choose_preferred(self.item.group, query, monotonic_s())
         return msgspec.structs.replace(query, preferred=preferred)
@@ -253,7 +253,7 @@
             return
         fingerprint = self._identity.fingerprint()
         self._context.decisions.write(
-            ItemQuarantined(job_id=self._job.job_id, item_id=self.item.id, fingerprint=fingerprint)
+            ItemQuarantined(job_id=self._spec.job_id, item_id=self.item.id, fingerprint=fingerprint)
         )
         await self._crash_guard.wait_until_released(self._identity)
 
@@ -267,16 +267,16 @@
             await asyncio.sleep(RETRY_PAUSE_S)
         return None
 
-    def _record_failure(self, replica: ReplicaIncarnation, error: PassgateError) -> None:
-        self._avoided_replica = replica
+    def _record_failure(self, incarnation: ReplicaIncarnation, error: PassgateError) -> None:
+        self._avoided_replica = incarnation
         self._job_timing.failure_count_by_code[error.code] += 1
         if isinstance(error, BackendRefused):
-            self._context.group_affinity.record_refusal(self.item.group, replica)
+            self._context.group_affinity.record_refusal(self.item.group, incarnation)
         self._context.decisions.write(
             ItemFailed(
-                job_id=self._job.job_id,
+                job_id=self._spec.job_id,
                 item_id=self.item.id,
-                replica_id=replica.replica_id,
+                replica_id=incarnation.replica_id,
                 reason=f"{error.code}: {error}",
                 events_kept=self._stream.event_count,
             )
@@ -291,7 +291,7 @@
         self._context.group_affinity.record_send(self.item.group, attempt.incarnation)
         self._context.decisions.write(
             ItemSent(
-                job_id=self._job.job_id,
+                job_id=self._spec.job_id,
                 item_id=self.item.id,
                 replica_id=attempt.incarnation.replica_id,
                 attempt=self.attempts,
@@ -348,19 +348,19 @@
             request_id=self.item.id,
             method="POST",
             path=self.item.path,
-            host=self._job.host,
+            host=self._spec.host,
             headers=tuple(headers),
             body=self.item.body,
             deadline_s=monotonic_s() + ATTEMPT_DEADLINE_S,
             priority=self._priority,
-            tenant=self._job.tenant,
+            tenant=self._spec.tenant,
             crash_limit=ITEM_CRASH_LIMIT,
-            send_context=self._context.send_context_of(self._job),
+            send_context=self._context.send_context_of(self._spec),
         )
 
     @property
     def _priority(self) -> int:
-        return self._context.route.priority if self._job.priority is None else self._job.priority
+        return self._context.route.priority if self._spec.priority is None else self._spec.priority
 
     def _handle_error_status(self, status: int) -> Result | None:
         """Return the result DEAD if a status allows no further attempt; else raise IncompleteAnswer."""
@@ -377,25 +377,25 @@
         version_header = attempt.headers.get(self._context.header_names.weight_versions, "")
         version = int(version_header) if version_header.isdigit() else None
         if version is not None:
-            attempt.record_weight_version(self._job.model, version)
-            if version < self._job.min_version:
+            attempt.record_weight_version(self._spec.model, version)
+            if version < self._spec.min_version:
                 raise VersionTooOld("replica holds an older version", version=version)
         self._stream.begin_attempt(version)
 
     async def _read_events(self, attempt: ReplicaAttempt) -> None:
-        stall_detector, replica = self._context.stall_detector, attempt.incarnation
+        stall_detector, incarnation = self._context.stall_detector, attempt.incarnation
         limit_s = FIRST_BYTES_LIMIT_S
         last_data_s: float | None = None
         events_before_attempt = self._stream.event_count
         while True:
-            data = await stall_detector.wait_for(replica, attempt.read, limit_s)
+            data = await stall_detector.wait_for(incarnation, attempt.read, limit_s)
             if not data:
                 break
             limit_s = silence_limit_s(attempt.expected_event_interval_s)
             count_before = self._stream.event_count
             self._stream.feed(data)
             now_s = monotonic_s()
-            stall_detector.record_data(replica, now_s)
+            stall_detector.record_data(incarnation, now_s)
             if self._stream.event_count > count_before:
                 self._item_times.record_events(now_s, self._stream.event_count - count_before)
             if last_data_s is not None and self._stream.event_count > count_before:
@@ -406,7 +406,7 @@
             self._move_if_slow(attempt, self._stream.event_count - events_before_attempt, now_s)
         if self._stream.has_partial_event or not attempt.is_complete:
             raise IncompleteAnswer("the stream broke off")
-        if any(version < self._job.min_version for version in self._stream.versions):
+        if any(version < self._spec.min_version for version in self._stream.versions):
             self._stream.discard_events()
             self.checkpointer.start_new_run()
             raise VersionTooOld("an event was made by an older version")
--- a/passgate/jobs/peers.py
+++ b/passgate/jobs/peers.py
@@ -67,7 +67,7 @@
 
 
 class AliveRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """Asks which incarnation of a daemon runs at an address; the reply is an :class:`AliveResponse`."""
+    """Asks which incarnation of a daemon runs at an address; the response is an :class:`AliveResponse`."""
 
     partition: int = msgspec.field(name="part")
     """Partition about whose jobs the caller has to decide."""
@@ -110,7 +110,7 @@
 
 
 class ReadResultsRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """Asks for results of a job from a position on; the reply is a page of results."""
+    """Asks for results of a job from a position on; the response is a page of results."""
 
     host: str
     job_id: str
@@ -122,7 +122,7 @@
 
 
 class ReadBodyRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """Asks for the body of an item; the reply is the body itself."""
+    """Asks for the body of an item; the response is the body itself."""
 
     host: str
     job_id: str
--- a/passgate/jobs/reward_call.py
+++ b/passgate/jobs/reward_call.py
@@ -230,28 +230,28 @@
         Raises AnswerMismatch for the answer of another request, and IncompleteAnswer otherwise.
         """
         if answer.header(self._context.header_names.request_id) != self._spec.id:
-            raise AnswerMismatch("answer of another request", replica=answer.replica.to_text())
+            raise AnswerMismatch("answer of another request", replica=answer.incarnation.to_text())
         if answer.status == HTTP_INTERNAL_SERVER_ERROR:
             self._error_answers += 1
-            self._write_failure(answer.replica, "the replica answered 500")
-            self._avoided_replica = answer.replica
+            self._write_failure(answer.incarnation, "the replica answered 500")
+            self._avoided_replica = answer.incarnation
             return ""
         stamp = answer.header(self._context.header_names.replica_stamp)
         if MIN_SUCCESS_STATUS <= answer.status < MIN_REDIRECT_STATUS and stamp:
             return stamp
         raise IncompleteAnswer(f"replica answered {answer.status}", execution=ExecutionStatus.RAN)
 
-    def _record_failure(self, replica: ReplicaIncarnation, error: PassgateError) -> None:
-        self._avoided_replica = replica
-        self._write_failure(replica, f"{error.code}: {error}")
+    def _record_failure(self, incarnation: ReplicaIncarnation, error: PassgateError) -> None:
+        self._avoided_replica = incarnation
+        self._write_failure(incarnation, f"{error.code}: {error}")
 
-    def _write_failure(self, replica: ReplicaIncarnation, reason: str) -> None:
+    def _write_failure(self, incarnation: ReplicaIncarnation, reason: str) -> None:
         self._context.decisions.write(
             RewardFailed(
                 job_id=self._job_id,
                 item_id=self._item_id,
                 request_id=self._spec.id,
-                replica_id=replica.replica_id,
+                replica_id=incarnation.replica_id,
                 reason=reason,
                 failures=self._error_answers,
             )
--- a/passgate/jobs/stall_detector.py
+++ b/passgate/jobs/stall_detector.py
@@ -51,25 +51,28 @@
     def __init__(self) -> None:
         self._last_data_s_by_replica: dict[ReplicaIncarnation, float] = {}
 
-    def record_data(self, replica: ReplicaIncarnation, now_s: float) -> None:
+    def record_data(self, incarnation: ReplicaIncarnation, now_s: float) -> None:
         """Record that bytes of a replica's stream were received."""
-        if len(self._last_data_s_by_replica) >= MAX_REPLICAS and replica not in self._last_data_s_by_replica:
+        if (
+            len(self._last_data_s_by_replica) >= MAX_REPLICAS
+            and incarnation not in self._last_data_s_by_replica
+        ):
             self._last_data_s_by_replica.clear()  # live streams deliver data again within a second
-        self._last_data_s_by_replica[replica] = now_s
+        self._last_data_s_by_replica[incarnation] = now_s
 
-    def seems_stalled(self, replica: ReplicaIncarnation, since_s: float) -> bool:
+    def seems_stalled(self, incarnation: ReplicaIncarnation, since_s: float) -> bool:
         """Whether a replica has sent nothing since a loop time, while another one has sent something."""
-        if self._last_data_s_by_replica.get(replica, NEVER_S) > since_s:
+        if self._last_data_s_by_replica.get(incarnation, NEVER_S) > since_s:
             return False
         return any(data_s > since_s for data_s in self._last_data_s_by_replica.values())
 
     async def wait_for(
-        self, replica: ReplicaIncarnation, read: Callable[[], Coroutine[Any, Any, T]], limit_s: float
+        self, incarnation: ReplicaIncarnation, read: Callable[[], Coroutine[Any, Any, T]], limit_s: float
     ) -> T:
         """Wait for the next part of a replica's answer; raises TimeoutError once the stream has stalled.
 
         Args:
-            replica: the replica's incarnation.
+            incarnation: the replica's incarnation.
             read: returns a coroutine that waits for the part; it may be cancelled and called again
                 without losing data.
             limit_s: limit for the silence; exceeding it counts only while another replica sends
@@ -88,6 +91,6 @@
                         now_s  # the loop was blocked: data that arrived meanwhile was not read yet
                     )
                 elif now_s - silent_since_s >= MAX_SILENCE_LIMIT_S or self.seems_stalled(
-                    replica, silent_since_s
+                    incarnation, silent_since_s
                 ):
                     raise
--- a/passgate/platform/http_api.py
+++ b/passgate/platform/http_api.py
@@ -71,7 +71,7 @@
 
     def _usable_routes(self) -> RouteTable:
         """Return the routes; raises NotReady without a configuration, or with one that is too old to use."""
-        table = self._daemon.config.table
+        table = self._daemon.config_holder.table
         if table is None:
             raise NotReady("no configuration was received yet", execution=ExecutionStatus.NOT_RUN)
         if self._daemon.configuration_expired:
@@ -102,7 +102,7 @@
                 path=request.path[:LOGGED_PATH_CHARACTERS],
                 status=status,
                 reason=reason,
-                configuration_version=self._daemon.config.version,
+                configuration_version=self._daemon.config_holder.version,
             )
         )
 
--- a/passgate/versions/load_crashes.py
+++ b/passgate/versions/load_crashes.py
@@ -21,8 +21,8 @@
 class LoadCrashGuard:
     """Crash guard for load orders; its reports are shared by all daemons."""
 
-    def __init__(self, guard: CrashGuard, replicas: ReplicaTable, decisions: DecisionLog) -> None:
-        self._guard = guard
+    def __init__(self, crash_guard: CrashGuard, replicas: ReplicaTable, decisions: DecisionLog) -> None:
+        self._crash_guard = crash_guard
         self._replicas = replicas
         self._decisions = decisions
         self._logged_suspensions: set[tuple[str, int]] = set()
@@ -30,7 +30,7 @@
 
     def update_suspension(self, model: str, version: int) -> bool:
         """Return whether loads of a version are suspended, and log a change of that."""
-        is_suspended = self._guard.is_quarantined(
+        is_suspended = self._crash_guard.is_quarantined(
             _load_identity(model, version)
         ) and not self._is_loaded_anywhere(model, version)
         if is_suspended != ((model, version) in self._logged_suspensions):
@@ -40,14 +40,14 @@
 
     def must_load_alone(self, model: str, version: int) -> bool:
         """Return whether only one replica at a time may load a version, as it may have crashed replicas."""
-        return self._guard.is_suspect(_load_identity(model, version)) and not self._is_loaded_anywhere(
+        return self._crash_guard.is_suspect(_load_identity(model, version)) and not self._is_loaded_anywhere(
             model, version
         )
 
     def check_for_crash(self, state: ReplicaState, model: str, version: int) -> None:
         """Start a check whether a replica crashed under a load order, unless it was draining and may exit."""
         if not state.info.draining:
-            self._guard.start_probe(_load_identity(model, version), _replica_endpoint(state))
+            self._crash_guard.start_probe(_load_identity(model, version), _replica_endpoint(state))
 
     def report_if_replaced(self, state: ReplicaState, model: str, version: int) -> bool:
         """Return whether another replica uses a replica's address; report a crash unless it was draining."""
@@ -55,12 +55,12 @@
         if not any(other.info.address == address for other in self._replicas.all() if other is not state):
             return False
         if not state.info.draining:
-            self._guard.record_crash(_load_identity(model, version), _replica_endpoint(state))
+            self._crash_guard.record_crash(_load_identity(model, version), _replica_endpoint(state))
         return True
 
     def record_loaded(self, state: ReplicaState, model: str, version: int) -> None:
         """Record that a replica has loaded a version, which clears the version's crash reports."""
-        self._guard.record_success(_load_identity(model, version), state.info.service)
+        self._crash_guard.record_success(_load_identity(model, version), state.info.service)
 
     def _is_loaded_anywhere(self, model: str, version: int) -> bool:
         return any(state.weight_version(model) >= version for state in self._replicas.all())
--- a/tests/job_daemons.py
+++ b/tests/job_daemons.py
@@ -86,8 +86,10 @@
 class Daemon:
     """The job service of a daemon with its log followers and group membership; only runners are fake."""
 
-    def __init__(self, log, name, incarnation=0, zone="a", cores=2.0, config=None, region_by_zone=None):
-        """Create a daemon; ``config`` restricts the regions of jobs, if given."""
+    def __init__(
+        self, log, name, incarnation=0, zone="a", cores=2.0, config_holder=None, region_by_zone=None
+    ):
+        """Create a daemon; ``config_holder`` restricts the regions of jobs, if given."""
         self.zone = zone
         self.client = log.client(name)
         self.network = network_by_log.setdefault(log, MemoryNetwork(random.Random(1)))
@@ -104,10 +106,12 @@
         self.directory = directory = GroupDirectory(self.client, f"watch.{zone}", "jobs", membership_policy)
         topology = Topology(zone=zone, region_by_zone=region_by_zone or {})
         distances = ZoneDistances(topology)
-        self.elsewhere = elsewhere = OtherZoneDirectories(
+        self.other_zones = other_zones = OtherZoneDirectories(
             self.client, "watch", "jobs", distances.other_zones_nearest_first, distances.fallback_zones
         )
-        self.peers = peers = JobPeerClient(self.transport, directory, member, decisions, distances, elsewhere)
+        self.peers = peers = JobPeerClient(
+            self.transport, directory, member, decisions, distances, other_zones
+        )
         self.journal = Journal(self.client, "control", 0, self.name, **sizes)
         self.control = ControlTopic(
             self.client,
@@ -137,13 +141,13 @@
             log_answers=self.member.is_log_responding,
             restricted_bodies=RestrictedBodies(
                 self.client,
-                config.send_context_for,
+                config_holder.send_context_for,
                 topology,
                 settings,
                 decisions,
-                config.item_time_to_live_s,
+                config_holder.item_time_to_live_s,
             )
-            if config
+            if config_holder
             else None,
         )
         settings = TailSettings(topic="keyed.op", gap_s=0.05)
@@ -171,7 +175,7 @@
             self.control.run(),
             self.job_partitions.run(),
             self.directory.keep_fresh(),
-            self.elsewhere.keep_fresh(),
+            self.other_zones.keep_fresh(),
             self.operator_tail.run(),
         )
         self.tasks = [loop.create_task(part) for part in parts]
@@ -199,8 +203,8 @@
         except NotReady:
             return None
         assert page.next_position == len(page.results)
-        whole = page.next_position == page.total
-        return whole, [(result.item_id, result.text) for result in page.results]
+        complete = page.next_position == page.total
+        return complete, [(result.item_id, result.text) for result in page.results]
 
 
 def job_spec(job_id, count=4, host=HOST):
--- a/tests/test_duties_scaling.py
+++ b/tests/test_duties_scaling.py
@@ -91,9 +91,9 @@
         decisions = DecisionLog(name, write=len)
         self.scaling_projection = ScalingProjection()
         self.replicas = ReplicaTable(Topology(zone="a"), seed=1)
-        self.evacuated = EvacuatedZones(decisions)
-        config = ConfigHolder()
-        config.apply_if_newer(GatewayConfig(version=1, services=(Service(name="llm", scaling=RULE),)))
+        self.evacuated_zones = EvacuatedZones(decisions)
+        config_holder = ConfigHolder()
+        config_holder.apply_if_newer(GatewayConfig(version=1, services=(Service(name="llm", scaling=RULE),)))
         journal = Journal(client, "control", 0, writer, **JOURNAL_LIMITS)
         self.control = ControlTopic(
             client,
@@ -110,11 +110,11 @@
             self.control.leadership,
             platform,
             CallRateLimiter(40.0),
-            config,
+            config_holder,
             self.replicas,
             self.control.leadership_projection.newest_demand_by_model,
             decisions,
-            evacuated_zones=self.evacuated,
+            evacuated_zones=self.evacuated_zones,
             daemon_id=name,
         )
         for zone in ("a", "b"):
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -140,9 +140,9 @@
         cut_off.cut_off_s = monotonic_s()
         for offset, zones in ((4, {"a"}), (5, {"b"}), (9, set())):
             for daemon in connected:
-                daemon.evacuated.apply_snapshot(zones, offset)
+                daemon.evacuated_zones.apply_snapshot(zones, offset)
             await asyncio.sleep(EVACUATION_S)
-            assert cut_off.evacuated.view == EvacuationView(offset=offset, zones=frozenset(zones))
+            assert cut_off.evacuated_zones.view == EvacuationView(offset=offset, zones=frozenset(zones))
             assert cut_off.peers.evacuations_age_s() < EVACUATION_S
         for task in tasks:
             task.cancel()
@@ -154,14 +154,14 @@
     async def main():
         _, daemons = peers.make_daemons(3)
         for daemon in daemons[1:]:
-            daemon.evacuated.apply_snapshot(set(), 3)
-        daemons[0].evacuated.apply_snapshot({"a"}, 4)
+            daemon.evacuated_zones.apply_snapshot(set(), 3)
+        daemons[0].evacuated_zones.apply_snapshot({"a"}, 4)
         daemons[0].cut_off_s = monotonic_s()
         task = daemons[0].start()
         for daemon in daemons[1:]:
             daemon.start()
         await asyncio.sleep(POLL_AFTER_S + 4.0)
-        assert "a" in daemons[0].evacuated
+        assert "a" in daemons[0].evacuated_zones
         assert daemons[0].peers.evacuations_age_s() > 4.0
         task.cancel()
 
@@ -285,14 +285,14 @@
     async def main():
         _, platform, daemons = scaling.start_daemons()
         for daemon in daemons:
-            daemon.evacuated.apply_snapshot({"b"}, 1)
+            daemon.evacuated_zones.apply_snapshot({"b"}, 1)
         await asyncio.sleep(2.0)
         scaling.submit_job(daemons[0], items=16)
         await asyncio.sleep(8.0)
         assert {(order.zone, order.count) for _, order in platform.calls} == {("a", 1)}
         scaling.submit_job(daemons[0], items=36)
         for daemon in daemons:
-            daemon.evacuated.apply_snapshot(set(), 2)
+            daemon.evacuated_zones.apply_snapshot(set(), 2)
         await asyncio.sleep(8.0)
         assert {order.zone for _, order in platform.calls} == {"a", "b"}
 
@@ -306,14 +306,14 @@
         scaling.submit_job(daemons[0], items=36)
         await asyncio.sleep(3.0)
         for daemon in daemons:
-            daemon.evacuated.apply_snapshot({"a", "b"}, 1)
+            daemon.evacuated_zones.apply_snapshot({"a", "b"}, 1)
         platform.unanswered_share = 0.0
         await asyncio.sleep(4.0)  # lets the platform execute earlier calls that it answers late
         platform.calls.clear()
         await asyncio.sleep(6.0)
         assert platform.calls == []
         for daemon in daemons:
-            daemon.evacuated.apply_snapshot(set(), 2)
+            daemon.evacuated_zones.apply_snapshot(set(), 2)
         await asyncio.sleep(6.0)
         assert {order.zone for _, order in platform.calls} == {"a", "b"}
 
--- a/tests/test_gateway_access.py
+++ b/tests/test_gateway_access.py
@@ -98,9 +98,9 @@
     ],
 )
 def test_a_configuration_with_invalid_tenants_is_rejected_and_the_active_one_stays(tenants):
-    holder = ConfigHolder()
-    holder.apply_if_newer(GatewayConfig(version=1, tenants=(ORCHARD,)))
+    config_holder = ConfigHolder()
+    config_holder.apply_if_newer(GatewayConfig(version=1, tenants=(ORCHARD,)))
     with pytest.raises(InvalidConfiguration):
-        holder.apply_if_newer(GatewayConfig(version=2, tenants=tenants))
-    assert holder.version == 1
-    assert holder.apply_if_newer(GatewayConfig(version=3, tenants=(MILL,)))
+        config_holder.apply_if_newer(GatewayConfig(version=2, tenants=tenants))
+    assert config_holder.version == 1
+    assert config_holder.apply_if_newer(GatewayConfig(version=3, tenants=(MILL,)))
--- a/tests/test_gateway_configuration_peers.py
+++ b/tests/test_gateway_configuration_peers.py
@@ -37,12 +37,12 @@
         self.config_holder = ConfigHolder()
         self.cut_off_s = None
         decisions = DecisionLog("d", write=len)
-        self.evacuated = EvacuatedZones(decisions)
+        self.evacuated_zones = EvacuatedZones(decisions)
         self.peers = PeerConfigurationPoller(
             self.transport,
             self.list_other_members,
             self.config_holder,
-            self.evacuated,
+            self.evacuated_zones,
             self.log_age_s,
             self.config_holder.apply_if_newer,
             decisions,
--- a/tests/test_jobs_daemons.py
+++ b/tests/test_jobs_daemons.py
@@ -143,8 +143,10 @@
         await asyncio.sleep(
             FOLLOW_AFTER_USE_S + 0.5
         )  # those that held the partition while the group formed read on
-        part = partition_of(HOST, 4)
-        followers = [daemon for daemon in daemons if daemon.job_partitions._get_or_create(part).is_current]
+        partition = partition_of(HOST, 4)
+        followers = [
+            daemon for daemon in daemons if daemon.job_partitions._get_or_create(partition).is_current
+        ]
         assert zones <= len(followers) <= zones + 1
         for daemon in daemons:
             await daemon.kill()
@@ -332,17 +334,19 @@
         await wait_until_complete(daemons, ["j"])
         fill_partition(log)
         await asyncio.sleep(FOLLOW_AFTER_USE_S + DIRECTORY_REFRESH_S)
-        part = partition_of(HOST, log.parts)
-        first = next(daemon for daemon in daemons if daemon.job_partitions.is_watcher_of(part))
+        partition = partition_of(HOST, log.parts)
+        first = next(daemon for daemon in daemons if daemon.job_partitions.is_watcher_of(partition))
         log.faults = SLOW_LOG
         log.groups.deal_anew()
-        while not any(daemon.job_partitions.is_watcher_of(part) for daemon in daemons if daemon is not first):
+        while not any(
+            daemon.job_partitions.is_watcher_of(partition) for daemon in daemons if daemon is not first
+        ):
             await asyncio.sleep(0.02)
         await asyncio.sleep(0.5)
         for daemon in daemons:
             page = await daemon.service.read_results(HOST, "j", 0, 0.0)
             assert len(page.results) == 4
-        watching = {daemon.name for daemon in daemons if daemon.job_partitions.is_watcher_of(part)}
+        watching = {daemon.name for daemon in daemons if daemon.job_partitions.is_watcher_of(partition)}
         following = {
             daemon.name for daemon in daemons if daemon.job_partitions.of_host(HOST).followed_tail.following
         }
@@ -375,11 +379,11 @@
         fill_partition(log)
         log.faults = SLOW_LOG
         daemons = [Daemon(log, f"d{number}", incarnation=1).start() for number in range(6)]
-        part = partition_of(HOST, log.parts)
+        partition = partition_of(HOST, log.parts)
         watched = set()
         asking = asyncio.get_running_loop().create_task(read_periodically(daemons))
         for _ in range(100):
-            watched.add(log.groups.owners("watch.a").get(("jobs", part), "").partition("~")[0])
+            watched.add(log.groups.owners("watch.a").get(("jobs", partition), "").partition("~")[0])
             await asyncio.sleep(0.02)
         asking.cancel()
         following = {
--- a/tests/test_jobs_regions.py
+++ b/tests/test_jobs_regions.py
@@ -56,11 +56,15 @@
 
     def __init__(self, log, *regions):
         self.log = log
-        self.config = ConfigHolder()
-        self.config.apply_if_newer(configuration(1, *regions))
+        self.config_holder = ConfigHolder()
+        self.config_holder.apply_if_newer(configuration(1, *regions))
         self.daemons = [
             Daemon(
-                log, f"d{number}{zone}", zone=zone, config=self.config, region_by_zone=REGION_BY_ZONE
+                log,
+                f"d{number}{zone}",
+                zone=zone,
+                config_holder=self.config_holder,
+                region_by_zone=REGION_BY_ZONE,
             ).start()
             for zone in REGION_BY_ZONE
             for number in (1, 2)
@@ -119,7 +123,9 @@
         assert await fleet.owner_region(f"j{number}") in {"b", "c"}
     await wait_until_complete(fleet.daemons, ["j0", "j1", "j2"])
     topic = bodies_topic("jobs", frozenset("bc"))
-    partitions_with_bodies = [part for part in range(fleet.log.parts) if fleet.log.partition(topic, part).end]
+    partitions_with_bodies = [
+        partition for partition in range(fleet.log.parts) if fleet.log.partition(topic, partition).end
+    ]
     assert len(partitions_with_bodies) == 1
 
 
@@ -156,7 +162,12 @@
     assert job.is_open and job.owner in {daemon.name for daemon in lost}
     fleet.daemons += [
         Daemon(
-            fleet.log, f"d{n}b1", incarnation=1, zone="b1", config=fleet.config, region_by_zone=REGION_BY_ZONE
+            fleet.log,
+            f"d{n}b1",
+            incarnation=1,
+            zone="b1",
+            config_holder=fleet.config_holder,
+            region_by_zone=REGION_BY_ZONE,
         ).start()
         for n in (1, 2)
     ]
@@ -177,7 +188,7 @@
     await asyncio.sleep(PROPAGATION_S)
     before = await fleet.owner_region("j")
     allowed = next(region for region in "abc" if region != before)
-    fleet.config.apply_if_newer(configuration(2, allowed))
+    fleet.config_holder.apply_if_newer(configuration(2, allowed))
     await asyncio.sleep(TAKEOVER_LIMIT_S)
     assert await fleet.owner_region("j") == allowed
     owner = daemon_of_writer(fleet.daemons, await fleet.daemons_in("a")[0].read_owner("j"))
@@ -189,7 +200,7 @@
 async def test_bodies_stay_in_their_regions_when_the_route_of_their_job_is_removed(fleet):
     await submit(fleet.daemons_in("b")[0], "j", count=30)
     await asyncio.sleep(PROPAGATION_S)
-    fleet.config.apply_if_newer(GatewayConfig(version=2, routes=()))
+    fleet.config_holder.apply_if_newer(GatewayConfig(version=2, routes=()))
     await asyncio.sleep(PROPAGATION_S)
     assert fleet.regions_with_bodies("j") == {"b"}
 
@@ -246,9 +257,9 @@
 def test_a_job_that_no_region_may_serve_is_refused():
     async def main():
         fleet = Fleet(MemorySharedLog(), "a")
-        fleet.config.send_context_for = allow_no_region(fleet.config.send_context_for)
+        fleet.config_holder.send_context_for = allow_no_region(fleet.config_holder.send_context_for)
         for daemon in fleet.daemons:
-            daemon.job_partitions.restricted_bodies._find_send_context = fleet.config.send_context_for
+            daemon.job_partitions.restricted_bodies._find_send_context = fleet.config_holder.send_context_for
         await asyncio.sleep(2.5)
         with pytest.raises(NoRegionAllowed):
             await submit(fleet.daemons_in("a")[0], "j")
@@ -270,7 +281,7 @@
     partition = fleet.daemons_in("a")[0].job_partitions.of_host(HOST)
     while len((await find_job(partition, "j")).results) < 2:
         await asyncio.sleep(0.05)
-    no_region = allow_no_region(fleet.config.send_context_for)
+    no_region = allow_no_region(fleet.config_holder.send_context_for)
     for daemon in fleet.daemons:
         daemon.job_partitions.restricted_bodies._find_send_context = no_region
     await asyncio.sleep(PROPAGATION_S)
@@ -329,9 +340,9 @@
     await submit(fleet.daemons_in("b")[0], "j", count=400)
     await asyncio.sleep(PROPAGATION_S)
     assert fleet.regions_with_bodies("j") == {"b"}
-    fleet.config.apply_if_newer(configuration(2, "a"))
+    fleet.config_holder.apply_if_newer(configuration(2, "a"))
     await asyncio.sleep(PROPAGATION_S)
     assert fleet.regions_with_bodies("j") == {"a"}
-    fleet.config.apply_if_newer(configuration(3, "b"))
+    fleet.config_holder.apply_if_newer(configuration(3, "b"))
     await asyncio.sleep(PROPAGATION_S)
     assert fleet.regions_with_bodies("j") == {"b"}
--- a/tests/test_platform_daemon.py
+++ b/tests/test_platform_daemon.py
@@ -175,7 +175,7 @@
     await world.start()
     assert (await world.call("GET", "/other/x")).status == 404
     world.configure(5, stand_ins.safe_route(), stand_ins.safe_route(name="o", pathPrefix="/other/"))
-    await world.until(lambda: world.daemon.config.table.config.version == 5)
+    await world.until(lambda: world.daemon.config_holder.table.config.version == 5)
     assert (await world.call("GET", "/other/x")).status == 200
     world.configure(4, stand_ins.safe_route())
     await asyncio.sleep(0.2)
@@ -188,10 +188,10 @@
     world.configure(3, stand_ins.safe_route())
     await world.start()
     world.configure(4, stand_ins.safe_route(timeoutMs=1000))
-    await world.until(lambda: world.daemon.config.table.config.version == 4)
+    await world.until(lambda: world.daemon.config_holder.table.config.version == 4)
     world.log.drop_history("keyed.op")
     await asyncio.sleep(0.1)
-    assert world.daemon.config.table.config.version == 4
+    assert world.daemon.config_holder.table.config.version == 4
 
 
 @in_world
@@ -447,7 +447,7 @@
     await world.start()
     for version in (2, 3):
         world.log.put("keyed.op", "version/m", {"model": "m", "version": version})
-        await world.until(lambda wanted=version: all(replica.versions["m"] == wanted for replica in replicas))
+        await world.until(lambda target=version: all(replica.versions["m"] == target for replica in replicas))
     for replica in replicas:
         assert [order["expected"] for order in replica.orders] == list(range(len(replica.orders)))
         assert len({order["fence"] for order in replica.orders}) == 1
--- a/tests/test_platform_tenants.py
+++ b/tests/test_platform_tenants.py
@@ -130,7 +130,7 @@
     await world.start()
     assert (await submit_job(world, ORCHARD, ["a1", "a2"])).status == 202
     world.configure(2, *routes, tenants=KEYS_BY_TENANT | {"orchard": ["key-o2"]})
-    await world.until(lambda: world.daemon.config.version == 2)
+    await world.until(lambda: world.daemon.config_holder.version == 2)
     assert (await world.call("POST", "/call/x", b"", **ORCHARD)).status == 401
     assert app.runs == []
     assert (await read_results(world, ORCHARD)).status == 401
@@ -147,7 +147,7 @@
     waiting = asyncio.create_task(world.call("POST", "/call/x", b"", deadline_ms=5000, **ORCHARD))
     await asyncio.sleep(0.1)
     world.configure(2, route, tenants={"mill": ["key-m1"]})
-    await world.until(lambda: world.daemon.config.version == 2)
+    await world.until(lambda: world.daemon.config_holder.version == 2)
     app.faults.refusing = False
     world.replica("i-2", "app")
     answer = await waiting
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -67,7 +67,7 @@
     assert json.loads(answer.body)["error"]["code"] == "no_replica_in_regions"
     assert world.request_ids_run_on("i-west") == []
     world.configure(2, stand_ins.safe_route())
-    await world.until(lambda: world.daemon.config.version == 2)
+    await world.until(lambda: world.daemon.config_holder.version == 2)
     assert (await world.call("GET", "/call/x")).status == 200
 
 
@@ -153,7 +153,7 @@
     assert (await world.submit(["aa1"])).status == 202
     await asyncio.sleep(SETTLE_S / 2)
     world.configure(2, restrict(stand_ins.batch_route(), "east"))
-    await world.until(lambda: world.daemon.config.version == 2)
+    await world.until(lambda: world.daemon.config_holder.version == 2)
     world.replica("i-west", "llm", zone="b", models={"m": 1}.items())
     await world.wait_until_listed("i-west")
     await asyncio.sleep(SETTLE_S)
@@ -174,7 +174,7 @@
     assert (await world.call("POST", "/other/j", body, request_id="job2")).status == 202
     await asyncio.sleep(SETTLE_S / 2)
     world.configure(2, restrict(stand_ins.batch_route(), "east"), other_route)
-    await world.until(lambda: world.daemon.config.version == 2)
+    await world.until(lambda: world.daemon.config_holder.version == 2)
     world.replica("i-west", "llm", zone="b", models={"m": 1}.items())
     assert [row["id"] for row in await world.all_results("job2")] == ["bb1"]
     assert world.request_ids_run_on("i-west") == ["bb1"]
@@ -207,11 +207,11 @@
 
 def version_after_offer(document):
     """Return the active version after a configuration document was offered while version 1 was active."""
-    holder = ConfigHolder(Topology(zone="a", region_by_zone={"a": "east", "b": "west"}))
-    holder.apply_if_newer(decode_config(json.dumps(stand_ins.config_document(1, [], [])).encode()))
+    config_holder = ConfigHolder(Topology(zone="a", region_by_zone={"a": "east", "b": "west"}))
+    config_holder.apply_if_newer(decode_config(json.dumps(stand_ins.config_document(1, [], [])).encode()))
     with contextlib.suppress(msgspec.DecodeError, InvalidConfiguration):
-        holder.apply_if_newer(decode_config(json.dumps(document).encode()))
-    return holder.version
+        config_holder.apply_if_newer(decode_config(json.dumps(document).encode()))
+    return config_holder.version
 
 
 INVALID_REGIONS = st.one_of(
