--- a/passgate/lab/__init__.py
+++ b/passgate/lab/__init__.py
@@ -1,1 +1,1 @@
-"""Experiments: scenarios, comparisons, sweeps, scale runs and reports."""
+"""Experiments in the emulator: scenarios, comparisons of policies, sweeps of a parameter, and plots."""
--- a/passgate/lab/batch.py
+++ b/passgate/lab/batch.py
@@ -1,7 +1,4 @@
-"""Runs many scenario runs in worker processes, with a progress bar.
-
-Only the laboratory starts processes; daemons never do.
-"""
+"""Runs scenarios in worker processes, each run in one process, with a progress bar."""
 
 from __future__ import annotations
 
@@ -18,11 +15,12 @@
 from passgate.lab.scenario import Scenario
 from passgate.lab.virtual_run import run_scenario
 
-LONGEST_CORE_SHARE = 0.5
+DEFAULT_CPU_SHARE = 0.5
+"""Share of the processors that get a worker process."""
 
 
-class RunOrder(msgspec.Struct, frozen=True, kw_only=True):
-    """One run to be made."""
+class RunSpec(msgspec.Struct, frozen=True, kw_only=True):
+    """Scenario, policy, fault set and seed of one run."""
 
     scenario: Scenario
     policy: str
@@ -30,23 +28,31 @@
     seed: int
 
 
-def make_runs(orders: Sequence[RunOrder], processes: int = 0, *, progress: bool = True) -> list[RunMeasures]:
-    """Return the measures of all runs in the order asked; half of the cores by default."""
-    workers = processes or max(1, int((os.cpu_count() or 1) * LONGEST_CORE_SHARE))
-    results: dict[int, RunMeasures] = {}
+def run_batch(
+    specs: Sequence[RunSpec], worker_processes: int = 0, *, show_progress: bool = True
+) -> list[RunMeasures]:
+    """Return the measures of all runs, in the order of ``specs``.
+
+    Args:
+        specs: the runs to make.
+        worker_processes: processes to use; with 0, a share ``DEFAULT_CPU_SHARE`` of the processors.
+        show_progress: whether to show a progress bar on standard error.
+    """
+    workers = worker_processes or max(1, int((os.cpu_count() or 1) * DEFAULT_CPU_SHARE))
+    result_by_index: dict[int, RunMeasures] = {}
     with ProcessPoolExecutor(max_workers=workers) as executor:
-        futures = {executor.submit(_make_run, order): index for index, order in enumerate(orders)}
-        for future in _shown(as_completed(futures), len(orders), progress):
-            results[futures[future]] = future.result()
-    return [results[index] for index in range(len(orders))]
+        index_by_future = {executor.submit(_run_spec, spec): index for index, spec in enumerate(specs)}
+        for future in _with_progress_bar(as_completed(index_by_future), len(specs), show_progress):
+            result_by_index[index_by_future[future]] = future.result()
+    return [result_by_index[index] for index in range(len(specs))]
 
 
-def _make_run(order: RunOrder) -> RunMeasures:
-    return run_scenario(order.scenario, order.policy, order.fault, order.seed)
+def _run_spec(spec: RunSpec) -> RunMeasures:
+    return run_scenario(spec.scenario, spec.policy, spec.fault, spec.seed)
 
 
-def _shown(futures: Iterable, total: int, progress: bool) -> Iterable:
-    if not progress:
+def _with_progress_bar(futures: Iterable, total: int, show_progress: bool) -> Iterable:
+    if not show_progress:
         return futures
     console = Console(file=sys.stderr)
     return track(futures, total=total, description="runs", console=console)
--- a/passgate/lab/measures.py
+++ b/passgate/lab/measures.py
@@ -1,4 +1,4 @@
-"""Measures of one run: what the users watch, in one typed record.
+"""Measures of one run of a scenario: idle trainers, staleness, latencies, refusals and violations.
 
 >>> summary = LatencySummary.of([0.010, 0.020, 0.030])
 >>> round(summary.p50_ms), summary.count
@@ -16,7 +16,7 @@
 
 
 class LatencySummary(msgspec.Struct, frozen=True, kw_only=True):
-    """Percentiles of durations in milliseconds; zeros when there were none."""
+    """Mean and percentiles of durations in milliseconds; all zero without durations."""
 
     count: int
     mean_ms: float
@@ -25,7 +25,7 @@
 
     @classmethod
     def of(cls, durations_s: Sequence[float]) -> LatencySummary:
-        """Summarise durations given in seconds."""
+        """Return the summary of durations in seconds."""
         if not durations_s:
             return cls(count=0, mean_ms=0.0, p50_ms=0.0, p99_ms=0.0)
         milliseconds = numpy.asarray(durations_s) * _MS_PER_S
@@ -38,21 +38,24 @@
 
 
 class SeriesPoint(msgspec.Struct, frozen=True, kw_only=True):
-    """One reading of the system's state, taken at a fixed interval of the run."""
+    """State of all daemons, engines and trainers at one moment of a run."""
 
     at_s: float
+    """Since the start of the run."""
     queued_requests: int
+    """Requests in the queues of all daemons."""
     kv_used_share: float
     """Used share of all engines' KV memory, 0 to 1."""
     cache_hit_share: float
-    """Share of prompt tokens served from prefix caches since the last reading."""
+    """Share of prompt tokens found in engines' prefix caches since the previous point, 0 to 1."""
     samples_delivered: int
     """Since the start of the run."""
     newest_version: int
+    """Highest weight version of any trainer."""
 
 
 class RunMeasures(msgspec.Struct, frozen=True, kw_only=True):
-    """Result of one run of a scenario under one policy and seed."""
+    """Measures of one run of a scenario under one policy, fault set and seed."""
 
     scenario: str
     policy: str
@@ -60,32 +63,45 @@
     seed: int
     duration_s: float
     trainer_idle_share: float
-    """Share of trainer time spent waiting for a lot, 0 to 1, mean over trainers."""
+    """Share of a trainer's time spent waiting for the samples of a lot, 0 to 1; mean over trainers."""
     steps_done: int
+    """Training steps of all trainers."""
     staleness_mean: float
-    """Versions a sample was behind its trainer at hand-over."""
+    """Number of weight versions that a sample was behind its trainer when it was delivered."""
     staleness_p99: float
     interactive: LatencySummary
+    """From the arrival of an interactive call to its answer."""
     lot_time: LatencySummary
-    """Opening of a lot until it was whole."""
+    """From the opening of a lot to its completion."""
     samples_delivered: int
+    """Samples that trainers received, without duplicates."""
     samples_lost: int
+    """Violations: samples of finished lots, neither delivered nor reported as failed."""
     samples_doubled: int
+    """Violations: samples received for a prompt that had one already."""
     samples_over_staleness: int
+    """Violations: samples that exceed the staleness bound of their lot."""
     answers_wrong: int
+    """Violations: incorrect samples and answers."""
     refused: int
-    """Attempts that ended with a typed refusal."""
+    """Attempts of interactive calls that were refused before they ran."""
     given_up: int
     """Interactive calls without an answer after their last attempt."""
     late_share: float
-    """Share of interactive calls that were answered late or not at all, 0 to 1."""
+    """Share of interactive calls answered late or given up, 0 to 1."""
     not_run_that_ran: int
+    """Violations: attempts of interactive calls that ran although passgate reported them as not run."""
     goodput_tokens_per_s: float
-    """Tokens of samples and answers that reached their callers whole, per second."""
+    """Tokens of completed requests per second, counted by the daemons' processes that run at the end."""
     violations: int
+    """Number of violated guarantees, of all kinds."""
     app_busy_shares: tuple[float, ...] = ()
-    """Service time begun on each application replica, over its workers' time; 0 to 1 and a little more."""
+    """Service time of the calls started on each application replica, as a share of its workers' time.
+
+    A share can exceed 1, as a call counts in full when it starts.
+    """
     series: tuple[SeriesPoint, ...] = ()
+    """State at fixed intervals of the run."""
 
 
 MEASURE_NAMES = (
@@ -98,11 +114,11 @@
     "refused",
     "goodput_tokens_per_s",
 )
-"""Measures that comparisons report as ratios."""
+"""Measures whose ratios a comparison reports; names of :func:`measure_value`."""
 
 
 def measure_value(run: RunMeasures, name: str) -> float:
-    """Return one of :data:`MEASURE_NAMES` from a run."""
+    """Return a measure of a run: one of :data:`MEASURE_NAMES`, or any numeric field."""
     if name == "interactive_p50_ms":
         return run.interactive.p50_ms
     if name == "interactive_p99_ms":
--- a/passgate/lab/virtual_run.py
+++ b/passgate/lab/virtual_run.py
@@ -1,6 +1,7 @@
-"""One scenario in virtual time: real daemons over the emulated world, measured.
+"""Runs one scenario in virtual time and returns its measures.
 
-The same scenario, policy, fault set and seed give the same measures, bit for bit.
+The daemons are real, their external systems emulated.  Two runs of the same scenario, policy, fault set
+and seed have identical measures.
 
 >>> run = run_scenario(load_scenario("olhar"), "current", "calm", seed=1, duration_s=5.0)
 >>> run.policy, run.violations
@@ -26,51 +27,65 @@
 from passgate.emulator.tally import Tally
 from passgate.emulator.world import EmulatedWorld
 from passgate.errors import PassgateError
-from passgate.lab.fault_sets import find_faults
+from passgate.lab.fault_sets import build_faults
 from passgate.lab.measures import LatencySummary, RunMeasures, SeriesPoint
-from passgate.lab.scenario import PolicyChoice, Scenario, find_policy, load_scenario, scenario_parameters
+from passgate.lab.scenario import LabPolicy, Scenario, find_policy, load_scenario, scenario_parameters
 from passgate.peers.memory_transport import LinkDelays, MemoryNetwork
 from passgate.rollout.types import RolloutSettings
 from passgate.schema import MachineInfo, MachineRole
 from passgate.server.rollouts import RolloutService
 from passgate.settings import Settings
 
-__all__ = ["VirtualRun", "load_scenario", "run_scenario"]
+__all__ = ["ScenarioRun", "load_scenario", "run_scenario"]
 
 SETUP_TIMEOUT_S = 5.0
 SERIES_INTERVAL_S = 5.0
-DRAIN_S = 30.0
-"""Time that open interactive calls get after the last arrival."""
+"""Time between two points of a run's series."""
+OPEN_CALL_TIMEOUT_S = 30.0
+"""Longest wait for open interactive calls after the last arrival."""
 STALENESS_PERCENTILE = 99
 
 
 def run_scenario(
     scenario: Scenario, policy: str, fault: str, seed: int, duration_s: float | None = None
 ) -> RunMeasures:
-    """Run a scenario and return its measures; raises SettingsError for unknown names."""
+    """Run a scenario and return its measures.
+
+    Args:
+        scenario: the scenario.
+        policy: name of a policy.
+        fault: name of a fault set.
+        seed: seed of all random draws.
+        duration_s: length of the run in virtual seconds; with None, that of the scenario.
+
+    Raises:
+        SettingsError: the policy, the fault set or the deployment is unknown.
+        RunFailed: an exception was not handled during the run.
+    """
     if duration_s is not None:
         scenario = msgspec.structs.replace(scenario, duration_s=duration_s)
-    return run_virtual(VirtualRun(scenario, find_policy(policy), fault, seed).measure())
+    return run_virtual(ScenarioRun(scenario, find_policy(policy), fault, seed).measure())
 
 
 class RunFailed(PassgateError):
-    """A run left a failure that nothing handled."""
+    """An exception was raised during a run that nothing handled."""
 
     code = "run_failed"
 
 
-class LabProcess(SimulatedProcess):
-    """A simulated daemon under one policy of the laboratory."""
+class LabDaemonProcess(SimulatedProcess):
+    """Simulated process of a daemon that uses a given routing policy and swap mode."""
 
-    def __init__(self, policy: PolicyChoice, *arguments: object) -> None:
+    def __init__(self, policy: LabPolicy, *arguments: object) -> None:
         self._policy = policy
-        super().__init__(*arguments)
-        self._use_swap_mode()
+        super().__init__(*arguments)  # reads the settings, so the policy is set before
+        self._apply_swap_mode()
 
     def _settings(self, seeds: tuple[str, ...]) -> Settings:
         return msgspec.structs.replace(super()._settings(seeds), policy=self._policy.routing)
 
-    def _use_swap_mode(self) -> None:
+    def _apply_swap_mode(self) -> None:
+        """Replace the daemon's rollout service, as the swap mode is not a setting of a daemon."""
         parts = self.parts
         parts.rollouts = RolloutService(
             parts.outside.engine,
@@ -82,34 +97,34 @@
         )
 
 
-class VirtualRun(SimulatedRun):
-    """Builds and runs one scenario; use it inside a virtual loop."""
+class ScenarioRun(SimulatedRun):
+    """Builds and runs one scenario; use it inside an event loop of virtual time."""
 
-    def __init__(self, scenario: Scenario, policy: PolicyChoice, fault: str, seed: int) -> None:
+    def __init__(self, scenario: Scenario, policy: LabPolicy, fault: str, seed: int) -> None:
         self.scenario = scenario
         self.policy = policy
         self.fault = fault
         self.parameters: DeploymentParameters = scenario_parameters(scenario)
-        self.daemon_zones = _daemon_zones(self.parameters)
-        names = tuple(self.daemon_zones)
-        faults = find_faults(fault, self.parameters, names, scenario.duration_s)
+        self.zone_by_daemon = _assign_daemon_zones(self.parameters)
+        daemon_ids = tuple(self.zone_by_daemon)
+        faults = build_faults(fault, self.parameters, daemon_ids, scenario.duration_s)
         super().__init__(Schedule(seed=seed, faults=faults), RunLimits(calls_s=scenario.duration_s))
-        self._runs = dict.fromkeys(names, 0)
+        self._runs = dict.fromkeys(daemon_ids, 0)
         self._series: list[SeriesPoint] = []
-        self._hits_before = (0, 0)
+        self._last_cache_counts = (0, 0)
 
     async def measure(self) -> RunMeasures:
-        """Run to the end and return the measures."""
+        """Run to the end and return the measures; raises RunFailed if an exception was not handled."""
         await self._build()
         started_s = monotonic_s()
         callers = Callers(self.parameters, self._service_for, self.world.publish, self.schedule.seed)
-        sampler = self.spawn(self._sample_series(callers, started_s))
+        series_task = self.spawn(self._record_series(callers, started_s))
         self.faults.start(self.schedule.faults)
-        tally = await callers.run(self.scenario.duration_s, DRAIN_S)
-        sampler.cancel()
+        outcomes = await callers.run(self.scenario.duration_s, OPEN_CALL_TIMEOUT_S)
+        series_task.cancel()
         if self.unhandled:
-            raise RunFailed(f"the run left failures unhandled: {self.unhandled[0]}")
-        measures = self._measures(tally)
+            raise RunFailed(f"an exception was not handled during the run: {self.unhandled[0]}")
+        measures = self._summarize(outcomes)
         await self._close()
         return measures
 
@@ -120,7 +135,7 @@
         delays = LinkDelays(between_zones_s=self.parameters.network.between_zones_s)
         self.peers = MemoryNetwork(self.world.random("peers"), delays)
         await self._configure()
-        for name, zone in self.daemon_zones.items():
+        for name, zone in self.zone_by_daemon.items():
             address = peer_address(name)
             machine = MachineInfo(machine_id=name, role=MachineRole.DAEMON, address=address, zone=zone)
             self.world.machine_list.register(machine)
@@ -129,13 +144,13 @@
         await self._until_ready()
 
     def start_daemon(self, name: str) -> None:
-        """Start a new run of a daemon."""
+        """Start a new process of a daemon, which replaces its previous one."""
         self._runs[name] += 1
-        seeds = tuple(peer_address(other) for other in self.daemon_zones if other != name)
-        process = LabProcess(
+        seeds = tuple(peer_address(other) for other in self.zone_by_daemon if other != name)
+        process = LabDaemonProcess(
             self.policy,
             name,
-            self.daemon_zones[name],
+            self.zone_by_daemon[name],
             self._runs[name],
             self.world,
             self.peers,
@@ -147,7 +162,8 @@
 
     # --- measuring ---------------------------------------------------------------------
 
-    async def _sample_series(self, callers: Callers, started_s: float) -> None:
+    async def _record_series(self, callers: Callers, started_s: float) -> None:
+        """Append a point to the series at fixed intervals until cancelled."""
         while True:
             await asyncio.sleep(SERIES_INTERVAL_S)
             self._series.append(self._series_point(callers, monotonic_s() - started_s))
@@ -167,17 +183,19 @@
         )
 
     def _cache_hit_share(self) -> float:
-        counters = [engine.model.counters for engine in self.world.engines.values()]
-        hits = sum(counter.cache_hit_tokens for counter in counters)
-        prefilled = sum(counter.prefilled_tokens for counter in counters)
-        new_hits, new_prefilled = hits - self._hits_before[0], prefilled - self._hits_before[1]
-        self._hits_before = (hits, prefilled)
+        """Return the share of prompt tokens found in caches since the previous call."""
+        engine_counters = [engine.model.counters for engine in self.world.engines.values()]
+        hits = sum(counters.cache_hit_tokens for counters in engine_counters)
+        prefilled = sum(counters.prefilled_tokens for counters in engine_counters)
+        new_hits, new_prefilled = hits - self._last_cache_counts[0], prefilled - self._last_cache_counts[1]
+        self._last_cache_counts = (hits, prefilled)
         return new_hits / (new_hits + new_prefilled) if new_hits else 0.0
 
-    def _measures(self, tally: Tally) -> RunMeasures:
-        trainers, arrivals = tally.trainers, tally.arrivals
+    def _summarize(self, outcomes: Tally) -> RunMeasures:
+        """Return the measures of the finished run."""
+        trainers, arrivals = outcomes.trainers, outcomes.arrivals
         latencies = [latency for arrival in arrivals for latency in arrival.latencies_s]
-        staleness = numpy.repeat(*_staleness(tally))
+        staleness = numpy.repeat(*_staleness_counts(outcomes))
         arrived = sum(arrival.arrived for arrival in arrivals)
         late = sum(arrival.late + arrival.given_up for arrival in arrivals)
         tokens = sum(
@@ -206,21 +224,21 @@
             late_share=late / arrived if arrived else 0.0,
             not_run_that_ran=not_run_that_ran,
             goodput_tokens_per_s=tokens / self.scenario.duration_s,
-            violations=tally.violations(self.world.ledger),
+            violations=outcomes.violations(self.world.ledger),
             app_busy_shares=self._app_busy_shares(),
             series=tuple(self._series),
         )
 
     def _app_busy_shares(self) -> tuple[float, ...]:
-        workers_s = self.parameters.apps.app.concurrency * self.scenario.duration_s
-        return tuple(round(app.model.counters.busy_s / workers_s, 4) for app in self.world.apps.values())
+        worker_time_s = self.parameters.apps.app.concurrency * self.scenario.duration_s
+        return tuple(round(app.model.counters.busy_s / worker_time_s, 4) for app in self.world.apps.values())
 
 
-def _daemon_zones(parameters: DeploymentParameters) -> dict[str, str]:
-    """Return daemon names, a letter per zone and a number, with their zones.
+def _assign_daemon_zones(parameters: DeploymentParameters) -> dict[str, str]:
+    """Return the zone of each daemon; an identifier is a letter for the zone and a number.
 
     >>> from passgate.emulator.parameters import load_deployment
-    >>> _daemon_zones(load_deployment("olhar"))
+    >>> _assign_daemon_zones(load_deployment("olhar"))
     {'a-1': 'caruaru', 'b-1': 'campina', 'c-1': 'garanhuns'}
     """
     return {
@@ -230,7 +248,10 @@
     }
 
 
-def _staleness(tally: Tally) -> tuple[list[int], list[int]]:
-    """Return the observed values and how often each was seen."""
-    pairs = [pair for trainer in tally.trainers for pair in sorted(trainer.staleness.items())]
-    return [value for value, _ in pairs], [count for _, count in pairs]
+def _staleness_counts(outcomes: Tally) -> tuple[list[int], list[int]]:
+    """Return values of staleness and, by the same index, the number of samples with each.
+
+    A value occurs once for each trainer.
+    """
+    pairs = [pair for trainer in outcomes.trainers for pair in sorted(trainer.staleness.items())]
+    return [versions for versions, _ in pairs], [count for _, count in pairs]
