--- a/passgate/capacity/__init__.py
+++ b/passgate/capacity/__init__.py
@@ -1,1 +1,1 @@
-"""Capacity at the size aimed at, worked out from measured slopes; see docs/CAPACITY.md."""
+"""Plans the replicas and daemons that a load needs, and tabulates what each further daemon costs."""
