--- a/passgate/check/__init__.py
+++ b/passgate/check/__init__.py
@@ -1,1 +1,1 @@
-"""Proof: model checking of the core protocol and history checking."""
+"""Model checking of the core protocols, and checks of recorded run histories."""
--- a/passgate/check/cli.py
+++ b/passgate/check/cli.py
@@ -1,8 +1,8 @@
-"""Command line of the checkers: ``passgate check model`` and ``passgate check history FILE``.
+"""Commands of ``passgate check``.
 
-Each command prints a table, or JSON lines with ``--json``, and raises
-:class:`~passgate.errors.VerificationFailed`, which ends the program with exit
-code 1, when a property or promise fails.
+Most commands print a table, or JSON lines with ``--json``.  A command that finds a
+violated property or guarantee raises :class:`~passgate.errors.VerificationFailed`,
+which ends the program with exit code 1.
 """
 
 from __future__ import annotations
@@ -24,37 +24,37 @@
 
 
 class HistoryBroken(VerificationFailed):
-    """A history breaks a promise; details name ``promise`` and ``rule``."""
+    """A history violates a guarantee; the details name it as ``promise``, and the ``rule``."""
 
     code = "history_broken"
 
 
 class ModelBroken(VerificationFailed):
-    """A specification breaks a property, or a mutant was not caught."""
+    """A specification violates a property, or a mutant was not caught."""
 
     code = "model_broken"
 
 
 class HistoryFileMissing(NotFound):
-    """The history file can not be read; details name ``file``."""
+    """The history file can not be read; the details name the ``file``."""
 
     code = "history_file_missing"
 
 
 class SchedulesBroken(VerificationFailed):
-    """Some simulated run broke a promise; each is printed with its seed."""
+    """At least one simulated run violated a guarantee or left an exception unhandled."""
 
     code = "schedules_broken"
 
 
 class MistakesMissed(VerificationFailed):
-    """Simulated runs did not find a mistake that was seeded on purpose."""
+    """Simulated runs did not find a seeded mistake."""
 
     code = "mistakes_missed"
 
 
 class CheckCommands:
-    """Model checking of the core protocol and history checking of runs."""
+    """Model checking of the core protocols, and checks of run histories."""
 
     def model(self, specification: str = "", mutants: bool = False, json: bool = False) -> None:
         """Check the specifications exhaustively; with --mutants, that each seeded mistake is caught.
@@ -73,19 +73,19 @@
                 failed += _check_mutants(chosen, json)
                 continue
             result = check(chosen)
-            _show(json, result, _model_line(result))
-            for broken in result.properties:
-                if not broken.holds:
-                    failed.append(f"{chosen.name}.{broken.name}")
-                    print(f"  {broken.name}: {' -> '.join(broken.trace)}")
+            _print_result(json, result, _format_model_result(result))
+            for verdict in result.properties:
+                if not verdict.holds:
+                    failed.append(f"{chosen.name}.{verdict.name}")
+                    print(f"  {verdict.name}: {' -> '.join(verdict.trace)}")
         if failed:
-            raise ModelBroken(f"{len(failed)} failed: {', '.join(failed)}")
+            raise ModelBroken(f"{len(failed)} checks failed: {', '.join(failed)}")
 
     def history(self, file: str, json: bool = False) -> None:
-        """Judge a recorded history against every promise.
+        """Check a recorded history against every guarantee.
 
         Args:
-            file: JSON lines of events, as written by a recorder.
+            file: history as JSON lines of events.
             json: print the verdict as one JSON line.
         """
         try:
@@ -94,12 +94,12 @@
         except OSError as error:
             raise HistoryFileMissing(str(error), file=file) from error
         verdict = judge_history(events, emulated_token)
-        _show(json, verdict, _history_table(verdict))
-        found = verdict.shortest()
-        if found is not None:
+        _print_result(json, verdict, _format_verdict(verdict))
+        violation = verdict.shortest_violation()
+        if violation is not None:
             if not json:
-                print(_excerpt(found))
-            raise HistoryBroken(found.message, promise=found.promise, rule=found.rule)
+                print(_format_violation(violation))
+            raise HistoryBroken(violation.message, promise=violation.guarantee, rule=violation.rule)
 
     def sockets(
         self,
@@ -111,30 +111,30 @@
         history: str = "",
         json: bool = False,
     ) -> None:
-        """Run separate daemons on loopback under faults, and judge the recorded history.
+        """Run separate daemon processes on loopback under faults, and check the recorded history.
 
         Args:
-            seed: seed of the emulated outside systems, callers and operators.
-            seconds: least time in which callers work; faults may need longer.
-            faults: names of faults, parted by commas; joined by + at once; all when empty,
-                "none" for a calm run.
-            load: interactive calls as a multiple of those of the run in virtual time.
-            mistake: give the daemons a mistake of ``passgate check mistakes`` on purpose.
+            seed: seed of the emulated external systems, callers and operators.
+            seconds: minimum time in which callers work; faults may need longer.
+            faults: names of faults, separated by commas; names joined by + are injected
+                together; all when empty, "none" for a run without faults.
+            load: rate of interactive calls, as a multiple of that of a simulated run.
+            mistake: name of a mistake of ``passgate check mistakes`` to seed in the daemons.
             history: file to write the history to, for ``passgate check history FILE``.
             json: print the report as one JSON line.
         """
         from passgate.check import socket_command
 
-        names = socket_command.fault_names(faults)
+        names = socket_command.parse_fault_names(faults)
         scenario = socket_command.SocketScenario(
             seed=seed, seconds=seconds, faults=names, load=load, mistake=mistake
         )
-        socket_command.run(scenario, history, json)
+        socket_command.run_and_report(scenario, history, json)
 
     def replay(
         self, seed: int = 0, only: str = "", schedule: str = "", smallest: bool = False, history: str = ""
     ) -> None:
-        """Run the simulated schedule of a seed or file again and judge it.
+        """Run the simulated schedule of a seed or file again and check its history.
 
         Args:
             seed: seed of a campaign.
@@ -156,50 +156,52 @@
         json: bool = False,
         output: str = "",
     ) -> None:
-        """Run simulated schedules with faults and judge each history.
+        """Run simulated schedules with faults and check each history.
 
         Args:
             seeds: number of schedules.
             first: first seed.
-            only: one kind of fault, twice in each schedule; mixed when empty.
-            processes: runs at the same time.
+            only: the one kind of fault, twice in each schedule; mixed when empty.
+            processes: number of runs at the same time.
             json: print JSON lines instead of a table.
             output: file to append the table's rows and totals to, as JSON lines.
         """
         from passgate.check.simulation import campaign
 
         started_s = time.perf_counter()
-        numbers = range(first, first + seeds)
+        seed_range = range(first, first + seeds)
         with _progress(seeds) as advance:
-            reports = campaign.run_campaign(numbers, only, processes, lambda report: _note(report, advance))
-        rows = campaign.fault_rows(reports)
-        summary = campaign.summarise(reports, first, only, time.perf_counter() - started_s)
+            reports = campaign.run_campaign(
+                seed_range, only, processes, lambda report: _report_run(report, advance)
+            )
+        rows = campaign.make_fault_rows(reports)
+        summary = campaign.summarize(reports, first, only, time.perf_counter() - started_s)
         lines = [msgspec.json.encode(entry).decode() for entry in [*rows, summary]]
-        print("\n".join(lines) if json else f"{campaign.markdown(rows)}\n\n{lines[-1]}")
+        print("\n".join(lines) if json else f"{campaign.format_markdown(rows)}\n\n{lines[-1]}")
         if output:
             with pathlib.Path(output).open("a") as file:
                 file.write("\n".join(lines) + "\n")
         if summary.failed_seeds:
-            raise SchedulesBroken(f"{len(summary.failed_seeds)} of {summary.runs} runs failed")
+            raise SchedulesBroken(f"{len(summary.failed_seeds)} of {summary.runs} simulated runs failed")
 
     def mistakes(self, runs: int = 20, json: bool = False) -> None:
-        """Show that simulated runs find each mistake seeded in the running code.
+        """Check that simulated runs find each mistake that is seeded in the running code.
 
         Args:
-            runs: most runs for one mistake.
+            runs: maximum number of runs for one mistake.
             json: print one JSON line per mistake.
         """
         from passgate.check.simulation import seeded_mistakes
 
         missed = []
         for mistake in seeded_mistakes.MISTAKES:
-            result = seeded_mistakes.find(mistake, runs)
-            line = f"{result.name:24} {result.promise:15} run {result.runs:3}  {result.message}"
-            _show(json, result, line)
+            result = seeded_mistakes.search_violation(mistake, runs)
+            line = f"{result.name:24} {result.guarantee:15} run {result.runs:3}  {result.message}"
+            _print_result(json, result, line)
             if not result.found:
                 missed.append(result.name)
         if missed:
-            raise MistakesMissed(f"not found in {runs} runs: {', '.join(missed)}")
+            raise MistakesMissed(f"mistakes not found in {runs} runs: {', '.join(missed)}")
 
     def recovery(self, seeds: int = 3, json: bool = False) -> None:
         """Measure the virtual time from each fault to normal service.
@@ -211,10 +213,10 @@
         from passgate.check.simulation import recovery
 
         for result in recovery.measure(seeds):
-            _show(json, result, recovery.line(result))
+            _print_result(json, result, recovery.format_line(result))
 
     def document(self, root: str = ".") -> None:
-        """Write the tables of the proof's page anew from the committed measurements.
+        """Regenerate the tables of docs/design/proof.md from the committed measurements.
 
         Args:
             root: directory of the repository.
@@ -227,7 +229,7 @@
 
 @contextlib.contextmanager
 def _progress(total: int) -> Iterator[Callable[[], None]]:
-    """Show a progress bar on the terminal; nothing when the output is not one."""
+    """Show a progress bar if standard error is a terminal; yields a function that advances it."""
     from rich.progress import Progress
 
     with Progress(disable=not sys.stderr.isatty(), transient=True) as progress:
@@ -235,11 +237,11 @@
         yield lambda: progress.advance(task)
 
 
-def _note(report, advance: Callable[[], None]) -> None:
+def _report_run(report, advance: Callable[[], None]) -> None:
     advance()
     if not report.holds():
-        found = ", ".join([report.message, *report.unhandled])
-        print(f"seed {report.schedule.seed} ({', '.join(report.schedule.fault_names())}): {found}")
+        failures = ", ".join([report.message, *report.unhandled])
+        print(f"seed {report.schedule.seed} ({', '.join(report.schedule.fault_names())}): {failures}")
 
 
 def _check_mutants(specification, json: bool) -> list[str]:
@@ -255,30 +257,30 @@
             continue
         trace = " -> ".join(result.properties[0].trace)
         name = f"{specification.name}.{mutant.name}"
-        _show(json, result, f"{name:45} caught by {mutant.caught_by:22} {trace}")
+        _print_result(json, result, f"{name:45} caught by {mutant.caught_by:22} {trace}")
     return missed
 
 
-def _show(as_json: bool, value: msgspec.Struct, text: str) -> None:
+def _print_result(as_json: bool, value: msgspec.Struct, text: str) -> None:
     print(msgspec.json.encode(value).decode() if as_json else text)
 
 
-def _model_line(result) -> str:
-    holding = sum(verdict.holds for verdict in result.properties)
+def _format_model_result(result) -> str:
+    held_count = sum(verdict.holds for verdict in result.properties)
     return (
         f"{result.specification:15} {result.states:7} states  depth {result.depth:3}  "
-        f"{result.seconds:7.2f} s  {holding}/{len(result.properties)} properties hold"
+        f"{result.seconds:7.2f} s  {held_count}/{len(result.properties)} properties hold"
     )
 
 
-def _history_table(verdict: HistoryVerdict) -> str:
+def _format_verdict(verdict: HistoryVerdict) -> str:
     lines = [f"{verdict.events} events"]
-    for promise in verdict.promises:
-        outcome = f"{promise.violations} violations" if promise.violations else "holds"
-        lines.append(f"{promise.promise:15} {outcome}")
+    for entry in verdict.guarantees:
+        outcome = f"{entry.violations} violations" if entry.violations else "holds"
+        lines.append(f"{entry.guarantee:15} {outcome}")
     return "\n".join(lines)
 
 
-def _excerpt(violation: Violation) -> str:
+def _format_violation(violation: Violation) -> str:
     events = [msgspec.json.encode(event).decode() for event in violation.excerpt]
-    return "\n".join([f"{violation.promise}.{violation.rule}: {violation.message}", *events])
+    return "\n".join([f"{violation.guarantee}.{violation.rule}: {violation.message}", *events])
--- a/passgate/check/events.py
+++ b/passgate/check/events.py
@@ -1,9 +1,8 @@
-"""Typed events of a run's history, the input of the judges.
+"""Typed events of a run's history, the input of the checkers.
 
-Callers, stand-ins of back ends and daemons each record what they themselves
-saw; no event is derived from another one.  Times are seconds on one clock per
-history.  Request identifiers are those of the caller's attempt: a back end
-records the identifier that it was given.
+All times of one history are seconds on the same clock.  A request identifier names
+one attempt of a caller; events of back ends carry the caller's identifier too, where
+it is known.
 
 >>> event = BackendRunStarted(time_s=1.5, request_id="r1", replica_id="e1")
 >>> decode_event(encode_event(event)) == event
@@ -19,7 +18,7 @@
 
 
 class HistoryFormatError(PassgateError):
-    """A history line can not be decoded; details name the ``line``."""
+    """A line of a history can not be decoded; the details may hold the number of the ``line``."""
 
     code = "history_format"
 
@@ -44,7 +43,7 @@
     max_tokens: int
     seed: int
     expected_length: int = 0
-    """Length of the whole output as the caller's stand-in knows it; 0 when unknown."""
+    """Number of tokens of the complete output; 0 when unknown."""
     key: str = ""
     """Idempotency key; empty when the caller gave none."""
     repeatable: bool = True
@@ -56,13 +55,13 @@
     request_id: str
     daemon: str
     expected_digest: str
-    """Digest of the one right answer to this request, known to the caller's stand-in."""
+    """Digest of the only correct answer to this request."""
     key: str = ""
     repeatable: bool = True
 
 
 class GenerateCompleted(Event, tag="generate_completed"):
-    """A caller received an answer that claims to be whole."""
+    """A caller received an answer that is marked as complete."""
 
     request_id: str
     answer_request_id: str
@@ -72,18 +71,18 @@
 
 
 class AppCompleted(Event, tag="app_completed"):
-    """A caller received a whole answer of an application service."""
+    """A caller received a complete answer of an application service."""
 
     request_id: str
     answer_digest: str
 
 
 class RequestFailed(Event, tag="request_failed"):
-    """A caller received a typed error."""
+    """A caller received an error response."""
 
     request_id: str
     error: str
-    """Stable code of the error."""
+    """Error code, see ``passgate.errors``."""
     execution: ExecutionStatus
 
 
@@ -94,7 +93,7 @@
 
 
 class RequestAbandoned(Event, tag="request_abandoned"):
-    """A caller's own patience ended before an answer."""
+    """A caller's timeout passed before an answer."""
 
     request_id: str
 
@@ -111,7 +110,7 @@
 
 
 class BackendLeaving(Event, tag="backend_leaving"):
-    """A back end, the machine list or an operator first said that it is leaving."""
+    """A back end, the machine list or an operator reported for the first time that it leaves."""
 
     replica_id: str
     generation: int = 0
@@ -121,13 +120,13 @@
 
 
 class LotPrompt(msgspec.Struct, frozen=True, kw_only=True):
-    """One slot of a lot as the trainer asked for it."""
+    """One prompt of a lot, for which the lot owes one sample."""
 
     prompt: tuple[int, ...]
     max_tokens: int
     seed: int
     expected_length: int = 0
-    """Length of the whole output as the trainer's stand-in knows it; 0 when unknown."""
+    """Number of tokens of the complete output; 0 when unknown."""
 
 
 class LotSubmitted(Event, tag="lot_submitted"):
@@ -141,7 +140,7 @@
 
 
 class ReceivedSample(msgspec.Struct, frozen=True, kw_only=True):
-    """One sample of a page as it reached the trainer."""
+    """One sample of a page as the trainer received it."""
 
     sample_id: str
     index: int
@@ -152,31 +151,31 @@
 
 
 class PageReceived(Event, tag="page_received"):
-    """A page of samples reached the trainer."""
+    """A trainer received a page of samples."""
 
     lot_id: str
     cursor: int
-    """Position that the trainer asked for."""
+    """Position that the trainer requested."""
     next_cursor: int
     trainer_version: int
-    """Weight version of the trainer when it asked."""
+    """Weight version of the trainer when it sent the request."""
     samples: tuple[ReceivedSample, ...]
     finished: bool = False
-    """The page says that no further sample follows."""
+    """Whether no further sample follows."""
     withdrawn: tuple[str, ...] = ()
-    """Samples that a lost page held and that went stale before the repeated read."""
+    """Identifiers of samples that a lost page contained and that became stale before the repeated read."""
     failed: tuple[int, ...] = ()
-    """Indexes that the page declares as failed."""
+    """Indexes of prompts that failed."""
 
 
 class LotAbandoned(Event, tag="lot_abandoned"):
-    """The trainer cancelled its lot; nothing more is owed."""
+    """The trainer needs no further samples of its lot."""
 
     lot_id: str
 
 
 class HistoryClosed(Event, tag="history_closed"):
-    """End of a run that was given the time to come to rest: every lot must be whole."""
+    """End of a run that waited for open work; from here on every lot must be complete."""
 
 
 # --- daemons ---------------------------------------------------------------------------------------
@@ -189,31 +188,31 @@
 
 
 class DaemonKilled(Event, tag="daemon_killed"):
-    """A daemon ended without warning."""
+    """A daemon's process was killed."""
 
     daemon: str
 
 
 class StopRequested(Event, tag="stop_requested"):
-    """A daemon was asked to stop by plan."""
+    """A daemon's graceful shutdown began."""
 
     daemon: str
 
 
 class StopFinished(Event, tag="stop_finished"):
-    """A daemon ended its planned stop."""
+    """A daemon's graceful shutdown ended."""
 
     daemon: str
 
 
 class DaemonCut(Event, tag="daemon_cut"):
-    """A daemon can not hear the log, or is paused, from now on."""
+    """From now on a daemon can not read the log, or is paused."""
 
     daemon: str
 
 
 class DaemonReconnected(Event, tag="daemon_reconnected"):
-    """A daemon can hear the log again."""
+    """A daemon can read the log again."""
 
     daemon: str
 
@@ -222,7 +221,7 @@
 
 
 class ConfigurationInvoked(Event, tag="configuration_invoked"):
-    """An operator sent a change; without an outcome it may be in force or not."""
+    """An operator sent a change; without an outcome event it may have been applied or not."""
 
     name: str
     """``kind/name`` of the object."""
@@ -243,7 +242,7 @@
 
 
 class ConfigurationRefused(Event, tag="configuration_refused"):
-    """An operator's change lost to another one."""
+    """An operator's change was refused, as its expected revision was not the object's current one."""
 
     name: str
     expected_revision: int
@@ -251,7 +250,7 @@
 
 
 class ConfigurationObject(msgspec.Struct, frozen=True, kw_only=True):
-    """One object as a daemon holds it."""
+    """One configuration object as a daemon has applied it."""
 
     name: str
     revision: int
@@ -259,7 +258,7 @@
 
 
 class ConfigurationInForce(Event, tag="configuration_in_force"):
-    """A serving daemon holds this configuration."""
+    """A serving daemon's active configuration."""
 
     daemon: str
     revision: int
@@ -297,7 +296,7 @@
 
 
 def encode_event(event: AnyEvent) -> bytes:
-    """Return the event as one line of JSON without the line's end."""
+    """Return the event as one line of JSON without a newline."""
     return _encoder.encode(event)
 
 
--- a/passgate/check/history.py
+++ b/passgate/check/history.py
@@ -1,4 +1,4 @@
-"""Recording and reading of histories.
+"""Recording and reading of histories, and the violations that checkers find in them.
 
 >>> from passgate.check.events import DaemonStarted
 >>> history = HistoryRecorder()
@@ -18,9 +18,9 @@
 
 
 class HistoryRecorder:
-    """Keep events in memory and, when given, write them to an open file of JSON lines.
+    """Keeps events in memory and also writes them as JSON lines to ``sink``, if there is one.
 
-    The file is opened and closed by the tool that owns it; a daemon has no disk.
+    The caller opens and closes ``sink``.
     """
 
     def __init__(self, sink: BinaryIO | None = None) -> None:
@@ -28,17 +28,17 @@
         self._sink = sink
 
     def record(self, event: AnyEvent) -> None:
-        """Add one event; events are recorded in the order in which they were seen."""
+        """Append one event; call it in the order in which the events were seen."""
         self.events.append(event)
         if self._sink is not None:
             self._sink.write(encode_event(event) + b"\n")
 
 
 def read_history(lines: Iterable[bytes]) -> list[AnyEvent]:
-    """Return the events of a file of JSON lines; blank lines are passed over.
+    """Return the events of a file of JSON lines; blank lines are skipped.
 
     Raises:
-        HistoryFormatError: details name the first ``line`` that is no event.
+        HistoryFormatError: a line is not an event; the details hold the number of the first such ``line``.
     """
     events = []
     for number, line in enumerate(lines, start=1):
@@ -52,23 +52,23 @@
 
 
 class Violation(msgspec.Struct, frozen=True, kw_only=True):
-    """One broken promise with the fewest events that show it."""
+    """One violation of a guarantee, with the few events that show it."""
 
-    promise: str
+    guarantee: str = msgspec.field(name="promise")
     rule: str
     message: str
     excerpt: tuple[AnyEvent, ...]
 
-    def size(self) -> tuple[int, float]:
-        """Return the sort key of excerpts: number of events, then seconds spanned."""
+    def sort_key(self) -> tuple[int, float]:
+        """Return the excerpt's number of events and the seconds that they span; smaller is shorter."""
         times = [event.time_s for event in self.excerpt]
         return len(self.excerpt), max(times, default=0.0) - min(times, default=0.0)
 
 
-Judge = Callable[[Sequence[AnyEvent]], list[Violation]]
-"""Looks for violations of one promise in a whole history."""
+Checker = Callable[[Sequence[AnyEvent]], list[Violation]]
+"""Returns the violations of one guarantee in a complete history."""
 
 
-def shortest(violations: Iterable[Violation]) -> Violation | None:
+def shortest_violation(violations: Iterable[Violation]) -> Violation | None:
     """Return the violation with the shortest excerpt, or None."""
-    return min(violations, key=Violation.size, default=None)
+    return min(violations, key=Violation.sort_key, default=None)
--- a/passgate/check/judgement.py
+++ b/passgate/check/judgement.py
@@ -1,8 +1,8 @@
-"""All judges together: one verdict on a history.
+"""Runs all checkers on a history and collects their results in one verdict.
 
 >>> from passgate.check.output_oracle import emulated_token
 >>> verdict = judge_history([], oracle=emulated_token)
->>> verdict.holds(), len(verdict.promises)
+>>> verdict.holds(), len(verdict.guarantees)
 (True, 9)
 """
 
@@ -14,62 +14,68 @@
 
 import msgspec
 
-from passgate.check import judges_operations, judges_requests, judges_samples
+from passgate.check import operation_checks, request_checks, sample_checks
 from passgate.check.events import AnyEvent
-from passgate.check.history import Judge, Violation, shortest
-from passgate.check.judges_samples import TokenOracle
+from passgate.check.history import Checker, Violation, shortest_violation
+from passgate.check.sample_checks import TokenOracle
 
 
-class PromiseVerdict(msgspec.Struct, frozen=True, kw_only=True):
-    """Result of one judge."""
+class GuaranteeVerdict(msgspec.Struct, frozen=True, kw_only=True):
+    """Result of the checker of one guarantee."""
 
-    promise: str
+    guarantee: str = msgspec.field(name="promise")
     violations: int
-    shortest: Violation | None
+    shortest_violation: Violation | None = msgspec.field(name="shortest")
 
 
 class HistoryVerdict(msgspec.Struct, frozen=True, kw_only=True):
-    """Result of all judges on one history."""
+    """Results of all checkers on one history."""
 
     events: int
     kinds: dict[str, int]
-    """Number of events by kind: a promise without events was not put to the test."""
-    promises: tuple[PromiseVerdict, ...]
+    """Number of events by class name; a guarantee whose events are absent was not tested."""
+    guarantees: tuple[GuaranteeVerdict, ...] = msgspec.field(name="promises")
 
     def holds(self) -> bool:
-        """Return whether no promise was broken."""
-        return not any(verdict.violations for verdict in self.promises)
+        """Return whether the history violates no guarantee."""
+        return not any(verdict.violations for verdict in self.guarantees)
 
-    def broken(self) -> dict[str, int]:
-        """Return the number of violations of each broken promise."""
-        return {verdict.promise: verdict.violations for verdict in self.promises if verdict.violations}
+    def violation_counts(self) -> dict[str, int]:
+        """Return the number of violations by guarantee; guarantees that hold are left out."""
+        return {verdict.guarantee: verdict.violations for verdict in self.guarantees if verdict.violations}
 
-    def shortest(self) -> Violation | None:
-        """Return the violation with the shortest excerpt over all promises."""
-        return shortest(verdict.shortest for verdict in self.promises if verdict.shortest is not None)
+    def shortest_violation(self) -> Violation | None:
+        """Return the violation with the shortest excerpt over all guarantees, or None."""
+        return shortest_violation(
+            verdict.shortest_violation
+            for verdict in self.guarantees
+            if verdict.shortest_violation is not None
+        )
 
 
-def judges(oracle: TokenOracle) -> dict[str, Judge]:
-    """Return one judge for each of the nine promises."""
+def make_checkers(oracle: TokenOracle) -> dict[str, Checker]:
+    """Return the checker of each guarantee by the guarantee's name."""
     return {
-        judges_samples.TRUE_VERSIONS: partial(judges_samples.judge_true_versions, oracle=oracle),
-        judges_samples.STALENESS: judges_samples.judge_staleness,
-        judges_samples.EXACTLY_ONCE: judges_samples.judge_exactly_once,
-        judges_requests.WHOLE_ANSWER: partial(judges_requests.judge_whole_answer, oracle=oracle),
-        judges_requests.NOT_RUN: judges_requests.judge_not_run,
-        judges_requests.AT_MOST_ONCE: judges_requests.judge_at_most_once,
-        judges_operations.LEAVING: judges_operations.judge_leaving,
-        judges_operations.PLANNED_STOP: judges_operations.judge_planned_stop,
-        judges_operations.CONFIGURATION: judges_operations.judge_configuration,
+        sample_checks.CORRECT_VERSIONS: partial(sample_checks.check_versions, oracle=oracle),
+        sample_checks.STALENESS: sample_checks.check_staleness,
+        sample_checks.EXACTLY_ONCE: sample_checks.check_exactly_once,
+        request_checks.COMPLETE_ANSWER: partial(request_checks.check_complete_answer, oracle=oracle),
+        request_checks.NOT_RUN: request_checks.check_not_run,
+        request_checks.AT_MOST_ONCE: request_checks.check_at_most_once,
+        operation_checks.LEAVING: operation_checks.check_leaving,
+        operation_checks.GRACEFUL_SHUTDOWN: operation_checks.check_graceful_shutdown,
+        operation_checks.CONFIGURATION: operation_checks.check_configuration,
     }
 
 
 def judge_history(events: Sequence[AnyEvent], oracle: TokenOracle) -> HistoryVerdict:
-    """Judge a history against every promise."""
-    promises = []
-    for promise, judge in judges(oracle).items():
-        violations = judge(events)
-        verdict = PromiseVerdict(promise=promise, violations=len(violations), shortest=shortest(violations))
-        promises.append(verdict)
+    """Check a history against every guarantee."""
+    guarantees = []
+    for guarantee, checker in make_checkers(oracle).items():
+        violations = checker(events)
+        verdict = GuaranteeVerdict(
+            guarantee=guarantee, violations=len(violations), shortest_violation=shortest_violation(violations)
+        )
+        guarantees.append(verdict)
     kinds = Counter(type(event).__name__ for event in events)
-    return HistoryVerdict(events=len(events), kinds=dict(kinds), promises=tuple(promises))
+    return HistoryVerdict(events=len(events), kinds=dict(kinds), guarantees=tuple(guarantees))
--- a/passgate/check/output_oracle.py
+++ b/passgate/check/output_oracle.py
@@ -1,4 +1,4 @@
-"""Token oracle of the emulated engines.
+"""Expected tokens of the emulated engines, which compute each token from its inputs.
 
 >>> emulated_token("m", (1, 2), 7, 0, 3) == emulated_token("m", (1, 2), 7, 0, 4)
 False
--- a/passgate/check/replay.py
+++ b/passgate/check/replay.py
@@ -1,9 +1,9 @@
-"""Replay of one simulated run by its seed or its schedule, with the shortest failing form.
+"""``passgate replay``: repeats one simulated run, by its seed or its schedule.
 
 ::
 
     passgate replay --seed 17
-    passgate replay --schedule failing.json --shrink --history run.jsonl
+    passgate replay --schedule failing.json --smallest --history run.jsonl
 """
 
 from __future__ import annotations
@@ -13,26 +13,26 @@
 import msgspec
 
 from passgate.check.events import encode_event
-from passgate.check.simulation.campaign import report_of, shrink
+from passgate.check.simulation.campaign import make_report, shrink
 from passgate.check.simulation.run import RunOutcome, simulate
 from passgate.check.simulation.schedule import Schedule, decode_schedule, encode_schedule, generate_schedule
 from passgate.errors import InvalidRequest, VerificationFailed
 
 
 class ReplayFailed(VerificationFailed):
-    """The replayed run breaks a promise or leaves an exception unhandled."""
+    """The replayed run violated a guarantee or left an exception unhandled."""
 
     code = "replay_failed"
 
 
 class ScheduleUnreadable(InvalidRequest):
-    """A schedule file is absent or not a schedule; details name ``file``."""
+    """A schedule file is missing or holds no schedule; the details name the ``file``."""
 
     code = "schedule_unreadable"
 
 
 class ReplayCommands:
-    """Runs simulated schedules again; the same schedule gives the same history."""
+    """Commands that repeat simulated runs; the same schedule gives the same history."""
 
     def schedule(
         self,
@@ -42,7 +42,7 @@
         smallest: bool = False,
         history: str = "",
     ) -> None:
-        """Run the schedule of a seed or file again and judge it.
+        """Run the schedule of a seed or file again and check its history.
 
         Args:
             seed: seed of a campaign.
@@ -52,8 +52,8 @@
             history: file to write the run's history to.
 
         Raises:
-            ReplayFailed: the run breaks a promise.
-            ScheduleUnreadable: the file is no schedule.
+            ReplayFailed: the run violated a guarantee or left an exception unhandled.
+            ScheduleUnreadable: the schedule file is missing or holds no schedule.
         """
         chosen = read_schedule(schedule) if schedule else generate_schedule(seed, only)
         if smallest:
@@ -62,8 +62,8 @@
         if history:
             write_history(outcome, history)
         print(encode_schedule(chosen).decode())
-        print(msgspec.json.encode(report_of(outcome, 0.0)).decode())
-        _raise_when_broken(outcome)
+        print(msgspec.json.encode(make_report(outcome, 0.0)).decode())
+        _raise_if_failed(outcome)
 
 
 def read_schedule(file: str) -> Schedule:
@@ -80,12 +80,12 @@
     pathlib.Path(file).write_bytes(b"".join(lines))
 
 
-def _raise_when_broken(outcome: RunOutcome) -> None:
+def _raise_if_failed(outcome: RunOutcome) -> None:
     if outcome.holds():
         return
-    found = outcome.verdict.shortest()
-    if found is not None:
-        for event in found.excerpt:
+    violation = outcome.verdict.shortest_violation()
+    if violation is not None:
+        for event in violation.excerpt:
             print(encode_event(event).decode())
-    message = found.message if found else "; ".join(outcome.unhandled)
-    raise ReplayFailed(message, found=", ".join(outcome.faults_found()))
+    message = violation.message if violation else "; ".join(outcome.unhandled)
+    raise ReplayFailed(message, found=", ".join(outcome.failure_names()))
--- a/passgate/check/simulation/campaign.py
+++ b/passgate/check/simulation/campaign.py
@@ -8,12 +8,12 @@
 
 import msgspec
 
-from passgate.check.judgement import judges
+from passgate.check.judgement import make_checkers
 from passgate.check.output_oracle import emulated_token
 from passgate.check.simulation.run import RunOutcome, simulate
 from passgate.check.simulation.schedule import Schedule, generate_schedule
 
-UNHANDLED = "unhandled"
+UNHANDLED_COLUMN = "unhandled"
 """Column of exceptions that nothing handled."""
 NO_FAULT = "none"
 
@@ -57,14 +57,14 @@
     """Time on the wall clock."""
 
 
-def report_of(outcome: RunOutcome, seconds: float) -> RunReport:
+def make_report(outcome: RunOutcome, seconds: float) -> RunReport:
     """Return the report of a run."""
-    found = outcome.verdict.shortest()
+    found = outcome.verdict.shortest_violation()
     return RunReport(
         schedule=outcome.schedule,
-        broken=outcome.verdict.broken(),
+        broken=outcome.verdict.violation_counts(),
         unhandled=tuple(sorted(set(outcome.unhandled))),
-        message=f"{found.promise}.{found.rule}: {found.message}" if found else "",
+        message=f"{found.guarantee}.{found.rule}: {found.message}" if found else "",
         events=len(outcome.events),
         virtual_s=outcome.virtual_s,
         seconds=round(seconds, 3),
@@ -75,7 +75,7 @@
     """Run the schedule of one seed."""
     started_s = time.perf_counter()
     outcome = simulate(generate_schedule(seed, only))
-    return report_of(outcome, time.perf_counter() - started_s)
+    return make_report(outcome, time.perf_counter() - started_s)
 
 
 def run_campaign(
@@ -86,14 +86,14 @@
 ) -> list[RunReport]:
     """Run all seeds, ``processes`` at a time; reports come in the order of the seeds."""
     reports = []
-    for report in _run_all(seeds, only, processes):
+    for report in _iterate_reports(seeds, only, processes):
         reports.append(report)
         if on_report is not None:
             on_report(report)
     return reports
 
 
-def _run_all(seeds: Sequence[int], only: str, processes: int) -> Iterator[RunReport]:
+def _iterate_reports(seeds: Sequence[int], only: str, processes: int) -> Iterator[RunReport]:
     if processes <= 1:
         yield from (run_seed(seed, only) for seed in seeds)
         return
@@ -101,7 +101,7 @@
         yield from pool.map(run_seed, seeds, [only] * len(seeds), chunksize=4)
 
 
-def summarise(reports: Sequence[RunReport], first_seed: int, only: str, seconds: float) -> CampaignSummary:
+def summarize(reports: Sequence[RunReport], first_seed: int, only: str, seconds: float) -> CampaignSummary:
     """Return the totals of a campaign."""
     return CampaignSummary(
         first_seed=first_seed,
@@ -114,27 +114,27 @@
     )
 
 
-def fault_rows(reports: Iterable[RunReport]) -> list[FaultRow]:
+def make_fault_rows(reports: Iterable[RunReport]) -> list[FaultRow]:
     """Return one row for each kind of fault; a run counts in the row of each of its kinds."""
     rows: dict[str, FaultRow] = {}
     for report in reports:
         for name in report.schedule.fault_names() or [NO_FAULT]:
-            row = rows.setdefault(name, FaultRow(fault=name, violations=dict.fromkeys(columns(), 0)))
+            row = rows.setdefault(name, FaultRow(fault=name, violations=dict.fromkeys(column_names(), 0)))
             row.runs += 1
             for promise, count in report.broken.items():
                 row.violations[promise] += count
-            row.violations[UNHANDLED] += len(report.unhandled)
+            row.violations[UNHANDLED_COLUMN] += len(report.unhandled)
     return [rows[name] for name in sorted(rows)]
 
 
-def columns() -> list[str]:
+def column_names() -> list[str]:
     """Return the promises, and the column of unhandled exceptions."""
-    return [*judges(emulated_token), UNHANDLED]
+    return [*make_checkers(emulated_token), UNHANDLED_COLUMN]
 
 
-def markdown(rows: Sequence[FaultRow]) -> str:
+def format_markdown(rows: Sequence[FaultRow]) -> str:
     """Return the table of fault and promise."""
-    names = columns()
+    names = column_names()
     lines = [
         "| fault | runs | " + " | ".join(names) + " |",
         "|---|---:|" + "---:|" * len(names),
--- a/passgate/check/simulation/faults.py
+++ b/passgate/check/simulation/faults.py
@@ -28,56 +28,58 @@
 
     def __init__(self, run: SimulatedRun) -> None:
         self._run = run
-        self._outside = FaultSchedule(run.world, ())
+        self._external_faults = FaultSchedule(run.world, ())
         self._timers: list[asyncio.TimerHandle] = []
-        self._cut_zones: Counter[str] = Counter()
-        self._deaf: Counter[str] = Counter()
+        self._cut_count_by_zone: Counter[str] = Counter()
+        self._disconnect_count_by_daemon: Counter[str] = Counter()
         """Number of faults that keep each daemon from hearing the log."""
         self._pauses: Counter[str] = Counter()
 
     def start(self, faults: Iterable[AnyScheduledFault]) -> None:
         """Schedule all faults from now on."""
         for fault in faults:
-            self._later(fault.at_s, self.apply, fault)
+            self._schedule(fault.at_s, self.apply, fault)
 
     def close(self) -> None:
         """Cancel what has not happened yet."""
-        self._outside.close()
+        self._external_faults.close()
         for timer in self._timers:
             timer.cancel()
 
-    def note_started(self, daemon: str) -> None:
+    def record_if_disconnected(self, daemon: str) -> None:
         """Record that a daemon which has just started can not hear the log."""
-        if self._deaf[daemon]:
+        if self._disconnect_count_by_daemon[daemon]:
             self._run.record(DaemonCut(time_s=monotonic_s(), daemon=daemon))
 
     def apply(self, fault: AnyScheduledFault) -> None:
         """Begin a fault now."""
         match fault:
             case DaemonKill():
-                self._for_each(fault.daemons, self._kill, fault.restart_after_s)
+                self._spawn_for_running(fault.daemons, self._kill, fault.restart_after_s)
             case DaemonStop():
-                self._for_each(fault.daemons, self._stop, fault.restart_after_s)
+                self._spawn_for_running(fault.daemons, self._stop, fault.restart_after_s)
             case DaemonPause():
                 for name in fault.daemons:
                     self._pause(name, fault.duration_s)
             case ClientAnswersLost():
-                self._run.link.answer_loss = fault.probability
-                self._later(fault.duration_s, self._deliver_answers)
+                self._run.link.answer_loss_probability = fault.probability
+                self._schedule(fault.duration_s, self._end_answer_loss)
             case _:
-                self._apply_outside(fault)
+                self._apply_external(fault)
 
-    def _apply_outside(self, fault: Any) -> None:
-        self._outside.apply(fault)
+    def _apply_external(self, fault: Any) -> None:
+        self._external_faults.apply(fault)
         if isinstance(fault, ZoneCut):
             self._cut_peers(fault.zone, fault.duration_s)
-            self._deafen([name for name in DAEMONS if name[0] == fault.zone], fault.duration_s)
+            self._disconnect([name for name in DAEMONS if name[0] == fault.zone], fault.duration_s)
         elif isinstance(fault, LogOutage):
-            self._deafen(DAEMONS, fault.duration_s)
+            self._disconnect(DAEMONS, fault.duration_s)
 
     # --- daemons -----------------------------------------------------------------------
 
-    def _for_each(self, names: Iterable[str], act: Callable[[str, float], Any], after_s: float) -> None:
+    def _spawn_for_running(
+        self, names: Iterable[str], act: Callable[[str, float], Any], after_s: float
+    ) -> None:
         for name in names:
             process = self._run.processes[name]
             if not process.ended.done() and not process.stopping:
@@ -102,40 +104,40 @@
     def _pause(self, name: str, duration_s: float) -> None:
         process = self._run.processes[name]
         process.pause()
-        self._deafen([name], duration_s)
-        self._later(duration_s, process.resume)
+        self._disconnect([name], duration_s)
+        self._schedule(duration_s, process.resume)
 
-    def _deliver_answers(self) -> None:
-        self._run.link.answer_loss = 0.0
+    def _end_answer_loss(self) -> None:
+        self._run.link.answer_loss_probability = 0.0
 
     # --- what a daemon can hear ------------------------------------------------------------
 
     def _cut_peers(self, zone: str, duration_s: float) -> None:
-        self._cut_zones[zone] += 1
-        self._set_peer_groups()
-        self._later(duration_s, self._heal_peers, zone)
+        self._cut_count_by_zone[zone] += 1
+        self._update_peer_partition()
+        self._schedule(duration_s, self._heal_peers, zone)
 
     def _heal_peers(self, zone: str) -> None:
-        self._cut_zones[zone] -= 1
-        self._set_peer_groups()
+        self._cut_count_by_zone[zone] -= 1
+        self._update_peer_partition()
 
-    def _set_peer_groups(self) -> None:
-        cut = {zone for zone, count in self._cut_zones.items() if count}
+    def _update_peer_partition(self) -> None:
+        cut = {zone for zone, count in self._cut_count_by_zone.items() if count}
         self._run.peers.cut(lambda address, zone: zone if zone in cut else "")
 
-    def _deafen(self, names: Iterable[str], duration_s: float) -> None:
+    def _disconnect(self, names: Iterable[str], duration_s: float) -> None:
         for name in names:
-            self._deaf[name] += 1
-            if self._deaf[name] == 1:
+            self._disconnect_count_by_daemon[name] += 1
+            if self._disconnect_count_by_daemon[name] == 1:
                 self._run.record(DaemonCut(time_s=monotonic_s(), daemon=name))
-        self._later(duration_s, self._hear, tuple(names))
+        self._schedule(duration_s, self._reconnect, tuple(names))
 
-    def _hear(self, names: Iterable[str]) -> None:
+    def _reconnect(self, names: Iterable[str]) -> None:
         for name in names:
-            self._deaf[name] -= 1
-            if self._deaf[name] == 0 and self._run.processes[name].is_ready:
+            self._disconnect_count_by_daemon[name] -= 1
+            if self._disconnect_count_by_daemon[name] == 0 and self._run.processes[name].is_ready:
                 self._run.record(DaemonReconnected(time_s=monotonic_s(), daemon=name))
 
-    def _later(self, delay_s: float, action: Callable[..., object], *arguments: object) -> None:
+    def _schedule(self, delay_s: float, action: Callable[..., object], *arguments: object) -> None:
         timer = asyncio.get_running_loop().call_later(delay_s, lambda: action(*arguments))
         self._timers.append(timer)
--- a/passgate/check/simulation/operators.py
+++ b/passgate/check/simulation/operators.py
@@ -27,8 +27,8 @@
 KIND = "PriorityClass"
 OBJECTS = 2
 PUT_TIMEOUT_S = 3.0
-SHORTEST_PAUSE_S = 0.5
-LONGEST_PAUSE_S = 4.0
+MIN_PAUSE_S = 0.5
+MAX_PAUSE_S = 4.0
 UNCONDITIONAL_SHARE = 0.3
 DELETE_SHARE = 0.15
 
@@ -38,7 +38,7 @@
     return xxhash.xxh64_hexdigest(msgspec.json.encode((sorted(labels.items()), spec)))
 
 
-def in_force(daemon: str, state: ConfigurationState) -> ConfigurationInForce:
+def make_configuration_event(daemon: str, state: ConfigurationState) -> ConfigurationInForce:
     """Return the event of a daemon's present configuration."""
     objects = [entry for kind in SPEC_TYPES for entry in state.objects(kind)]
     held = tuple(
@@ -70,20 +70,20 @@
     async def run(self) -> None:
         """Make one change after the other, through any daemon."""
         while True:
-            await asyncio.sleep(self._random.uniform(SHORTEST_PAUSE_S, LONGEST_PAUSE_S))
+            await asyncio.sleep(self._random.uniform(MIN_PAUSE_S, MAX_PAUSE_S))
             ready = [process for name, process in sorted(self._processes.items()) if process.is_ready]
             if ready:
-                await self._change(self._random.choice(ready))
+                await self._change_object(self._random.choice(ready))
 
-    async def _change(self, process: SimulatedProcess) -> None:
+    async def _change_object(self, process: SimulatedProcess) -> None:
         name = f"class-{self._random.randrange(OBJECTS)}"
         current = process.parts.configuration.state.get(KIND, name)
         expected = current.revision if current is not None else 0
         is_unconditional = self._random.random() < UNCONDITIONAL_SHARE
         is_deletion = current is not None and self._random.random() < DELETE_SHARE
-        await self._attempt(process, name, None if is_unconditional else expected, is_deletion)
+        await self._send_change(process, name, None if is_unconditional else expected, is_deletion)
 
-    async def _attempt(
+    async def _send_change(
         self, process: SimulatedProcess, name: str, expected: int | None, is_deletion: bool
     ) -> None:
         spec = PriorityClassSpec(weight=round(self._random.uniform(1, 9), 6))
@@ -103,7 +103,7 @@
                 revision = await service.put(KIND, name, labels, spec, expected, PUT_TIMEOUT_S)
         except PassgateError as error:
             if isinstance(error, RevisionConflict) and expected is not None and not process.ended.done():
-                self._refused(full_name, expected, error)
+                self._record_conflict(full_name, expected, error)
             return
         if not process.ended.done():
             accepted = ConfigurationAccepted(
@@ -115,7 +115,7 @@
             )
             self._record(accepted)
 
-    def _refused(self, name: str, expected: int, error: RevisionConflict) -> None:
+    def _record_conflict(self, name: str, expected: int, error: RevisionConflict) -> None:
         refused = ConfigurationRefused(
             time_s=monotonic_s(),
             name=name,
--- a/passgate/check/simulation/process.py
+++ b/passgate/check/simulation/process.py
@@ -51,20 +51,20 @@
         """Let everything pass again."""
         self._running.set()
 
-    async def crossing(self, work: Callable[[], Awaitable[Result]]) -> Result:
+    async def cross(self, call: Callable[[], Awaitable[Result]]) -> Result:
         """Do ``work`` outside of the process; its answer too comes in only while it runs."""
         await self._running.wait()
         try:
-            return await work()
+            return await call()
         finally:
             await self._running.wait()
 
-    async def wait(self) -> None:
+    async def wait_until_running(self) -> None:
         """Wait until the process runs."""
         await self._running.wait()
 
 
-class BoundLog:
+class PausableLog:
     """``interfaces.LogClient`` of one process."""
 
     def __init__(self, inner: LogClient, boundary: ProcessBoundary) -> None:
@@ -73,14 +73,14 @@
 
     async def append(self, stream: str, payloads: Sequence[bytes], timeout_s: float) -> int:
         """Append records; see ``interfaces.LogClient``."""
-        return await self._boundary.crossing(lambda: self._inner.append(stream, payloads, timeout_s))
+        return await self._boundary.cross(lambda: self._inner.append(stream, payloads, timeout_s))
 
     async def read(self, stream: str, offset: int, limit: int, wait_s: float) -> LogBatch:
         """Read records; see ``interfaces.LogClient``."""
-        return await self._boundary.crossing(lambda: self._inner.read(stream, offset, limit, wait_s))
+        return await self._boundary.cross(lambda: self._inner.read(stream, offset, limit, wait_s))
 
 
-class BoundEngine:
+class PausableEngine:
     """``interfaces.EngineClient`` of one process."""
 
     def __init__(self, inner: EngineClient, boundary: ProcessBoundary) -> None:
@@ -89,33 +89,33 @@
 
     async def generate(self, address: str, request: GenerateRequest) -> AsyncIterator[GenerateChunk]:
         """Stream the output of one request; see ``interfaces.EngineClient``."""
-        await self._boundary.wait()
+        await self._boundary.wait_until_running()
         stream = self._inner.generate(address, request)
         try:
             async for chunk in stream:
-                await self._boundary.wait()
+                await self._boundary.wait_until_running()
                 yield chunk
         finally:
             await stream.aclose()
 
     async def cancel(self, address: str, request_id: str) -> None:
         """Cancel a request."""
-        await self._boundary.crossing(lambda: self._inner.cancel(address, request_id))
+        await self._boundary.cross(lambda: self._inner.cancel(address, request_id))
 
     async def load_report(self, address: str) -> LoadReport:
         """Return the engine's latest report."""
-        return await self._boundary.crossing(lambda: self._inner.load_report(address))
+        return await self._boundary.cross(lambda: self._inner.load_report(address))
 
     async def cache_events(self, address: str, after_sequence: int) -> Sequence[CacheEvent]:
         """Return later cache events."""
-        return await self._boundary.crossing(lambda: self._inner.cache_events(address, after_sequence))
+        return await self._boundary.cross(lambda: self._inner.cache_events(address, after_sequence))
 
     async def order(self, address: str, order: EngineOrder) -> OrderResult:
         """Send a control order."""
-        return await self._boundary.crossing(lambda: self._inner.order(address, order))
+        return await self._boundary.cross(lambda: self._inner.order(address, order))
 
 
-class BoundApp:
+class PausableApp:
     """``interfaces.AppClient`` of one process."""
 
     def __init__(self, inner: AppClient, boundary: ProcessBoundary) -> None:
@@ -124,14 +124,14 @@
 
     async def call(self, address: str, request: AppRequest) -> AppResponse:
         """Forward a call."""
-        return await self._boundary.crossing(lambda: self._inner.call(address, request))
+        return await self._boundary.cross(lambda: self._inner.call(address, request))
 
     async def load_report(self, address: str) -> LoadReport:
         """Return the replica's latest report."""
-        return await self._boundary.crossing(lambda: self._inner.load_report(address))
+        return await self._boundary.cross(lambda: self._inner.load_report(address))
 
 
-class BoundMachineList:
+class PausableMachineList:
     """``interfaces.MachineList`` of one process; ``on_read`` is told what each read shows."""
 
     def __init__(
@@ -146,12 +146,12 @@
 
     async def machines(self) -> Sequence[MachineInfo]:
         """Return the list."""
-        machines = await self._boundary.crossing(self._inner.machines)
+        machines = await self._boundary.cross(self._inner.machines)
         self._on_read(machines)
         return machines
 
 
-class _PortlessDaemon(Daemon):
+class _DaemonWithoutPorts(Daemon):
     """The daemon without its HTTP ports: callers enter through :class:`SimulatedProcess`."""
 
     def _listen(self, routes: Any, address: str) -> str:
@@ -179,11 +179,11 @@
         self.stopping = False
         self._transport: MemoryTransport = peers.transport(peer_address(name), zone)
         random = world.random(f"{name}/{run}")
-        self.daemon = _PortlessDaemon(
+        self.daemon = _DaemonWithoutPorts(
             self._settings(seeds),
-            _silent_logger(),
+            _make_silent_logger(),
             random,
-            self._outside(world, run, on_read),
+            self._make_external_clients(world, run, on_read),
         )
 
     @property
@@ -238,16 +238,16 @@
             stop=StopSettings(notice_s=NOTICE_S, drain_timeout_s=DRAIN_TIMEOUT_S),
         )
 
-    def _outside(
+    def _make_external_clients(
         self, world: EmulatedWorld, run: int, on_read: Callable[[Sequence[MachineInfo]], None]
     ) -> Outside:
         log = world.log_client(self.zone, f"{self.name}/{run}")
         return Outside(
-            log=BoundLog(log, self.boundary),
-            machine_list=BoundMachineList(world.machine_list, self.boundary, on_read),
+            log=PausableLog(log, self.boundary),
+            machine_list=PausableMachineList(world.machine_list, self.boundary, on_read),
             weight_store=None,
-            engine=BoundEngine(world.engine_client(self.zone), self.boundary),
-            app=BoundApp(world.app_client(self.zone), self.boundary),
+            engine=PausableEngine(world.engine_client(self.zone), self.boundary),
+            app=PausableApp(world.app_client(self.zone), self.boundary),
             transport=self._transport,
         )
 
@@ -262,7 +262,7 @@
     return f"10.{ord(zone) - ord('a')}.0.{number}:7000"
 
 
-def _silent_logger() -> logging.Logger:
+def _make_silent_logger() -> logging.Logger:
     logger = logging.getLogger("passgate.simulation")
     logger.addHandler(logging.NullHandler())
     logger.propagate = False
--- a/passgate/check/simulation/recovery.py
+++ b/passgate/check/simulation/recovery.py
@@ -24,14 +24,14 @@
 from passgate.state.lot_types import LotRequest
 
 FAULT_AT_S = 10.0
-WATCHED_S = 60.0
+OBSERVED_S = 60.0
 PROBE_PERIOD_S = 0.25
 RESTART_S = 2.0
 ENGINE_RESTART_S = 5.0
 OUTAGE_S = 10.0
 PROBE_DEADLINE_S = 20.0
 
-SLOWEST_NORMAL_S = {"app": 0.5, "generate": 1.5, "lot": 3.0, "configuration": 0.5}
+MAX_NORMAL_S_BY_SERVICE = {"app": 0.5, "generate": 1.5, "lot": 3.0, "configuration": 0.5}
 """A probe that takes longer is not normal service."""
 
 SCENARIOS: dict[str, tuple[AnyScheduledFault, ...]] = {
@@ -67,20 +67,21 @@
 class _Probe(msgspec.Struct, frozen=True):
     service: str
     started_s: float
-    normal: bool
+    is_normal: bool
 
 
 def measure(seeds: int) -> Iterator[RecoveryResult]:
     """Yield the results of every scenario and service."""
     for name, faults in SCENARIOS.items():
         runs = [
-            run_virtual(_RecoveryRun(Schedule(seed=seed, faults=faults)).probes()) for seed in range(seeds)
+            run_virtual(_RecoveryRun(Schedule(seed=seed, faults=faults)).run_probes())
+            for seed in range(seeds)
         ]
-        for service in SLOWEST_NORMAL_S:
-            yield _result(name, faults, service, runs)
+        for service in MAX_NORMAL_S_BY_SERVICE:
+            yield _make_result(name, faults, service, runs)
 
 
-def line(result: RecoveryResult) -> str:
+def format_line(result: RecoveryResult) -> str:
     """Return a result as one line of a table."""
     times = " ".join(f"{seconds:6.2f}" for seconds in result.recovered_s)
     return (
@@ -89,31 +90,31 @@
     )
 
 
-def _result(
+def _make_result(
     name: str, faults: tuple[AnyScheduledFault, ...], service: str, runs: list[list[_Probe]]
 ) -> RecoveryResult:
     chosen = [[probe for probe in probes if probe.service == service] for probes in runs]
     return RecoveryResult(
         fault=name,
         service=service,
-        fault_lasts_s=max(_lasts_s(fault) for fault in faults),
+        fault_lasts_s=max(_duration_s(fault) for fault in faults),
         probes=sum(map(len, chosen)),
-        abnormal=sum(not probe.normal for probes in chosen for probe in probes),
+        abnormal=sum(not probe.is_normal for probes in chosen for probe in probes),
         recovered_s=tuple(_recovered_s(probes) for probes in chosen),
     )
 
 
-def _lasts_s(fault: AnyScheduledFault) -> float:
+def _duration_s(fault: AnyScheduledFault) -> float:
     return getattr(fault, "duration_s", None) or getattr(fault, "restart_after_s", 0.0)
 
 
 def _recovered_s(probes: list[_Probe]) -> float:
     """Return the seconds from the fault to the first probe since which all are normal."""
-    abnormal = [probe.started_s for probe in probes if not probe.normal]
+    abnormal = [probe.started_s for probe in probes if not probe.is_normal]
     if not abnormal:
         return 0.0
     later = [probe.started_s for probe in probes if probe.started_s > max(abnormal)]
-    return round(min(later, default=WATCHED_S) - FAULT_AT_S, 2)
+    return round(min(later, default=OBSERVED_S) - FAULT_AT_S, 2)
 
 
 class _RecoveryRun(SimulatedRun):
@@ -122,23 +123,23 @@
     def __init__(self, schedule: Schedule) -> None:
         super().__init__(schedule, RunLimits())
         self._probes: list[_Probe] = []
-        self._begin_s = 0.0
+        self._started_s = 0.0
 
-    async def probes(self) -> list[_Probe]:
+    async def run_probes(self) -> list[_Probe]:
         """Run to the end and return the probes that started after the fault."""
         await self.run()
         return [probe for probe in self._probes if probe.started_s >= FAULT_AT_S - PROBE_DEADLINE_S]
 
-    async def _work(self) -> None:
-        self._begin_s = monotonic_s()
+    async def _run_workload(self) -> None:
+        self._started_s = monotonic_s()
         service = self._service_for("probes")
         model = self.world.parameters.engines.models[0]
         self.faults.start(self.schedule.faults)
         open_probes = []
         number = 0
-        while monotonic_s() < self._begin_s + WATCHED_S:
+        while monotonic_s() < self._started_s + OBSERVED_S:
             number += 1
-            for name, call in _calls(service, model.name, number).items():
+            for name, call in _make_calls(service, model.name, number).items():
                 open_probes.append(asyncio.ensure_future(self._probe(name, call)))
             await asyncio.sleep(PROBE_PERIOD_S)
         await asyncio.gather(*open_probes)
@@ -151,11 +152,13 @@
             failed = False
         except (PassgateError, TimeoutError):
             failed = True
-        is_normal = not failed and monotonic_s() - started_s <= SLOWEST_NORMAL_S[name]
-        self._probes.append(_Probe(name, started_s - self._begin_s, is_normal))
+        is_normal = not failed and monotonic_s() - started_s <= MAX_NORMAL_S_BY_SERVICE[name]
+        self._probes.append(_Probe(name, started_s - self._started_s, is_normal))
 
 
-def _calls(service: SimulatedService, model: str, number: int) -> dict[str, Callable[[], Awaitable[object]]]:
+def _make_calls(
+    service: SimulatedService, model: str, number: int
+) -> dict[str, Callable[[], Awaitable[object]]]:
     """Return one call for each service."""
     app = AppRequest(
         request_id=f"probe-{number}",
@@ -179,12 +182,12 @@
     return {
         "app": lambda: service.call_app(app),
         "generate": lambda: service.generate(generate),
-        "lot": lambda: _collect(service, model, f"probe-{number}"),
+        "lot": lambda: _collect_sample(service, model, f"probe-{number}"),
         "configuration": lambda: service.change_class("probe"),
     }
 
 
-async def _collect(service: SimulatedService, model: str, lot_id: str) -> None:
+async def _collect_sample(service: SimulatedService, model: str, lot_id: str) -> None:
     prompts = (PromptSpec(prompt=(1, 2), max_tokens=8),)
     request = LotRequest(caller="probe", pool=model, model=model, staleness_bound=1, prompts=prompts)
     await service.open_lot(request, lot_id)
--- a/passgate/check/simulation/run.py
+++ b/passgate/check/simulation/run.py
@@ -21,7 +21,7 @@
 from passgate.check.output_oracle import emulated_token
 from passgate.check.simulation import slow_trainer
 from passgate.check.simulation.faults import SimulatedFaults
-from passgate.check.simulation.operators import RacingOperator, in_force
+from passgate.check.simulation.operators import RacingOperator, make_configuration_event
 from passgate.check.simulation.parameters import small_deployment
 from passgate.check.simulation.process import SimulatedProcess, peer_address
 from passgate.check.simulation.schedule import DAEMONS, Schedule
@@ -40,11 +40,11 @@
 
 OPERATORS = 2
 SETUP_TIMEOUT_S = 5.0
-READY_POLL_S = 0.02
-READY_LIMIT_S = 30.0
-REST_S = 21.0
+READY_POLL_INTERVAL_S = 0.02
+READY_TIMEOUT_S = 30.0
+DRAIN_S = 21.0
 """Time after the last call in which everything must become whole."""
-RETRY_MARK = "~"
+ATTEMPT_SEPARATOR = "~"
 """Separates a caller's request identifier from the number of a further attempt on a back end."""
 
 
@@ -72,9 +72,9 @@
         """Return whether every promise held and nothing was left unhandled."""
         return self.verdict.holds() and not self.unhandled
 
-    def faults_found(self) -> list[str]:
+    def failure_names(self) -> list[str]:
         """Return the names of broken promises and unhandled exceptions."""
-        return [*self.verdict.broken(), *sorted(set(self.unhandled))]
+        return [*self.verdict.violation_counts(), *sorted(set(self.unhandled))]
 
 
 def simulate(schedule: Schedule, limits: RunLimits | None = None) -> RunOutcome:
@@ -94,13 +94,13 @@
         self.unhandled: list[str] = []
         self._runs: dict[str, int] = dict.fromkeys(DAEMONS, 0)
         self._tasks: set[asyncio.Task[Any]] = set()
-        self._said_leaving: set[str] = set()
+        self._reported_leaving: set[str] = set()
 
     async def run(self) -> RunOutcome:
         """Run to the end and judge."""
-        asyncio.get_running_loop().set_exception_handler(self._note_unhandled)
+        asyncio.get_running_loop().set_exception_handler(self._record_unhandled)
         await self._build()
-        await self._work()
+        await self._run_workload()
         self.record(history_events.HistoryClosed(time_s=monotonic_s()))
         await self._close()
         events = self.recorder.events
@@ -120,7 +120,7 @@
 
     async def _build(self) -> None:
         parameters = small_deployment()
-        self.world = EmulatedWorld(parameters, self.schedule.seed, RunLedger(self._note_run))
+        self.world = EmulatedWorld(parameters, self.schedule.seed, RunLedger(self._record_run))
         delays = LinkDelays(between_zones_s=parameters.network.between_zones_s)
         self.peers = MemoryNetwork(self.world.random("peers"), delays)
         await self._configure()
@@ -156,36 +156,36 @@
         self._runs[name] += 1
         seeds = tuple(peer_address(other) for other in DAEMONS if other != name)
         process = SimulatedProcess(
-            name, name[0], self._runs[name], self.world, self.peers, seeds, self._note_machines
+            name, name[0], self._runs[name], self.world, self.peers, seeds, self._record_leaving_machines
         )
         self.processes[name] = process
         process.start()
-        self.spawn(self._announce(process))
+        self.spawn(self._record_start(process))
 
-    async def _announce(self, process: SimulatedProcess) -> None:
+    async def _record_start(self, process: SimulatedProcess) -> None:
         """Record a daemon's start and configuration once it serves."""
         while not process.is_ready:
             if process.ended.done() or process.stopping:
                 return
-            await asyncio.sleep(READY_POLL_S)
+            await asyncio.sleep(READY_POLL_INTERVAL_S)
         state = process.parts.configuration.state
         self.record(history_events.DaemonStarted(time_s=monotonic_s(), daemon=process.name))
-        self.faults.note_started(process.name)
-        self.record(in_force(process.name, state))
-        process.parts.configuration.subscribe(lambda state: self._note_configuration(process))
+        self.faults.record_if_disconnected(process.name)
+        self.record(make_configuration_event(process.name, state))
+        process.parts.configuration.subscribe(lambda state: self._record_configuration(process))
 
     async def _until_ready(self) -> None:
         self.faults = SimulatedFaults(self)
-        deadline_s = monotonic_s() + READY_LIMIT_S
+        deadline_s = monotonic_s() + READY_TIMEOUT_S
         while not all(process.is_ready for process in self.processes.values()):
             if monotonic_s() > deadline_s:
                 self.unhandled.append("daemons did not become ready")
                 return
-            await asyncio.sleep(READY_POLL_S)
+            await asyncio.sleep(READY_POLL_INTERVAL_S)
 
     # --- running ------------------------------------------------------------------------
 
-    async def _work(self) -> None:
+    async def _run_workload(self) -> None:
         seed = self.schedule.seed
         callers = Callers(self.world.parameters, self._service_for, self.world.publish, seed, self.record)
         steps = self.limits.trainer_steps
@@ -194,16 +194,16 @@
             self.spawn(RacingOperator(name, self.processes, self.world.random(name), self.record).run())
             for name in (f"operator-{number}" for number in range(OPERATORS))
         ]
-        late_reader = self._slow_trainer(callers)
+        late_reader = self._make_slow_trainer(callers)
         late_reading = asyncio.ensure_future(late_reader.run())
         self.faults.start(self.schedule.faults)
-        await asyncio.gather(*(stream.run(self.limits.calls_s, REST_S) for stream in callers.streams))
+        await asyncio.gather(*(stream.run(self.limits.calls_s, DRAIN_S) for stream in callers.streams))
         for operator in operators:
             operator.cancel()
         late_reader.stopping = True
         trainers.append(late_reading)
         await asyncio.wait(trainers, timeout=self.limits.settle_s)
-        await asyncio.sleep(REST_S)
+        await asyncio.sleep(DRAIN_S)
         for trainer in trainers:
             trainer.cancel()
         await asyncio.gather(*trainers, return_exceptions=True)
@@ -217,23 +217,26 @@
             try:
                 await service.publish_version(trainer.parameters.model, trainer.version)
             except PassgateError as error:
-                await asyncio.sleep(error.retry_after_s or READY_POLL_S)
+                await asyncio.sleep(error.retry_after_s or READY_POLL_INTERVAL_S)
             else:
                 return
 
-    def _slow_trainer(self, callers: Callers) -> SlowTrainer:
+    def _make_slow_trainer(self, callers: Callers) -> SlowTrainer:
         return SlowTrainer(
-            self._service_for(slow_trainer.NAME),
+            self._service_for(slow_trainer.TRAINER_NAME),
             self.world.parameters.engines.models[0],
             lambda: callers.trainers[0].version,
-            self.world.random(slow_trainer.NAME),
+            self.world.random(slow_trainer.TRAINER_NAME),
             self.record,
         )
 
     def _abandon_lots_ahead(self) -> None:
         """Record that trainers opened lots ahead of the last step and do not want them any more."""
         for event in list(self.recorder.events):
-            if not isinstance(event, history_events.LotSubmitted) or event.trainer == slow_trainer.NAME:
+            if (
+                not isinstance(event, history_events.LotSubmitted)
+                or event.trainer == slow_trainer.TRAINER_NAME
+            ):
                 continue
             number = int(event.lot_id.rpartition("-")[2])
             if number > self.limits.trainer_steps:
@@ -256,38 +259,38 @@
         """Run work beside the schedule until the end."""
         task = asyncio.ensure_future(work)
         self._tasks.add(task)
-        task.add_done_callback(self._ended)
+        task.add_done_callback(self._on_task_done)
         return task
 
-    def _ended(self, task: asyncio.Task[Any]) -> None:
+    def _on_task_done(self, task: asyncio.Task[Any]) -> None:
         self._tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
             self.unhandled.append(repr(task.exception()))
 
     # --- what is seen from outside --------------------------------------------------------
 
-    def _note_run(self, record: RunRecord) -> None:
+    def _record_run(self, record: RunRecord) -> None:
         started = history_events.BackendRunStarted(
             time_s=record.at_s,
-            request_id=record.request_id.split(RETRY_MARK)[0],
+            request_id=record.request_id.split(ATTEMPT_SEPARATOR)[0],
             replica_id=record.replica_id,
         )
         self.record(started)
 
-    def _note_machines(self, machines: Sequence[MachineInfo]) -> None:
+    def _record_leaving_machines(self, machines: Sequence[MachineInfo]) -> None:
         for machine in machines:
             is_leaving = machine.state is not MachineState.LIVE
-            if is_leaving and machine.machine_id not in self._said_leaving:
-                self._said_leaving.add(machine.machine_id)
+            if is_leaving and machine.machine_id not in self._reported_leaving:
+                self._reported_leaving.add(machine.machine_id)
                 self.record(
                     history_events.BackendLeaving(time_s=monotonic_s(), replica_id=machine.machine_id)
                 )
 
-    def _note_configuration(self, process: SimulatedProcess) -> None:
+    def _record_configuration(self, process: SimulatedProcess) -> None:
         if not process.ended.done():
-            self.record(in_force(process.name, process.parts.configuration.state))
+            self.record(make_configuration_event(process.name, process.parts.configuration.state))
 
-    def _note_unhandled(self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
+    def _record_unhandled(self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
         error = context.get("exception")
         task = context.get("task")
         where = f" in {task.get_coro().__qualname__}" if task is not None else ""
--- a/passgate/check/simulation/schedule.py
+++ b/passgate/check/simulation/schedule.py
@@ -37,10 +37,10 @@
 ENGINES = ("engine-0", "engine-1", "engine-2", "engine-3")
 APPS = ("app-0", "app-1", "app-2")
 
-FAULTS_FROM_S = 4.0
-FAULTS_UNTIL_S = 22.0
-FAULTS_LIMIT = 4
-LONGEST_FAULT_S = 12.0
+FIRST_FAULT_S = 4.0
+LAST_FAULT_S = 22.0
+MAX_FAULTS = 4
+MAX_FAULT_DURATION_S = 12.0
 
 
 class DaemonFault(msgspec.Struct, frozen=True, tag=True, kw_only=True):
@@ -120,58 +120,66 @@
     """
     random = Random(f"schedule/{seed}")
     if only:
-        makers = [FAULT_MAKERS[only]] * 2
+        makers = [FAULT_MAKER_BY_KIND[only]] * 2
     else:
-        names = random.choices(sorted(FAULT_MAKERS), k=random.randint(1, FAULTS_LIMIT))
-        makers = [FAULT_MAKERS[name] for name in names]
-    faults = [make(random, _time_s(random)) for make in makers]
+        names = random.choices(sorted(FAULT_MAKER_BY_KIND), k=random.randint(1, MAX_FAULTS))
+        makers = [FAULT_MAKER_BY_KIND[name] for name in names]
+    faults = [make(random, _random_time_s(random)) for make in makers]
     return Schedule(seed=seed, faults=tuple(sorted(faults, key=lambda fault: fault.at_s)))
 
 
-def _time_s(random: Random) -> float:
-    return round(random.uniform(FAULTS_FROM_S, FAULTS_UNTIL_S), 3)
+def _random_time_s(random: Random) -> float:
+    return round(random.uniform(FIRST_FAULT_S, LAST_FAULT_S), 3)
 
 
-def _duration_s(random: Random) -> float:
-    return round(random.uniform(0.2, LONGEST_FAULT_S), 3)
+def _random_duration_s(random: Random) -> float:
+    return round(random.uniform(0.2, MAX_FAULT_DURATION_S), 3)
 
 
-def _one(random: Random) -> tuple[str, ...]:
+def _random_daemon(random: Random) -> tuple[str, ...]:
     return (random.choice(DAEMONS),)
 
 
-def _restart_s(random: Random) -> float:
+def _random_restart_s(random: Random) -> float:
     return round(random.uniform(0.1, 5.0), 3)
 
 
-Maker = Callable[[Random, float], AnyScheduledFault]
+FaultMaker = Callable[[Random, float], AnyScheduledFault]
 
-FAULT_MAKERS: dict[str, Maker] = {
-    "daemon_kill": lambda r, at_s: DaemonKill(at_s=at_s, daemons=_one(r), restart_after_s=_restart_s(r)),
-    "daemon_kill_all": lambda r, at_s: DaemonKill(at_s=at_s, daemons=DAEMONS, restart_after_s=_restart_s(r)),
-    "daemon_pause": lambda r, at_s: DaemonPause(at_s=at_s, daemons=_one(r), duration_s=_duration_s(r)),
-    "daemon_stop": lambda r, at_s: DaemonStop(at_s=at_s, daemons=_one(r), restart_after_s=_restart_s(r)),
+FAULT_MAKER_BY_KIND: dict[str, FaultMaker] = {
+    "daemon_kill": lambda r, at_s: DaemonKill(
+        at_s=at_s, daemons=_random_daemon(r), restart_after_s=_random_restart_s(r)
+    ),
+    "daemon_kill_all": lambda r, at_s: DaemonKill(
+        at_s=at_s, daemons=DAEMONS, restart_after_s=_random_restart_s(r)
+    ),
+    "daemon_pause": lambda r, at_s: DaemonPause(
+        at_s=at_s, daemons=_random_daemon(r), duration_s=_random_duration_s(r)
+    ),
+    "daemon_stop": lambda r, at_s: DaemonStop(
+        at_s=at_s, daemons=_random_daemon(r), restart_after_s=_random_restart_s(r)
+    ),
     "client_answers_lost": lambda r, at_s: ClientAnswersLost(
-        at_s=at_s, probability=r.choice((0.2, 0.5)), duration_s=_duration_s(r)
+        at_s=at_s, probability=r.choice((0.2, 0.5)), duration_s=_random_duration_s(r)
     ),
-    "engine_crash": lambda r, at_s: EngineCrash(at_s, r.choice(ENGINES), _restart_s(r)),
-    "engine_slow": lambda r, at_s: EngineSlow(at_s, r.choice(ENGINES), 20.0, _duration_s(r)),
+    "engine_crash": lambda r, at_s: EngineCrash(at_s, r.choice(ENGINES), _random_restart_s(r)),
+    "engine_slow": lambda r, at_s: EngineSlow(at_s, r.choice(ENGINES), 20.0, _random_duration_s(r)),
     "engine_swap_failure": lambda r, at_s: EngineSwapFailure(
         at_s, r.choice(ENGINES), r.choice(list(SwapFailure)), r.randint(1, 3)
     ),
-    "app_crash": lambda r, at_s: AppCrash(at_s, r.choice(APPS), _restart_s(r)),
-    "app_slow": lambda r, at_s: AppSlow(at_s, r.choice(APPS), 20.0, _duration_s(r)),
+    "app_crash": lambda r, at_s: AppCrash(at_s, r.choice(APPS), _random_restart_s(r)),
+    "app_slow": lambda r, at_s: AppSlow(at_s, r.choice(APPS), 20.0, _random_duration_s(r)),
     "machine_leaves": lambda r, at_s: MachineLeaves(at_s, r.choice((ENGINES[0], APPS[0])), 10.0),
-    "log_outage": lambda r, at_s: LogOutage(at_s, _duration_s(r), r.random() < 0.5),
-    "log_slow": lambda r, at_s: LogSlow(at_s, r.choice((0.5, 2.0, 6.0)), _duration_s(r)),
+    "log_outage": lambda r, at_s: LogOutage(at_s, _random_duration_s(r), r.random() < 0.5),
+    "log_slow": lambda r, at_s: LogSlow(at_s, r.choice((0.5, 2.0, 6.0)), _random_duration_s(r)),
     "log_loses_answers": lambda r, at_s: LogLosesAnswers(
-        at_s, r.choice((0.3, 0.9)), _duration_s(r), r.random() < 0.5
+        at_s, r.choice((0.3, 0.9)), _random_duration_s(r), r.random() < 0.5
     ),
     "log_reader_behind": lambda r, at_s: LogReaderBehind(
-        at_s, r.choice(ZONES), r.choice((1.0, 5.0)), _duration_s(r)
+        at_s, r.choice(ZONES), r.choice((1.0, 5.0)), _random_duration_s(r)
     ),
-    "zone_cut": lambda r, at_s: ZoneCut(at_s, r.choice(ZONES), _duration_s(r)),
-    "connections_lost": lambda r, at_s: ConnectionsLost(at_s, r.choice((0.05, 0.3)), _duration_s(r)),
-    "store_outage": lambda r, at_s: StoreOutage(at_s, _duration_s(r)),
-    "machine_list_outage": lambda r, at_s: MachineListOutage(at_s, _duration_s(r)),
+    "zone_cut": lambda r, at_s: ZoneCut(at_s, r.choice(ZONES), _random_duration_s(r)),
+    "connections_lost": lambda r, at_s: ConnectionsLost(at_s, r.choice((0.05, 0.3)), _random_duration_s(r)),
+    "store_outage": lambda r, at_s: StoreOutage(at_s, _random_duration_s(r)),
+    "machine_list_outage": lambda r, at_s: MachineListOutage(at_s, _random_duration_s(r)),
 }
--- a/passgate/check/simulation/seeded_mistakes.py
+++ b/passgate/check/simulation/seeded_mistakes.py
@@ -34,15 +34,15 @@
     """One mistake."""
 
     name: str
-    mistake: str
-    promise: str
+    description: str
+    guarantee: str
     """Promise that some run must break."""
     target: Any
     attribute: str
     replacement: Any
-    only: str = ""
+    fault_kind: str = ""
     """Kind of fault that brings it about."""
-    together_with: tuple[AnyScheduledFault, ...] = ()
+    extra_faults: tuple[AnyScheduledFault, ...] = ()
     """Further faults of each run."""
 
 
@@ -50,23 +50,23 @@
     """When a mistake was found."""
 
     name: str
-    promise: str
+    guarantee: str = msgspec.field(name="promise")
     found: bool
     runs: int
     """Runs until the promise was broken, or all that were made."""
     message: str = ""
 
 
-def _claim_always(state: ClaimState, offset: int, writer: str, body: Any) -> tuple[ClaimState, Accepted]:
+def _grant_every_claim(state: ClaimState, offset: int, writer: str, body: Any) -> tuple[ClaimState, Accepted]:
     return ClaimState(ClaimStatus.CLAIMED, body.request_digest, writer, body.holder), Accepted(offset)
 
 
-def _stamp_not_run(ledger: ExecutionLedger, error: PassgateError) -> PassgateError:
+def _report_not_run(ledger: ExecutionLedger, error: PassgateError) -> PassgateError:
     error.execution = ExecutionStatus.NOT_RUN
     return error
 
 
-def _apply_first_list(directory: ReplicaDirectory, machines: Any, now_s: float) -> None:
+def _apply_machines_as_live(directory: ReplicaDirectory, machines: Any, now_s: float) -> None:
     live = [msgspec.structs.replace(machine, state=MachineState.LIVE) for machine in machines]
     _apply_machines(directory, live, now_s)
 
@@ -74,11 +74,11 @@
 _apply_machines = ReplicaDirectory.apply_machines
 
 
-async def _idle_at_once(*arguments: Any) -> bool:
+async def _finish_at_once(*arguments: Any) -> bool:
     return True
 
 
-def _append_believed(assembler: StreamAssembler, start: int, end: int, version: int) -> None:
+def _append_with_first_version(assembler: StreamAssembler, start: int, end: int, version: int) -> None:
     believed = assembler.spans[0].version if assembler.spans else version
     _append_span(assembler, start, end, believed)
 
@@ -97,90 +97,90 @@
 _transition = configuration_state.transition
 
 
-async def _take_no_lot(service: LotService, handle: Any) -> None:
+async def _ensure_no_keeper(service: LotService, handle: Any) -> None:
     return None
 
 
 MISTAKES = (
     SeededMistake(
         name="staleness_unchecked",
-        mistake="no sample counts as stale",
-        promise="staleness",
+        description="no sample counts as stale",
+        guarantee="staleness",
         target=LotHeader,
         attribute="is_stale",
         replacement=lambda header, sample, version: False,
     ),
     SeededMistake(
         name="version_by_belief",
-        mistake="the first version of a stream is taken for all of it",
-        promise="true_versions",
+        description="the first version of a stream is taken for all of it",
+        guarantee="true_versions",
         target=StreamAssembler,
         attribute="_append_span",
-        replacement=_append_believed,
+        replacement=_append_with_first_version,
     ),
     SeededMistake(
         name="claim_always_granted",
-        mistake="a claim is granted although another one stands",
-        promise="at_most_once",
+        description="a claim is granted although another one stands",
+        guarantee="at_most_once",
         target=claim_state,
         attribute="_claim",
-        replacement=_claim_always,
-        only="client_answers_lost",
+        replacement=_grant_every_claim,
+        fault_kind="client_answers_lost",
     ),
     SeededMistake(
         name="always_not_run",
-        mistake="every failure is reported as not run",
-        promise="not_run",
+        description="every failure is reported as not run",
+        guarantee="not_run",
         target=ExecutionLedger,
         attribute="stamp",
-        replacement=_stamp_not_run,
-        only="connections_lost",
+        replacement=_report_not_run,
+        fault_kind="connections_lost",
     ),
     SeededMistake(
         name="leaving_ignored",
-        mistake="the machine list's word of leaving is passed over",
-        promise="leaving",
+        description="the machine list's word of leaving is passed over",
+        guarantee="leaving",
         target=ReplicaDirectory,
         attribute="apply_machines",
-        replacement=_apply_first_list,
-        only="machine_leaves",
+        replacement=_apply_machines_as_live,
+        fault_kind="machine_leaves",
     ),
     SeededMistake(
         name="stop_without_waiting",
-        mistake="a planned stop does not wait for requests",
-        promise="planned_stop",
+        description="a planned stop does not wait for requests",
+        guarantee="planned_stop",
         target=Daemon,
         attribute="_finish_work",
-        replacement=_idle_at_once,
-        only="daemon_stop",
-        together_with=tuple(AppSlow(4.0, replica, 20.0, 30.0) for replica in APPS),
+        replacement=_finish_at_once,
+        fault_kind="daemon_stop",
+        extra_faults=tuple(AppSlow(4.0, replica, 20.0, 30.0) for replica in APPS),
     ),
     SeededMistake(
         name="serve_before_configured",
-        mistake="a restarted daemon serves before it has the configuration",
-        promise="configuration",
+        description="a restarted daemon serves before it has the configuration",
+        guarantee="configuration",
         target=ConfigurationService,
         attribute="ready_at",
         replacement=lambda service, minimum_revision: True,
-        only="daemon_kill_all",
-        together_with=(LogSlow(4.0, 6.0, 40.0),),
+        fault_kind="daemon_kill_all",
+        extra_faults=(LogSlow(4.0, 6.0, 40.0),),
     ),
     SeededMistake(
         name="revision_not_advanced",
-        mistake="a change overwrites without regard to what its operator read",
-        promise="configuration",
+        description="a change overwrites without regard to what its operator read",
+        guarantee="configuration",
         target=configuration_state,
         attribute="transition",
         replacement=_put_without_expectation,
     ),
     SeededMistake(
         name="no_takeover",
-        mistake="nobody takes a lot over when its keeper died",
-        promise="exactly_once",
+        description="nobody takes a lot over when its keeper died",
+        guarantee="exactly_once",
         target=LotService,
         attribute="_ensure_keeper",
-        replacement=_take_no_lot,
-        only="daemon_kill_all",
+        replacement=_ensure_no_keeper,
+        fault_kind="daemon_kill_all",
     ),
 )
 
@@ -189,33 +189,33 @@
 
 
 @contextlib.contextmanager
-def seeded(mistake: SeededMistake) -> Iterator[None]:
+def apply_mistake(mistake: SeededMistake) -> Iterator[None]:
     """Have a mistake in the running code while the context is open."""
     with contextlib.ExitStack() as patches:
         patches.enter_context(mock.patch.object(mistake.target, mistake.attribute, mistake.replacement))
         for target, attribute in RELATED_PATCHES.get(mistake.name, ()):
-            patches.enter_context(mock.patch.object(target, attribute, _idle_at_once))
+            patches.enter_context(mock.patch.object(target, attribute, _finish_at_once))
         yield
 
 
-def _schedule(mistake: SeededMistake, seed: int) -> Schedule:
-    schedule = generate_schedule(seed, mistake.only)
-    return msgspec.structs.replace(schedule, faults=(*schedule.faults, *mistake.together_with))
+def _make_schedule(mistake: SeededMistake, seed: int) -> Schedule:
+    schedule = generate_schedule(seed, mistake.fault_kind)
+    return msgspec.structs.replace(schedule, faults=(*schedule.faults, *mistake.extra_faults))
 
 
-def find(mistake: SeededMistake, runs: int, limits: RunLimits | None = None) -> MistakeResult:
+def search_violation(mistake: SeededMistake, runs: int, limits: RunLimits | None = None) -> MistakeResult:
     """Run schedules until the mistake breaks its promise."""
-    with seeded(mistake):
+    with apply_mistake(mistake):
         for seed in range(runs):
-            outcome = simulate(_schedule(mistake, seed), limits)
-            judged = {verdict.promise: verdict.shortest for verdict in outcome.verdict.promises}
-            violation = judged[mistake.promise]
+            outcome = simulate(_make_schedule(mistake, seed), limits)
+            judged = {verdict.guarantee: verdict.shortest_violation for verdict in outcome.verdict.guarantees}
+            violation = judged[mistake.guarantee]
             if violation is not None:
                 return MistakeResult(
                     name=mistake.name,
-                    promise=mistake.promise,
+                    guarantee=mistake.guarantee,
                     found=True,
                     runs=seed + 1,
                     message=violation.message,
                 )
-    return MistakeResult(name=mistake.name, promise=mistake.promise, found=False, runs=runs)
+    return MistakeResult(name=mistake.name, guarantee=mistake.guarantee, found=False, runs=runs)
--- a/passgate/check/simulation/service.py
+++ b/passgate/check/simulation/service.py
@@ -29,7 +29,7 @@
 class ClientLink(msgspec.Struct):
     """Present state of the way back to callers."""
 
-    answer_loss: float = 0.0
+    answer_loss_probability: float = 0.0
 
 
 class SimulatedService:
@@ -52,12 +52,12 @@
         self._link = link
         self._random = random
         self._record = record
-        self._turn = 0
+        self._call_count = 0
 
     @property
     def daemon(self) -> str:
         """Name of the daemon that the next call goes to."""
-        return self._next().name
+        return self._next_process().name
 
     # --- calls ------------------------------------------------------------------------
 
@@ -105,54 +105,54 @@
 
     # --- connections --------------------------------------------------------------------
 
-    def _next(self) -> SimulatedProcess:
+    def _next_process(self) -> SimulatedProcess:
         names = sorted(self._processes)
-        order = [self._processes[names[(self._turn + i) % len(names)]] for i in range(len(names))]
+        order = [self._processes[names[(self._call_count + i) % len(names)]] for i in range(len(names))]
         return next((p for p in order if p.is_ready and not p.stopping), order[0])
 
     async def _call(
         self, use: Callable[[SimulatedProcess], Awaitable[Result]], request_id: str = ""
     ) -> Result:
-        process = self._next()
-        self._turn += 1
+        process = self._next_process()
+        self._call_count += 1
         await self._network.deliver(CLIENT_ZONE, process.zone)
-        await self._either(process.boundary.wait(), process)
+        await self._wait_unless_ended(process.boundary.wait_until_running(), process)
         if process.ended.done():
             raise BackendUnreachable("connection refused", execution=ExecutionStatus.NOT_RUN)
         gate = process.daemon.context.gate
         gate.enter()
         work = asyncio.ensure_future(use(process))
         try:
-            await self._either(work, process)
+            await self._wait_unless_ended(work, process)
         finally:
             if not work.done():
                 work.cancel()
-            work.add_done_callback(_look_at)
+            work.add_done_callback(_retrieve_exception)
             gate.leave(None)
-        await self._either(process.boundary.wait(), process)
+        await self._wait_unless_ended(process.boundary.wait_until_running(), process)
         if not work.done() or work.cancelled() or (process.ended.done() and not process.stopping):
-            self._note_cut_off(request_id)
+            self._record_cut_off(request_id)
             raise BackendUnreachable("connection reset", execution=ExecutionStatus.UNKNOWN)
-        if self._random.random() < self._link.answer_loss:
+        if self._random.random() < self._link.answer_loss_probability:
             raise BackendUnreachable("answer lost", execution=ExecutionStatus.UNKNOWN)
         await self._network.deliver(process.zone, CLIENT_ZONE)
         return work.result()
 
-    async def _either(self, work: Awaitable[Any], process: SimulatedProcess) -> None:
+    async def _wait_unless_ended(self, awaitable: Awaitable[Any], process: SimulatedProcess) -> None:
         """Wait for work or for the end of the process."""
-        task = asyncio.ensure_future(work)
+        task = asyncio.ensure_future(awaitable)
         try:
             await asyncio.wait({task, process.ended}, return_when=asyncio.FIRST_COMPLETED)
         finally:
             if not task.done():
                 task.cancel()
 
-    def _note_cut_off(self, request_id: str) -> None:
+    def _record_cut_off(self, request_id: str) -> None:
         if request_id:
             self._record(RequestCutOff(time_s=monotonic_s(), request_id=request_id))
 
 
-def _look_at(work: asyncio.Future[Any]) -> None:
+def _retrieve_exception(work: asyncio.Future[Any]) -> None:
     """Take note of an error that nobody waits for: its caller is gone."""
     if not work.cancelled():
         work.exception()
@@ -164,7 +164,7 @@
         return ClaimOutcome(response.status, response.content_type, response.body)
 
     digest = request_digest(request.pool.encode(), request.path.encode(), request.body)
-    outcome = await _claimed(process, f"{request.caller}/key/{key}", digest, run)
+    outcome = await _run_claimed(process, f"{request.caller}/key/{key}", digest, run)
     return AppResponse(
         request_id=request.request_id,
         status=outcome.status,
@@ -179,12 +179,12 @@
         return ClaimOutcome(OK_STATUS, "application/json", msgspec.json.encode(result))
 
     digest = request_digest(request.model.encode(), str((request.prompt, request.seed)).encode())
-    outcome = await _claimed(process, f"{request.caller}/key/{key}", digest, run)
+    outcome = await _run_claimed(process, f"{request.caller}/key/{key}", digest, run)
     result = msgspec.json.decode(outcome.body, type=GenerateResult)
     return msgspec.structs.replace(result, request_id=request.request_id)
 
 
-async def _claimed(
+async def _run_claimed(
     process: SimulatedProcess, key: str, digest: str, run: Callable[[], Awaitable[ClaimOutcome]]
 ) -> ClaimOutcome:
     """Run under a claim; the work goes on when its caller leaves, as in the daemon's handlers."""
--- a/passgate/check/simulation/slow_trainer.py
+++ b/passgate/check/simulation/slow_trainer.py
@@ -21,14 +21,14 @@
 from passgate.records import PromptSpec
 from passgate.state.lot_types import LotRequest, SamplesPage, index_of
 
-NAME = "slow-trainer"
-PROMPTS = 4
+TRAINER_NAME = "slow-trainer"
+PROMPTS_PER_LOT = 4
 MAX_TOKENS = 32
 STALENESS_BOUND = 1
-LONGEST_WAIT_S = 9.0
+MAX_READ_PAUSE_S = 9.0
 READ_WAIT_S = 1.0
-READ_AGAIN_SHARE = 0.3
-REPEAT_SHARE = 0.3
+REPEATED_READ_SHARE = 0.3
+REPEATED_REPLACE_SHARE = 0.3
 BACKOFF_S = 0.5
 
 
@@ -39,19 +39,19 @@
         self,
         service: Service,
         model: ModelParameters,
-        version: Callable[[], int],
+        current_version: Callable[[], int],
         random: Random,
         record: Callable[[AnyEvent], None],
-        longest_wait_s: float = LONGEST_WAIT_S,
+        max_read_pause_s: float = MAX_READ_PAUSE_S,
     ) -> None:
         self._service = service
         self._model = model
-        self._version = version
+        self._current_version = current_version
         self._random = random
         self._record = record
-        self._longest_wait_s = longest_wait_s
+        self._max_read_pause_s = max_read_pause_s
         self._prompts = PromptSource(model, random)
-        self._repeats: set[asyncio.Task[None]] = set()
+        self._delayed_calls: set[asyncio.Task[None]] = set()
         self.stopping = False
         """No further lot is opened."""
 
@@ -60,99 +60,99 @@
         number = 0
         while not self.stopping:
             number += 1
-            await self._collect(f"{NAME}-{number}")
+            await self._collect_lot(f"{TRAINER_NAME}-{number}")
 
-    async def _collect(self, lot_id: str) -> None:
-        request = self._request()
-        await self._persist(lambda: self._service.open_lot(request, lot_id))
-        self._record(self._submitted(lot_id, request))
+    async def _collect_lot(self, lot_id: str) -> None:
+        request = self._make_lot_request()
+        await self._retry(lambda: self._service.open_lot(request, lot_id))
+        self._record(self._make_lot_event(lot_id, request))
         received: set[int] = set()
         cursor = 0
         while True:
-            await asyncio.sleep(self._random.uniform(0.0, self._longest_wait_s))
+            await asyncio.sleep(self._random.uniform(0.0, self._max_read_pause_s))
             page = await self._read(lot_id, cursor)
             received.update(sample.index for sample in page.samples)
-            if self._random.random() < READ_AGAIN_SHARE:
+            if self._random.random() < REPEATED_READ_SHARE:
                 again = await self._read(lot_id, cursor)
                 received.update(sample.index for sample in again.samples)
-            await self._answer(lot_id, page, received)
-            if page.finished and not self._lacking(lot_id, page, received):
+            await self._acknowledge_and_replace(lot_id, page, received)
+            if page.finished and not self._find_missing_samples(lot_id, page, received):
                 return
             cursor = page.next_cursor
 
     async def _read(self, lot_id: str, cursor: int) -> SamplesPage:
-        limit = self._random.randint(1, PROMPTS)
+        limit = self._random.randint(1, PROMPTS_PER_LOT)
 
         async def read() -> SamplesPage:
-            version = self._version()
+            version = self._current_version()
             page = await self._service.read_lot(lot_id, cursor, limit, READ_WAIT_S, version)
-            self._record(_received(lot_id, cursor, version, page))
+            self._record(_make_page_event(lot_id, cursor, version, page))
             return page
 
-        return await self._persist(read)
+        return await self._retry(read)
 
-    async def _answer(self, lot_id: str, page: SamplesPage, received: set[int]) -> None:
+    async def _acknowledge_and_replace(self, lot_id: str, page: SamplesPage, received: set[int]) -> None:
         arrived = [sample.sample_id for sample in page.samples]
-        if arrived and self._random.random() < 1 - REPEAT_SHARE:
-            await self._persist(lambda: self._service.acknowledge(lot_id, arrived))
-        lacking = self._lacking(lot_id, page, received)
+        if arrived and self._random.random() < 1 - REPEATED_REPLACE_SHARE:
+            await self._retry(lambda: self._service.acknowledge(lot_id, arrived))
+        lacking = self._find_missing_samples(lot_id, page, received)
         if not lacking:
             return
-        await self._persist(lambda: self._service.replace(lot_id, lacking, self._version()))
-        if self._random.random() < REPEAT_SHARE:
+        await self._retry(lambda: self._service.replace(lot_id, lacking, self._current_version()))
+        if self._random.random() < REPEATED_REPLACE_SHARE:
             # The network kept a copy of the call and delivers it late.
-            self._repeats.add(asyncio.ensure_future(self._repeat(lot_id, lacking)))
+            self._delayed_calls.add(asyncio.ensure_future(self._replace_later(lot_id, lacking)))
 
-    async def _repeat(self, lot_id: str, sample_ids: list[str]) -> None:
-        version = self._version()
-        await asyncio.sleep(self._random.uniform(0.0, self._longest_wait_s))
+    async def _replace_later(self, lot_id: str, sample_ids: list[str]) -> None:
+        version = self._current_version()
+        await asyncio.sleep(self._random.uniform(0.0, self._max_read_pause_s))
         try:
             await self._service.replace(lot_id, sample_ids, version)
         except PassgateError:
             return
 
-    def _lacking(self, lot_id: str, page: SamplesPage, received: set[int]) -> list[str]:
+    def _find_missing_samples(self, lot_id: str, page: SamplesPage, received: set[int]) -> list[str]:
         return [name for name in page.withdrawn if index_of(lot_id, name) not in received]
 
-    async def _persist(self, call: Callable[[], Awaitable]):
+    async def _retry(self, call: Callable[[], Awaitable]):
         while True:
             try:
                 return await call()
             except PassgateError as error:
                 await asyncio.sleep(error.retry_after_s or BACKOFF_S)
 
-    def _request(self) -> LotRequest:
+    def _make_lot_request(self) -> LotRequest:
         prompts = tuple(
             PromptSpec(prompt=self._prompts.prompt(), max_tokens=MAX_TOKENS, seed=self._prompts.seed())
-            for _ in range(PROMPTS)
+            for _ in range(PROMPTS_PER_LOT)
         )
         return LotRequest(
-            caller=NAME,
+            caller=TRAINER_NAME,
             pool=self._model.name,
             model=self._model.name,
             staleness_bound=STALENESS_BOUND,
-            trainer_version=self._version(),
+            trainer_version=self._current_version(),
             prompts=prompts,
         )
 
-    def _submitted(self, lot_id: str, request: LotRequest) -> LotSubmitted:
+    def _make_lot_event(self, lot_id: str, request: LotRequest) -> LotSubmitted:
         return LotSubmitted(
             time_s=monotonic_s(),
             lot_id=lot_id,
-            trainer=NAME,
+            trainer=TRAINER_NAME,
             model=request.model,
             staleness_bound=request.staleness_bound,
-            prompts=tuple(self._wanted(spec) for spec in request.prompts),
+            prompts=tuple(self._make_lot_prompt(spec) for spec in request.prompts),
         )
 
-    def _wanted(self, spec: PromptSpec) -> LotPrompt:
+    def _make_lot_prompt(self, spec: PromptSpec) -> LotPrompt:
         length, _ = expected_length(spec.prompt, spec.seed, spec.max_tokens, self._model.lengths)
         return LotPrompt(
             prompt=spec.prompt, max_tokens=spec.max_tokens, seed=spec.seed, expected_length=length
         )
 
 
-def _received(lot_id: str, cursor: int, version: int, page: SamplesPage) -> PageReceived:
+def _make_page_event(lot_id: str, cursor: int, version: int, page: SamplesPage) -> PageReceived:
     samples = tuple(
         ReceivedSample(
             sample_id=sample.sample_id,
--- a/passgate/check/socket_attribution.py
+++ b/passgate/check/socket_attribution.py
@@ -1,12 +1,12 @@
-"""Leads starts on back ends back to the callers' requests that caused them.
+"""Finds the callers' requests that caused runs on back ends.
 
-A back end knows passgate's identifier only.  An answer, also a refusal, names
-that identifier to the caller; for requests without any answer the daemon and the
-digest of the work decide.
+A back end knows only passgate's identifier of a request.  An answer or refusal tells
+the caller that identifier; a request without any answer is matched by its daemon and
+the digest of its work.
 
->>> asked = AppInvoked(time_s=1.0, request_id="orders-1-0", daemon="a-1", expected_digest="d")
+>>> invocation = AppInvoked(time_s=1.0, request_id="orders-1-0", daemon="a-1", expected_digest="d")
 >>> run = SeenRun(time_s=1.1, request_id="a-1-7f~1", replica_id="app-0", work="d")
->>> [event.request_id for event in attribute_runs([run], [asked], {})]
+>>> [event.request_id for event in attribute_runs([run], [invocation], {})]
 ['orders-1-0']
 """
 
@@ -19,50 +19,61 @@
 from passgate.emulator.admin_messages import SeenRun
 from passgate.emulator.run_feed import generate_work
 
-RETRY_MARK = "~"
-"""Separates a request's identifier from the number of a further attempt on a back end."""
+ATTEMPT_SEPARATOR = "~"
+"""Separates passgate's identifier of a request from the number of a further attempt on a back end."""
 
 Invocation = AppInvoked | GenerateInvoked
 
 
 def attribute_runs(
-    runs: Iterable[SeenRun], events: Sequence[AnyEvent], answered: Mapping[str, str]
+    runs: Iterable[SeenRun], events: Sequence[AnyEvent], caller_id_by_passgate_id: Mapping[str, str]
 ) -> list[BackendRunStarted]:
-    """Return one event for each start, under the caller's identifier where there is one.
+    """Return one event for each run, under the caller's identifier if it is known, else passgate's.
 
     Args:
-        runs: starts as the back ends saw them.
-        events: what callers recorded.
-        answered: callers' identifiers of answered requests, by passgate's identifier.
+        runs: starts of requests as back ends recorded them.
+        events: events that callers recorded.
+        answered: callers' identifiers of answered requests by passgate's identifiers.
     """
-    unanswered = _unanswered(events, set(answered.values()))
-    known = dict(answered)
+    unanswered_by_work = _unanswered_by_work(events, set(caller_id_by_passgate_id.values()))
+    known_ids = dict(caller_id_by_passgate_id)
     started = []
     for run in runs:
-        base = run.request_id.split(RETRY_MARK)[0]
-        if base not in known:
-            known[base] = _asked_for(run, base, unanswered) or base
-        event = BackendRunStarted(time_s=run.time_s, request_id=known[base], replica_id=run.replica_id)
+        passgate_id = run.request_id.split(ATTEMPT_SEPARATOR)[0]
+        if passgate_id not in known_ids:
+            known_ids[passgate_id] = _find_caller_id(run, passgate_id, unanswered_by_work) or passgate_id
+        event = BackendRunStarted(
+            time_s=run.time_s, request_id=known_ids[passgate_id], replica_id=run.replica_id
+        )
         started.append(event)
     return started
 
 
-def _unanswered(events: Sequence[AnyEvent], answered: set[str]) -> dict[tuple[str, str], list[Invocation]]:
-    waiting: dict[tuple[str, str], list[Invocation]] = defaultdict(list)
+def _unanswered_by_work(
+    events: Sequence[AnyEvent], answered_ids: set[str]
+) -> dict[tuple[str, str], list[Invocation]]:
+    invocations_by_work: dict[tuple[str, str], list[Invocation]] = defaultdict(list)
     for event in events:
-        if isinstance(event, AppInvoked | GenerateInvoked) and event.request_id not in answered:
-            waiting[event.daemon, _work(event)].append(event)
-    return waiting
+        if isinstance(event, AppInvoked | GenerateInvoked) and event.request_id not in answered_ids:
+            invocations_by_work[event.daemon, _work_of(event)].append(event)
+    return invocations_by_work
 
 
-def _work(event: Invocation) -> str:
+def _work_of(event: Invocation) -> str:
     if isinstance(event, AppInvoked):
         return event.expected_digest
     return generate_work(event.model, event.prompt, event.seed)
 
 
-def _asked_for(run: SeenRun, base: str, unanswered: dict[tuple[str, str], list[Invocation]]) -> str:
-    """Return the last unanswered request for this work that went to the daemon before the start."""
-    daemon = base.rpartition("-")[0]
-    asked = [event for event in unanswered.get((daemon, run.work), []) if event.time_s <= run.time_s]
-    return asked[-1].request_id if asked else ""
+def _find_caller_id(
+    run: SeenRun, passgate_id: str, unanswered_by_work: dict[tuple[str, str], list[Invocation]]
+) -> str:
+    """Return the caller's identifier of the last unanswered request for the run's work, or "".
+
+    Only requests that the caller had sent to the run's daemon before the run count.
+    """
+    daemon = passgate_id.rpartition("-")[0]
+    earlier = [
+        event for event in unanswered_by_work.get((daemon, run.work), []) if event.time_s <= run.time_s
+    ]
+    return earlier[-1].request_id if earlier else ""
--- a/passgate/check/socket_faults.py
+++ b/passgate/check/socket_faults.py
@@ -1,7 +1,8 @@
-"""Faults of a run over sockets: each begins, waits for what it must show, and ends.
+"""Faults of a run over sockets.
 
-Every wait is for a condition and has a limit, after which the run fails with
-:class:`FaultNotShown` instead of being judged as if the fault had happened.
+A fault whose effect has to be observed waits for it.  If the effect does not appear in
+time, the run fails with :class:`FaultNotShown`, as its history would otherwise be checked
+as if the fault had happened.
 """
 
 from __future__ import annotations
@@ -32,245 +33,255 @@
 if TYPE_CHECKING:
     from passgate.check.socket_run import SocketRun
 
-POLL_S = 0.05
+POLL_INTERVAL_S = 0.05
 MS_PER_S = 1000
 WATCH_TIMEOUT_S = 3.0
-KILLED_FOR_S = 0.5
-DEAD_LIMIT_S = 30.0
-BACK_LIMIT_S = 30.0
+"""Timeout of one query for the daemons that a daemon knows."""
+RESTART_DELAY_S = 0.5
+"""Time between the end of a killed daemon and its new start."""
+DEAD_TIMEOUT_S = 30.0
+"""Longest wait until all peers see a frozen daemon as dead."""
+ALIVE_TIMEOUT_S = 30.0
+"""Longest wait until all peers see a resumed daemon as alive."""
 RACES = 4
 RACERS = 6
+"""Operators that create the same object at the same time in each race."""
 LOG_OUTAGE_S = 3.0
-LOG_SLOW_BY_S = 2.0
-LOG_SLOW_S = 6.0
+LOG_DELAY_S = 2.0
+LOG_DELAY_DURATION_S = 6.0
 LOST_ANSWERS = 4
-LOST_ANSWERS_LIMIT_S = 10.0
-CRASHED_FOR_S = 2.0
-AFTER_LEAVING_S = 7.0
-"""Longer than the time in which a leaving back end may still get work."""
-TOGETHER = "+"
-"""Joins the names of faults that happen at once."""
+LOST_ANSWERS_TIMEOUT_S = 10.0
+ENGINE_DOWN_S = 2.0
+LEAVING_OBSERVED_S = 7.0
+"""Time for which calls go on after back ends report leaving; longer than the grace period of the check."""
+SIMULTANEOUS_SEPARATOR = "+"
+"""Separates the names of faults that are injected together."""
 DEAD = "dead"
 LEFT = "left"
 ALIVE = "alive"
-RUN_MARK = "/"
-"""Separates a daemon's name from the number of its run in the identifier of a member."""
+INCARNATION_SEPARATOR = "/"
+"""Separates a daemon's name from its incarnation in the identifier of a member."""
 
 
 class FaultNotShown(VerificationFailed):
-    """A fault did not come about in its time; details name the ``fault``."""
+    """The effect of a fault was not observed in time; the details name the ``fault``."""
 
     code = "fault_not_shown"
 
 
-class FaultNote(msgspec.Struct, frozen=True, kw_only=True):
-    """One fault of a run as it happened."""
+class FaultRecord(msgspec.Struct, frozen=True, kw_only=True):
+    """One fault of a run, with its times and measurements."""
 
     fault: str
+    """Name of the fault; names of faults injected together are joined by ``+``."""
     target: str
     from_s: float
-    """Seconds since the callers began."""
+    """Start, in seconds since the callers started."""
     until_s: float
-    """When the tool saw its end."""
+    """End, in seconds since the callers started."""
     figures: dict[str, float] = {}
-    """What was measured, by target and name with its unit."""
+    """Measurements by ``"<target> <name with unit>"``."""
 
 
 class SocketFaults:
-    """Carries out faults one after the other; ``target`` moves on with each."""
+    """Injects faults into a run; faults of a kind of target take the targets in turn."""
 
     def __init__(self, run: SocketRun) -> None:
         self._run = run
-        self.notes: list[FaultNote] = []
-        self._turn = run.seed
-        self._deaf: Counter[str] = Counter()
-        """Number of faults that keep the daemon of each zone from hearing the log."""
+        self.records: list[FaultRecord] = []
+        self._turn_count = run.seed
+        self._disconnect_count_by_zone: Counter[str] = Counter()
+        """Number of current faults by which the daemon of a zone can not read the log."""
 
     async def apply(self, fault: str) -> None:
-        """Carry out one fault, or several at once; raises FaultNotShown.
+        """Inject one fault, or several together, and record it; raises FaultNotShown.
 
-        >>> parts_of("daemon_kill+log_outage")
+        >>> split_simultaneous("daemon_kill+log_outage")
         ['daemon_kill', 'log_outage']
         """
         from_s = monotonic_s()
-        outcomes = await asyncio.gather(*(FAULTS[part](self) for part in parts_of(fault)))
+        outcomes = await asyncio.gather(*(FAULTS[name](self) for name in split_simultaneous(fault)))
         figures = {f"{target} {name}": value for target, values in outcomes for name, value in values.items()}
-        note = FaultNote(
+        record = FaultRecord(
             fault=fault,
             target=", ".join(target for target, _ in outcomes),
             from_s=math.floor(MS_PER_S * (from_s - self._run.started_s)) / MS_PER_S,
             until_s=round(monotonic_s() - self._run.started_s, 3),
             figures={name: round(value, 3) for name, value in figures.items()},
         )
-        self.notes.append(note)
+        self.records.append(record)
 
-    def note_started(self, zone: str) -> None:
-        """Record that a daemon which has just started can not hear the log."""
-        if self._deaf[zone]:
-            self._run.record(DaemonCut(time_s=monotonic_s(), daemon=self._run.daemon(zone)))
+    def record_if_disconnected(self, zone: str) -> None:
+        """Record that a daemon which has just started can not read the log, if a fault prevents it."""
+        if self._disconnect_count_by_zone[zone]:
+            self._run.record(DaemonCut(time_s=monotonic_s(), daemon=self._run.daemon_name(zone)))
 
-    def _deafen(self, zones: Iterable[str]) -> None:
+    def _record_disconnects(self, zones: Iterable[str]) -> None:
         for zone in zones:
-            self._deaf[zone] += 1
-            if self._deaf[zone] == 1:
-                self._run.record(DaemonCut(time_s=monotonic_s(), daemon=self._run.daemon(zone)))
+            self._disconnect_count_by_zone[zone] += 1
+            if self._disconnect_count_by_zone[zone] == 1:
+                self._run.record(DaemonCut(time_s=monotonic_s(), daemon=self._run.daemon_name(zone)))
 
-    def _hear(self, zones: Iterable[str]) -> None:
+    def _record_reconnects(self, zones: Iterable[str]) -> None:
         for zone in zones:
-            self._deaf[zone] -= 1
-            if self._deaf[zone] == 0 and zone in self._run.serving:
-                self._run.record(DaemonReconnected(time_s=monotonic_s(), daemon=self._run.daemon(zone)))
+            self._disconnect_count_by_zone[zone] -= 1
+            if self._disconnect_count_by_zone[zone] == 0 and zone in self._run.serving_zones:
+                self._run.record(DaemonReconnected(time_s=monotonic_s(), daemon=self._run.daemon_name(zone)))
 
     # --- daemons -----------------------------------------------------------------------
 
-    async def kill(self) -> Outcome:
-        """Kill a daemon and start it again."""
+    async def kill_daemon(self) -> FaultOutcome:
+        """Kill a daemon, start it again and measure the time until it is ready."""
         run, zone = self._run, self._next_zone()
-        run.record(DaemonKilled(time_s=monotonic_s(), daemon=run.daemon(zone)))
-        run.end_watch(zone)
+        run.record(DaemonKilled(time_s=monotonic_s(), daemon=run.daemon_name(zone)))
+        run.stop_watching(zone)
         await run.processes.daemons[zone].kill()
-        await asyncio.sleep(KILLED_FOR_S)
+        await asyncio.sleep(RESTART_DELAY_S)
         restarted_s = monotonic_s()
         await run.start_daemon(zone)
-        return run.daemon(zone), {"ready_s": monotonic_s() - restarted_s}
+        return run.daemon_name(zone), {"ready_s": monotonic_s() - restarted_s}
 
-    async def stop(self) -> Outcome:
-        """Stop a daemon by plan while it has work, check its exit code, and start it again."""
+    async def stop_daemon(self) -> FaultOutcome:
+        """Shut a daemon down gracefully while it has work, record its exit code and start it again."""
         run, zone = self._run, self._next_zone()
-        begin_s = monotonic_s()
-        run.record(StopRequested(time_s=begin_s, daemon=run.daemon(zone)))
-        run.end_watch(zone)
+        started_s = monotonic_s()
+        run.record(StopRequested(time_s=started_s, daemon=run.daemon_name(zone)))
+        run.stop_watching(zone)
         code = await run.processes.daemons[zone].stop()
-        run.record(StopFinished(time_s=monotonic_s(), daemon=run.daemon(zone)))
+        run.record(StopFinished(time_s=monotonic_s(), daemon=run.daemon_name(zone)))
         run.exit_codes.append(code)
-        stopped_s = monotonic_s() - begin_s
+        stopped_s = monotonic_s() - started_s
         await run.start_daemon(zone)
-        return run.daemon(zone), {"stop_s": stopped_s}
+        return run.daemon_name(zone), {"stop_s": stopped_s}
 
-    async def freeze(self) -> Outcome:
-        """Stand a daemon still until its peers declare it dead, and let it go on."""
+    async def freeze_daemon(self) -> FaultOutcome:
+        """Pause a daemon's process until its peers declare it dead, and resume it."""
         run, zone = self._run, self._next_zone()
-        begin_s = monotonic_s()
+        started_s = monotonic_s()
         process_id = run.processes.daemons[zone].process_id
-        self._deafen([zone])
+        self._record_disconnects([zone])
         os.kill(process_id, signal.SIGSTOP)
         try:
-            await self._until_seen("daemon_freeze", zone, DEAD, DEAD_LIMIT_S)
-            dead_s = monotonic_s() - begin_s
+            await self._wait_for_member_state("daemon_freeze", zone, DEAD, DEAD_TIMEOUT_S)
+            dead_s = monotonic_s() - started_s
         finally:
             os.kill(process_id, signal.SIGCONT)
         resumed_s = monotonic_s()
-        self._hear([zone])
-        await self._until_seen("daemon_freeze", zone, ALIVE, BACK_LIMIT_S)
+        self._record_reconnects([zone])
+        await self._wait_for_member_state("daemon_freeze", zone, ALIVE, ALIVE_TIMEOUT_S)
         figures = {"declared_dead_s": dead_s, "alive_again_s": monotonic_s() - resumed_s}
-        return run.daemon(zone), figures
+        return run.daemon_name(zone), figures
 
-    async def _until_seen(self, fault: str, zone: str, state: str, limit_s: float) -> None:
-        """Wait until all other daemons hold a daemon as dead or alive."""
+    async def _wait_for_member_state(self, fault: str, zone: str, state: str, timeout_s: float) -> None:
+        """Wait until all other daemons see the daemon of a zone in a state; raises FaultNotShown."""
 
-        async def is_seen() -> bool:
+        async def is_seen_by_all() -> bool:
             others = [other for other in self._run.processes.daemons if other != zone]
-            return all([await self._state_of(zone, other) == state for other in others])
+            return all([await self._member_state(zone, other) == state for other in others])
 
-        await _until(is_seen, limit_s, fault)
+        await _wait_until(is_seen_by_all, timeout_s, fault)
 
-    async def _state_of(self, zone: str, seen_by: str) -> str:
+    async def _member_state(self, zone: str, seen_by: str) -> str:
+        """Return the state of a zone's daemon as another daemon reports it, or "" without an answer.
+
+        A daemon without any incarnation, or with only ended ones, counts as dead.
+        """
         try:
             async with asyncio.timeout(WATCH_TIMEOUT_S):
                 watch = await self._run.operator_client(seen_by).watch()
         except (PassgateError, TimeoutError):
             return ""
-        daemon = self._run.daemon(zone)
-        views = [view for view in watch.daemons if view.daemon_id.split(RUN_MARK)[0] == daemon]
+        daemon = self._run.daemon_name(zone)
+        views = [view for view in watch.daemons if view.daemon_id.split(INCARNATION_SEPARATOR)[0] == daemon]
         states = {view.member_state for view in views}
         return DEAD if states <= {DEAD, LEFT} else min(states)
 
     def _next_zone(self) -> str:
         zones = self._run.parameters.zones
-        self._turn += 1
-        return zones[self._turn % len(zones)]
+        self._turn_count += 1
+        return zones[self._turn_count % len(zones)]
 
     # --- log ---------------------------------------------------------------------------
 
-    async def log_outage(self) -> Outcome:
-        """Let the log refuse everything for a while."""
+    async def interrupt_log(self) -> FaultOutcome:
+        """Make the log refuse all calls for ``LOG_OUTAGE_S``."""
         run = self._run
-        self._deafen(run.parameters.zones)
+        self._record_disconnects(run.parameters.zones)
         await run.admin.inject(FaultKind.LOG_DOWN)
         await asyncio.sleep(LOG_OUTAGE_S)
         await run.admin.inject(FaultKind.LOG_DOWN, value=0.0)
-        self._hear(run.parameters.zones)
+        self._record_reconnects(run.parameters.zones)
         return "log", {}
 
-    async def log_slow(self) -> Outcome:
-        """Let the log take longer for a while."""
-        await self._run.admin.inject(FaultKind.LOG_SLOW, value=LOG_SLOW_BY_S)
-        await asyncio.sleep(LOG_SLOW_S)
+    async def slow_log(self) -> FaultOutcome:
+        """Delay all calls to the log by ``LOG_DELAY_S`` for ``LOG_DELAY_DURATION_S``."""
+        await self._run.admin.inject(FaultKind.LOG_SLOW, value=LOG_DELAY_S)
+        await asyncio.sleep(LOG_DELAY_DURATION_S)
         await self._run.admin.inject(FaultKind.LOG_SLOW, value=0.0)
-        return "log", {"slower_s": LOG_SLOW_BY_S}
+        return "log", {"slower_s": LOG_DELAY_S}
 
-    async def log_loses_answers(self) -> Outcome:
-        """Let appends take effect whose answers are lost, and wait until so many were made."""
+    async def lose_log_answers(self) -> FaultOutcome:
+        """Lose the answers of the next ``LOST_ANSWERS`` appends, which take effect, and wait for them."""
         run = self._run
-        wanted = (await run.admin.state("-")).log.appends + LOST_ANSWERS
+        target_count = (await run.admin.state("-")).log.appends + LOST_ANSWERS
         await run.admin.inject(FaultKind.LOG_LOSE_ANSWERS, value=LOST_ANSWERS)
 
-        async def are_lost() -> bool:
-            return (await run.admin.state("-")).log.appends >= wanted
+        async def are_answers_lost() -> bool:
+            return (await run.admin.state("-")).log.appends >= target_count
 
-        await _until(are_lost, LOST_ANSWERS_LIMIT_S, "log_loses_answers")
+        await _wait_until(are_answers_lost, LOST_ANSWERS_TIMEOUT_S, "log_loses_answers")
         return "log", {"answers_lost": LOST_ANSWERS}
 
     # --- back ends -----------------------------------------------------------------------
 
-    async def engine_crash(self) -> Outcome:
-        """Crash an engine, which loses all its work, and wait until it listens again."""
+    async def crash_engine(self) -> FaultOutcome:
+        """Crash an engine, which loses all its work, and wait for the time after which it restarts."""
         run = self._run
-        target = f"{run.parameters.engines.name}-{self._turn % run.parameters.engines.replicas}"
-        self._turn += 1
-        await run.admin.inject(FaultKind.CRASH, target, CRASHED_FOR_S)
-        await asyncio.sleep(CRASHED_FOR_S)
+        target = f"{run.parameters.engines.name}-{self._turn_count % run.parameters.engines.replicas}"
+        self._turn_count += 1
+        await run.admin.inject(FaultKind.CRASH, target, ENGINE_DOWN_S)
+        await asyncio.sleep(ENGINE_DOWN_S)
         return target, {}
 
-    async def machine_leaves(self) -> Outcome:
-        """Mark an application replica and an engine as leaving, while calls go on."""
+    async def mark_machines_leaving(self) -> FaultOutcome:
+        """Mark an application replica and an engine as leaving while calls continue."""
         run = self._run
         targets = [f"{run.parameters.apps.name}-0", f"{run.parameters.engines.name}-0"]
         for target in targets:
             run.record(BackendLeaving(time_s=monotonic_s(), replica_id=target))
             await run.admin.inject(FaultKind.LEAVE, target)
-        await asyncio.sleep(AFTER_LEAVING_S)
+        await asyncio.sleep(LEAVING_OBSERVED_S)
         return " ".join(targets), {}
 
     # --- operators -----------------------------------------------------------------------
 
-    async def operator_race(self) -> Outcome:
-        """Let operators replace one revision of one object at the same time through all daemons."""
+    async def race_operators(self) -> FaultOutcome:
+        """Make operators create the same object at the same time through different daemons."""
         run = self._run
         for race in range(RACES):
             clients = run.serving_clients()
             name = f"raced-{race}"
-            racers = [run.operator(f"racer-{number}") for number in range(RACERS)]
+            racers = [run.make_operator(f"racer-{number}") for number in range(RACERS)]
             pairs = zip(racers, itertools.cycle(clients), strict=False)
-            await asyncio.gather(*(racer.create(client, name) for racer, client in pairs))
+            await asyncio.gather(*(racer.create_object(client, name) for racer, client in pairs))
         return "operators", {"races": RACES, "racers": RACERS}
 
 
-Outcome = tuple[str, dict[str, float]]
-"""Target of a fault, and what was measured."""
+FaultOutcome = tuple[str, dict[str, float]]
+"""Target of a fault, and measurements by name with unit."""
 
-FAULTS: dict[str, Callable[[SocketFaults], Awaitable[Outcome]]] = {
-    "daemon_kill": SocketFaults.kill,
-    "daemon_freeze": SocketFaults.freeze,
-    "daemon_stop": SocketFaults.stop,
-    "log_outage": SocketFaults.log_outage,
-    "log_slow": SocketFaults.log_slow,
-    "log_loses_answers": SocketFaults.log_loses_answers,
-    "engine_crash": SocketFaults.engine_crash,
-    "machine_leaves": SocketFaults.machine_leaves,
-    "operator_race": SocketFaults.operator_race,
+FAULTS: dict[str, Callable[[SocketFaults], Awaitable[FaultOutcome]]] = {
+    "daemon_kill": SocketFaults.kill_daemon,
+    "daemon_freeze": SocketFaults.freeze_daemon,
+    "daemon_stop": SocketFaults.stop_daemon,
+    "log_outage": SocketFaults.interrupt_log,
+    "log_slow": SocketFaults.slow_log,
+    "log_loses_answers": SocketFaults.lose_log_answers,
+    "engine_crash": SocketFaults.crash_engine,
+    "machine_leaves": SocketFaults.mark_machines_leaving,
+    "operator_race": SocketFaults.race_operators,
 }
-EXPECTED_S = {
+EXPECTED_DURATION_S = {
     "daemon_kill": 4.0,
     "daemon_freeze": 10.0,
     "daemon_stop": 6.0,
@@ -281,22 +292,22 @@
     "machine_leaves": 8.0,
     "operator_race": 2.0,
 }
-"""About how long each fault takes, for the length of a run."""
+"""Approximate time of each fault in seconds, from which the duration of a run is computed."""
 
 
-def parts_of(fault: str) -> list[str]:
-    """Return the faults that happen at once under one name."""
-    return fault.split(TOGETHER)
+def split_simultaneous(fault: str) -> list[str]:
+    """Return the names of the faults that are injected together under one name."""
+    return fault.split(SIMULTANEOUS_SEPARATOR)
 
 
-def expected_s(fault: str) -> float:
-    """Return about how long a fault, or several at once, take."""
-    return max(EXPECTED_S[part] for part in parts_of(fault))
+def expected_duration_s(fault: str) -> float:
+    """Return the approximate time of a fault, or of several injected together, in seconds."""
+    return max(EXPECTED_DURATION_S[name] for name in split_simultaneous(fault))
 
 
-async def _until(condition: Callable[[], Awaitable[bool]], limit_s: float, fault: str) -> None:
-    deadline_s = monotonic_s() + limit_s
+async def _wait_until(condition: Callable[[], Awaitable[bool]], timeout_s: float, fault: str) -> None:
+    deadline_s = monotonic_s() + timeout_s
     while not await condition():
         if monotonic_s() > deadline_s:
-            raise FaultNotShown(f"{fault} was not seen in {limit_s:g} s", fault=fault)
-        await asyncio.sleep(POLL_S)
+            raise FaultNotShown(f"the effect of {fault} was not observed in {timeout_s:g} s", fault=fault)
+        await asyncio.sleep(POLL_INTERVAL_S)
--- a/passgate/check/socket_mistake.py
+++ b/passgate/check/socket_mistake.py
@@ -1,9 +1,9 @@
-"""Separate daemons that run with a mistake seeded on purpose, to show that socket runs find it.
+"""Daemon processes with a seeded mistake, by which runs over sockets are themselves tested.
 
-``python -m passgate.check.socket_mistake NAME serve --settings FILE`` is a daemon
-with the mistake ``NAME`` of :mod:`passgate.check.simulation.seeded_mistakes`.
+``python -m passgate.check.socket_mistake NAME serve --settings FILE`` runs a
+daemon with the mistake ``NAME`` of :mod:`passgate.check.simulation.seeded_mistakes`.
 
->>> select_mistake("leaving_ignored").promise
+>>> find_mistake("leaving_ignored").guarantee
 'leaving'
 """
 
@@ -11,14 +11,14 @@
 
 import sys
 
-from passgate.check.simulation.seeded_mistakes import MISTAKES, SeededMistake, seeded
+from passgate.check.simulation.seeded_mistakes import MISTAKES, SeededMistake, apply_mistake
 from passgate.demo_deployment import DeploymentProcesses, Process
 from passgate.errors import NotFound
 
 MODULE = "passgate.check.socket_mistake"
 
 
-def select_mistake(name: str) -> SeededMistake:
+def find_mistake(name: str) -> SeededMistake:
     """Return a mistake by its name; raises NotFound."""
     for mistake in MISTAKES:
         if mistake.name == name:
@@ -27,10 +27,11 @@
     raise NotFound(f"no mistake is named {name!r}", mistake=name, known=known)
 
 
-class MistakenProcesses(DeploymentProcesses):
-    """A deployment whose daemons all have one mistake."""
+class ProcessesWithMistake(DeploymentProcesses):
+    """Processes of a deployment whose daemons all run with one seeded mistake."""
 
     mistake = ""
+    """Name of the mistake; set it before the processes start."""
 
     def _prepare_daemons(self) -> None:
         super()._prepare_daemons()
@@ -41,10 +42,10 @@
 
 
 def main() -> None:
-    """Run the command line with the mistake that the first argument names."""
+    """Run the command line of passgate with the mistake that the first argument names."""
     from passgate.cli import main as run_command
 
-    with seeded(select_mistake(sys.argv.pop(1))):
+    with apply_mistake(find_mistake(sys.argv.pop(1))):
         run_command()
 
 
--- a/passgate/check/socket_tables.py
+++ b/passgate/check/socket_tables.py
@@ -1,8 +1,8 @@
-"""Tables of measured runs over sockets, from a file of reports as JSON lines.
+"""Markdown tables of runs over sockets, from a file of reports as JSON lines.
 
->>> sum_cells(["held (3)", "held (2)", "not observed"])
+>>> merge_cells(["held (3)", "held (2)", "not observed"])
 'held (5)'
->>> sum_cells(["held (3)", "violated (1)"]), sum_cells(["not observed"])
+>>> merge_cells(["held (3)", "violated (1)"]), merge_cells(["not observed"])
 ('violated (1)', 'not observed')
 """
 
@@ -13,12 +13,12 @@
 
 import msgspec
 
-from passgate.check.socket_mistake import select_mistake
-from passgate.check.socket_report import CALM, NOT_OBSERVED, SocketReport, cell
+from passgate.check.socket_mistake import find_mistake
+from passgate.check.socket_report import BEFORE_FAULTS, NOT_OBSERVED, SocketReport, format_cell
 
-SET_BY_THE_FAULT = "slower_s"
-"""A figure that is an input, not a measurement."""
-MEASUREMENT = "socket-histories.jsonl"
+INPUT_FIGURE = "slower_s"
+"""Name of a figure that is an input of the fault, not a measurement."""
+REPORTS_FILE = "socket-histories.jsonl"
 
 
 def read_reports(file: pathlib.Path) -> list[SocketReport]:
@@ -26,69 +26,69 @@
     return [msgspec.json.decode(line, type=SocketReport) for line in file.read_bytes().splitlines()]
 
 
-def sum_cells(cells: Iterable[str]) -> str:
-    """Return one verdict for the verdicts of several runs."""
-    counts = {"held": 0, "violated": 0}
+def merge_cells(cells: Iterable[str]) -> str:
+    """Return the text of one cell for the cells of several runs."""
+    count_by_verdict = {"held": 0, "violated": 0}
     for text in cells:
         if text != NOT_OBSERVED:
             verdict, _, count = text.partition(" ")
-            counts[verdict] += int(count.strip("()"))
-    return cell(counts["violated"], counts["held"])
+            count_by_verdict[verdict] += int(count.strip("()"))
+    return format_cell(count_by_verdict["violated"], count_by_verdict["held"])
 
 
-def faults_table(measurements: pathlib.Path) -> str:
-    """Return fault by promise over all runs of the code as it is, and their totals."""
-    reports = [report for report in read_reports(measurements / MEASUREMENT) if not report.mistake]
-    promises = list(reports[0].observed)
-    rows: dict[str, list[dict[str, str]]] = {}
+def format_faults_table(measurements: pathlib.Path) -> str:
+    """Return the table of faults and guarantees over all runs without a seeded mistake, with totals."""
+    reports = [report for report in read_reports(measurements / REPORTS_FILE) if not report.mistake]
+    guarantees = list(reports[0].observed)
+    rows_by_fault: dict[str, list[dict[str, str]]] = {}
     for report in reports:
         for name, row in report.cells.items():
-            rows.setdefault(name.partition(" #")[0], []).append(row)
-    lines = ["| fault | times | " + " | ".join(promises) + " |", "|---|---:|" + "---|" * len(promises)]
-    for name in sorted(rows, key=lambda name: (name != CALM, name)):
-        sums = [sum_cells(row[promise] for row in rows[name]) for promise in promises]
-        lines.append(f"| {name} | {len(rows[name])} | " + " | ".join(sums) + " |")
-    return "\n".join([*lines, "", _totals(reports)])
+            rows_by_fault.setdefault(name.partition(" #")[0], []).append(row)
+    lines = ["| fault | times | " + " | ".join(guarantees) + " |", "|---|---:|" + "---|" * len(guarantees)]
+    for name in sorted(rows_by_fault, key=lambda name: (name != BEFORE_FAULTS, name)):
+        cells = [merge_cells(row[guarantee] for row in rows_by_fault[name]) for guarantee in guarantees]
+        lines.append(f"| {name} | {len(rows_by_fault[name])} | " + " | ".join(cells) + " |")
+    return "\n".join([*lines, "", _format_totals(reports)])
 
 
-def _totals(reports: Sequence[SocketReport]) -> str:
+def _format_totals(reports: Sequence[SocketReport]) -> str:
     events = sum(report.events for report in reports)
-    hold = sum(report.holds() for report in reports)
+    held_count = sum(report.holds() for report in reports)
     codes = [code for report in reports for code in report.exit_codes]
     unhandled = sum(len(report.unhandled) for report in reports)
     return (
-        f"{len(reports)} runs, {hold} without any violation, {events} events, "
+        f"{len(reports)} runs, {held_count} without any violation, {events} events, "
         f"{len(codes)} planned stops of which {codes.count(0)} ended with 0, "
         f"{unhandled} unhandled exceptions."
     )
 
 
-def figures_table(measurements: pathlib.Path) -> str:
-    """Return the least and most of each measured figure over all runs of the code as it is."""
-    figures: dict[tuple[str, str], list[float]] = {}
-    for report in read_reports(measurements / MEASUREMENT):
+def format_figures_table(measurements: pathlib.Path) -> str:
+    """Return the range of each measured figure over all runs without a seeded mistake."""
+    values_by_figure: dict[tuple[str, str], list[float]] = {}
+    for report in read_reports(measurements / REPORTS_FILE):
         if report.mistake:
             continue
-        for note in report.faults:
-            for label, value in note.figures.items():
+        for record in report.faults:
+            for label, value in record.figures.items():
                 name = label.rpartition(" ")[2]
-                if name.endswith("_s") and name != SET_BY_THE_FAULT:
-                    figures.setdefault((note.fault, name), []).append(value)
+                if name.endswith("_s") and name != INPUT_FIGURE:
+                    values_by_figure.setdefault((record.fault, name), []).append(value)
         if report.in_force_max_s is not None:
-            figures.setdefault(("whole run", "in_force_max_s"), []).append(report.in_force_max_s)
+            values_by_figure.setdefault(("whole run", "in_force_max_s"), []).append(report.in_force_max_s)
     lines = ["| fault | figure | times | least s | most s |", "|---|---|---:|---:|---:|"]
-    for (fault, name), values in sorted(figures.items()):
+    for (fault, name), values in sorted(values_by_figure.items()):
         lines.append(f"| {fault} | {name} | {len(values)} | {min(values):.2f} | {max(values):.2f} |")
     return "\n".join(lines)
 
 
-def mistakes_table(measurements: pathlib.Path) -> str:
-    """Return for each seeded mistake the runs made and the promises found broken."""
+def format_mistakes_table(measurements: pathlib.Path) -> str:
+    """Return a row for each run with a seeded mistake, with the guarantees that it violated."""
     lines = ["| mistake in the daemons | faults | seed | promises broken |", "|---|---|---:|---|"]
-    for report in read_reports(measurements / MEASUREMENT):
+    for report in read_reports(measurements / REPORTS_FILE):
         if report.mistake:
-            broken = ", ".join(report.violations) or "none found"
-            faults = ", ".join(note.fault for note in report.faults)
-            text = select_mistake(report.mistake).mistake
-            lines.append(f"| {text} | {faults} | {report.seed} | {broken} |")
+            violated = ", ".join(report.violations) or "none found"
+            faults = ", ".join(record.fault for record in report.faults)
+            description = find_mistake(report.mistake).description
+            lines.append(f"| {description} | {faults} | {report.seed} | {violated} |")
     return "\n".join(lines)
--- a/tests/test_check_judges.py
+++ b/tests/test_check_judges.py
@@ -188,14 +188,14 @@
 
 def test_clean_history_holds():
     verdict = judge_history(CLEAN, oracle)
-    assert verdict.broken() == {}
+    assert verdict.violation_counts() == {}
 
 
 @pytest.mark.parametrize("name", PLANTED)
 def test_planted_violation_is_found_with_a_short_excerpt(name):
     promise, rule, history = PLANTED[name]
     verdict = judge_history(history, oracle)
-    found = next(v for v in verdict.promises if v.promise == promise).shortest
+    found = next(v for v in verdict.guarantees if v.guarantee == promise).shortest_violation
     assert found is not None
     assert found.rule == rule
     assert len(found.excerpt) <= 3
@@ -204,7 +204,7 @@
 
 def test_every_promise_has_planted_violations():
     promises = {promise for promise, _, _ in PLANTED.values()}
-    assert promises == {verdict.promise for verdict in judge_history([], oracle).promises}
+    assert promises == {verdict.guarantee for verdict in judge_history([], oracle).guarantees}
 
 
 def test_killed_daemon_may_cut_requests():
--- a/tests/test_check_socket_run.py
+++ b/tests/test_check_socket_run.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from passgate.check import judges_operations, judges_requests, judges_samples
+from passgate.check import operation_checks, request_checks, sample_checks
 from passgate.check.events import (
     AppInvoked,
     BackendLeaving,
@@ -21,15 +21,15 @@
     StopFinished,
     StopRequested,
 )
+from passgate.check.guarantee_coverage import OBSERVERS, observations
 from passgate.check.history import read_history
 from passgate.check.simulation.run import RunLimits, simulate
 from passgate.check.simulation.schedule import DaemonKill, Schedule
 from passgate.check.socket_attribution import attribute_runs
-from passgate.check.socket_command import run
-from passgate.check.socket_faults import FaultNote
-from passgate.check.socket_observation import OBSERVERS, observations
-from passgate.check.socket_report import CALM, NOT_OBSERVED, find_violations, make_cells
-from passgate.check.socket_run import SocketScenario, run_sockets, unhandled_errors
+from passgate.check.socket_command import run_and_report
+from passgate.check.socket_faults import FaultRecord
+from passgate.check.socket_report import BEFORE_FAULTS, NOT_OBSERVED, find_violations, make_cells
+from passgate.check.socket_run import SocketScenario, find_unhandled_errors, run_sockets
 from passgate.demo_deployment import free_addresses
 from passgate.emulator.admin_messages import SeenRun
 from passgate.emulator.run_feed import generate_work
@@ -92,7 +92,7 @@
     calls = [app_call("c-0", 1.0, "a-1", "c"), app_call("c-1", 2.0, "b-1", "c")]
     runs = attribute_runs([seen("a-1-f", 1.1), seen("b-1-e", 2.1)], calls, {})
     assert [event.request_id for event in runs] == ["c-0", "c-1"]
-    assert len(judges_requests.judge_at_most_once([*calls, *runs])) == 1
+    assert len(request_checks.check_at_most_once([*calls, *runs])) == 1
 
 
 def test_a_run_is_not_led_back_to_an_answered_later_or_foreign_request():
@@ -109,7 +109,7 @@
 def test_a_refused_request_that_ran_breaks_not_run():
     calls = [app_call("c-0"), refused("c-0")]
     runs = attribute_runs([seen("a-1-f", 3.0)], calls, {"a-1-f": "c-0"})
-    assert find_violations([*calls, *runs])[judges_requests.NOT_RUN]
+    assert find_violations([*calls, *runs])[request_checks.NOT_RUN]
 
 
 def test_generated_output_is_led_back_by_its_prompt_and_seed():
@@ -131,26 +131,26 @@
 @pytest.mark.parametrize(
     ("promise", "lacking", "present"),
     [
-        (judges_samples.STALENESS, [lot(), page(2)], [lot(), page(3)]),
+        (sample_checks.STALENESS, [lot(), page(2)], [lot(), page(3)]),
         (
-            judges_samples.EXACTLY_ONCE,
+            sample_checks.EXACTLY_ONCE,
             [lot(), page(), LotAbandoned(time_s=3.0, lot_id="l-1"), HistoryClosed(time_s=4.0)],
             [lot(), page(), HistoryClosed(time_s=4.0)],
         ),
-        (judges_samples.EXACTLY_ONCE, [lot(), page()], [lot(), page(finished=True)]),
-        (judges_requests.NOT_RUN, [refused("c-0")], [refused("c-0"), started("other")]),
+        (sample_checks.EXACTLY_ONCE, [lot(), page()], [lot(), page(finished=True)]),
+        (request_checks.NOT_RUN, [refused("c-0")], [refused("c-0"), started("other")]),
         (
-            judges_requests.AT_MOST_ONCE,
+            request_checks.AT_MOST_ONCE,
             [app_call("c-0", key="c")],
             [app_call("c-0", key="c"), started("c-0")],
         ),
         (
-            judges_operations.LEAVING,
+            operation_checks.LEAVING,
             [BackendLeaving(time_s=1.0, replica_id="app-0"), started("x", 5.9, "app-1")],
             [BackendLeaving(time_s=1.0, replica_id="app-0"), started("x", 6.1, "app-1")],
         ),
         (
-            judges_operations.PLANNED_STOP,
+            operation_checks.GRACEFUL_SHUTDOWN,
             [
                 app_call("c-0"),
                 StopRequested(time_s=1.1, daemon="b-1"),
@@ -163,7 +163,7 @@
             ],
         ),
         (
-            judges_operations.PLANNED_STOP,
+            operation_checks.GRACEFUL_SHUTDOWN,
             [
                 app_call("c-0"),
                 StopRequested(time_s=1.1, daemon="a-1"),
@@ -181,27 +181,27 @@
 
 def test_an_accepted_change_that_nobody_reports_is_not_observed():
     change = ConfigurationAccepted(time_s=1.0, name="Pool/p", expected_revision=0, revision=5, value="v")
-    assert observations([change])[judges_operations.CONFIGURATION] == ()
+    assert observations([change])[operation_checks.CONFIGURATION] == ()
 
 
 def test_each_fault_is_judged_in_its_own_time_and_says_what_it_did_not_observe():
-    notes = [FaultNote(fault="daemon_kill", target="a-1", from_s=at_s, until_s=at_s) for at_s in (2.0, 4.0)]
+    notes = [FaultRecord(fault="daemon_kill", target="a-1", from_s=at_s, until_s=at_s) for at_s in (2.0, 4.0)]
     first, second = app_call("c-0", 10.5, key="c"), app_call("c-1", 12.5, key="c")
     events = [first, started("c-0", 10.6), second, started("c-1", 12.6)]
     cells = make_cells(events, find_violations(events), notes, started_s=10.0)
-    assert [cells[name][judges_requests.AT_MOST_ONCE] for name in cells] == [
+    assert [cells[name][request_checks.AT_MOST_ONCE] for name in cells] == [
         "held (1)",
         "violated (1)",
         NOT_OBSERVED,
     ]
-    assert list(cells) == [CALM, "daemon_kill", "daemon_kill #2"]
+    assert list(cells) == [BEFORE_FAULTS, "daemon_kill", "daemon_kill #2"]
 
 
 def test_unhandled_exceptions_are_found_in_the_logs(tmp_path):
     fault = 'Traceback: File "/home/me/lib/web.py", line 1'
     (tmp_path / "a.log").write_text('{"level": "INFO"}\n' + fault)
     (tmp_path / "b.log").write_text('{"level": "INFO"}\n')
-    assert unhandled_errors(tmp_path) == ('a: Traceback: File "web.py", line 1',)
+    assert find_unhandled_errors(tmp_path) == ('a: Traceback: File "web.py", line 1',)
 
 
 def test_an_unknown_fault_is_refused_before_anything_starts():
@@ -226,13 +226,13 @@
 def test_a_kill_gives_the_same_verdict_over_sockets_and_in_virtual_time(tmp_path, capsys):
     file = tmp_path / "history"
     scenario = SocketScenario(seed=1, seconds=1.0, faults=("daemon_kill",), late_reader=False)
-    run(scenario, history=str(file), json=True)  # raises when broken
+    run_and_report(scenario, history=str(file), json=True)  # raises when broken
     with file.open("rb") as lines:
         events = read_history(lines)
     kinds = {type(event) for event in events}
     assert {DaemonKilled, DaemonStarted, BackendRunStarted, PageReceived, HistoryClosed} <= kinds
-    assert observations(events)[judges_requests.WHOLE_ANSWER]
+    assert observations(events)[request_checks.COMPLETE_ANSWER]
     over_sockets = {promise: len(found) for promise, found in find_violations(events).items()}
     kill = DaemonKill(at_s=2.0, daemons=("c-1",), restart_after_s=0.5)
     outcome = simulate(Schedule(seed=1, faults=(kill,)), RunLimits(calls_s=7.0, trainer_steps=1))
-    assert over_sockets == {entry.promise: entry.violations for entry in outcome.verdict.promises}
+    assert over_sockets == {entry.guarantee: entry.violations for entry in outcome.verdict.guarantees}
--- a/tests/test_virtual_schedules.py
+++ b/tests/test_virtual_schedules.py
@@ -14,7 +14,7 @@
 from passgate.check.simulation import campaign, seeded_mistakes
 from passgate.check.simulation.run import RunLimits, simulate
 from passgate.check.simulation.schedule import (
-    FAULT_MAKERS,
+    FAULT_MAKER_BY_KIND,
     LogOutage,
     MachineListOutage,
     Schedule,
@@ -27,7 +27,7 @@
 
 @st.composite
 def faults(draw):
-    make = FAULT_MAKERS[draw(st.sampled_from(sorted(FAULT_MAKERS)))]
+    make = FAULT_MAKER_BY_KIND[draw(st.sampled_from(sorted(FAULT_MAKER_BY_KIND)))]
     at_s = draw(st.floats(3.0, 10.0).map(lambda value: round(value, 2)))
     return make(Random(draw(st.integers(0, 1000))), at_s)
 
@@ -41,7 +41,7 @@
 @given(schedules)
 def test_generated_schedules_keep_every_promise(schedule):
     outcome = simulate(schedule, SMALL)
-    assert outcome.faults_found() == []
+    assert outcome.failure_names() == []
 
 
 def test_same_schedule_gives_the_same_history():
@@ -51,7 +51,7 @@
 
 @pytest.mark.parametrize("name", ["always_not_run", "version_by_belief", "revision_not_advanced"])
 def test_mistake_in_the_running_code_is_found(name):
-    result = seeded_mistakes.find(MISTAKES[name], runs=3)
+    result = seeded_mistakes.search_violation(MISTAKES[name], runs=3)
     assert result.found, result
 
 
@@ -73,13 +73,13 @@
         virtual_s=1.0,
         seconds=1.0,
     )
-    (row,) = campaign.fault_rows([report])
+    (row,) = campaign.make_fault_rows([report])
     assert (row.fault, row.runs, row.violations["staleness"]) == ("log_outage", 1, 2)
 
 
 def test_replay_fails_with_the_excerpt_and_the_history_can_be_judged(tmp_path, capsys):
     history = tmp_path / "run.jsonl"
-    with seeded_mistakes.seeded(MISTAKES["version_by_belief"]), pytest.raises(ReplayFailed):
+    with seeded_mistakes.apply_mistake(MISTAKES["version_by_belief"]), pytest.raises(ReplayFailed):
         ReplayCommands().schedule(seed=0, history=str(history))
     printed = capsys.readouterr().out.splitlines()
     excerpt = [decode_event(line) for line in printed if line.startswith('{"type"')]
