--- a/passgate/check/sample_checks.py
+++ b/passgate/check/sample_checks.py
@@ -172,9 +172,7 @@
         for sample in page.samples:
             if not 0 <= sample.index < len(lot.prompts):
                 violations.append(
-                    _make_violation(
-                        "unknown_slot", f"{sample.sample_id}: unknown index {sample.index}", lot, page
-                    )
+                    _make_violation("unknown_slot", f"{sample.sample_id} has an unknown index", lot, page)
                 )
                 continue
             known_page, known = first_by_sample.setdefault(sample.sample_id, (page, sample))
--- a/passgate/check/simulation/__init__.py
+++ b/passgate/check/simulation/__init__.py
@@ -1,1 +1,1 @@
-"""Concurrent runs of the real daemons in virtual time, with faults, recorded and judged."""
+"""Runs of the real daemons in virtual time under faults, whose histories are recorded and checked."""
--- a/passgate/check/simulation/campaign.py
+++ b/passgate/check/simulation/campaign.py
@@ -1,4 +1,4 @@
-"""Campaigns: many schedules over several processes, summed up as a table of fault and promise."""
+"""Campaigns: many simulated runs over several processes, with a table of faults and violations."""
 
 from __future__ import annotations
 
@@ -14,8 +14,9 @@
 from passgate.check.simulation.schedule import Schedule, generate_schedule
 
 UNHANDLED_COLUMN = "unhandled"
-"""Column of exceptions that nothing handled."""
+"""Name of the column of unhandled exceptions."""
 NO_FAULT = "none"
+"""Name of the row of runs without faults."""
 
 
 class RunReport(msgspec.Struct, frozen=True, kw_only=True):
@@ -23,21 +24,22 @@
 
     schedule: Schedule
     broken: dict[str, int]
-    """Violations by promise."""
+    """Number of violations by guarantee; guarantees that held are left out."""
     unhandled: tuple[str, ...]
     message: str
-    """What the shortest violation says; empty when all promises hold."""
+    """Message of the shortest violation; empty if all guarantees held."""
     events: int
     virtual_s: float
     seconds: float
+    """Real time of the run."""
 
     def holds(self) -> bool:
-        """Return whether every promise held and nothing was left unhandled."""
+        """Return whether every guarantee held and no exception was unhandled."""
         return not self.broken and not self.unhandled
 
 
 class FaultRow(msgspec.Struct, kw_only=True):
-    """Runs in which a kind of fault happened, with the violations found in them."""
+    """Runs with one kind of fault, and the number of violations in them by guarantee."""
 
     fault: str
     runs: int = 0
@@ -54,17 +56,17 @@
     events: int
     virtual_s: float
     seconds: float
-    """Time on the wall clock."""
+    """Real time of the campaign."""
 
 
 def make_report(outcome: RunOutcome, seconds: float) -> RunReport:
-    """Return the report of a run."""
-    found = outcome.verdict.shortest_violation()
+    """Return the report of a run that took ``seconds`` of real time."""
+    shortest = outcome.verdict.shortest_violation()
     return RunReport(
         schedule=outcome.schedule,
         broken=outcome.verdict.violation_counts(),
         unhandled=tuple(sorted(set(outcome.unhandled))),
-        message=f"{found.guarantee}.{found.rule}: {found.message}" if found else "",
+        message=f"{shortest.guarantee}.{shortest.rule}: {shortest.message}" if shortest else "",
         events=len(outcome.events),
         virtual_s=outcome.virtual_s,
         seconds=round(seconds, 3),
@@ -84,7 +86,10 @@
     processes: int = 4,
     on_report: Callable[[RunReport], None] | None = None,
 ) -> list[RunReport]:
-    """Run all seeds, ``processes`` at a time; reports come in the order of the seeds."""
+    """Run the schedules of all seeds, ``processes`` at a time; return reports in the order of the seeds.
+
+    ``on_report`` is called with each report as soon as it and all earlier ones are there.
+    """
     reports = []
     for report in _iterate_reports(seeds, only, processes):
         reports.append(report)
@@ -115,25 +120,27 @@
 
 
 def make_fault_rows(reports: Iterable[RunReport]) -> list[FaultRow]:
-    """Return one row for each kind of fault; a run counts in the row of each of its kinds."""
-    rows: dict[str, FaultRow] = {}
+    """Return a row for each kind of fault, sorted; a run counts in the row of each of its kinds."""
+    row_by_fault: dict[str, FaultRow] = {}
     for report in reports:
         for name in report.schedule.fault_names() or [NO_FAULT]:
-            row = rows.setdefault(name, FaultRow(fault=name, violations=dict.fromkeys(column_names(), 0)))
+            row = row_by_fault.setdefault(
+                name, FaultRow(fault=name, violations=dict.fromkeys(column_names(), 0))
+            )
             row.runs += 1
-            for promise, count in report.broken.items():
-                row.violations[promise] += count
+            for guarantee, count in report.broken.items():
+                row.violations[guarantee] += count
             row.violations[UNHANDLED_COLUMN] += len(report.unhandled)
-    return [rows[name] for name in sorted(rows)]
+    return [row_by_fault[name] for name in sorted(row_by_fault)]
 
 
 def column_names() -> list[str]:
-    """Return the promises, and the column of unhandled exceptions."""
+    """Return the columns of the table: all guarantees, then the unhandled exceptions."""
     return [*make_checkers(emulated_token), UNHANDLED_COLUMN]
 
 
 def format_markdown(rows: Sequence[FaultRow]) -> str:
-    """Return the table of fault and promise."""
+    """Return the rows as a table in Markdown."""
     names = column_names()
     lines = [
         "| fault | runs | " + " | ".join(names) + " |",
@@ -146,14 +153,14 @@
 
 
 def shrink(schedule: Schedule, fails: Callable[[Schedule], bool]) -> Schedule:
-    """Return a schedule with fewer faults that still fails: none of its faults can be left out."""
-    shrunk = True
-    while shrunk:
-        shrunk = False
+    """Leave out faults while the schedule fails; no single fault of the result can be left out."""
+    was_shrunk = True
+    while was_shrunk:
+        was_shrunk = False
         for index in range(len(schedule.faults)):
             faults = schedule.faults[:index] + schedule.faults[index + 1 :]
             candidate = msgspec.structs.replace(schedule, faults=faults)
             if fails(candidate):
-                schedule, shrunk = candidate, True
+                schedule, was_shrunk = candidate, True
                 break
     return schedule
--- a/passgate/check/simulation/faults.py
+++ b/passgate/check/simulation/faults.py
@@ -1,4 +1,4 @@
-"""Applies a schedule's faults to a simulated run, and ends them."""
+"""Injects the faults of a schedule into a simulated run, and ends them."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class SimulatedFaults:
-    """Faults of one run: those of daemons here, those of the outside by the emulator."""
+    """Faults of one run; those of external systems are injected by the emulator."""
 
     def __init__(self, run: SimulatedRun) -> None:
         self._run = run
@@ -32,27 +32,27 @@
         self._timers: list[asyncio.TimerHandle] = []
         self._cut_count_by_zone: Counter[str] = Counter()
         self._disconnect_count_by_daemon: Counter[str] = Counter()
-        """Number of faults that keep each daemon from hearing the log."""
+        """Number of current faults by which a daemon can not read the log."""
         self._pauses: Counter[str] = Counter()
 
     def start(self, faults: Iterable[AnyScheduledFault]) -> None:
-        """Schedule all faults from now on."""
+        """Schedule all faults, with times relative to now."""
         for fault in faults:
             self._schedule(fault.at_s, self.apply, fault)
 
     def close(self) -> None:
-        """Cancel what has not happened yet."""
+        """Cancel all scheduled starts and ends of faults."""
         self._external_faults.close()
         for timer in self._timers:
             timer.cancel()
 
     def record_if_disconnected(self, daemon: str) -> None:
-        """Record that a daemon which has just started can not hear the log."""
+        """Record that a daemon which has just started can not read the log, if a fault prevents it."""
         if self._disconnect_count_by_daemon[daemon]:
             self._run.record(DaemonCut(time_s=monotonic_s(), daemon=daemon))
 
     def apply(self, fault: AnyScheduledFault) -> None:
-        """Begin a fault now."""
+        """Start a fault now and schedule its end."""
         match fault:
             case DaemonKill():
                 self._spawn_for_running(fault.daemons, self._kill, fault.restart_after_s)
@@ -110,7 +110,7 @@
     def _end_answer_loss(self) -> None:
         self._run.link.answer_loss_probability = 0.0
 
-    # --- what a daemon can hear ------------------------------------------------------------
+    # --- connections -----------------------------------------------------------------------
 
     def _cut_peers(self, zone: str, duration_s: float) -> None:
         self._cut_count_by_zone[zone] += 1
@@ -122,8 +122,8 @@
         self._update_peer_partition()
 
     def _update_peer_partition(self) -> None:
-        cut = {zone for zone, count in self._cut_count_by_zone.items() if count}
-        self._run.peers.cut(lambda address, zone: zone if zone in cut else "")
+        cut_zones = {zone for zone, count in self._cut_count_by_zone.items() if count}
+        self._run.peers.cut(lambda address, zone: zone if zone in cut_zones else "")
 
     def _disconnect(self, names: Iterable[str], duration_s: float) -> None:
         for name in names:
--- a/passgate/check/simulation/operators.py
+++ b/passgate/check/simulation/operators.py
@@ -1,4 +1,4 @@
-"""Operators who race each other on a few objects, recorded as they see it."""
+"""Operators that make concurrent changes to a few objects and record the outcomes."""
 
 from __future__ import annotations
 
@@ -26,22 +26,24 @@
 
 KIND = "PriorityClass"
 OBJECTS = 2
+"""Number of objects that all operators share."""
 PUT_TIMEOUT_S = 3.0
 MIN_PAUSE_S = 0.5
 MAX_PAUSE_S = 4.0
 UNCONDITIONAL_SHARE = 0.3
+"""Share of the changes that expect no revision."""
 DELETE_SHARE = 0.15
 
 
 def value_digest(labels: Labels, spec: Spec) -> str:
-    """Return the digest by which histories compare an object's value."""
+    """Return the digest that stands for an object's value in histories."""
     return xxhash.xxh64_hexdigest(msgspec.json.encode((sorted(labels.items()), spec)))
 
 
 def make_configuration_event(daemon: str, state: ConfigurationState) -> ConfigurationInForce:
-    """Return the event of a daemon's present configuration."""
+    """Return the event for a daemon's active configuration."""
     objects = [entry for kind in SPEC_TYPES for entry in state.objects(kind)]
-    held = tuple(
+    applied = tuple(
         ConfigurationObject(
             name=f"{entry.kind}/{entry.name}",
             revision=entry.revision,
@@ -49,11 +51,11 @@
         )
         for entry in objects
     )
-    return ConfigurationInForce(time_s=monotonic_s(), daemon=daemon, revision=state.revision, objects=held)
+    return ConfigurationInForce(time_s=monotonic_s(), daemon=daemon, revision=state.revision, objects=applied)
 
 
 class RacingOperator:
-    """Changes, creates and deletes objects until cancelled."""
+    """Changes, creates and deletes objects through random daemons that are ready."""
 
     def __init__(
         self,
@@ -68,7 +70,7 @@
         self._record = record
 
     async def run(self) -> None:
-        """Make one change after the other, through any daemon."""
+        """Make changes one after the other until cancelled."""
         while True:
             await asyncio.sleep(self._random.uniform(MIN_PAUSE_S, MAX_PAUSE_S))
             ready = [process for name, process in sorted(self._processes.items()) if process.is_ready]
--- a/passgate/check/simulation/parameters.py
+++ b/passgate/check/simulation/parameters.py
@@ -22,7 +22,7 @@
 
 
 def small_deployment() -> DeploymentParameters:
-    """Return the parameters; the sizes keep one run under a second of processor time."""
+    """Return the parameters; they are small, as campaigns make many runs."""
     model = ModelParameters(
         name=MODEL,
         weight_bytes=50_000_000,
--- a/passgate/check/simulation/process.py
+++ b/passgate/check/simulation/process.py
@@ -1,8 +1,8 @@
-"""One daemon process in virtual time: the real daemon behind a boundary that can freeze or end.
+"""A daemon process in virtual time, which can be paused and killed.
 
-A paused process neither sends nor receives; its own timers still fire, which is
-harsher than a stopped process, as it then acts on what it believed before.  A
-killed process never sends again, while what it had sent still takes effect.
+A paused process neither sends nor receives, but its timers still fire, so that it acts on
+state that may be out of date; a process under SIGSTOP would not.  A killed process sends
+nothing more, while calls that it had sent still take effect.
 """
 
 from __future__ import annotations
@@ -37,22 +37,22 @@
 
 
 class ProcessBoundary:
-    """Everything that goes in or out of a process waits here while it is paused."""
+    """Delays all calls and answers of a process while it is paused."""
 
     def __init__(self) -> None:
         self._running = asyncio.Event()
         self._running.set()
 
     def pause(self) -> None:
-        """Hold everything back."""
+        """Delay all calls and answers from now on."""
         self._running.clear()
 
     def resume(self) -> None:
-        """Let everything pass again."""
+        """Let delayed calls and answers continue."""
         self._running.set()
 
     async def cross(self, call: Callable[[], Awaitable[Result]]) -> Result:
-        """Do ``work`` outside of the process; its answer too comes in only while it runs."""
+        """Make a call out of the process; both the call and its answer wait while the process is paused."""
         await self._running.wait()
         try:
             return await call()
@@ -60,7 +60,7 @@
             await self._running.wait()
 
     async def wait_until_running(self) -> None:
-        """Wait until the process runs."""
+        """Wait until the process is not paused."""
         await self._running.wait()
 
 
@@ -132,7 +132,7 @@
 
 
 class PausableMachineList:
-    """``interfaces.MachineList`` of one process; ``on_read`` is told what each read shows."""
+    """``interfaces.MachineList`` of one process; ``on_read`` is called with the result of each read."""
 
     def __init__(
         self,
@@ -152,20 +152,20 @@
 
 
 class _DaemonWithoutPorts(Daemon):
-    """The daemon without its HTTP ports: callers enter through :class:`SimulatedProcess`."""
+    """A daemon without HTTP ports; callers use the components of :class:`SimulatedProcess` directly."""
 
     def _listen(self, routes: Any, address: str) -> str:
         return address
 
 
 class SimulatedProcess:
-    """One run of one daemon."""
+    """One incarnation of a daemon."""
 
     def __init__(
         self,
         name: str,
         zone: str,
-        run: int,
+        incarnation: int,
         world: EmulatedWorld,
         peers: MemoryNetwork,
         seeds: tuple[str, ...],
@@ -175,25 +175,26 @@
         self.zone = zone
         self.boundary = ProcessBoundary()
         self.ended: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-        """Done when the process is gone: connections to it are reset."""
+        """Done when the process has ended; connections to it are then reset."""
         self.stopping = False
+        """Whether a graceful shutdown has begun."""
         self._transport: MemoryTransport = peers.transport(peer_address(name), zone)
-        random = world.random(f"{name}/{run}")
+        random = world.random(f"{name}/{incarnation}")
         self.daemon = _DaemonWithoutPorts(
             self._settings(seeds),
             _make_silent_logger(),
             random,
-            self._make_external_clients(world, run, on_read),
+            self._make_external_clients(world, incarnation, on_read),
         )
 
     @property
     def parts(self):
-        """Parts of the daemon."""
+        """Components of the daemon."""
         return self.daemon.parts
 
     @property
     def is_ready(self) -> bool:
-        """Whether the daemon serves."""
+        """Whether the daemon accepts requests."""
         return not self.ended.done() and not self.daemon.context.gate.starting
 
     def start(self) -> None:
@@ -201,18 +202,18 @@
         self.daemon.start()
 
     def pause(self) -> None:
-        """Freeze the process."""
+        """Pause the process: nothing goes in or out, but its timers fire."""
         self.boundary.pause()
         self._transport.pause()
 
     def resume(self) -> None:
-        """Let the process go on."""
+        """Resume a paused process; an ended one stays disconnected from its peers."""
         self.boundary.resume()
         if not self.ended.done():
             self._transport.resume()
 
     async def kill(self) -> None:
-        """End the process at once."""
+        """Kill the process; does nothing if it has ended."""
         if self.ended.done():
             return
         self.ended.set_result(None)
@@ -221,12 +222,12 @@
         await self.daemon.close()
 
     async def stop(self) -> bool:
-        """Stop as planned; return whether everything was finished or handed over."""
+        """Shut the daemon down gracefully; return whether no work was interrupted."""
         self.stopping = True
-        whole = await self.daemon.stop()
+        is_clean = await self.daemon.stop()
         if not self.ended.done():
             self.ended.set_result(None)
-        return whole
+        return is_clean
 
     def _settings(self, seeds: tuple[str, ...]) -> Settings:
         return Settings(
@@ -239,9 +240,9 @@
         )
 
     def _make_external_clients(
-        self, world: EmulatedWorld, run: int, on_read: Callable[[Sequence[MachineInfo]], None]
+        self, world: EmulatedWorld, incarnation: int, on_read: Callable[[Sequence[MachineInfo]], None]
     ) -> Outside:
-        log = world.log_client(self.zone, f"{self.name}/{run}")
+        log = world.log_client(self.zone, f"{self.name}/{incarnation}")
         return Outside(
             log=PausableLog(log, self.boundary),
             machine_list=PausableMachineList(world.machine_list, self.boundary, on_read),
--- a/passgate/check/simulation/recovery.py
+++ b/passgate/check/simulation/recovery.py
@@ -1,9 +1,9 @@
-"""Virtual time from a fault to normal service, seen by steady probes.
+"""Measures the virtual time from a fault to normal service by periodic probes.
 
-Probes of four services run side by side through all daemons: a call to an
-application, a generated answer, a lot of one sample and a configuration change.
-Service is normal again from the first probe after the fault since which none has
-failed or taken longer than its limit.
+Each probe is a call to an application, a generate request, a lot of one sample or a
+configuration change, through the daemons in turn.  Service has recovered at the first
+probe that starts after the last abnormal one.  A probe is abnormal if it fails or takes
+longer than ``MAX_NORMAL_S_BY_SERVICE``.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 PROBE_DEADLINE_S = 20.0
 
 MAX_NORMAL_S_BY_SERVICE = {"app": 0.5, "generate": 1.5, "lot": 3.0, "configuration": 0.5}
-"""A probe that takes longer is not normal service."""
+"""Longest duration of a normal probe by service."""
 
 SCENARIOS: dict[str, tuple[AnyScheduledFault, ...]] = {
     "one daemon killed": (DaemonKill(at_s=FAULT_AT_S, daemons=DAEMONS[:1], restart_after_s=RESTART_S),),
@@ -52,26 +52,27 @@
 
 
 class RecoveryResult(msgspec.Struct, frozen=True, kw_only=True):
-    """Recovery of one service after one fault, over some seeds; seconds from the fault's begin."""
+    """Recovery of one service after one fault, over several seeds."""
 
     fault: str
     service: str
     fault_lasts_s: float
     probes: int
     abnormal: int
-    """Probes that failed or were slow after the fault."""
+    """Number of probes that failed or were slow."""
     recovered_s: tuple[float, ...]
-    """One figure per seed; 0 when no probe was abnormal."""
+    """By seed, the time from the start of the fault to recovery; 0 if no probe was abnormal."""
 
 
 class _Probe(msgspec.Struct, frozen=True):
     service: str
     started_s: float
+    """Seconds since the first probe."""
     is_normal: bool
 
 
 def measure(seeds: int) -> Iterator[RecoveryResult]:
-    """Yield the results of every scenario and service."""
+    """Yield a result for every scenario and service, over the first ``seeds`` seeds."""
     for name, faults in SCENARIOS.items():
         runs = [
             run_virtual(_RecoveryRun(Schedule(seed=seed, faults=faults)).run_probes())
@@ -93,14 +94,14 @@
 def _make_result(
     name: str, faults: tuple[AnyScheduledFault, ...], service: str, runs: list[list[_Probe]]
 ) -> RecoveryResult:
-    chosen = [[probe for probe in probes if probe.service == service] for probes in runs]
+    probes_by_seed = [[probe for probe in probes if probe.service == service] for probes in runs]
     return RecoveryResult(
         fault=name,
         service=service,
         fault_lasts_s=max(_duration_s(fault) for fault in faults),
-        probes=sum(map(len, chosen)),
-        abnormal=sum(not probe.is_normal for probes in chosen for probe in probes),
-        recovered_s=tuple(_recovered_s(probes) for probes in chosen),
+        probes=sum(map(len, probes_by_seed)),
+        abnormal=sum(not probe.is_normal for probes in probes_by_seed for probe in probes),
+        recovered_s=tuple(_recovered_s(probes) for probes in probes_by_seed),
     )
 
 
@@ -109,7 +110,10 @@
 
 
 def _recovered_s(probes: list[_Probe]) -> float:
-    """Return the seconds from the fault to the first probe since which all are normal."""
+    """Return the time from the fault to the first probe after the last abnormal one.
+
+    Without such a probe the service counts as recovered at the end of the observation.
+    """
     abnormal = [probe.started_s for probe in probes if not probe.is_normal]
     if not abnormal:
         return 0.0
@@ -118,7 +122,7 @@
 
 
 class _RecoveryRun(SimulatedRun):
-    """A simulated run whose callers are probes."""
+    """A simulated run whose only callers are probes."""
 
     def __init__(self, schedule: Schedule) -> None:
         super().__init__(schedule, RunLimits())
@@ -126,7 +130,7 @@
         self._started_s = 0.0
 
     async def run_probes(self) -> list[_Probe]:
-        """Run to the end and return the probes that started after the fault."""
+        """Run to the end and return the probes that could still be open when the fault started."""
         await self.run()
         return [probe for probe in self._probes if probe.started_s >= FAULT_AT_S - PROBE_DEADLINE_S]
 
@@ -159,7 +163,7 @@
 def _make_calls(
     service: SimulatedService, model: str, number: int
 ) -> dict[str, Callable[[], Awaitable[object]]]:
-    """Return one call for each service."""
+    """Return one call by service; ``number`` makes the identifiers unique."""
     app = AppRequest(
         request_id=f"probe-{number}",
         caller="probe",
--- a/passgate/check/simulation/run.py
+++ b/passgate/check/simulation/run.py
@@ -1,4 +1,4 @@
-"""One simulated run: three real daemons, the emulated world, callers, operators and faults.
+"""One simulated run: three real daemons and emulated external systems, callers, operators and faults.
 
 >>> outcome = simulate(Schedule(seed=1), RunLimits(calls_s=3.0, trainer_steps=1))
 >>> outcome.verdict.holds(), outcome.unhandled
@@ -43,47 +43,47 @@
 READY_POLL_INTERVAL_S = 0.02
 READY_TIMEOUT_S = 30.0
 DRAIN_S = 21.0
-"""Time after the last call in which everything must become whole."""
+"""Time for open calls after the last arrival, and again for open work after the trainers' last lots."""
 ATTEMPT_SEPARATOR = "~"
 """Separates a caller's request identifier from the number of a further attempt on a back end."""
 
 
 class RunLimits(msgspec.Struct, frozen=True, kw_only=True):
-    """Size of a run; times in virtual seconds."""
+    """Size of a run; times are in virtual seconds."""
 
     calls_s: float = 28.0
-    """How long callers and operators work."""
+    """Time for which callers and operators work."""
     trainer_steps: int = 4
     settle_s: float = 240.0
     """Longest wait for the trainers' last lots after that."""
 
 
 class RunOutcome(msgspec.Struct, frozen=True, kw_only=True):
-    """What came of one run."""
+    """Result of one run."""
 
     schedule: Schedule
     verdict: HistoryVerdict
     unhandled: tuple[str, ...]
-    """Exceptions that nothing handled: each is a fault of the code."""
+    """Descriptions of unhandled exceptions."""
     virtual_s: float
     events: tuple[AnyEvent, ...]
 
     def holds(self) -> bool:
-        """Return whether every promise held and nothing was left unhandled."""
+        """Return whether every guarantee held and no exception was unhandled."""
         return self.verdict.holds() and not self.unhandled
 
     def failure_names(self) -> list[str]:
-        """Return the names of broken promises and unhandled exceptions."""
+        """Return the violated guarantees and the unhandled exceptions."""
         return [*self.verdict.violation_counts(), *sorted(set(self.unhandled))]
 
 
 def simulate(schedule: Schedule, limits: RunLimits | None = None) -> RunOutcome:
-    """Run a schedule in virtual time and judge its history; the same schedule gives the same history."""
+    """Run a schedule in virtual time and check its history; the same schedule gives the same history."""
     return run_virtual(SimulatedRun(schedule, limits or RunLimits()).run())
 
 
 class SimulatedRun:
-    """Builds, runs and records one schedule; use it inside a virtual loop."""
+    """Builds, runs and records one schedule; needs a running virtual-time event loop."""
 
     def __init__(self, schedule: Schedule, limits: RunLimits) -> None:
         self.schedule = schedule
@@ -97,7 +97,7 @@
         self._reported_leaving: set[str] = set()
 
     async def run(self) -> RunOutcome:
-        """Run to the end and judge."""
+        """Run to the end and check the history."""
         asyncio.get_running_loop().set_exception_handler(self._record_unhandled)
         await self._build()
         await self._run_workload()
@@ -133,7 +133,7 @@
         await self._until_ready()
 
     async def _configure(self) -> None:
-        """Put the pools and the first weights, as operators did before the run."""
+        """Create the pools and the first model versions, which the daemons find at their start."""
         parameters = self.world.parameters
         engines, apps = parameters.engines, parameters.apps
         log = self.world.log_client(parameters.zones[0], "setup")
@@ -152,7 +152,7 @@
         await service.close()
 
     def start_daemon(self, name: str) -> None:
-        """Start a new run of a daemon, which takes the place of the former one."""
+        """Start a new incarnation of a daemon, which replaces the previous one."""
         self._runs[name] += 1
         seeds = tuple(peer_address(other) for other in DAEMONS if other != name)
         process = SimulatedProcess(
@@ -163,7 +163,7 @@
         self.spawn(self._record_start(process))
 
     async def _record_start(self, process: SimulatedProcess) -> None:
-        """Record a daemon's start and configuration once it serves."""
+        """Record a daemon's start and its configuration changes from when it is ready."""
         while not process.is_ready:
             if process.ended.done() or process.stopping:
                 return
@@ -195,13 +195,13 @@
             for name in (f"operator-{number}" for number in range(OPERATORS))
         ]
         late_reader = self._make_slow_trainer(callers)
-        late_reading = asyncio.ensure_future(late_reader.run())
+        late_reader_task = asyncio.ensure_future(late_reader.run())
         self.faults.start(self.schedule.faults)
         await asyncio.gather(*(stream.run(self.limits.calls_s, DRAIN_S) for stream in callers.streams))
         for operator in operators:
             operator.cancel()
         late_reader.stopping = True
-        trainers.append(late_reading)
+        trainers.append(late_reader_task)
         await asyncio.wait(trainers, timeout=self.limits.settle_s)
         await asyncio.sleep(DRAIN_S)
         for trainer in trainers:
@@ -210,7 +210,7 @@
         self._abandon_lots_ahead()
 
     async def _train(self, trainer: Trainer, steps: int) -> None:
-        """Let a trainer do its steps, and see to it that its last weights are announced."""
+        """Run a trainer's steps, then publish its last version until a daemon accepts it."""
         await trainer.run(steps)
         service = self._service_for(trainer.parameters.name)
         while True:
@@ -231,7 +231,7 @@
         )
 
     def _abandon_lots_ahead(self) -> None:
-        """Record that trainers opened lots ahead of the last step and do not want them any more."""
+        """Record as abandoned the lots that trainers opened ahead for steps that they do not take."""
         for event in list(self.recorder.events):
             if (
                 not isinstance(event, history_events.LotSubmitted)
@@ -256,7 +256,7 @@
         self.world.close()
 
     def spawn(self, work: Any) -> asyncio.Task[Any]:
-        """Run work beside the schedule until the end."""
+        """Run work in the background; it is cancelled at the end of the run, and its errors are recorded."""
         task = asyncio.ensure_future(work)
         self._tasks.add(task)
         task.add_done_callback(self._on_task_done)
@@ -267,7 +267,7 @@
         if not task.cancelled() and task.exception() is not None:
             self.unhandled.append(repr(task.exception()))
 
-    # --- what is seen from outside --------------------------------------------------------
+    # --- recording ----------------------------------------------------------------------
 
     def _record_run(self, record: RunRecord) -> None:
         started = history_events.BackendRunStarted(
--- a/passgate/check/simulation/schedule.py
+++ b/passgate/check/simulation/schedule.py
@@ -1,4 +1,4 @@
-"""Schedules: which faults happen when in one run; typed, generated from a seed, kept as JSON.
+"""Schedules of the faults of one run: typed, generated from a seed and stored as JSON.
 
 >>> generate_schedule(7) == generate_schedule(7)
 True
@@ -40,36 +40,38 @@
 FIRST_FAULT_S = 4.0
 LAST_FAULT_S = 22.0
 MAX_FAULTS = 4
+"""Most faults in a schedule of mixed faults."""
 MAX_FAULT_DURATION_S = 12.0
 
 
 class DaemonFault(msgspec.Struct, frozen=True, tag=True, kw_only=True):
-    """Base of faults of passgate's own daemons."""
+    """Base of the faults of daemons."""
 
     at_s: float
+    """Seconds since the start of the workload."""
     daemons: tuple[str, ...]
 
 
 class DaemonKill(DaemonFault, frozen=True, tag="daemon_kill"):
-    """Daemons end without warning and are replaced."""
+    """Daemons are killed and started again."""
 
     restart_after_s: float
 
 
 class DaemonPause(DaemonFault, frozen=True, tag="daemon_pause"):
-    """Daemons stand still and then go on, believing what they believed."""
+    """Daemons are paused and resumed, and keep their state."""
 
     duration_s: float
 
 
 class DaemonStop(DaemonFault, frozen=True, tag="daemon_stop"):
-    """Daemons stop by plan and are replaced."""
+    """Daemons are shut down gracefully and started again."""
 
     restart_after_s: float
 
 
 class ClientAnswersLost(msgspec.Struct, frozen=True, tag="client_answers_lost", kw_only=True):
-    """Answers on their way to callers and trainers are lost with a probability."""
+    """Each answer to a caller or trainer is lost with a probability."""
 
     at_s: float
     probability: float
@@ -80,18 +82,18 @@
 
 
 class Schedule(msgspec.Struct, frozen=True, kw_only=True):
-    """One run: its seed and its faults."""
+    """Seed and faults of one run."""
 
     seed: int
     faults: tuple[AnyScheduledFault, ...] = ()
 
     def fault_names(self) -> list[str]:
-        """Return the kinds of the faults, sorted."""
+        """Return the different kinds of the faults, sorted."""
         return sorted({fault_name(fault) for fault in self.faults})
 
 
 def fault_name(fault: AnyScheduledFault) -> str:
-    """Return the kind of a fault, with the extent of a kill.
+    """Return the kind of a fault, with the suffix "_all" if it strikes all daemons.
 
     >>> fault_name(DaemonKill(at_s=5.0, daemons=("a-1",), restart_after_s=1.0))
     'daemon_kill'
@@ -99,8 +101,8 @@
     'daemon_kill_all'
     """
     name = str(fault.__struct_config__.tag)
-    is_whole = isinstance(fault, DaemonFault) and len(fault.daemons) == len(DAEMONS)
-    return f"{name}_all" if is_whole else name
+    strikes_all = isinstance(fault, DaemonFault) and len(fault.daemons) == len(DAEMONS)
+    return f"{name}_all" if strikes_all else name
 
 
 def encode_schedule(schedule: Schedule) -> bytes:
@@ -114,9 +116,9 @@
 
 
 def generate_schedule(seed: int, only: str = "") -> Schedule:
-    """Return the schedule of a seed: one to four faults, or two of the one kind named.
+    """Return the schedule of a seed: one to ``MAX_FAULTS`` mixed faults, or two of the kind ``only``.
 
-    Faults may overlap, and the same fault may come twice.
+    Faults may overlap, and the same fault may occur twice.
     """
     random = Random(f"schedule/{seed}")
     if only:
@@ -145,6 +147,7 @@
 
 
 FaultMaker = Callable[[Random, float], AnyScheduledFault]
+"""Returns a random fault that starts at the given time in seconds."""
 
 FAULT_MAKER_BY_KIND: dict[str, FaultMaker] = {
     "daemon_kill": lambda r, at_s: DaemonKill(
--- a/passgate/check/simulation/seeded_mistakes.py
+++ b/passgate/check/simulation/seeded_mistakes.py
@@ -1,7 +1,7 @@
-"""Seeded mistakes in the running code, to show that simulated runs would find them.
+"""Seeded mistakes, by which the simulated runs and checks are themselves tested.
 
-Each mistake replaces one function of the running code for the time of a run; the
-named promise must then be broken in some of the first runs.
+Each mistake replaces one function of the running code during a run.  Some run with the
+mistake must then violate the named guarantee.
 """
 
 from __future__ import annotations
@@ -31,29 +31,30 @@
 
 
 class SeededMistake(msgspec.Struct, frozen=True, kw_only=True):
-    """One mistake."""
+    """One function of the running code and its incorrect replacement."""
 
     name: str
     description: str
     guarantee: str
-    """Promise that some run must break."""
+    """Guarantee that some run must violate."""
     target: Any
+    """Class or module whose attribute is replaced."""
     attribute: str
     replacement: Any
     fault_kind: str = ""
-    """Kind of fault that brings it about."""
+    """The one kind of fault in the runs; mixed faults if empty."""
     extra_faults: tuple[AnyScheduledFault, ...] = ()
-    """Further faults of each run."""
+    """Faults that are added to every run."""
 
 
 class MistakeResult(msgspec.Struct, frozen=True, kw_only=True):
-    """When a mistake was found."""
+    """Whether a mistake was found, and in which run."""
 
     name: str
     guarantee: str = msgspec.field(name="promise")
     found: bool
     runs: int
-    """Runs until the promise was broken, or all that were made."""
+    """Number of runs up to the violation, or of all runs."""
     message: str = ""
 
 
@@ -61,7 +62,7 @@
     return ClaimState(ClaimStatus.CLAIMED, body.request_digest, writer, body.holder), Accepted(offset)
 
 
-def _report_not_run(ledger: ExecutionLedger, error: PassgateError) -> PassgateError:
+def _report_not_run(execution: ExecutionLedger, error: PassgateError) -> PassgateError:
     error.execution = ExecutionStatus.NOT_RUN
     return error
 
@@ -79,8 +80,8 @@
 
 
 def _append_with_first_version(assembler: StreamAssembler, start: int, end: int, version: int) -> None:
-    believed = assembler.spans[0].version if assembler.spans else version
-    _append_span(assembler, start, end, believed)
+    first_version = assembler.spans[0].version if assembler.spans else version
+    _append_span(assembler, start, end, first_version)
 
 
 _append_span = StreamAssembler._append_span
@@ -90,8 +91,8 @@
     body = msgspec.structs.replace(record.body, expected_revision=None)
     stored, decision = _transition(current, offset, msgspec.structs.replace(record, body=body))
     is_put = stored is not None and current is not None
-    kept = msgspec.structs.replace(stored, revision=current.revision) if is_put else stored
-    return kept, decision
+    unadvanced = msgspec.structs.replace(stored, revision=current.revision) if is_put else stored
+    return unadvanced, decision
 
 
 _transition = configuration_state.transition
@@ -112,7 +113,7 @@
     ),
     SeededMistake(
         name="version_by_belief",
-        description="the first version of a stream is taken for all of it",
+        description="all tokens of a stream are attributed to its first version",
         guarantee="true_versions",
         target=StreamAssembler,
         attribute="_append_span",
@@ -120,7 +121,7 @@
     ),
     SeededMistake(
         name="claim_always_granted",
-        description="a claim is granted although another one stands",
+        description="a claim is granted although another one is in effect",
         guarantee="at_most_once",
         target=claim_state,
         attribute="_claim",
@@ -138,7 +139,7 @@
     ),
     SeededMistake(
         name="leaving_ignored",
-        description="the machine list's word of leaving is passed over",
+        description="the machine list's reports of leaving are ignored",
         guarantee="leaving",
         target=ReplicaDirectory,
         attribute="apply_machines",
@@ -147,7 +148,7 @@
     ),
     SeededMistake(
         name="stop_without_waiting",
-        description="a planned stop does not wait for requests",
+        description="a graceful shutdown does not wait for requests",
         guarantee="planned_stop",
         target=Daemon,
         attribute="_finish_work",
@@ -167,7 +168,7 @@
     ),
     SeededMistake(
         name="revision_not_advanced",
-        description="a change overwrites without regard to what its operator read",
+        description="a change is applied without comparing its expected revision",
         guarantee="configuration",
         target=configuration_state,
         attribute="transition",
@@ -175,7 +176,7 @@
     ),
     SeededMistake(
         name="no_takeover",
-        description="nobody takes a lot over when its keeper died",
+        description="no daemon takes over a lot when its keeper dies",
         guarantee="exactly_once",
         target=LotService,
         attribute="_ensure_keeper",
@@ -185,12 +186,12 @@
 )
 
 RELATED_PATCHES = {"stop_without_waiting": ((Daemon, "_hand_over"),)}
-"""Further functions that a mistake removes, so that no second safeguard hides it."""
+"""By mistake, further functions that it disables, as each would prevent the violation."""
 
 
 @contextlib.contextmanager
 def apply_mistake(mistake: SeededMistake) -> Iterator[None]:
-    """Have a mistake in the running code while the context is open."""
+    """Replace the functions of a mistake while the context is open."""
     with contextlib.ExitStack() as patches:
         patches.enter_context(mock.patch.object(mistake.target, mistake.attribute, mistake.replacement))
         for target, attribute in RELATED_PATCHES.get(mistake.name, ()):
@@ -204,12 +205,14 @@
 
 
 def search_violation(mistake: SeededMistake, runs: int, limits: RunLimits | None = None) -> MistakeResult:
-    """Run schedules until the mistake breaks its promise."""
+    """Run up to ``runs`` schedules with the mistake, until one violates its guarantee."""
     with apply_mistake(mistake):
         for seed in range(runs):
             outcome = simulate(_make_schedule(mistake, seed), limits)
-            judged = {verdict.guarantee: verdict.shortest_violation for verdict in outcome.verdict.guarantees}
-            violation = judged[mistake.guarantee]
+            shortest = {
+                verdict.guarantee: verdict.shortest_violation for verdict in outcome.verdict.guarantees
+            }
+            violation = shortest[mistake.guarantee]
             if violation is not None:
                 return MistakeResult(
                     name=mistake.name,
--- a/passgate/check/simulation/service.py
+++ b/passgate/check/simulation/service.py
@@ -1,4 +1,4 @@
-"""The simulated daemons as callers reach them, over the emulated network."""
+"""Calls to the simulated daemons over the emulated network."""
 
 from __future__ import annotations
 
@@ -27,16 +27,18 @@
 
 
 class ClientLink(msgspec.Struct):
-    """Present state of the way back to callers."""
+    """Current faults of the connection to callers."""
 
     answer_loss_probability: float = 0.0
+    """Probability with which each answer is lost."""
 
 
 class SimulatedService:
-    """Implements ``emulator.service.Service``: each call goes to the next daemon in turn.
+    """Implements ``emulator.service.Service``; calls go to the daemons in turn.
 
-    A daemon that is not ready, or said that it is leaving, is passed over while
-    another one is there, as a load balancer does.
+    Daemons that are not ready or are shutting down are skipped while another one is
+    available, as a load balancer does.  A failed call is not
+    repeated; the next call goes to the next daemon.
     """
 
     def __init__(
@@ -62,13 +64,13 @@
     # --- calls ------------------------------------------------------------------------
 
     async def generate(self, request: GenerateRequest, idempotency_key: str | None = None) -> GenerateResult:
-        """Return a whole answer."""
+        """Return a complete answer; with a key, the answer of the first request with that key."""
         if idempotency_key is None:
             return await self._call(lambda p: p.parts.dispatcher.generate(request), request.request_id)
         return await self._call(lambda p: _generate_once(p, request, idempotency_key), request.request_id)
 
     async def call_app(self, request: AppRequest, idempotency_key: str | None = None) -> AppResponse:
-        """Forward a call to an application service."""
+        """Forward a call to an application service; with a key, return the first request's answer."""
         if idempotency_key is None:
             return await self._call(lambda p: p.parts.dispatcher.call_app(request), request.request_id)
         return await self._call(lambda p: _call_app_once(p, request, idempotency_key), request.request_id)
@@ -84,15 +86,15 @@
         return await self._call(lambda p: p.parts.lots.read(lot_id, cursor, limit, wait_s, trainer_version))
 
     async def acknowledge(self, lot_id: str, sample_ids: Sequence[str]) -> None:
-        """Confirm that samples have arrived."""
+        """Confirm that samples were received."""
         await self._call(lambda p: p.parts.lots.acknowledge(lot_id, sample_ids))
 
     async def replace(self, lot_id: str, sample_ids: Sequence[str], trainer_version: int) -> None:
-        """Have withdrawn samples produced again."""
+        """Request replacements of withdrawn samples."""
         await self._call(lambda p: p.parts.lots.replace(lot_id, sample_ids, trainer_version))
 
     async def cancel_lot(self, lot_id: str) -> None:
-        """Give a lot up."""
+        """Cancel a lot."""
         await self._call(lambda p: p.parts.lots.cancel(lot_id))
 
     async def publish_version(self, model: str, version: int) -> None:
@@ -100,7 +102,7 @@
         await self._call(lambda p: _publish(p, model, version))
 
     async def change_class(self, name: str) -> None:
-        """Put a priority class without a condition, as an operator's probe does."""
+        """Put a priority class without an expected revision."""
         await self._call(lambda p: _put_class(p, name))
 
     # --- connections --------------------------------------------------------------------
@@ -139,7 +141,7 @@
         return work.result()
 
     async def _wait_unless_ended(self, awaitable: Awaitable[Any], process: SimulatedProcess) -> None:
-        """Wait for work or for the end of the process."""
+        """Wait until the awaitable is done or the process ends; cancel it in the latter case."""
         task = asyncio.ensure_future(awaitable)
         try:
             await asyncio.wait({task, process.ended}, return_when=asyncio.FIRST_COMPLETED)
@@ -153,7 +155,7 @@
 
 
 def _retrieve_exception(work: asyncio.Future[Any]) -> None:
-    """Take note of an error that nobody waits for: its caller is gone."""
+    """Retrieve the exception of work whose caller is gone, so that asyncio does not report it."""
     if not work.cancelled():
         work.exception()
 
@@ -187,7 +189,7 @@
 async def _run_claimed(
     process: SimulatedProcess, key: str, digest: str, run: Callable[[], Awaitable[ClaimOutcome]]
 ) -> ClaimOutcome:
-    """Run under a claim; the work goes on when its caller leaves, as in the daemon's handlers."""
+    """Run work under a claim; like in the daemon's handlers, it continues if its caller disconnects."""
     claims = process.parts.claims.run_once(key, digest, run, DURABILITY_TIMEOUT_S)
     return await asyncio.shield(process.daemon.context.gate.detach(claims))
 
--- a/passgate/check/simulation/slow_trainer.py
+++ b/passgate/check/simulation/slow_trainer.py
@@ -1,8 +1,7 @@
-"""A trainer that reads late, reads again and repeats calls, while newer weights come out.
+"""A trainer that reads late and repeats calls while newer versions are published.
 
-Its samples wait committed or handed over until they go stale, so that hand-over,
-withdrawal and replacement are exercised; pages and answers are lost on the way as
-for any caller.
+Samples become stale before they are read, or after, which exercises their delivery,
+withdrawal and replacement.
 """
 
 from __future__ import annotations
@@ -28,12 +27,14 @@
 MAX_READ_PAUSE_S = 9.0
 READ_WAIT_S = 1.0
 REPEATED_READ_SHARE = 0.3
+"""Share of the pages that are read twice."""
 REPEATED_REPLACE_SHARE = 0.3
+"""Share of pages that are not acknowledged, and of replacement calls that are repeated."""
 BACKOFF_S = 0.5
 
 
 class SlowTrainer:
-    """Collects one lot after the other until told to stop, and then the last one to its end."""
+    """Collects one lot after the other until ``stopping`` is set; the last lot is completed."""
 
     def __init__(
         self,
@@ -53,10 +54,10 @@
         self._prompts = PromptSource(model, random)
         self._delayed_calls: set[asyncio.Task[None]] = set()
         self.stopping = False
-        """No further lot is opened."""
+        """Set it to let no further lot be opened."""
 
     async def run(self) -> None:
-        """Collect lots."""
+        """Collect lots one after the other."""
         number = 0
         while not self.stopping:
             number += 1
@@ -66,17 +67,17 @@
         request = self._make_lot_request()
         await self._retry(lambda: self._service.open_lot(request, lot_id))
         self._record(self._make_lot_event(lot_id, request))
-        received: set[int] = set()
+        received_indexes: set[int] = set()
         cursor = 0
         while True:
             await asyncio.sleep(self._random.uniform(0.0, self._max_read_pause_s))
             page = await self._read(lot_id, cursor)
-            received.update(sample.index for sample in page.samples)
+            received_indexes.update(sample.index for sample in page.samples)
             if self._random.random() < REPEATED_READ_SHARE:
-                again = await self._read(lot_id, cursor)
-                received.update(sample.index for sample in again.samples)
-            await self._acknowledge_and_replace(lot_id, page, received)
-            if page.finished and not self._find_missing_samples(lot_id, page, received):
+                repeated_page = await self._read(lot_id, cursor)
+                received_indexes.update(sample.index for sample in repeated_page.samples)
+            await self._acknowledge_and_replace(lot_id, page, received_indexes)
+            if page.finished and not self._find_missing_samples(lot_id, page, received_indexes):
                 return
             cursor = page.next_cursor
 
@@ -91,17 +92,19 @@
 
         return await self._retry(read)
 
-    async def _acknowledge_and_replace(self, lot_id: str, page: SamplesPage, received: set[int]) -> None:
-        arrived = [sample.sample_id for sample in page.samples]
-        if arrived and self._random.random() < 1 - REPEATED_REPLACE_SHARE:
-            await self._retry(lambda: self._service.acknowledge(lot_id, arrived))
-        lacking = self._find_missing_samples(lot_id, page, received)
-        if not lacking:
+    async def _acknowledge_and_replace(
+        self, lot_id: str, page: SamplesPage, received_indexes: set[int]
+    ) -> None:
+        received_ids = [sample.sample_id for sample in page.samples]
+        if received_ids and self._random.random() < 1 - REPEATED_REPLACE_SHARE:
+            await self._retry(lambda: self._service.acknowledge(lot_id, received_ids))
+        missing_ids = self._find_missing_samples(lot_id, page, received_indexes)
+        if not missing_ids:
             return
-        await self._retry(lambda: self._service.replace(lot_id, lacking, self._current_version()))
+        await self._retry(lambda: self._service.replace(lot_id, missing_ids, self._current_version()))
         if self._random.random() < REPEATED_REPLACE_SHARE:
-            # The network kept a copy of the call and delivers it late.
-            self._delayed_calls.add(asyncio.ensure_future(self._replace_later(lot_id, lacking)))
+            # Simulates a copy of the call that the network delivers late.
+            self._delayed_calls.add(asyncio.ensure_future(self._replace_later(lot_id, missing_ids)))
 
     async def _replace_later(self, lot_id: str, sample_ids: list[str]) -> None:
         version = self._current_version()
@@ -111,8 +114,10 @@
         except PassgateError:
             return
 
-    def _find_missing_samples(self, lot_id: str, page: SamplesPage, received: set[int]) -> list[str]:
-        return [name for name in page.withdrawn if index_of(lot_id, name) not in received]
+    def _find_missing_samples(self, lot_id: str, page: SamplesPage, received_indexes: set[int]) -> list[str]:
+        return [
+            sample_id for sample_id in page.withdrawn if index_of(lot_id, sample_id) not in received_indexes
+        ]
 
     async def _retry(self, call: Callable[[], Awaitable]):
         while True:
--- a/passgate/check/socket_faults.py
+++ b/passgate/check/socket_faults.py
@@ -309,5 +309,5 @@
     deadline_s = monotonic_s() + timeout_s
     while not await condition():
         if monotonic_s() > deadline_s:
-            raise FaultNotShown(f"the effect of {fault} was not observed in {timeout_s:g} s", fault=fault)
+            raise FaultNotShown(f"{fault} had no observed effect within {timeout_s:g} s", fault=fault)
         await asyncio.sleep(POLL_INTERVAL_S)
--- a/passgate/check/socket_tables.py
+++ b/passgate/check/socket_tables.py
@@ -84,7 +84,7 @@
 
 def format_mistakes_table(measurements: pathlib.Path) -> str:
     """Return a row for each run with a seeded mistake, with the guarantees that it violated."""
-    lines = ["| mistake in the daemons | faults | seed | promises broken |", "|---|---|---:|---|"]
+    lines = ["| mistake in the daemons | faults | seed | guarantees violated |", "|---|---|---:|---|"]
     for report in read_reports(measurements / REPORTS_FILE):
         if report.mistake:
             violated = ", ".join(report.violations) or "none found"
--- a/passgate/check/tables.py
+++ b/passgate/check/tables.py
@@ -50,7 +50,7 @@
     head, found_begin, rest = page.partition(begin)
     _, found_end, tail = rest.partition(end)
     if not found_begin or not found_end:
-        raise TableMissing(f"the page has no markers for table {name!r}", table=name)
+        raise TableMissing(f"the page has no markers for table {name}", table=name)
     return f"{head}{begin}{table}{end}{tail}"
 
 
@@ -116,7 +116,7 @@
 
 def _format_mistakes_table(measurements: pathlib.Path) -> str:
     mistake_by_name = {mistake.name: mistake for mistake in MISTAKES}
-    rows = ["| mistake in the running code | promise found broken | in run |", "|---|---|---:|"]
+    rows = ["| mistake in the running code | guarantee violated | in run |", "|---|---|---:|"]
     for result in _read_rows(measurements / "seeded-mistakes.jsonl", MistakeResult):
         run = result.runs if result.found else "not found"
         rows.append(f"| {mistake_by_name[result.name].description} | {result.guarantee} | {run} |")
--- a/tests/test_check_judges.py
+++ b/tests/test_check_judges.py
@@ -1,4 +1,4 @@
-"""Each promise is broken on purpose in a clean history; its judge must name the rule."""
+"""Histories with one violation each: the check of the violated guarantee must name the rule."""
 
 from __future__ import annotations
 
@@ -34,10 +34,12 @@
     spans=SPANS,
     finish_reason=FinishReason.LENGTH,
 )
-ORDER = e.AppInvoked(time_s=1.0, request_id="p1", daemon="a", expected_digest="d1", key="k", repeatable=False)
-REPEATED_ORDER = msgspec.structs.replace(ORDER, time_s=3.0, request_id="p2", daemon="b")
+ORDER_CALL = e.AppInvoked(
+    time_s=1.0, request_id="p1", daemon="a", expected_digest="d1", key="k", repeatable=False
+)
+REPEATED_ORDER_CALL = msgspec.structs.replace(ORDER_CALL, time_s=3.0, request_id="p2", daemon="b")
 ORDER_RUN = e.BackendRunStarted(time_s=1.1, request_id="p1", replica_id="app1")
-ORDERED = e.AppCompleted(time_s=1.5, request_id="p1", answer_digest="d1")
+ORDER_ANSWER = e.AppCompleted(time_s=1.5, request_id="p1", answer_digest="d1")
 LOT = e.LotSubmitted(
     time_s=1.0,
     lot_id="l",
@@ -76,25 +78,25 @@
 CHANGE = e.ConfigurationAccepted(time_s=1.0, name="Pool/x", expected_revision=0, revision=3, value="v3")
 
 
-def in_force(time_s, daemon, revision, value="v3", object_revision=3):
-    held = e.ConfigurationObject(name="Pool/x", revision=object_revision, value=value)
-    return e.ConfigurationInForce(time_s=time_s, daemon=daemon, revision=revision, objects=(held,))
+def configuration_report(time_s, daemon, revision, value="v3", object_revision=3):
+    applied = e.ConfigurationObject(name="Pool/x", revision=object_revision, value=value)
+    return e.ConfigurationInForce(time_s=time_s, daemon=daemon, revision=revision, objects=(applied,))
 
 
 CLEAN = [
     e.DaemonStarted(time_s=0.0, daemon="a"),
     e.DaemonStarted(time_s=0.0, daemon="b"),
     REQUEST,
-    ORDER,
+    ORDER_CALL,
     LOT,
     CHANGE,
-    in_force(1.2, "a", 3),
-    in_force(1.3, "b", 3),
+    configuration_report(1.2, "a", 3),
+    configuration_report(1.3, "b", 3),
     ORDER_RUN,
-    ORDERED,
+    ORDER_ANSWER,
     ANSWER,
     PAGE_0,
-    REPEATED_ORDER,
+    REPEATED_ORDER_CALL,
     page(3.5, 0, sample(0)),
     PAGE_1,
     REFUSED,
@@ -118,38 +120,46 @@
 
 
 WRONG_SPANS = (VersionSpan(0, 3, 5), VersionSpan(3, 4, 6))
-PLANTED = {
-    "believed version": ("true_versions", "token_of_version", replaced(ANSWER, spans=WRONG_SPANS)),
+VIOLATING_HISTORIES = {
+    "wrong version": ("true_versions", "token_of_version", replaced(ANSWER, spans=WRONG_SPANS)),
     "gap in spans": ("true_versions", "spans_cover_output", replaced(ANSWER, spans=SPANS[:1])),
-    "stale at hand-over": ("staleness", "bound", replaced(PAGE_0, trainer_version=7)),
-    "changed bytes": (
+    "stale when delivered": ("staleness", "bound", replaced(PAGE_0, trainer_version=7)),
+    "changed sample": (
         "exactly_once",
         "same_bytes",
         added(page(3.6, 0, sample(0, spans=(VersionSpan(0, 4, 6),)))),
     ),
-    "came again later": ("exactly_once", "doubled", added(page(4.5, 2, sample(0)))),
-    "second id for a slot": (
+    "sample repeated later": ("exactly_once", "doubled", added(page(4.5, 2, sample(0)))),
+    "second sample for an index": (
         "exactly_once",
         "one_sample_per_slot",
         added(page(4.5, 2, msgspec.structs.replace(sample(0), sample_id="l/0b"))),
     ),
-    "lost, said finished": ("exactly_once", "lost", replaced(PAGE_1, samples=())),
-    "lost at rest": ("exactly_once", "lost", without(PAGE_1)),
-    "cut answer": ("whole_answer", "whole", replaced(ANSWER, tokens=ANSWER.tokens[:2], spans=SPANS[:1])),
-    "shorter than the whole": ("whole_answer", "whole", replaced(REQUEST, expected_length=3)),
-    "crossed answer": ("whole_answer", "own_answer", replaced(ANSWER, answer_request_id="g2")),
-    "tokens of another": (
+    "lost in a finished lot": ("exactly_once", "lost", replaced(PAGE_1, samples=())),
+    "lost at the end": ("exactly_once", "lost", without(PAGE_1)),
+    "truncated answer": (
+        "whole_answer",
+        "whole",
+        replaced(ANSWER, tokens=ANSWER.tokens[:2], spans=SPANS[:1]),
+    ),
+    "unexpected length": ("whole_answer", "whole", replaced(REQUEST, expected_length=3)),
+    "answer to another request": ("whole_answer", "own_answer", replaced(ANSWER, answer_request_id="g2")),
+    "tokens of another prompt": (
         "whole_answer",
         "own_answer",
         replaced(ANSWER, tokens=tokens_of((9, 9), 7, SPANS)),
     ),
-    "crossed app answer": ("whole_answer", "own_answer", replaced(ORDERED, answer_digest="d2")),
+    "app answer to another request": (
+        "whole_answer",
+        "own_answer",
+        replaced(ORDER_ANSWER, answer_digest="d2"),
+    ),
     "ran after not run": (
         "not_run",
         "refused_request_ran",
         added(e.BackendRunStarted(time_s=6.0, request_id="p2", replica_id="app2")),
     ),
-    "two runs of a key": (
+    "two runs of one key": (
         "at_most_once",
         "ran_twice",
         added(e.BackendRunStarted(time_s=3.2, request_id="p2", replica_id="app2")),
@@ -164,7 +174,7 @@
         "new_work",
         added(e.BackendRunStarted(time_s=11.5, request_id="g9", replica_id="e1")),
     ),
-    "cut by a planned stop": (
+    "cut off by a graceful shutdown": (
         "planned_stop",
         "cut_off",
         added(
@@ -174,40 +184,44 @@
             e.RequestCutOff(time_s=9.0, request_id="g3"),
         ),
     ),
-    "reverted": ("configuration", "monotonic", added(in_force(9.0, "a", 2, "v1", 1))),
-    "differs": ("configuration", "same_everywhere", added(in_force(9.0, "a", 3, "other"))),
-    "accepted is lost": ("configuration", "accepted_stays", added(in_force(9.0, "a", 5, "v1", 1))),
-    "invented conflict": (
+    "revision went back": ("configuration", "monotonic", added(configuration_report(9.0, "a", 2, "v1", 1))),
+    "daemons differ": ("configuration", "same_everywhere", added(configuration_report(9.0, "a", 3, "other"))),
+    "accepted change is lost": (
+        "configuration",
+        "accepted_stays",
+        added(configuration_report(9.0, "a", 5, "v1", 1)),
+    ),
+    "conflict with an unknown revision": (
         "configuration",
         "true_conflict",
         added(e.ConfigurationRefused(time_s=9.0, name="Pool/x", expected_revision=3, winning_revision=4)),
     ),
-    "late": ("configuration", "in_force", added(e.DaemonStarted(time_s=2.0, daemon="c"))),
+    "late adoption": ("configuration", "in_force", added(e.DaemonStarted(time_s=2.0, daemon="c"))),
 }
 
 
-def test_clean_history_holds():
+def test_clean_history_has_no_violations():
     verdict = judge_history(CLEAN, oracle)
     assert verdict.violation_counts() == {}
 
 
-@pytest.mark.parametrize("name", PLANTED)
-def test_planted_violation_is_found_with_a_short_excerpt(name):
-    promise, rule, history = PLANTED[name]
+@pytest.mark.parametrize("name", VIOLATING_HISTORIES)
+def test_violation_is_found_with_a_short_excerpt(name):
+    guarantee, rule, history = VIOLATING_HISTORIES[name]
     verdict = judge_history(history, oracle)
-    found = next(v for v in verdict.guarantees if v.guarantee == promise).shortest_violation
-    assert found is not None
-    assert found.rule == rule
-    assert len(found.excerpt) <= 3
-    assert all(event in history for event in found.excerpt)
+    shortest = next(v for v in verdict.guarantees if v.guarantee == guarantee).shortest_violation
+    assert shortest is not None
+    assert shortest.rule == rule
+    assert len(shortest.excerpt) <= 3
+    assert all(event in history for event in shortest.excerpt)
 
 
-def test_every_promise_has_planted_violations():
-    promises = {promise for promise, _, _ in PLANTED.values()}
-    assert promises == {verdict.guarantee for verdict in judge_history([], oracle).guarantees}
+def test_every_guarantee_has_a_violating_history():
+    guarantees = {guarantee for guarantee, _, _ in VIOLATING_HISTORIES.values()}
+    assert guarantees == {verdict.guarantee for verdict in judge_history([], oracle).guarantees}
 
 
-def test_killed_daemon_may_cut_requests():
+def test_killed_daemon_may_cut_requests_off():
     history = added(
         e.GenerateInvoked(
             time_s=7.5, request_id="g3", daemon="b", model="m", prompt=(1,), max_tokens=1, seed=0
@@ -218,7 +232,7 @@
     assert judge_history(history, oracle).holds()
 
 
-def test_history_survives_its_file():
+def test_history_is_read_back_as_it_was_written():
     file = io.BytesIO()
     recorder = HistoryRecorder(file)
     for event in CLEAN:
@@ -226,7 +240,7 @@
     assert read_history(file.getvalue().splitlines()) == CLEAN
 
 
-def test_unreadable_line_is_named():
+def test_error_names_the_unreadable_line():
     with pytest.raises(e.HistoryFormatError) as caught:
         read_history([b"", b'{"type":"nothing"}'])
     assert caught.value.details["line"] == "2"
--- a/tests/test_check_socket_run.py
+++ b/tests/test_check_socket_run.py
@@ -1,8 +1,10 @@
+"""Runs over sockets: attribution of runs, tested guarantees, reports, and one run of real processes."""
+
 import asyncio
 
 import pytest
 
-from passgate.check import operation_checks, request_checks, sample_checks
+from passgate.check import judges_operations, judges_requests, sample_checks
 from passgate.check.events import (
     AppInvoked,
     BackendLeaving,
@@ -57,7 +59,7 @@
     return BackendRunStarted(time_s=time_s, request_id=request_id, replica_id=replica_id)
 
 
-def seen(request_id, time_s=1.5, work="d"):
+def run_start(request_id, time_s=1.5, work="d"):
     return SeenRun(time_s=time_s, request_id=request_id, replica_id="app-0", work=work)
 
 
@@ -80,56 +82,56 @@
     )
 
 
-# --- starts on back ends ------------------------------------------------------------
+# --- attribution of runs ------------------------------------------------------------
 
 
-def test_runs_of_an_answered_request_carry_its_identifier_over_attempts():
-    events = attribute_runs([seen("a-1-f"), seen("a-1-f~1")], [app_call("c-0")], {"a-1-f": "c-0"})
+def test_all_attempts_of_an_answered_request_get_its_identifier():
+    events = attribute_runs([run_start("a-1-f"), run_start("a-1-f~1")], [app_call("c-0")], {"a-1-f": "c-0"})
     assert [event.request_id for event in events] == ["c-0", "c-0"]
 
 
-def test_two_runs_of_one_key_are_found_though_neither_was_answered():
+def test_two_runs_of_one_key_are_found_without_any_answer():
     calls = [app_call("c-0", 1.0, "a-1", "c"), app_call("c-1", 2.0, "b-1", "c")]
-    runs = attribute_runs([seen("a-1-f", 1.1), seen("b-1-e", 2.1)], calls, {})
+    runs = attribute_runs([run_start("a-1-f", 1.1), run_start("b-1-e", 2.1)], calls, {})
     assert [event.request_id for event in runs] == ["c-0", "c-1"]
-    assert len(request_checks.check_at_most_once([*calls, *runs])) == 1
+    assert len(judges_requests.check_at_most_once([*calls, *runs])) == 1
 
 
-def test_a_run_is_not_led_back_to_an_answered_later_or_foreign_request():
+def test_a_run_is_not_attributed_to_an_answered_later_or_other_request():
     calls = [
         app_call("answered", 1.0),
         app_call("later", 9.0),
         app_call("elsewhere", 1.0, "b-1"),
         app_call("other-work", 1.0, digest="e"),
     ]
-    (event,) = attribute_runs([seen("a-1-f")], calls, {"a-1-e": "answered"})
+    (event,) = attribute_runs([run_start("a-1-f")], calls, {"a-1-e": "answered"})
     assert event.request_id == "a-1-f"
 
 
-def test_a_refused_request_that_ran_breaks_not_run():
+def test_a_refused_request_that_ran_violates_not_run():
     calls = [app_call("c-0"), refused("c-0")]
-    runs = attribute_runs([seen("a-1-f", 3.0)], calls, {"a-1-f": "c-0"})
-    assert find_violations([*calls, *runs])[request_checks.NOT_RUN]
+    runs = attribute_runs([run_start("a-1-f", 3.0)], calls, {"a-1-f": "c-0"})
+    assert find_violations([*calls, *runs])[judges_requests.NOT_RUN]
 
 
-def test_generated_output_is_led_back_by_its_prompt_and_seed():
-    asked = GenerateInvoked(
+def test_a_generate_run_is_attributed_by_its_prompt_and_seed():
+    invocation = GenerateInvoked(
         time_s=1.0, request_id="g-0", daemon="a-1", model="m", prompt=(1, 2), max_tokens=4, seed=7
     )
-    (event,) = attribute_runs([seen("a-1-f", work=generate_work("m", (1, 2), 7))], [asked], {})
+    (event,) = attribute_runs([run_start("a-1-f", work=generate_work("m", (1, 2), 7))], [invocation], {})
     assert event.request_id == "g-0"
 
 
-# --- what was observed --------------------------------------------------------------
+# --- tested guarantees ---------------------------------------------------------------
 
 
-def test_an_empty_history_observes_no_promise():
+def test_an_empty_history_tests_no_guarantee():
     assert all(not times for times in observations([]).values())
     assert set(OBSERVERS) == set(find_violations([]))
 
 
 @pytest.mark.parametrize(
-    ("promise", "lacking", "present"),
+    ("guarantee", "insufficient", "sufficient"),
     [
         (sample_checks.STALENESS, [lot(), page(2)], [lot(), page(3)]),
         (
@@ -138,19 +140,19 @@
             [lot(), page(), HistoryClosed(time_s=4.0)],
         ),
         (sample_checks.EXACTLY_ONCE, [lot(), page()], [lot(), page(finished=True)]),
-        (request_checks.NOT_RUN, [refused("c-0")], [refused("c-0"), started("other")]),
+        (judges_requests.NOT_RUN, [refused("c-0")], [refused("c-0"), started("other")]),
         (
-            request_checks.AT_MOST_ONCE,
+            judges_requests.AT_MOST_ONCE,
             [app_call("c-0", key="c")],
             [app_call("c-0", key="c"), started("c-0")],
         ),
         (
-            operation_checks.LEAVING,
+            judges_operations.LEAVING,
             [BackendLeaving(time_s=1.0, replica_id="app-0"), started("x", 5.9, "app-1")],
             [BackendLeaving(time_s=1.0, replica_id="app-0"), started("x", 6.1, "app-1")],
         ),
         (
-            operation_checks.GRACEFUL_SHUTDOWN,
+            judges_operations.GRACEFUL_SHUTDOWN,
             [
                 app_call("c-0"),
                 StopRequested(time_s=1.1, daemon="b-1"),
@@ -163,7 +165,7 @@
             ],
         ),
         (
-            operation_checks.GRACEFUL_SHUTDOWN,
+            judges_operations.GRACEFUL_SHUTDOWN,
             [
                 app_call("c-0"),
                 StopRequested(time_s=1.1, daemon="a-1"),
@@ -174,22 +176,24 @@
         ),
     ],
 )
-def test_a_promise_is_observed_only_when_a_breach_would_show(promise, lacking, present):
-    assert observations(lacking)[promise] == ()
-    assert observations(present)[promise] != ()
+def test_a_guarantee_is_observed_only_when_a_violation_would_show(guarantee, insufficient, sufficient):
+    assert observations(insufficient)[guarantee] == ()
+    assert observations(sufficient)[guarantee] != ()
 
 
-def test_an_accepted_change_that_nobody_reports_is_not_observed():
+def test_an_accepted_change_that_no_daemon_reports_is_not_observed():
     change = ConfigurationAccepted(time_s=1.0, name="Pool/p", expected_revision=0, revision=5, value="v")
-    assert observations([change])[operation_checks.CONFIGURATION] == ()
+    assert observations([change])[judges_operations.CONFIGURATION] == ()
 
 
-def test_each_fault_is_judged_in_its_own_time_and_says_what_it_did_not_observe():
-    notes = [FaultRecord(fault="daemon_kill", target="a-1", from_s=at_s, until_s=at_s) for at_s in (2.0, 4.0)]
+def test_each_fault_has_a_row_for_its_own_time_with_unobserved_guarantees():
+    records = [
+        FaultRecord(fault="daemon_kill", target="a-1", from_s=at_s, until_s=at_s) for at_s in (2.0, 4.0)
+    ]
     first, second = app_call("c-0", 10.5, key="c"), app_call("c-1", 12.5, key="c")
     events = [first, started("c-0", 10.6), second, started("c-1", 12.6)]
-    cells = make_cells(events, find_violations(events), notes, started_s=10.0)
-    assert [cells[name][request_checks.AT_MOST_ONCE] for name in cells] == [
+    cells = make_cells(events, find_violations(events), records, started_s=10.0)
+    assert [cells[name][judges_requests.AT_MOST_ONCE] for name in cells] == [
         "held (1)",
         "violated (1)",
         NOT_OBSERVED,
@@ -198,8 +202,8 @@
 
 
 def test_unhandled_exceptions_are_found_in_the_logs(tmp_path):
-    fault = 'Traceback: File "/home/me/lib/web.py", line 1'
-    (tmp_path / "a.log").write_text('{"level": "INFO"}\n' + fault)
+    traceback = 'Traceback: File "/home/me/lib/web.py", line 1'
+    (tmp_path / "a.log").write_text('{"level": "INFO"}\n' + traceback)
     (tmp_path / "b.log").write_text('{"level": "INFO"}\n')
     assert find_unhandled_errors(tmp_path) == ('a: Traceback: File "web.py", line 1',)
 
@@ -214,7 +218,7 @@
         asyncio.run(run_sockets(SocketScenario(mistake="no_such_mistake")))
 
 
-def test_daemons_get_ports_that_no_outgoing_connection_takes_while_they_are_down():
+def test_daemons_get_ports_outside_of_the_range_of_outgoing_connections():
     addresses = free_addresses(9)
     assert len(set(addresses)) == 9
     assert all(int(address.rpartition(":")[2]) < 32768 for address in addresses)
@@ -223,16 +227,16 @@
 # --- separate processes -------------------------------------------------------------
 
 
-def test_a_kill_gives_the_same_verdict_over_sockets_and_in_virtual_time(tmp_path, capsys):
+def test_a_kill_has_the_same_result_over_sockets_and_in_virtual_time(tmp_path, capsys):
     file = tmp_path / "history"
     scenario = SocketScenario(seed=1, seconds=1.0, faults=("daemon_kill",), late_reader=False)
-    run_and_report(scenario, history=str(file), json=True)  # raises when broken
+    run_and_report(scenario, history=str(file), json=True)  # raises if a guarantee is violated
     with file.open("rb") as lines:
         events = read_history(lines)
     kinds = {type(event) for event in events}
     assert {DaemonKilled, DaemonStarted, BackendRunStarted, PageReceived, HistoryClosed} <= kinds
-    assert observations(events)[request_checks.COMPLETE_ANSWER]
-    over_sockets = {promise: len(found) for promise, found in find_violations(events).items()}
+    assert observations(events)[judges_requests.COMPLETE_ANSWER]
+    socket_counts = {guarantee: len(found) for guarantee, found in find_violations(events).items()}
     kill = DaemonKill(at_s=2.0, daemons=("c-1",), restart_after_s=0.5)
     outcome = simulate(Schedule(seed=1, faults=(kill,)), RunLimits(calls_s=7.0, trainer_steps=1))
-    assert over_sockets == {entry.guarantee: entry.violations for entry in outcome.verdict.guarantees}
+    assert socket_counts == {entry.guarantee: entry.violations for entry in outcome.verdict.guarantees}
--- a/tests/test_virtual_schedules.py
+++ b/tests/test_virtual_schedules.py
@@ -1,4 +1,4 @@
-"""Hypothesis generates concurrent schedules with faults for three real daemons in virtual time."""
+"""Simulated runs of three real daemons in virtual time, under generated schedules of faults."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
     generate_schedule,
 )
 
-SMALL = RunLimits(calls_s=12.0, trainer_steps=2, settle_s=120.0)
-MISTAKES = {mistake.name: mistake for mistake in seeded_mistakes.MISTAKES}
+SMALL_RUN = RunLimits(calls_s=12.0, trainer_steps=2, settle_s=120.0)
+MISTAKE_BY_NAME = {mistake.name: mistake for mistake in seeded_mistakes.MISTAKES}
 
 
 @st.composite
@@ -39,30 +39,30 @@
 
 @settings(max_examples=4, derandomize=True, deadline=None, suppress_health_check=list(HealthCheck))
 @given(schedules)
-def test_generated_schedules_keep_every_promise(schedule):
-    outcome = simulate(schedule, SMALL)
+def test_no_generated_schedule_violates_a_guarantee(schedule):
+    outcome = simulate(schedule, SMALL_RUN)
     assert outcome.failure_names() == []
 
 
 def test_same_schedule_gives_the_same_history():
     schedule = generate_schedule(5)
-    assert simulate(schedule, SMALL).events == simulate(schedule, SMALL).events
+    assert simulate(schedule, SMALL_RUN).events == simulate(schedule, SMALL_RUN).events
 
 
 @pytest.mark.parametrize("name", ["always_not_run", "version_by_belief", "revision_not_advanced"])
-def test_mistake_in_the_running_code_is_found(name):
-    result = seeded_mistakes.search_violation(MISTAKES[name], runs=3)
+def test_seeded_mistake_is_found(name):
+    result = seeded_mistakes.search_violation(MISTAKE_BY_NAME[name], runs=3)
     assert result.found, result
 
 
-def test_shrinking_leaves_only_what_is_needed():
+def test_shrinking_leaves_out_every_unnecessary_fault():
     needed = LogOutage(9.0, 1.0)
     schedule = Schedule(seed=1, faults=(MachineListOutage(3.0, 1.0), needed, MachineListOutage(5.0, 1.0)))
     shrunk = campaign.shrink(schedule, lambda candidate: needed in candidate.faults)
     assert shrunk.faults == (needed,)
 
 
-def test_rows_count_each_kind_of_a_run_once():
+def test_a_run_counts_once_in_the_row_of_a_repeated_kind_of_fault():
     schedule = Schedule(seed=1, faults=(LogOutage(9.0, 1.0), LogOutage(5.0, 1.0)))
     report = campaign.RunReport(
         schedule=schedule,
@@ -77,11 +77,11 @@
     assert (row.fault, row.runs, row.violations["staleness"]) == ("log_outage", 1, 2)
 
 
-def test_replay_fails_with_the_excerpt_and_the_history_can_be_judged(tmp_path, capsys):
+def test_failed_replay_prints_the_excerpt_and_writes_the_history(tmp_path, capsys):
     history = tmp_path / "run.jsonl"
-    with seeded_mistakes.apply_mistake(MISTAKES["version_by_belief"]), pytest.raises(ReplayFailed):
+    with seeded_mistakes.apply_mistake(MISTAKE_BY_NAME["version_by_belief"]), pytest.raises(ReplayFailed):
         ReplayCommands().schedule(seed=0, history=str(history))
     printed = capsys.readouterr().out.splitlines()
     excerpt = [decode_event(line) for line in printed if line.startswith('{"type"')]
-    assert len(excerpt) == 2, "what was asked for and what came"
+    assert len(excerpt) == 2, "the request or lot, and the answer or page"
     assert all(event in read_history(history.read_bytes().splitlines()) for event in excerpt)
