--- a/tests/soak/__main__.py
+++ b/tests/soak/__main__.py
@@ -1,14 +1,15 @@
-"""Fault soak: real daemons as separate processes, faults injected from outside them.
+"""Fault soak: real daemon processes under load, while faults are injected from outside them.
 
     python -m tests.soak --seconds 120 --seed 7 --daemons 4 --lanes 3
 
-Daemons of the users' platform run as processes; proxies on loopback delay, reset,
-silence or cut their connections one way; signals stop, pause, kill and restart
-them; the stand-ins of the log and the replicas misbehave; some requests end each replica
-that begins them.  Faults come in series and overlap.  Callers use their open connections
-until the daemon is gone, and check every promise from what they and the replicas see.
-Machines can't be suspended from outside them, nor their clocks set, so neither is played.
-Ends with exit code 1 and the seed when a promise was broken.
+Proxies on loopback delay or reset the daemons' connections to the log, or drop the data of
+one direction.  Signals shut daemons down, pause, kill and reload them.  The test doubles of
+the log, the replicas and the endpoint of the duties return errors or no answers, and some
+requests crash every replica that runs them.  Faults overlap, also several of one kind.
+The callers and a final check compare the answers with what the replicas recorded.
+
+Suspended machines and changes of clocks are not covered.  The exit code is 1 if a guarantee
+was violated; the report names the seed.
 """
 
 import asyncio
@@ -22,47 +23,48 @@
 
 from tests.soak.callers import Callers
 from tests.soak.faults import Faults
-from tests.soak.judge import Judge
+from tests.soak.judge import ResultChecker
 from tests.soak.world import World
 
 DAEMONS = 4
 LANES = 3
-"""Faults that are played at once."""
-CALM_S = 3.0
-"""Time without trouble before callers end."""
+"""Faults that are injected at the same time."""
+FAULT_FREE_S = 3.0
+"""Time without faults before the callers stop."""
 
 
-async def play(seconds, seed, folder, log_file, daemons=DAEMONS, lanes=LANES):
-    """Run a soak; the stand-ins listen on the loop that runs it."""
+async def run_soak(seconds, seed, folder, log_file, daemons=DAEMONS, lanes=LANES):
+    """Run a soak and return its world; no daemon is left running."""
     world = World(seed, folder, log_file, daemons)
     try:
-        await play_in(world, seconds, lanes)
+        await run_phases(world, seconds, lanes)
     finally:
         world.kill_daemons()
     return world
 
 
-async def play_in(world, seconds, lanes):
+async def run_phases(world, seconds, lanes):
+    """Run callers and faults, then shut the daemons down and check the results."""
     callers = Callers(world)
     faults = Faults(world, callers)
-    judge = Judge(world, callers)
+    checker = ResultChecker(world, callers)
     await world.start()
     tasks = callers.start()
-    await faults.play(seconds, lanes)
-    await faults.heal()
-    await asyncio.sleep(CALM_S)
+    await faults.run(seconds, lanes)
+    await faults.end_all()
+    await asyncio.sleep(FAULT_FREE_S)
     world.stopping = True
-    world.phase("callers end")
+    world.log_phase("callers end")
     await asyncio.gather(*tasks)
-    world.phase("last reads")
-    await judge.wait_for_results()
-    world.phase("daemons end")
+    world.log_phase("last reads")
+    await checker.wait_for_results()
+    world.log_phase("daemons end")
     for daemon in world.daemons:
-        daemon.life.signal(signal.SIGTERM)
+        daemon.incarnation.send_signal(signal.SIGTERM)
     for daemon in world.daemons:
-        await daemon.life.ended()
+        await daemon.incarnation.wait_for_exit()
         await daemon.proxy.stop()
-    judge.judge()
+    checker.check_all()
 
 
 def main(
@@ -71,18 +73,18 @@
     """Run the soak.
 
     Args:
-        seconds: how long faults are injected.
-        seed: drives all choices; 0 draws one.
-        daemons: processes of the system.
-        lanes: faults that are played at once.
-        log: file for what the processes write.
+        seconds: time for which faults are injected.
+        seed: seed of all random choices; 0 takes one from the clock.
+        daemons: number of daemon processes.
+        lanes: number of faults that are injected at the same time.
+        log: file for the output of the daemons.
     """
     seed = seed or int(time.time()) % 1_000_000
     logging.getLogger("tornado.access").setLevel(logging.CRITICAL)
     with tempfile.TemporaryDirectory() as folder, open(log, "wb") as log_file:
-        world = asyncio.run(play(seconds, seed, folder, log_file, daemons, lanes))
+        world = asyncio.run(run_soak(seconds, seed, folder, log_file, daemons, lanes))
     print(world.report(seed))
-    sys.exit(1 if world.broken else 0)
+    sys.exit(1 if world.violations else 0)
 
 
 if __name__ == "__main__":
--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers of a soak: they check each answer, and write down what they were told."""
+"""Callers of a soak, which check each answer and record what they received."""
 
 import asyncio
 import contextlib
@@ -9,10 +9,10 @@
 from passgate.clients.calls import HttpCall, SendPolicy
 from passgate.errors import PassgateError
 from tests import platform_stand_ins as stand_ins
-from tests.soak.kept_connection import AnswerCut, KeptConnection
+from tests.soak.kept_connection import AnswerCutOff, ReusedConnection
 from tests.soak.world import (
-    CRASHING_CALLS,
-    CRASHING_ITEMS,
+    CRASHING_BODIES,
+    CRASHING_ITEM_PREFIX,
     KEYS,
     MODEL,
     OTHER_KEY,
@@ -21,90 +21,94 @@
 )
 
 UNKNOWN_KEY = "key-x"
-PROMISES = frozenset({408, 421, 429, 503})
-"""Statuses that promise that a request did not run and never will."""
+GUARANTEED_NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
+"""Statuses which guarantee that a request has not run and will not run."""
 NOT_FOUND_GRACE_S = 2.0
-KEPT_S = 110.0
-"""Time for which a job is judged; the settings let daemons forget it after 120 s."""
+"""Time after its acceptance in which a daemon may not know a job yet."""
+RESULTS_RETAINED_S = 110.0
+"""Time for which daemons must return a job's results; by their settings they drop it after 120 s."""
 DEADLINE_MS = 2000
-KEPT_CONNECTIONS = 6
+REUSED_CONNECTIONS = 6
 CRASHING_JOB_SHARE = 0.05
-"""Share of the jobs that hold an item which ends replicas."""
+"""Share of the jobs that contain an item which crashes replicas."""
 
 
 @dataclass
-class JobSeen:
-    """What callers know of one job."""
+class SubmittedJob:
+    """A job as its callers know it."""
 
     items: list
     min_version: int
     scored: bool = False
-    """Whether its items name scorers."""
+    """Whether its items name scorers, so that succeeded results have a score."""
     accepted_s: float = 0.0
-    promised: bool = True
-    """Whether every answer so far promised that it does not run."""
-    rows: list = field(default_factory=list)
-    end_asked: bool = False
-    """Whether its caller has tried to end it, so that it may be ended."""
-    ended: bool = False
-    """Whether its end was confirmed."""
-
-    def must_be_kept(self):
-        """Whether the job is so young that every daemon must tell its results."""
-        return time.monotonic() - self.accepted_s < KEPT_S
+    """When the job was accepted; 0 if it was not."""
+    guaranteed_not_run: bool = True
+    """Whether every answer so far guaranteed that the job does not run."""
+    results: list = field(default_factory=list)
+    """Results that were read so far, in the job's order."""
+    cancel_requested: bool = False
+    """Whether a cancellation was sent, which may have taken effect."""
+    is_cancelled: bool = False
+    """Whether a cancellation was confirmed."""
+
+    def must_be_retained(self):
+        """Return whether the job is so recent that every daemon must return its results."""
+        return time.monotonic() - self.accepted_s < RESULTS_RETAINED_S
 
     @property
-    def expected(self):
-        """Items that must have a result; one that ends replicas has none for long."""
-        return [item for item in self.items if not item.startswith(CRASHING_ITEMS)]
+    def expected_items(self):
+        """Items that must get a result; an item that crashes replicas may have none for long."""
+        return [item for item in self.items if not item.startswith(CRASHING_ITEM_PREFIX)]
 
-    def is_whole(self):
-        listed = {row["id"] for row in self.rows}
-        return listed.issuperset(self.expected)
+    def is_complete(self):
+        """Return whether every expected item has a result."""
+        result_ids = {result["id"] for result in self.results}
+        return result_ids.issuperset(self.expected_items)
 
 
 @dataclass
-class CutCall:
-    """A request on a kept connection that ended without an answer."""
+class CutOffRequest:
+    """A request on a reused connection that ended before its answer was complete."""
 
     request_id: str
     daemon: str
     sent_s: float
-    cut_s: float
+    ended_s: float
 
 
 class Callers:
-    """All callers, and their books."""
+    """All callers, and the records of their requests and answers."""
 
     def __init__(self, world):
         self.world = world
         self.random = world.random
         self.jobs = {}
-        self.once = {}
-        """Status of each request that may run once; None without an answer."""
-        self.sent_to = {}
-        """Daemon of each request."""
-        self.cut = []
+        self.status_by_request = {}
+        """Status by request that may run only once; None without an answer."""
+        self.daemon_by_request = {}
+        """Name of the daemon that a request was sent to."""
+        self.cut_off_requests = []
 
     def start(self):
         workers = [
-            self.call_safe(),
-            self.call_once(),
-            self.call_crashing(),
-            self.trainer(),
-            self.reader(),
-            self.name_versions(),
-            self.intruder(),
-            *(self.keep_calling(number) for number in range(KEPT_CONNECTIONS)),
+            self.send_repeatable_calls(),
+            self.send_unrepeatable_calls(),
+            self.send_crashing_calls(),
+            self.submit_jobs(),
+            self.read_jobs(),
+            self.change_target_versions(),
+            self.send_unauthorized_requests(),
+            *(self.reuse_connections(number) for number in range(REUSED_CONNECTIONS)),
         ]
         return [asyncio.create_task(worker) for worker in workers]
 
     # --- single calls ------------------------------------------------------------
 
-    async def call(self, daemon, method, path, body=None, request_id="x", key=KEYS[-1], **headers):
+    async def send(self, daemon, method, path, body=None, request_id="x", key=KEYS[-1], **headers):
         call = HttpCall(
             method=method,
-            url=f"http://{daemon.front}{path}",
+            url=f"http://{daemon.caller_address}{path}",
             body=body,
             headers=self.headers(request_id, key) | headers,
             send=SendPolicy.ONCE_ON_FRESH_CONNECTION,
@@ -122,71 +126,74 @@
             "X-Tenant": OTHER_TENANT,
         }
 
-    async def call_safe(self):
+    async def send_repeatable_calls(self):
         while not self.world.stopping:
             await asyncio.sleep(0.03)
-            await self.one_call("/call/x")
+            await self.send_and_check("/call/x")
 
-    async def call_once(self):
+    async def send_unrepeatable_calls(self):
         while not self.world.stopping:
             await asyncio.sleep(0.05)
-            request_id, status = await self.one_call("/once/x")
-            self.once[request_id] = status
+            request_id, status = await self.send_and_check("/once/x")
+            self.status_by_request[request_id] = status
 
-    async def call_crashing(self):
-        """Send calls that end replicas as several tries, at any daemon."""
+    async def send_crashing_calls(self):
+        """Send calls that crash replicas; calls with the same body are attempts of one request."""
         while not self.world.stopping:
             await asyncio.sleep(self.random.uniform(0.1, 2.5))
-            await self.one_call("/call/x", body=self.random.choice(CRASHING_CALLS))
+            await self.send_and_check("/call/x", body=self.random.choice(CRASHING_BODIES))
 
-    async def one_call(self, path, body=None):
-        """Return id and status of a call; the status is None without an answer."""
+    async def send_and_check(self, path, body=None):
+        """Send a call to a random daemon and check the answer; return its id and status.
+
+        The status is None without an answer.
+        """
         request_id = f"r{self.world.next_number()}"
-        daemon = self.world.some_daemon()
-        self.sent_to[request_id] = daemon.name
+        daemon = self.world.random_daemon()
+        self.daemon_by_request[request_id] = daemon.name
         try:
-            answer = await self.call(daemon, "POST", path, body or request_id.encode(), request_id)
+            answer = await self.send(daemon, "POST", path, body or request_id.encode(), request_id)
         except PassgateError as error:
-            self.world.note(f"call {type(error).__name__}")
+            self.world.count(f"call {type(error).__name__}")
             return request_id, None
         self.check_answer(daemon, request_id, answer.status, answer.body)
         return request_id, answer.status
 
     def check_answer(self, daemon, request_id, status, body):
-        self.world.note(f"call {status}")
+        self.world.count(f"call {status}")
         if status == 200 and body != f"answer of {request_id} {request_id}".encode():
-            self.world.breach(f"wrong answer to {request_id}: {body[:60]!r}")
+            self.world.report_violation(f"wrong answer to {request_id}: {body[:60]!r}")
         if status == 404:
-            self.world.breach(f"{daemon.name} answered 404 to {request_id}")
+            self.world.report_violation(f"{daemon.name} answered 404 to {request_id}")
 
-    async def keep_calling(self, number):
-        """Use one connection for request after request until its daemon closes it or is gone."""
+    async def reuse_connections(self, number):
+        """Send requests one after the other over a connection until its daemon closes it or exits."""
         while not self.world.stopping:
-            daemon = self.world.some_daemon()
+            daemon = self.world.random_daemon()
             try:
-                async with KeptConnection(daemon.front) as connection:
-                    await self.use(connection, daemon, "/call/x" + SLOW_CALL * (number % 2))
+                async with ReusedConnection(daemon.caller_address) as connection:
+                    await self.send_over(connection, daemon, "/call/x" + SLOW_CALL * (number % 2))
             except OSError:
                 await asyncio.sleep(0.2)
 
-    async def use(self, connection, daemon, path):
-        while not self.world.stopping and connection.open:
+    async def send_over(self, connection, daemon, path):
+        while not self.world.stopping and connection.is_open:
             request_id = f"k{self.world.next_number()}"
-            self.sent_to[request_id] = daemon.name
+            self.daemon_by_request[request_id] = daemon.name
             sent_s = time.monotonic()
             try:
-                status, body = await connection.call(
+                status, body = await connection.send(
                     "POST", path, self.headers(request_id), request_id.encode(), DEADLINE_MS / 1000 + 1.0
                 )
-            except AnswerCut:
-                self.world.note("kept connection cut")
-                self.cut.append(CutCall(request_id, daemon.name, sent_s, time.monotonic()))
+            except AnswerCutOff:
+                self.world.count("kept connection cut")
+                self.cut_off_requests.append(CutOffRequest(request_id, daemon.name, sent_s, time.monotonic()))
                 return
             self.check_answer(daemon, request_id, status, body)
             await asyncio.sleep(0.02)
 
-    async def intruder(self):
-        """Another tenant, and somebody with no known key, ask for jobs that are not theirs."""
+    async def send_unauthorized_requests(self):
+        """Send requests with another tenant's key for its jobs, or with an unknown key."""
         while not self.world.stopping:
             await asyncio.sleep(0.2)
             if not self.jobs:
@@ -199,105 +206,113 @@
             if method == "POST":
                 key = UNKNOWN_KEY
             with contextlib.suppress(PassgateError):
-                answer = await self.call(
-                    self.world.some_daemon(), method, path, b"" if method == "POST" else None, "intruder", key
+                answer = await self.send(
+                    self.world.random_daemon(),
+                    method,
+                    path,
+                    b"" if method == "POST" else None,
+                    "intruder",
+                    key,
                 )
-                self.world.note(f"intruder {answer.status}")
+                self.world.count(f"send_unauthorized_requests {answer.status}")
                 if answer.status == 200:
-                    self.world.breach(f"{method} {path} was answered to the key {key}")
+                    self.world.report_violation(f"{method} {path} was answered to the key {key}")
 
     # --- jobs --------------------------------------------------------------------
 
-    async def trainer(self):
+    async def submit_jobs(self):
         while not self.world.stopping:
             job_id = f"job{self.world.next_number()}"
             items = [f"{job_id}-{index}" for index in range(self.random.randint(3, 12))]
             if self.random.random() < CRASHING_JOB_SHARE:
-                items.append(f"{CRASHING_ITEMS}-{job_id}")
-            self.jobs[job_id] = JobSeen(
+                items.append(f"{CRASHING_ITEM_PREFIX}-{job_id}")
+            self.jobs[job_id] = SubmittedJob(
                 items=items,
-                min_version=max(self.world.version - 1, 1),
+                min_version=max(self.world.target_version - 1, 1),
                 scored=self.random.random() < 0.6,
             )
-            await self.submit(job_id)
+            await self.submit_job(job_id)
             await asyncio.sleep(self.random.uniform(0.3, 1.2))
             if self.random.random() < 0.2:
-                await self.end_job(job_id)
+                await self.cancel_job(job_id)
 
-    async def submit(self, job_id):
+    async def submit_job(self, job_id):
+        """Send a job until it is accepted, up to six times."""
         job = self.jobs[job_id]
         body = stand_ins.job_body(job.items, model=MODEL, min_version=job.min_version, scored=job.scored)
         for _ in range(6):
             try:
-                answer = await self.call(self.world.some_daemon(), "POST", "/stream/j", body, job_id)
+                answer = await self.send(self.world.random_daemon(), "POST", "/stream/j", body, job_id)
             except PassgateError:
-                job.promised = False
+                job.guaranteed_not_run = False
                 continue
-            self.world.note(f"job {answer.status}")
+            self.world.count(f"job {answer.status}")
             if answer.status == 202:
                 job.accepted_s = time.monotonic()
                 return
-            if answer.status not in PROMISES:
-                job.promised = False
+            if answer.status not in GUARANTEED_NOT_RUN_STATUSES:
+                job.guaranteed_not_run = False
             await asyncio.sleep(0.2)
 
-    async def end_job(self, job_id):
-        """Ask for a job's end until it is confirmed; one that is not may take effect all the same."""
+    async def cancel_job(self, job_id):
+        """Repeat a job's cancellation until it is confirmed; an unconfirmed one may take effect, too."""
         job = self.jobs[job_id]
-        job.end_asked = True
-        while not job.ended and not self.world.stopping:
+        job.cancel_requested = True
+        while not job.is_cancelled and not self.world.stopping:
             with contextlib.suppress(PassgateError):
-                answer = await self.call(self.world.some_daemon(), "DELETE", f"/-/lots/{job_id}")
-                self.world.note(f"end {answer.status}")
-                job.ended = answer.status == 200
+                answer = await self.send(self.world.random_daemon(), "DELETE", f"/-/lots/{job_id}")
+                self.world.count(f"end {answer.status}")
+                job.is_cancelled = answer.status == 200
             await asyncio.sleep(0.2)
 
-    async def reader(self):
+    async def read_jobs(self):
         while not self.world.stopping:
             await asyncio.sleep(0.05)
             accepted = [job_id for job_id, job in self.jobs.items() if job.accepted_s]
             if accepted:
                 with contextlib.suppress(PassgateError):
-                    await self.read(self.world.some_daemon(), self.random.choice(accepted[-8:]))
+                    await self.read_results(self.world.random_daemon(), self.random.choice(accepted[-8:]))
 
-    async def read(self, daemon, job_id):
+    async def read_results(self, daemon, job_id):
+        """Read a job's results from a random known position and record them."""
         job = self.jobs[job_id]
-        after = self.random.randint(0, len(job.rows))
-        began_s = time.monotonic()
-        answer = await self.call(daemon, "GET", f"/-/lots/{job_id}?afterRev={after}", **{"X-Wait-Ms": "200"})
-        if answer.status == 404 and began_s - job.accepted_s > NOT_FOUND_GRACE_S and job.must_be_kept():
-            self.world.breach(f"{daemon.name} does not know {job_id}")
+        after = self.random.randint(0, len(job.results))
+        started_s = time.monotonic()
+        answer = await self.send(daemon, "GET", f"/-/lots/{job_id}?afterRev={after}", **{"X-Wait-Ms": "200"})
+        if answer.status == 404 and started_s - job.accepted_s > NOT_FOUND_GRACE_S and job.must_be_retained():
+            self.world.report_violation(f"{daemon.name} does not know {job_id}")
         if answer.status == 200:
-            self.take_rows(job_id, after, json.loads(answer.body))
+            self.record_results(job_id, after, json.loads(answer.body))
 
-    def take_rows(self, job_id, after, page):
+    def record_results(self, job_id, after, page):
+        """Add a page that follows position ``after``; results that were read before must be equal."""
         job = self.jobs[job_id]
         if page["total"] != len(job.items):
-            self.world.breach(f"{job_id}: total {page['total']}")
-        for index, row in enumerate(page["results"], after):
-            if index < len(job.rows):
-                if job.rows[index] != row:
-                    self.world.breach(f"{job_id}: position {index} changed")
-            elif index == len(job.rows):
-                job.rows.append(row)
-                self.check_row(job_id, row)
-
-    def check_row(self, job_id, row):
-        job, breach = self.jobs[job_id], self.world.breach
-        if row["id"] not in job.items or [r["id"] for r in job.rows].count(row["id"]) > 1:
-            breach(f"{job_id}: {row['id']} is listed twice or not of this job")
-        if row["id"] not in job.expected:
+            self.world.report_violation(f"{job_id}: total {page['total']}")
+        for index, result in enumerate(page["results"], after):
+            if index < len(job.results):
+                if job.results[index] != result:
+                    self.world.report_violation(f"{job_id}: position {index} changed")
+            elif index == len(job.results):
+                job.results.append(result)
+                self.check_result(job_id, result)
+
+    def check_result(self, job_id, result):
+        job, report_violation = self.jobs[job_id], self.world.report_violation
+        if result["id"] not in job.items or [r["id"] for r in job.results].count(result["id"]) > 1:
+            report_violation(f"{job_id}: {result['id']} is listed twice or not of this job")
+        if result["id"] not in job.expected_items:
             return
-        if row["state"] != "succeeded":
-            breach(f"{job_id}: {row['id']} is {row['state']}")
-        elif row["text"] != stand_ins.whole_text(row["id"]):
-            breach(f"{job_id}: {row['id']} is not whole")
-        if row["versions"] and min(row["versions"]) < job.min_version:
-            breach(f"{job_id}: {row['id']} was made by version {min(row['versions'])}")
-        if ("score" in row) != (job.scored and row["state"] == "succeeded"):
-            breach(f"{job_id}: {row['id']} has {'a' if 'score' in row else 'no'} score")
-
-    async def name_versions(self):
+        if result["state"] != "succeeded":
+            report_violation(f"{job_id}: {result['id']} is {result['state']}")
+        elif result["text"] != stand_ins.whole_text(result["id"]):
+            report_violation(f"{job_id}: {result['id']} is not whole")
+        if result["versions"] and min(result["versions"]) < job.min_version:
+            report_violation(f"{job_id}: {result['id']} was made by version {min(result['versions'])}")
+        if ("score" in result) != (job.scored and result["state"] == "succeeded"):
+            report_violation(f"{job_id}: {result['id']} has {'a' if 'score' in result else 'no'} score")
+
+    async def change_target_versions(self):
         while not self.world.stopping:
             await asyncio.sleep(self.random.uniform(2.0, 5.0))
-            self.world.name_version()
+            self.world.publish_target_version()
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -1,4 +1,4 @@
-"""Faults of a soak: signals, restarts and changes that come in series and overlap."""
+"""Faults of a soak: signals, restarts, connection faults and changes by operators."""
 
 import asyncio
 import contextlib
@@ -8,117 +8,129 @@
 from passgate.errors import PassgateError
 from tests import platform_stand_ins as stand_ins
 from tests.duty_stand_in import DutyFaults
-from tests.soak.processes import GRACE_S
+from tests.soak.processes import SHUTDOWN_GRACE_S
 from tests.soak.world import KEYS
 
-REVOKED_S = 4.0
-"""Time after which a key that was taken away is refused, with a margin for a busy machine."""
-EVACUATED_FOR_S = (1.0, 12.0)
-"""Time for which a zone is evacuated; daemons have 5 s to learn of it."""
-PAUSE_S = (0.5, 4.0)
-FEW_S = (0.1, 1.5)
+REVOCATION_TIME_S = 4.0
+"""Time after which a revoked key must be refused, with a margin for a busy machine."""
+EVACUATION_DURATION_S = (1.0, 12.0)
+"""Range of the duration of an evacuation; daemons have 5 s to apply it."""
+FAULT_DURATION_S = (0.5, 4.0)
+"""Range of the duration of most faults."""
+GAP_S = (0.1, 1.5)
+"""Range of the time between two faults of a lane."""
 
 
 class Faults:
-    """Several lanes, each of which plays one fault after the other."""
+    """Injects random faults in several lanes, each of which injects one after the other."""
 
     def __init__(self, world, callers):
         self.world = world
         self.callers = callers
         self.random = world.random
-        self.kinds = {
+        self.weight_by_fault = {
             self.kill_daemon: 3,
             self.pause_daemon: 3,
             self.stop_daemon: 3,
-            self.stop_in_turn: 1,
-            self.hang_up: 2,
-            self.cut_daemon: 4,
-            self.harm_log: 4,
-            self.harm_replica: 5,
+            self.restart_daemons_in_turn: 1,
+            self.reload_settings: 2,
+            self.disturb_log_connection: 4,
+            self.disturb_log: 4,
+            self.disturb_replica: 5,
             self.replace_replica: 2,
-            self.spoil_entries: 2,
+            self.corrupt_entries: 2,
             self.change_configuration: 3,
-            self.kill_all: 1,
+            self.kill_all_daemons: 1,
             self.revoke_key: 2,
             self.evacuate_zone: 2,
-            self.harm_duties: 2,
+            self.disturb_duties: 2,
         }
 
-    async def play(self, seconds, lanes):
+    async def run(self, seconds, lanes):
+        """Inject faults for ``seconds``; a fault that has started is completed."""
         until_s = time.monotonic() + seconds
-        await asyncio.gather(*(self._lane(until_s) for _ in range(lanes)))
+        await asyncio.gather(*(self._run_lane(until_s) for _ in range(lanes)))
 
-    async def _lane(self, until_s):
+    async def _run_lane(self, until_s):
         while time.monotonic() < until_s:
-            (fault,) = self.random.choices(list(self.kinds), self.kinds.values())
-            self.world.note(f"fault {fault.__name__}")
-            self.world.phase(fault.__name__)
+            (fault,) = self.random.choices(list(self.weight_by_fault), self.weight_by_fault.values())
+            self.world.count(f"fault {fault.__name__}")
+            self.world.log_phase(fault.__name__)
             await fault()
-            await asyncio.sleep(self.random.uniform(*FEW_S))
+            await asyncio.sleep(self.random.uniform(*GAP_S))
 
-    def series(self):
-        """Return how often a change is made in quick succession; mostly once."""
+    def choose_repetitions(self):
+        """Return how often an action is repeated in quick succession; mostly once."""
         return self.random.choice([1, 1, 1, 2, 3, 5])
 
     # --- daemons -----------------------------------------------------------------
 
     async def kill_daemon(self):
-        daemon = self.world.some_daemon()
-        with self.world.trouble.during("kill", daemon.name):
-            daemon.life.signal(signal.SIGKILL)
-            await daemon.life.ended()
+        daemon = self.world.random_daemon()
+        with self.world.disturbances.record("kill", daemon.name):
+            daemon.incarnation.send_signal(signal.SIGKILL)
+            await daemon.incarnation.wait_for_exit()
             await asyncio.sleep(self.random.uniform(0.0, 1.0))
             await daemon.start()
 
-    async def kill_all(self):
-        with self.world.trouble.during("kill all"):
+    async def kill_all_daemons(self):
+        with self.world.disturbances.record("kill all"):
             for daemon in self.world.daemons:
-                daemon.life.signal(signal.SIGKILL)
-            await asyncio.gather(*(daemon.life.ended() for daemon in self.world.daemons))
+                daemon.incarnation.send_signal(signal.SIGKILL)
+            await asyncio.gather(*(daemon.incarnation.wait_for_exit() for daemon in self.world.daemons))
             await asyncio.gather(*(daemon.start() for daemon in self.world.daemons))
 
     async def pause_daemon(self):
-        daemon = self.world.some_daemon()
-        with self.world.trouble.during("pause", daemon.name):
-            life = daemon.life
-            life.signal(signal.SIGSTOP)
-            await asyncio.sleep(self.random.uniform(*PAUSE_S))
-            life.signal(signal.SIGCONT)
+        daemon = self.world.random_daemon()
+        with self.world.disturbances.record("pause", daemon.name):
+            incarnation = daemon.incarnation
+            incarnation.send_signal(signal.SIGSTOP)
+            await asyncio.sleep(self.random.uniform(*FAULT_DURATION_S))
+            incarnation.send_signal(signal.SIGCONT)
 
     async def stop_daemon(self):
-        """Stop a daemon as planned; the signal may come several times, with others between."""
-        daemon = self.world.some_daemon()
-        with self.world.trouble.during("stop", daemon.name, planned=True):
-            life, had_come_up = daemon.life, await daemon.accepts_callers()
-            began_s = time.monotonic()
-            for _ in range(self.series()):
-                life.signal(signal.SIGTERM)
+        """Shut a daemon down gracefully and start it again.
+
+        SIGTERM may be sent several times, with SIGHUP in between.  The daemon must exit with 0
+        within its grace period if it had started and no other fault disturbs it.
+        """
+        daemon = self.world.random_daemon()
+        with self.world.disturbances.record("stop", daemon.name, planned=True):
+            incarnation, was_up = daemon.incarnation, await daemon.accepts_callers()
+            started_s = time.monotonic()
+            for _ in range(self.choose_repetitions()):
+                incarnation.send_signal(signal.SIGTERM)
                 await asyncio.sleep(self.random.uniform(0.0, 0.3))
                 if self.random.random() < 0.3:
-                    life.signal(signal.SIGHUP)
-            code = await life.ended()
-            calm = self.world.trouble.calm_but_planned(daemon.name, began_s, time.monotonic())
-            if had_come_up and calm and (code != 0 or life.killed):
-                self.world.breach(f"{daemon.name} ended with {code} after SIGTERM (grace {GRACE_S} s)")
+                    incarnation.send_signal(signal.SIGHUP)
+            code = await incarnation.wait_for_exit()
+            only_planned = self.world.disturbances.had_only_planned_work(
+                daemon.name, started_s, time.monotonic()
+            )
+            if was_up and only_planned and (code != 0 or incarnation.was_killed):
+                self.world.report_violation(
+                    f"{daemon.name} ended with {code} after SIGTERM (grace {SHUTDOWN_GRACE_S} s)"
+                )
             await daemon.start()
 
-    async def stop_in_turn(self):
-        """Stop and start a few daemons one after the other."""
+    async def restart_daemons_in_turn(self):
+        """Restart random daemons one after the other, as many as there are but three at most."""
         for _ in range(min(3, len(self.world.daemons))):
             await self.stop_daemon()
 
-    async def hang_up(self):
-        daemon = self.world.some_daemon()
-        for _ in range(self.series()):
+    async def reload_settings(self):
+        """Write a daemon's settings again and send SIGHUP, possibly several times."""
+        daemon = self.world.random_daemon()
+        for _ in range(self.choose_repetitions()):
             daemon.write_settings()
-            daemon.life.signal(signal.SIGHUP)
+            daemon.incarnation.send_signal(signal.SIGHUP)
             await asyncio.sleep(self.random.uniform(0.0, 0.2))
 
-    async def cut_daemon(self):
-        """Harm a daemon's connections to the log."""
-        daemon = self.world.some_daemon()
+    async def disturb_log_connection(self):
+        """Disturb a daemon's connections to the log."""
+        daemon = self.world.random_daemon()
         proxy = daemon.proxy
-        with self.world.trouble.during("cut", daemon.name):
+        with self.world.disturbances.record("cut", daemon.name):
             match self.random.choice(["delay", "reset", "up", "down", "refuse"]):
                 case "delay":
                     proxy.delay_s = self.random.uniform(0.02, 0.3)
@@ -131,13 +143,13 @@
                 case "refuse":
                     proxy.refusing = True
                     proxy.reset_all()
-            await asyncio.sleep(self.random.uniform(*PAUSE_S))
+            await asyncio.sleep(self.random.uniform(*FAULT_DURATION_S))
             proxy.heal()
 
-    # --- the outside -------------------------------------------------------------
+    # --- external systems --------------------------------------------------------
 
-    async def harm_log(self):
-        with self.world.trouble.during("log"):
+    async def disturb_log(self):
+        with self.world.disturbances.record("log"):
             faults = self.world.log.faults
             match self.random.choice(["refuse", "throttle", "silent", "lost", "slow"]):
                 case "refuse":
@@ -150,10 +162,10 @@
                     faults.lost_appends, faults.late_s = 0.4, self.random.uniform(0.0, 3.0)
                 case "slow":
                     faults.slow_s = self.random.uniform(0.05, 0.3)
-            await asyncio.sleep(self.random.uniform(*PAUSE_S))
+            await asyncio.sleep(self.random.uniform(*FAULT_DURATION_S))
             self.world.log.faults = stand_ins.LogServiceFaults()
 
-    async def harm_replica(self):
+    async def disturb_replica(self):
         replica = self.random.choice(self.world.replicas)
         match self.random.choice(["dark", "refuse", "break", "lost", "slow", "wrong"]):
             case "dark":
@@ -172,59 +184,64 @@
         replica.faults = stand_ins.ReplicaFaults()
 
     async def replace_replica(self):
+        """Add a replica and crash or drain an old one of the same service."""
         old = self.random.choice(self.world.replicas)
         self.world.add_replica(old.service, old.zone)
-        self.world.retire(old)
+        self.world.remove_replica(old)
         if self.random.random() < 0.4:
             await old.crash()
             return
         old.draining = True
         old.tell()
-        self.world.leaving_s[old.replica_id] = time.monotonic()
+        self.world.leaving_s_by_replica[old.replica_id] = time.monotonic()
         await asyncio.sleep(2.0)
 
-    async def spoil_entries(self):
-        """Let another writer put entries beside those of the replicas, and over one of them."""
+    async def corrupt_entries(self):
+        """Write invalid discovery entries: one under a new key, one over that of a replica."""
         replica = self.random.choice(self.world.replicas)
-        spoilt = self.random.choice(
+        corrupt_data = self.random.choice(
             [b"\xff\x00", b"[]", b'{"service":"app"}', b'{"state":"ready","slots":[]}']
         )
         for key in (replica.replica_id, f"other-{self.world.next_number()}"):
-            self.world.log.put_bytes("keyed.servers", key, spoilt)
-        await asyncio.sleep(self.random.uniform(*FEW_S))
+            self.world.log.put_bytes("keyed.servers", key, corrupt_data)
+        await asyncio.sleep(self.random.uniform(*GAP_S))
         if replica in self.world.replicas:
             replica.tell()
 
     async def change_configuration(self):
-        for _ in range(self.series()):
-            self.world.configure()
+        for _ in range(self.choose_repetitions()):
+            self.world.publish_configuration()
             await asyncio.sleep(self.random.uniform(0.0, 0.3))
 
     async def revoke_key(self):
-        """Take a key away; each daemon that is in touch must refuse it in time."""
-        if len(self.world.keys) == 1:
-            self.world.keys = list(KEYS)
-            self.world.configure()
+        """Revoke a key, which undisturbed daemons must then refuse; publish all keys if one is left."""
+        if len(self.world.tenant_keys) == 1:
+            self.world.tenant_keys = list(KEYS)
+            self.world.publish_configuration()
             return
-        key = self.world.keys.pop(0)
-        self.world.configure()
+        key = self.world.tenant_keys.pop(0)
+        self.world.publish_configuration()
         revoked_s = time.monotonic()
-        await asyncio.sleep(REVOKED_S)
+        await asyncio.sleep(REVOCATION_TIME_S)
         for daemon in self.world.daemons:
             with contextlib.suppress(PassgateError):
-                answer = await self.callers.call(daemon, "POST", "/call/revoked", b"", "revoked", key)
-                self.world.note(f"revoked key {answer.status}")
-                in_touch = self.world.trouble.in_touch(daemon.name, revoked_s, time.monotonic())
-                if answer.status == 200 and in_touch and key not in self.world.keys:
-                    self.world.breach(f"{daemon.name} served a key that was taken away {REVOKED_S} s before")
+                answer = await self.callers.send(daemon, "POST", "/call/revoked", b"", "revoked", key)
+                self.world.count(f"revoked key {answer.status}")
+                was_undisturbed = self.world.disturbances.was_undisturbed(
+                    daemon.name, revoked_s, time.monotonic()
+                )
+                if answer.status == 200 and was_undisturbed and key not in self.world.tenant_keys:
+                    self.world.report_violation(
+                        f"{daemon.name} served a key that was taken away {REVOCATION_TIME_S} s before"
+                    )
 
     async def evacuate_zone(self):
-        evacuation = self.world.evacuate()
+        evacuation = self.world.start_evacuation()
         if evacuation is not None:
-            await asyncio.sleep(self.random.uniform(*EVACUATED_FOR_S))
+            await asyncio.sleep(self.random.uniform(*EVACUATION_DURATION_S))
             self.world.end_evacuation(evacuation)
 
-    async def harm_duties(self):
+    async def disturb_duties(self):
         faults = self.world.duties.faults
         match self.random.choice(["silent", "busy", "slow"]):
             case "silent":
@@ -233,12 +250,13 @@
                 faults.busy = True
             case "slow":
                 faults.slow_s = self.random.uniform(0.1, 0.8)
-        await asyncio.sleep(self.random.uniform(*PAUSE_S))
+        await asyncio.sleep(self.random.uniform(*FAULT_DURATION_S))
         self.world.duties.faults = DutyFaults()
 
-    async def heal(self):
+    async def end_all(self):
+        """End the faults of daemons and log, and start daemons that have exited."""
         for daemon in self.world.daemons:
             daemon.proxy.heal()
-            daemon.life.signal(signal.SIGCONT)
+            daemon.incarnation.send_signal(signal.SIGCONT)
             await daemon.start()
         self.world.log.faults = stand_ins.LogServiceFaults()
--- a/tests/soak/judge.py
+++ b/tests/soak/judge.py
@@ -1,4 +1,4 @@
-"""The verdict of a soak: what replicas saw against what callers were told."""
+"""Checks at the end of a soak: compares the runs on replicas with the answers to callers."""
 
 import contextlib
 import json
@@ -6,175 +6,191 @@
 
 from passgate.errors import PassgateError
 from tests import platform_stand_ins as stand_ins
-from tests.soak.callers import PROMISES
-from tests.soak.trouble import CONTACT_S
-from tests.soak.world import CRASHING_CALLS, TENANT
-
-SETTLE_S = 30.0
-MOST_READ = 8
-"""Daemons at which all jobs are read at the end; with a hundred, reading all would outlast the jobs."""
-EVACUATION_S = 5.0
-"""Time after which nothing reaches an evacuated zone any more from a daemon in touch."""
-LEAVING_S = 3.5
+from tests.soak.callers import GUARANTEED_NOT_RUN_STATUSES
+from tests.soak.trouble import RECOVERY_S
+from tests.soak.world import CRASHING_BODIES, TENANT
+
+RESULTS_TIMEOUT_S = 30.0
+"""Longest wait for the results of all jobs after the callers have stopped."""
+MAX_DAEMONS_READ = 8
+"""Most daemons at which all jobs are read at the end; more would outlast the jobs' retention."""
+EVACUATION_GRACE_S = 5.0
+"""Time after which an undisturbed daemon sends nothing to an evacuated zone."""
+LEAVING_GRACE_S = 3.5
 """Time after which a leaving replica gets no new request, with a margin for a busy machine."""
-CUT_LATE_S = 0.5
-"""A connection that a planned stop closes later than this after a request was sent has cut it off."""
-CRASHES_SEEN = 3
-"""Replicas that have ended under a request when it counts as known."""
-MOST_LATE_SENDS = 3
-"""Sends of a request that is known to end replicas, by daemons in touch, that break nothing."""
+LATE_CUT_OFF_S = 0.5
+"""A shutdown that closes a connection later than this after a request was sent has cut it off."""
+KNOWN_CRASHES = 3
+"""Number of replicas that a request crashed when daemons must recognize it."""
+MAX_LATE_SENDS = 3
+"""Allowed sends by undisturbed daemons of a request that is known to crash replicas."""
 
 
-class Judge:
-    """Reads everything once more at the end, and compares."""
+class ResultChecker:
+    """Reads all results once more at the end and checks them."""
 
     def __init__(self, world, callers):
         self.world = world
         self.callers = callers
-        self.breach = world.breach
+        self.report_violation = world.report_violation
 
     async def wait_for_results(self):
-        """Wait until every accepted job whose end was not asked for is whole, at every daemon."""
-        until_s = time.monotonic() + SETTLE_S
+        """Wait until accepted jobs that were not cancelled are complete, then read all at several daemons."""
+        until_s = time.monotonic() + RESULTS_TIMEOUT_S
         jobs = {job_id: job for job_id, job in self.callers.jobs.items() if job.accepted_s}
-        open_ids = [job_id for job_id, job in jobs.items() if not job.end_asked]
-        while open_ids and time.monotonic() < until_s:
-            for job_id in open_ids:
+        incomplete_ids = [job_id for job_id, job in jobs.items() if not job.cancel_requested]
+        while incomplete_ids and time.monotonic() < until_s:
+            for job_id in incomplete_ids:
                 with contextlib.suppress(PassgateError):
-                    await self.callers.read(self.world.some_daemon(), job_id)
-            open_ids = [job_id for job_id in open_ids if not jobs[job_id].is_whole()]
-        for job_id in open_ids:
+                    await self.callers.read_results(self.world.random_daemon(), job_id)
+            incomplete_ids = [job_id for job_id in incomplete_ids if not jobs[job_id].is_complete()]
+        for job_id in incomplete_ids:
             job = jobs[job_id]
-            self.breach(f"{job_id} has {len(job.rows)} of {len(job.expected)} results")
-        daemons = self.world.random.sample(self.world.daemons, min(MOST_READ, len(self.world.daemons)))
+            self.report_violation(f"{job_id} has {len(job.results)} of {len(job.expected_items)} results")
+        daemons = self.world.random.sample(self.world.daemons, min(MAX_DAEMONS_READ, len(self.world.daemons)))
         for daemon in daemons:
             for job_id, job in jobs.items():
-                await self._read_all(daemon, job_id, job)
+                await self._check_results_at(daemon, job_id, job)
 
-    async def _read_all(self, daemon, job_id, job):
+    async def _check_results_at(self, daemon, job_id, job):
         try:
-            answer = await self.callers.call(daemon, "GET", f"/-/lots/{job_id}?afterRev=0")
+            answer = await self.callers.send(daemon, "GET", f"/-/lots/{job_id}?afterRev=0")
         except PassgateError as error:
-            self.breach(f"{daemon.name} can not be read at the end: {error}")
+            self.report_violation(f"{daemon.name} can not be read at the end: {error}")
             return
-        if not job.must_be_kept():
+        if not job.must_be_retained():
             return
         page = json.loads(answer.body) if answer.status == 200 else {"results": []}
-        if page["results"][: len(job.rows)] != job.rows:
-            self.breach(f"{daemon.name} lists {job_id} otherwise")
+        if page["results"][: len(job.results)] != job.results:
+            self.report_violation(f"{daemon.name} lists {job_id} otherwise")
 
-    def judge(self):
+    def check_all(self):
+        """Check the runs on all replicas."""
         runs = {}
         for replica in self.world.all_replicas():
             for run in replica.runs:
                 runs.setdefault(run.request_id, []).append(run)
-        self._judge_once(runs)
-        self._judge_refused_jobs(runs)
-        self._judge_scores(runs)
-        self._judge_orders()
-        self._judge_tenants(runs)
-        self._judge_leaving()
-        self._judge_evacuations()
-        self._judge_crashes()
-        self._judge_cuts(runs)
-        self.world.broken += self.world.duties.breaches
-        self.world.note(f"windows reported {len(self.world.duties.reports)}")
-
-    def _judge_once(self, runs):
-        for request_id, status in self.callers.once.items():
+        self._check_single_runs(runs)
+        self._check_refused_jobs(runs)
+        self._check_scores(runs)
+        self._check_orders()
+        self._check_tenants(runs)
+        self._check_leaving_replicas()
+        self._check_evacuations()
+        self._check_crashes()
+        self._check_cut_offs(runs)
+        self.world.violations += self.world.duties.breaches
+        self.world.count(f"windows reported {len(self.world.duties.reports)}")
+
+    def _check_single_runs(self, runs):
+        for request_id, status in self.callers.status_by_request.items():
             count = len(runs.get(request_id, []))
             if count > 1:
-                self.breach(f"{request_id} may run once and ran {count} times")
-            if status in PROMISES and count:
-                self.breach(f"{request_id} was answered {status} and ran")
+                self.report_violation(f"{request_id} may run once and ran {count} times")
+            if status in GUARANTEED_NOT_RUN_STATUSES and count:
+                self.report_violation(f"{request_id} was answered {status} and ran")
 
-    def _judge_refused_jobs(self, runs):
+    def _check_refused_jobs(self, runs):
         for job_id, job in self.callers.jobs.items():
-            if not job.accepted_s and job.promised and any(item in runs for item in job.items):
-                self.breach(f"{job_id} was refused each time and ran")
+            if not job.accepted_s and job.guaranteed_not_run and any(item in runs for item in job.items):
+                self.report_violation(f"{job_id} was refused each time and ran")
 
-    def _judge_tenants(self, runs):
-        """Each replica was told the tenant that called, and nothing of its key."""
-        for request_id, seen in runs.items():
-            for run in seen:
+    def _check_tenants(self, runs):
+        """Check that replicas received the tenant of each request, and no credentials."""
+        for request_id, runs_of_request in runs.items():
+            for run in runs_of_request:
                 if run.tenants != [TENANT] or run.credentials:
-                    self.breach(f"{request_id} ran for {run.tenants} with {len(run.credentials)} credentials")
+                    self.report_violation(
+                        f"{request_id} ran for {run.tenants} with {len(run.credentials)} credentials"
+                    )
 
-    def _judge_scores(self, runs):
-        """A score is the stamp of the item's own call, begun after a run made its text whole."""
+    def _check_scores(self, runs):
+        """Check that a score is from the item's reward call, started after a run had completed the text."""
         for job_id, job in self.callers.jobs.items():
-            for row in job.rows:
-                if "score" in row and not _is_scored_after_text(row, runs):
-                    self.breach(f"{job_id}: {row['id']} has the score {row['score']}")
+            for result in job.results:
+                if "score" in result and not _is_scored_after_text(result, runs):
+                    self.report_violation(f"{job_id}: {result['id']} has the score {result['score']}")
 
-    def _judge_orders(self):
-        holders = {}
+    def _check_orders(self):
+        """Check that only one leader sent orders under each fence."""
+        leaders_by_fence = {}
         for replica in self.world.all_replicas():
             for order in replica.orders:
-                holders.setdefault(order["fence"], set()).add(order["holder"])
-        for fence, names in holders.items():
+                leaders_by_fence.setdefault(order["fence"], set()).add(order["holder"])
+        for fence, names in leaders_by_fence.items():
             if len(names) > 1:
-                self.breach(f"fence {fence} was used by {sorted(names)}")
+                self.report_violation(f"fence {fence} was used by {sorted(names)}")
 
-    def _judge_leaving(self):
-        """Daemons in touch send nothing new to a replica that leaves."""
-        for replica in self.world.gone:
-            leaving_s = self.world.leaving_s.get(replica.replica_id)
+    def _check_leaving_replicas(self):
+        """Check that undisturbed daemons send no new request to a leaving replica."""
+        for replica in self.world.removed_replicas:
+            leaving_s = self.world.leaving_s_by_replica.get(replica.replica_id)
             for run in replica.runs:
-                daemon = self.callers.sent_to.get(run.request_id)
-                if leaving_s is None or daemon is None or run.began_s < leaving_s + LEAVING_S:
+                daemon = self.callers.daemon_by_request.get(run.request_id)
+                if leaving_s is None or daemon is None or run.began_s < leaving_s + LEAVING_GRACE_S:
                     continue
-                if self.world.trouble.in_touch(daemon, leaving_s, run.began_s):
+                if self.world.disturbances.was_undisturbed(daemon, leaving_s, run.began_s):
                     late_s = run.began_s - leaving_s
-                    self.breach(
+                    self.report_violation(
                         f"{daemon} sent {run.request_id} to a replica that left {late_s:.1f} s before"
                     )
 
-    def _judge_evacuations(self):
-        """Daemons in touch send nothing to an evacuated zone; items may come from any daemon."""
+    def _check_evacuations(self):
+        """Check that undisturbed daemons send nothing to an evacuated zone.
+
+        An item counts only if all daemons were undisturbed, as any of them may have sent it.
+        """
         for evacuation in self.world.evacuations:
-            known_s = evacuation.began_s + EVACUATION_S
+            known_s = evacuation.started_s + EVACUATION_GRACE_S
             replicas = [r for r in self.world.all_replicas() if r.zone == evacuation.zone]
             late = [run for r in replicas for run in r.runs if known_s < run.began_s < evacuation.ended_s]
             for run in late:
-                sender = self.callers.sent_to.get(run.request_id)
+                sender = self.callers.daemon_by_request.get(run.request_id)
                 senders = [sender] if sender else [daemon.name for daemon in self.world.daemons]
-                if all(self.world.trouble.in_touch(name, known_s, run.began_s) for name in senders):
-                    late_s = run.began_s - evacuation.began_s
-                    self.breach(f"{run.request_id} reached a zone evacuated {late_s:.1f} s before")
-
-    def _judge_crashes(self):
-        """A request that has ended three replicas reaches hardly any more from daemons in touch."""
-        for body in CRASHING_CALLS:
+                if all(
+                    self.world.disturbances.was_undisturbed(name, known_s, run.began_s) for name in senders
+                ):
+                    late_s = run.began_s - evacuation.started_s
+                    self.report_violation(f"{run.request_id} reached a zone evacuated {late_s:.1f} s before")
+
+    def _check_crashes(self):
+        """Check that undisturbed daemons hardly send a request that crashed ``KNOWN_CRASHES`` replicas."""
+        for body in CRASHING_BODIES:
             replicas = self.world.all_replicas()
             runs = sorted(
                 (run for replica in replicas for run in replica.runs if run.body == body),
                 key=lambda run: run.began_s,
             )
             ended_s = sorted(run.ended_s for run in runs if run.crashed)
-            self.world.note(f"replicas ended by {body.decode()}: {len(ended_s)}")
-            if len(ended_s) < CRASHES_SEEN:
+            self.world.count(f"replicas ended by {body.decode()}: {len(ended_s)}")
+            if len(ended_s) < KNOWN_CRASHES:
                 continue
-            known_s = ended_s[CRASHES_SEEN - 1] + CONTACT_S
-            late = [run for run in runs if run.began_s > known_s and self._from_in_touch(run)]
-            if len(late) > MOST_LATE_SENDS:
-                self.breach(f"{body.decode()} had ended {CRASHES_SEEN} replicas and reached {len(late)} more")
-
-    def _from_in_touch(self, run):
-        daemon = self.callers.sent_to[run.request_id]
-        return self.world.trouble.in_touch(daemon, run.began_s, run.began_s)
-
-    def _judge_cuts(self, runs):
-        """Planned work cuts no request off that a replica has begun, or that was sent long before."""
-        for cut in self.callers.cut:
-            if not self.world.trouble.calm_but_planned(cut.daemon, cut.sent_s, cut.cut_s):
+            known_s = ended_s[KNOWN_CRASHES - 1] + RECOVERY_S
+            late = [run for run in runs if run.began_s > known_s and self._is_from_undisturbed_daemon(run)]
+            if len(late) > MAX_LATE_SENDS:
+                self.report_violation(
+                    f"{body.decode()} had ended {KNOWN_CRASHES} replicas and reached {len(late)} more"
+                )
+
+    def _is_from_undisturbed_daemon(self, run):
+        daemon = self.callers.daemon_by_request[run.request_id]
+        return self.world.disturbances.was_undisturbed(daemon, run.began_s, run.began_s)
+
+    def _check_cut_offs(self, runs):
+        """Check that graceful shutdowns cut no request off that had started or was sent long before."""
+        for request in self.callers.cut_off_requests:
+            if not self.world.disturbances.had_only_planned_work(
+                request.daemon, request.sent_s, request.ended_s
+            ):
                 continue
-            if cut.request_id in runs or cut.cut_s - cut.sent_s > CUT_LATE_S:
-                self.breach(f"{cut.daemon} cut {cut.request_id} off after {cut.cut_s - cut.sent_s:.2f} s")
+            if request.request_id in runs or request.ended_s - request.sent_s > LATE_CUT_OFF_S:
+                self.report_violation(
+                    f"{request.daemon} cut {request.request_id} off after {request.ended_s - request.sent_s:.2f} s"
+                )
 
 
-def _is_scored_after_text(row, runs):
-    texts = [run.ended_s for run in runs.get(row["id"], []) if run.whole]
-    calls = runs.get(stand_ins.reward_id(row["id"]), [])
-    mine = [run for run in calls if f"{run.replica_id}.{run.request_id}" == row["score"]]
-    return any(run.began_s >= min(texts, default=float("inf")) for run in mine)
+def _is_scored_after_text(result, runs):
+    text_end_times = [run.ended_s for run in runs.get(result["id"], []) if run.whole]
+    calls = runs.get(stand_ins.reward_id(result["id"]), [])
+    own_calls = [run for run in calls if f"{run.replica_id}.{run.request_id}" == result["score"]]
+    return any(run.began_s >= min(text_end_times, default=float("inf")) for run in own_calls)
--- a/tests/soak/kept_connection.py
+++ b/tests/soak/kept_connection.py
@@ -1,35 +1,35 @@
-"""A client's connection that is used for one request after the other until it is closed."""
+"""A client connection for several requests, one after the other."""
 
 import asyncio
 
-MOST_HEAD_BYTES = 65_536
+MAX_HEAD_BYTES = 65_536
 
 
-class AnswerCut(Exception):
-    """The connection ended before the whole answer."""
+class AnswerCutOff(Exception):
+    """The connection ended, or the timeout passed, before the answer was complete."""
 
 
-class KeptConnection:
-    """Speaks HTTP/1.1 with bodies of a told length, which is all that daemons answer with here."""
+class ReusedConnection:
+    """An HTTP/1.1 connection; bodies need a Content-Length, as chunked encoding is not supported."""
 
     def __init__(self, address):
         self._address = address
         self._reader = self._writer = None
-        self.open = False
-        """Whether the daemon has not said that it closes the connection."""
+        self.is_open = False
+        """Whether the daemon has not announced that it closes the connection."""
 
     async def __aenter__(self):
         host, _, port = self._address.rpartition(":")
-        self._reader, self._writer = await asyncio.open_connection(host, int(port), limit=MOST_HEAD_BYTES)
-        self.open = True
+        self._reader, self._writer = await asyncio.open_connection(host, int(port), limit=MAX_HEAD_BYTES)
+        self.is_open = True
         return self
 
     async def __aexit__(self, *failure):
-        self.open = False
+        self.is_open = False
         self._writer.close()
 
-    async def call(self, method, path, headers, body, timeout_s):
-        """Return status and body; raises AnswerCut."""
+    async def send(self, method, path, headers, body, timeout_s):
+        """Send one request and return status and body of the answer; raises AnswerCutOff."""
         lines = [f"{method} {path} HTTP/1.1", *(f"{name}: {value}" for name, value in headers.items())]
         head = "\r\n".join([*lines, f"Content-Length: {len(body)}", "", ""])
         try:
@@ -38,8 +38,8 @@
             async with asyncio.timeout(timeout_s):
                 return await self._read_answer()
         except (OSError, TimeoutError, asyncio.IncompleteReadError) as error:
-            self.open = False
-            raise AnswerCut(str(error)) from error
+            self.is_open = False
+            raise AnswerCutOff(str(error)) from error
 
     async def _read_answer(self):
         status_line, *lines = (await self._reader.readuntil(b"\r\n\r\n")).decode("latin1").split("\r\n")
@@ -48,5 +48,5 @@
         }
         body = await self._reader.readexactly(int(headers.get("content-length", "0")))
         if headers.get("connection", "").lower() == "close":
-            self.open = False
+            self.is_open = False
         return int(status_line.split()[1]), body
--- a/tests/soak/processes.py
+++ b/tests/soak/processes.py
@@ -1,4 +1,4 @@
-"""Daemons as processes of their own, each behind a proxy to the log."""
+"""Daemon processes, each connected to the log through a proxy."""
 
 import asyncio
 import contextlib
@@ -14,26 +14,27 @@
 from tests.fault_proxy import FaultProxy
 
 ROOT = pathlib.Path(__file__).parent.parent.parent
-GRACE_S = 6
-END_S = 8.0
-"""Time after a signal after which a process is killed; a planned stop ends before."""
-END_LOOK_S = 0.02
-"""Time between looks whether a process has ended."""
-READY_S = 30.0
-"""Time for a daemon to say that it is ready, on a machine that runs a hundred of them."""
+SHUTDOWN_GRACE_S = 6
+"""Setting of the daemons: time for a graceful shutdown."""
+EXIT_TIMEOUT_S = 8.0
+"""Time after which a process that does not exit is killed; longer than a graceful shutdown."""
+EXIT_POLL_INTERVAL_S = 0.02
+"""Interval of the checks whether a process has exited."""
+READY_TIMEOUT_S = 30.0
+"""Longest wait until a daemon accepts connections; generous, for runs with a hundred daemons."""
 
 
 FIRST_PORT, LAST_PORT = 10_000, 30_000
-"""Below the ports that the kernel gives to connections, which would take a daemon's while it is down."""
+"""Below the kernel's range for outgoing connections, which could take the port of a stopped daemon."""
 
 
-class Ports:
-    """Hands out ports of 127.0.0.1 at which nothing listens."""
+class PortAllocator:
+    """Allocates addresses of 127.0.0.1 at which nothing listens."""
 
     def __init__(self, random):
         self._next = random.randrange(FIRST_PORT, LAST_PORT)
 
-    def address(self):
+    def allocate_address(self):
         while True:
             self._next = self._next + 1 if self._next < LAST_PORT else FIRST_PORT
             with socket.socket() as sock, contextlib.suppress(OSError):
@@ -41,53 +42,56 @@
                 return f"127.0.0.1:{self._next}"
 
 
-class Life:
-    """One process of a daemon, from its start to its end.
+class DaemonIncarnation:
+    """One process of a daemon.
 
-    Not asyncio's own process: its watcher and a signal's sender may both reap an ended process, and
-    the watcher then makes the exit code 255.
+    It does not use asyncio's subprocesses: their watcher and the sender of a signal may both reap
+    an exited process, and the watcher then reports the exit code 255.
     """
 
     def __init__(self, process):
         self._process = process
-        self.killed = False
-        """Whether it was sent the signal that it can't handle."""
+        self.was_killed = False
+        """Whether SIGKILL was sent."""
 
-    def signal(self, number):
-        self.killed |= number == signal.SIGKILL
+    def send_signal(self, number):
+        self.was_killed |= number == signal.SIGKILL
         self._process.send_signal(number)
 
-    async def ended(self):
-        """Wait for its end; kill it when it does not come.  Return the exit code."""
-        kill_s = time.monotonic() + END_S
-        while self.running:
-            if time.monotonic() >= kill_s:
-                self.signal(signal.SIGKILL)
-            await asyncio.sleep(END_LOOK_S)
+    async def wait_for_exit(self):
+        """Wait until the process exits, kill it after ``EXIT_TIMEOUT_S``, and return the exit code."""
+        kill_at_s = time.monotonic() + EXIT_TIMEOUT_S
+        while self.is_running:
+            if time.monotonic() >= kill_at_s:
+                self.send_signal(signal.SIGKILL)
+            await asyncio.sleep(EXIT_POLL_INTERVAL_S)
         return self._process.returncode
 
     @property
-    def running(self):
+    def is_running(self):
         return self._process.poll() is None
 
 
 class DaemonProcess:
-    """One daemon, over all its lives."""
+    """One daemon over all its incarnations; addresses and settings file stay the same."""
 
     def __init__(self, number, world):
         self.name = f"d{number}"
-        self.front, self.ready = world.ports.address(), world.ports.address()
+        self.caller_address, self.readiness_address = (
+            world.ports.allocate_address(),
+            world.ports.allocate_address(),
+        )
         self.proxy = FaultProxy(world.log.address, number)
         self.duties = world.duties
         self.log_file = world.log_file
-        self.path = pathlib.Path(world.folder, f"{self.name}.yaml")
-        self.life = None
-        self._starting = asyncio.Lock()
+        self.settings_path = pathlib.Path(world.folder, f"{self.name}.yaml")
+        self.incarnation = None
+        self._start_lock = asyncio.Lock()
 
     async def start(self):
-        """Start a process unless one runs; overlapping faults may both want to."""
-        async with self._starting:
-            if self.life is None or not self.life.running:
+        """Start a process unless one runs; overlapping faults may both call this."""
+        async with self._start_lock:
+            if self.incarnation is None or not self.incarnation.is_running:
                 await self._start()
 
     async def _start(self):
@@ -97,27 +101,27 @@
         process = subprocess.Popen(
             [sys.executable, "-m", "passgate.platform"],
             cwd=ROOT,
-            env=os.environ | {"PASSGATE_BOOT": str(self.path)},
+            env=os.environ | {"PASSGATE_BOOT": str(self.settings_path)},
             stdout=self.log_file,
             stderr=self.log_file,
         )
-        self.life = Life(process)
+        self.incarnation = DaemonIncarnation(process)
 
     def write_settings(self):
-        self.path.write_text(
+        self.settings_path.write_text(
             stand_ins.settings_text(
                 self.name,
                 self.proxy.address,
-                self.front,
-                self.ready,
-                grace_s=GRACE_S,
+                self.caller_address,
+                self.readiness_address,
+                grace_s=SHUTDOWN_GRACE_S,
                 duties=self.duties.address,
             )
         )
 
     async def accepts_callers(self):
-        """Return whether the daemon has come up, and so handles signals."""
-        host, _, port = self.front.rpartition(":")
+        """Return whether the daemon accepts connections, and so has installed its signal handlers."""
+        host, _, port = self.caller_address.rpartition(":")
         try:
             _, writer = await asyncio.open_connection(host, int(port))
         except OSError:
@@ -125,8 +129,8 @@
         writer.close()
         return True
 
-    async def wait_listening(self):
-        """Wait until the daemon accepts callers."""
-        async with asyncio.timeout(READY_S):
+    async def wait_until_listening(self):
+        """Wait until the daemon accepts connections; raises TimeoutError after ``READY_TIMEOUT_S``."""
+        async with asyncio.timeout(READY_TIMEOUT_S):
             while not await self.accepts_callers():
                 await asyncio.sleep(0.1)
--- a/tests/soak/trouble.py
+++ b/tests/soak/trouble.py
@@ -1,55 +1,57 @@
-"""When what was harmed: decides by which rules a daemon is judged at a moment."""
+"""Log of the injected faults, by which the checks know what a daemon had to fulfil at a time."""
 
 import contextlib
 import time
 from dataclasses import dataclass
 
-CONTACT_S = 4.0
-"""Time after the end of trouble from which rules with a time bound hold again."""
-EVERYWHERE = "everywhere"
-"""Stands for the log and all daemons."""
+RECOVERY_S = 4.0
+"""Time after the end of a disturbance from which daemons must meet time limits again."""
+ALL_TARGETS = "everywhere"
+"""Target of a disturbance of the log or of all daemons."""
 
 
 @dataclass
-class Trouble:
+class Disturbance:
+    """One injected fault that may excuse a daemon."""
+
     what: str
     target: str
-    """A daemon's name, or everywhere."""
-    planned: bool
-    """Whether it is planned work, which must cut nothing off."""
-    began_s: float
+    """Name of a daemon, or ``ALL_TARGETS``."""
+    is_planned: bool
+    """Whether it is a graceful shutdown, which must cut nothing off."""
+    started_s: float
     ended_s: float = float("inf")
 
 
-class TroubleBook:
-    """All trouble of a run."""
+class DisturbanceLog:
+    """All disturbances of a run."""
 
     def __init__(self):
-        self._all = []
+        self._disturbances = []
 
     @contextlib.contextmanager
-    def during(self, what, target=EVERYWHERE, *, planned=False):
-        """Note trouble that lasts for a ``with`` block."""
-        trouble = Trouble(what, target, planned, time.monotonic())
-        self._all.append(trouble)
+    def record(self, what, target=ALL_TARGETS, *, planned=False):
+        """Record a disturbance for the duration of a ``with`` block."""
+        disturbance = Disturbance(what, target, planned, time.monotonic())
+        self._disturbances.append(disturbance)
         try:
             yield
         finally:
-            trouble.ended_s = time.monotonic()
+            disturbance.ended_s = time.monotonic()
 
-    def in_touch(self, daemon, since_s, until_s):
-        """Return whether a daemon had no trouble from contact time before one moment to another."""
-        return not self._between(daemon, since_s, until_s)
+    def was_undisturbed(self, daemon, since_s, until_s):
+        """Return whether no disturbance of a daemon overlaps a time span or the ``RECOVERY_S`` before it."""
+        return not self._find_overlapping(daemon, since_s, until_s)
 
-    def calm_but_planned(self, daemon, since_s, until_s):
-        """Return whether a daemon had no other trouble than planned work."""
-        return all(trouble.planned for trouble in self._between(daemon, since_s, until_s))
+    def had_only_planned_work(self, daemon, since_s, until_s):
+        """Like ``was_undisturbed``, but graceful shutdowns are ignored."""
+        return all(disturbance.is_planned for disturbance in self._find_overlapping(daemon, since_s, until_s))
 
-    def _between(self, daemon, since_s, until_s):
+    def _find_overlapping(self, daemon, since_s, until_s):
         return [
-            trouble
-            for trouble in self._all
-            if trouble.target in (daemon, EVERYWHERE)
-            and trouble.began_s <= until_s
-            and trouble.ended_s >= since_s - CONTACT_S
+            disturbance
+            for disturbance in self._disturbances
+            if disturbance.target in (daemon, ALL_TARGETS)
+            and disturbance.started_s <= until_s
+            and disturbance.ended_s >= since_s - RECOVERY_S
         ]
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,50 +1,45 @@
-"""The soak's own books: what its callers may conclude from answers."""
+"""Checks of the soak itself: what its callers may conclude from answers."""
 
 import random
 import types
 
-from tests.soak.callers import Callers, JobSeen
-from tests.soak.judge import Judge
+from tests.soak.callers import Callers, SubmittedJob
+from tests.soak.judge import ResultChecker
 
 
 class World:
-    """A world without processes; its answers are given."""
+    """A world without daemons, which only collects violations."""
 
     def __init__(self):
         self.random = random.Random(1)
         self.daemons = []
         self.stopping = False
-        self.broken = []
+        self.violations = []
 
-    def some_daemon(self):
+    def random_daemon(self):
         return None
 
-    def note(self, kind):
+    def count(self, kind):
         pass
 
-    def breach(self, what):
-        self.broken.append(what)
+    def report_violation(self, what):
+        self.violations.append(what)
 
 
-async def test_a_job_whose_end_was_in_doubt_need_not_be_whole():
-    """A seed of the soak (4055) failed: a job had no result, and no daemon ran it.
-
-    Its end had been asked for while the log was harmed. By likeness, as the answer was not kept: the
-    caller was told that the end is in doubt, the end took effect, and the judge waited for results.  Now
-    callers ask until an end is confirmed, and no daemon leaves an unconfirmed one without a line.
-    """
+async def test_a_job_with_an_unconfirmed_cancellation_need_not_be_complete():
+    """An unconfirmed cancellation may take effect: the soak must not wait for the job's results."""
     world = World()
     callers = Callers(world)
-    callers.jobs["j"] = JobSeen(items=["a"], min_version=1, accepted_s=1.0)
+    callers.jobs["j"] = SubmittedJob(items=["a"], min_version=1, accepted_s=1.0)
     answers = [504, 503, 200]
 
-    async def call(daemon, method, path):
+    async def send(daemon, method, path):
         return types.SimpleNamespace(status=answers.pop(0))
 
-    callers.call = call
-    await callers.end_job("j")
-    assert callers.jobs["j"].ended and not answers
+    callers.send = send
+    await callers.cancel_job("j")
+    assert callers.jobs["j"].is_cancelled and not answers
     world.stopping = True
-    callers.jobs["j"].ended = False
-    await Judge(world, callers).wait_for_results()
-    assert not world.broken
+    callers.jobs["j"].is_cancelled = False
+    await ResultChecker(world, callers).wait_for_results()
+    assert not world.violations
