--- a/tests/soak/__main__.py
+++ b/tests/soak/__main__.py
@@ -2,14 +2,11 @@
 
     python -m tests.soak --seconds 120 --seed 7 --daemons 4 --lanes 3
 
-Proxies on loopback delay or reset the daemons' connections to the log, or drop the data of
-one direction.  Signals shut daemons down, pause, kill and reload them.  The test doubles of
-the log, the replicas and the endpoint of the duties return errors or no answers, and some
-requests crash every replica that runs them.  Faults overlap, also several of one kind.
-The callers and a final check compare the answers with what the replicas recorded.
-
-Suspended machines and changes of clocks are not covered.  The exit code is 1 if a guarantee
-was violated; the report names the seed.
+Proxies disturb the daemons' connections to the log; signals stop, pause, kill and reload
+daemons; test doubles of external systems return errors or nothing; some requests crash
+every replica that runs them.  Faults overlap.  The answers are compared with what the
+replicas recorded.  Suspended machines and changed clocks are not covered.
+The exit code is 1 if a guarantee was violated.
 """
 
 import asyncio
--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -214,7 +214,7 @@
                     "intruder",
                     key,
                 )
-                self.world.count(f"send_unauthorized_requests {answer.status}")
+                self.world.count(f"intruder {answer.status}")
                 if answer.status == 200:
                     self.world.report_violation(f"{method} {path} was answered to the key {key}")
 
--- a/tests/soak/judge.py
+++ b/tests/soak/judge.py
@@ -178,14 +178,12 @@
 
     def _check_cut_offs(self, runs):
         """Check that graceful shutdowns cut no request off that had started or was sent long before."""
-        for request in self.callers.cut_off_requests:
-            if not self.world.disturbances.had_only_planned_work(
-                request.daemon, request.sent_s, request.ended_s
-            ):
+        for call in self.callers.cut_off_requests:
+            if not self.world.disturbances.had_only_planned_work(call.daemon, call.sent_s, call.ended_s):
                 continue
-            if request.request_id in runs or request.ended_s - request.sent_s > LATE_CUT_OFF_S:
+            if call.request_id in runs or call.ended_s - call.sent_s > LATE_CUT_OFF_S:
                 self.report_violation(
-                    f"{request.daemon} cut {request.request_id} off after {request.ended_s - request.sent_s:.2f} s"
+                    f"{call.daemon} cut {call.request_id} off after {call.ended_s - call.sent_s:.2f} s"
                 )
 
 
