--- a/passgate/check/history.py
+++ b/passgate/check/history.py
@@ -56,6 +56,7 @@
 
     guarantee: str = msgspec.field(name="promise")
     rule: str
+    """Name of the rule of the guarantee that was violated."""
     message: str
     excerpt: tuple[AnyEvent, ...]
 
--- a/passgate/check/simulation/faults.py
+++ b/passgate/check/simulation/faults.py
@@ -78,12 +78,12 @@
     # --- daemons -----------------------------------------------------------------------
 
     def _spawn_for_running(
-        self, names: Iterable[str], act: Callable[[str, float], Any], after_s: float
+        self, names: Iterable[str], action: Callable[[str, float], Any], after_s: float
     ) -> None:
         for name in names:
             process = self._run.processes[name]
             if not process.ended.done() and not process.stopping:
-                self._run.spawn(act(name, after_s))
+                self._run.spawn(action(name, after_s))
 
     async def _kill(self, name: str, restart_after_s: float) -> None:
         self._run.record(DaemonKilled(time_s=monotonic_s(), daemon=name))
--- a/passgate/check/simulation/schedule.py
+++ b/passgate/check/simulation/schedule.py
@@ -93,7 +93,7 @@
 
 
 def fault_name(fault: AnyScheduledFault) -> str:
-    """Return the kind of a fault, with the suffix "_all" if it strikes all daemons.
+    """Return the kind of a fault, with the suffix "_all" if it affects all daemons.
 
     >>> fault_name(DaemonKill(at_s=5.0, daemons=("a-1",), restart_after_s=1.0))
     'daemon_kill'
@@ -101,8 +101,8 @@
     'daemon_kill_all'
     """
     name = str(fault.__struct_config__.tag)
-    strikes_all = isinstance(fault, DaemonFault) and len(fault.daemons) == len(DAEMONS)
-    return f"{name}_all" if strikes_all else name
+    affects_all = isinstance(fault, DaemonFault) and len(fault.daemons) == len(DAEMONS)
+    return f"{name}_all" if affects_all else name
 
 
 def encode_schedule(schedule: Schedule) -> bytes:
--- a/passgate/check/simulation/service.py
+++ b/passgate/check/simulation/service.py
@@ -109,11 +109,11 @@
 
     def _next_process(self) -> SimulatedProcess:
         names = sorted(self._processes)
-        order = [self._processes[names[(self._call_count + i) % len(names)]] for i in range(len(names))]
-        return next((p for p in order if p.is_ready and not p.stopping), order[0])
+        rotation = [self._processes[names[(self._call_count + i) % len(names)]] for i in range(len(names))]
+        return next((p for p in rotation if p.is_ready and not p.stopping), rotation[0])
 
     async def _call(
-        self, use: Callable[[SimulatedProcess], Awaitable[Result]], request_id: str = ""
+        self, call: Callable[[SimulatedProcess], Awaitable[Result]], request_id: str = ""
     ) -> Result:
         process = self._next_process()
         self._call_count += 1
@@ -123,7 +123,7 @@
             raise BackendUnreachable("connection refused", execution=ExecutionStatus.NOT_RUN)
         gate = process.daemon.context.gate
         gate.enter()
-        work = asyncio.ensure_future(use(process))
+        work = asyncio.ensure_future(call(process))
         try:
             await self._wait_unless_ended(work, process)
         finally:
@@ -190,8 +190,8 @@
     process: SimulatedProcess, key: str, digest: str, run: Callable[[], Awaitable[ClaimOutcome]]
 ) -> ClaimOutcome:
     """Run work under a claim; like in the daemon's handlers, it continues if its caller disconnects."""
-    claims = process.parts.claims.run_once(key, digest, run, DURABILITY_TIMEOUT_S)
-    return await asyncio.shield(process.daemon.context.gate.detach(claims))
+    claimed_run = process.parts.claims.run_once(key, digest, run, DURABILITY_TIMEOUT_S)
+    return await asyncio.shield(process.daemon.context.gate.detach(claimed_run))
 
 
 async def _put_class(process: SimulatedProcess, name: str) -> None:
--- a/passgate/check/socket_faults.py
+++ b/passgate/check/socket_faults.py
@@ -90,6 +90,7 @@
         self._run = run
         self.records: list[FaultRecord] = []
         self._turn_count = run.seed
+        """Grows with each fault and so chooses the next target; the seed sets the first one."""
         self._disconnect_count_by_zone: Counter[str] = Counter()
         """Number of current faults by which the daemon of a zone can not read the log."""
 
--- a/passgate/check/socket_tables.py
+++ b/passgate/check/socket_tables.py
@@ -58,7 +58,7 @@
     unhandled = sum(len(report.unhandled) for report in reports)
     return (
         f"{len(reports)} runs, {held_count} without any violation, {events} events, "
-        f"{len(codes)} planned stops of which {codes.count(0)} ended with 0, "
+        f"{len(codes)} graceful shutdowns of which {codes.count(0)} ended with 0, "
         f"{unhandled} unhandled exceptions."
     )
 
@@ -76,7 +76,7 @@
                     values_by_figure.setdefault((record.fault, name), []).append(value)
         if report.in_force_max_s is not None:
             values_by_figure.setdefault(("whole run", "in_force_max_s"), []).append(report.in_force_max_s)
-    lines = ["| fault | figure | times | least s | most s |", "|---|---|---:|---:|---:|"]
+    lines = ["| fault | figure | times | min s | max s |", "|---|---|---:|---:|---:|"]
     for (fault, name), values in sorted(values_by_figure.items()):
         lines.append(f"| {fault} | {name} | {len(values)} | {min(values):.2f} | {max(values):.2f} |")
     return "\n".join(lines)
--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -177,6 +177,7 @@
                 await asyncio.sleep(0.2)
 
     async def send_over(self, connection, daemon, path):
+        """Send requests over a connection until it closes; record a request that was cut off."""
         while not self.world.stopping and connection.is_open:
             request_id = f"k{self.world.next_number()}"
             self.daemon_by_request[request_id] = daemon.name
@@ -313,6 +314,7 @@
             report_violation(f"{job_id}: {result['id']} has {'a' if 'score' in result else 'no'} score")
 
     async def change_target_versions(self):
+        """Publish a higher target version of the model every few seconds."""
         while not self.world.stopping:
             await asyncio.sleep(self.random.uniform(2.0, 5.0))
             self.world.publish_target_version()
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -91,8 +91,8 @@
     async def stop_daemon(self):
         """Shut a daemon down gracefully and start it again.
 
-        SIGTERM may be sent several times, with SIGHUP in between.  The daemon must exit with 0
-        within its grace period if it had started and no other fault disturbs it.
+        SIGTERM may be sent several times, with SIGHUP in between.  If the daemon had started and
+        no other fault disturbs it, it must exit with 0 before ``wait_for_exit`` kills it.
         """
         daemon = self.world.random_daemon()
         with self.world.disturbances.record("stop", daemon.name, planned=True):
--- a/tests/soak/trouble.py
+++ b/tests/soak/trouble.py
@@ -14,7 +14,7 @@
 class Disturbance:
     """One injected fault that may excuse a daemon."""
 
-    what: str
+    kind: str
     target: str
     """Name of a daemon, or ``ALL_TARGETS``."""
     is_planned: bool
@@ -30,9 +30,9 @@
         self._disturbances = []
 
     @contextlib.contextmanager
-    def record(self, what, target=ALL_TARGETS, *, planned=False):
+    def record(self, kind, target=ALL_TARGETS, *, planned=False):
         """Record a disturbance for the duration of a ``with`` block."""
-        disturbance = Disturbance(what, target, planned, time.monotonic())
+        disturbance = Disturbance(kind, target, planned, time.monotonic())
         self._disturbances.append(disturbance)
         try:
             yield
--- a/tests/soak/world.py
+++ b/tests/soak/world.py
@@ -79,15 +79,17 @@
         self._restarts = set()
 
     def count(self, kind):
+        """Count an event of the run by its kind, for the report."""
         self.count_by_kind[kind] = self.count_by_kind.get(kind, 0) + 1
 
     def log_phase(self, name):
         print(f"{time.monotonic() - self.started_s:8.2f} s: {name}", file=sys.stderr, flush=True)
 
-    def report_violation(self, what):
-        self.violations.append(f"{time.monotonic() - self.started_s:.2f} s: {what}")
+    def report_violation(self, message):
+        self.violations.append(f"{time.monotonic() - self.started_s:.2f} s: {message}")
 
     def next_number(self):
+        """Return a number that makes an identifier unique within the run."""
         self._last_number += 1
         return self._last_number
 
@@ -95,6 +97,7 @@
         return self.random.choice(self.daemons)
 
     async def start(self):
+        """Start replicas and daemons, and publish the first configuration."""
         for service, count in (("app", APP_REPLICAS), ("llm", MODEL_REPLICAS)):
             for number in range(count):
                 self.add_replica(service, ZONES[number % len(ZONES)])
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -7,7 +7,7 @@
 from tests.soak.judge import ResultChecker
 
 
-class World:
+class WorldStub:
     """A world without daemons, which only collects violations."""
 
     def __init__(self):
@@ -22,13 +22,13 @@
     def count(self, kind):
         pass
 
-    def report_violation(self, what):
-        self.violations.append(what)
+    def report_violation(self, message):
+        self.violations.append(message)
 
 
 async def test_a_job_with_an_unconfirmed_cancellation_need_not_be_complete():
     """An unconfirmed cancellation may take effect: the soak must not wait for the job's results."""
-    world = World()
+    world = WorldStub()
     callers = Callers(world)
     callers.jobs["j"] = SubmittedJob(items=["a"], min_version=1, accepted_s=1.0)
     answers = [504, 503, 200]
