--- a/passgate/check/judges_operations.py
+++ b/passgate/check/judges_operations.py
@@ -1,4 +1,4 @@
-"""Judges of the promises on operations: leaving back ends, planned stops, configuration."""
+"""Checks of the guarantees on operations: leaving back ends, graceful shutdowns, configuration."""
 
 from __future__ import annotations
 
@@ -27,181 +27,192 @@
 from passgate.check.history import Violation
 
 LEAVING = "leaving"
-PLANNED_STOP = "planned_stop"
+GRACEFUL_SHUTDOWN = "planned_stop"
 CONFIGURATION = "configuration"
 
 LEAVING_GRACE_S = 5.0
-"""Longest time after the first word of leaving in which new work may still arrive."""
+"""Time after the first report of leaving in which a back end may still start new work."""
 
-IN_FORCE_WITHIN_S = 19.0
-"""Longest time from acceptance, or from the end of a daemon's cut, until it is in force."""
+MAX_ADOPTION_S = 19.0
+"""Longest time until a daemon applies a change, from the change's acceptance or its own reconnection."""
 
 
-def judge_leaving(events: Sequence[AnyEvent], grace_s: float = LEAVING_GRACE_S) -> list[Violation]:
-    """A back end that is leaving starts no new work after the grace period."""
+def check_leaving(events: Sequence[AnyEvent], grace_s: float = LEAVING_GRACE_S) -> list[Violation]:
+    """Find work that a leaving back end started after the grace period."""
     violations = []
-    leaving: dict[tuple[str, int], BackendLeaving] = {}
+    report_by_replica: dict[tuple[str, int], BackendLeaving] = {}
     for event in events:
         if isinstance(event, BackendLeaving):
-            leaving.setdefault((event.replica_id, event.generation), event)
+            report_by_replica.setdefault((event.replica_id, event.generation), event)
         elif isinstance(event, BackendRunStarted):
-            word = leaving.get((event.replica_id, event.generation))
-            if word is not None and event.time_s > word.time_s + grace_s:
-                late_s = event.time_s - word.time_s
-                message = f"{event.replica_id} got {event.request_id} {late_s:.1f} s after its word"
+            report = report_by_replica.get((event.replica_id, event.generation))
+            if report is not None and event.time_s > report.time_s + grace_s:
+                late_s = event.time_s - report.time_s
+                message = (
+                    f"{event.replica_id} started {event.request_id} {late_s:.1f} s after reporting leaving"
+                )
                 violations.append(
-                    Violation(promise=LEAVING, rule="new_work", message=message, excerpt=(word, event))
+                    Violation(guarantee=LEAVING, rule="new_work", message=message, excerpt=(report, event))
                 )
     return violations
 
 
-def judge_planned_stop(events: Sequence[AnyEvent]) -> list[Violation]:
-    """A daemon that stops by plan, and was not killed meanwhile, cuts no request off."""
+def check_graceful_shutdown(events: Sequence[AnyEvent]) -> list[Violation]:
+    """Find requests that a daemon cut off in a graceful shutdown; a kill ends the shutdown."""
     violations = []
-    invoked: dict[str, GenerateInvoked | AppInvoked] = {}
-    stopping: dict[str, StopRequested] = {}
+    invocation_by_id: dict[str, GenerateInvoked | AppInvoked] = {}
+    stops: dict[str, StopRequested] = {}
     for event in events:
         if isinstance(event, GenerateInvoked | AppInvoked):
-            invoked[event.request_id] = event
+            invocation_by_id[event.request_id] = event
         elif isinstance(event, StopRequested):
-            stopping[event.daemon] = event
+            stops[event.daemon] = event
         elif isinstance(event, DaemonKilled | DaemonStarted):
-            stopping.pop(event.daemon, None)
-        elif isinstance(event, RequestCutOff) and event.request_id in invoked:
-            asked = invoked[event.request_id]
-            if asked.daemon in stopping:
-                violations.append(_cut_off(stopping[asked.daemon], asked, event))
+            stops.pop(event.daemon, None)
+        elif isinstance(event, RequestCutOff) and event.request_id in invocation_by_id:
+            invocation = invocation_by_id[event.request_id]
+            if invocation.daemon in stops:
+                violations.append(_make_cut_off_violation(stops[invocation.daemon], invocation, event))
     return violations
 
 
-def _cut_off(stop: StopRequested, asked: GenerateInvoked | AppInvoked, cut: RequestCutOff) -> Violation:
-    first, second = sorted((stop, asked), key=lambda event: event.time_s)
+def _make_cut_off_violation(
+    stop: StopRequested, invocation: GenerateInvoked | AppInvoked, cut: RequestCutOff
+) -> Violation:
+    first, second = sorted((stop, invocation), key=lambda event: event.time_s)
     return Violation(
-        promise=PLANNED_STOP,
+        guarantee=GRACEFUL_SHUTDOWN,
         rule="cut_off",
-        message=f"{cut.request_id} was cut off by the planned stop of {stop.daemon}",
+        message=f"{cut.request_id} was cut off by the graceful shutdown of {stop.daemon}",
         excerpt=(first, second, cut),
     )
 
 
-def judge_configuration(events: Sequence[AnyEvent], within_s: float = IN_FORCE_WITHIN_S) -> list[Violation]:
-    """Accepted configuration is in force everywhere within seconds and never reverts."""
+def check_configuration(
+    events: Sequence[AnyEvent], max_adoption_s: float = MAX_ADOPTION_S
+) -> list[Violation]:
+    """Find accepted changes that a daemon lacks, applies late or reverts, and false conflicts."""
     return [
-        *_reverted(events),
-        *_differing(events),
-        *_lost_changes(events),
-        *_false_conflicts(events),
-        *_late(events, within_s),
+        *_find_reversions(events),
+        *_find_differences(events),
+        *_find_lost_changes(events),
+        *_find_false_conflicts(events),
+        *_find_late_adoptions(events, max_adoption_s),
     ]
 
 
-def _violation(rule: str, message: str, *excerpt: AnyEvent) -> Violation:
-    return Violation(promise=CONFIGURATION, rule=rule, message=message, excerpt=excerpt)
+def _make_violation(rule: str, message: str, *excerpt: AnyEvent) -> Violation:
+    return Violation(guarantee=CONFIGURATION, rule=rule, message=message, excerpt=excerpt)
 
 
 def _reports(events: Sequence[AnyEvent]) -> list[ConfigurationInForce]:
     return [event for event in events if isinstance(event, ConfigurationInForce)]
 
 
-def _reverted(events: Sequence[AnyEvent]) -> Iterable[Violation]:
-    """The revision of one daemon never goes back, also not over a restart."""
-    newest: dict[str, ConfigurationInForce] = {}
+def _find_reversions(events: Sequence[AnyEvent]) -> Iterable[Violation]:
+    """Find daemons whose revision went back, also over a restart."""
+    newest_by_daemon: dict[str, ConfigurationInForce] = {}
     for report in _reports(events):
-        known = newest.get(report.daemon)
+        known = newest_by_daemon.get(report.daemon)
         if known is not None and report.revision < known.revision:
             message = f"{report.daemon} went from revision {known.revision} to {report.revision}"
-            yield _violation("monotonic", message, known, report)
+            yield _make_violation("monotonic", message, known, report)
         else:
-            newest[report.daemon] = report
+            newest_by_daemon[report.daemon] = report
 
 
-def _differing(events: Sequence[AnyEvent]) -> Iterable[Violation]:
-    """Two daemons at one revision hold the same objects."""
-    first: dict[int, ConfigurationInForce] = {}
+def _find_differences(events: Sequence[AnyEvent]) -> Iterable[Violation]:
+    """Find daemons that have different objects at the same revision."""
+    first_by_revision: dict[int, ConfigurationInForce] = {}
     for report in _reports(events):
-        known = first.setdefault(report.revision, report)
+        known = first_by_revision.setdefault(report.revision, report)
         if known.objects != report.objects:
             message = f"{known.daemon} and {report.daemon} differ at revision {report.revision}"
-            yield _violation("same_everywhere", message, known, report)
+            yield _make_violation("same_everywhere", message, known, report)
+
 
+def _find_lost_changes(events: Sequence[AnyEvent]) -> Iterable[Violation]:
+    """Find daemons at or past an accepted revision that have neither its value nor a later one.
 
-def _lost_changes(events: Sequence[AnyEvent]) -> Iterable[Violation]:
-    """A daemon at or past an accepted revision holds that value or a later change of it."""
+    An absent object counts as lost only if no operator sent a deletion of it.
+    """
     accepted = [event for event in events if isinstance(event, ConfigurationAccepted)]
-    deletions = {
+    deleted_names = {
         event.name for event in events if isinstance(event, ConfigurationInvoked) and not event.value
     }
     for report in _reports(events):
-        held = {item.name: item for item in report.objects}
+        object_by_name = {item.name: item for item in report.objects}
         for change in accepted:
             if change.revision > report.revision:
                 continue
-            if _is_lost(change, held.get(change.name), deletions):
+            if _is_lost(change, object_by_name.get(change.name), deleted_names):
                 message = f"{report.daemon} lacks {change.name} of revision {change.revision}"
-                yield _violation("accepted_stays", message, change, report)
+                yield _make_violation("accepted_stays", message, change, report)
 
 
-def _is_lost(change: ConfigurationAccepted, held: ConfigurationObject | None, deletions: set[str]) -> bool:
-    if held is None:
-        return bool(change.value) and change.name not in deletions
-    if held.revision == change.revision:
-        return held.value != change.value
-    return held.revision < change.revision
+def _is_lost(
+    change: ConfigurationAccepted, applied: ConfigurationObject | None, deleted_names: set[str]
+) -> bool:
+    if applied is None:
+        return bool(change.value) and change.name not in deleted_names
+    if applied.revision == change.revision:
+        return applied.value != change.value
+    return applied.revision < change.revision
 
 
-def _false_conflicts(events: Sequence[AnyEvent]) -> Iterable[Violation]:
-    """A conflict names a revision of the object that stands on the log and differs from the expected one."""
-    known: dict[str, set[int]] = defaultdict(set)
+def _find_false_conflicts(events: Sequence[AnyEvent]) -> Iterable[Violation]:
+    """Find conflicts that name the expected revision, or one that the object never had."""
+    revisions_by_name: dict[str, set[int]] = defaultdict(set)
     for event in events:
         if isinstance(event, ConfigurationAccepted):
-            known[event.name].add(event.revision)
+            revisions_by_name[event.name].add(event.revision)
         elif isinstance(event, ConfigurationInForce):
             for item in event.objects:
-                known[item.name].add(item.revision)
+                revisions_by_name[item.name].add(item.revision)
     for event in events:
         if not isinstance(event, ConfigurationRefused):
             continue
         if event.winning_revision == event.expected_revision:
-            yield _violation("true_conflict", f"{event.name}: refused without a conflict", event)
-        elif event.winning_revision and event.winning_revision not in known[event.name]:
-            message = f"{event.name}: lost to revision {event.winning_revision}, which never was"
-            yield _violation("true_conflict", message, event)
+            yield _make_violation("true_conflict", f"{event.name}: refused without a conflict", event)
+        elif event.winning_revision and event.winning_revision not in revisions_by_name[event.name]:
+            message = f"{event.name}: refused for revision {event.winning_revision}, which never existed"
+            yield _make_violation("true_conflict", message, event)
 
 
-def _late(events: Sequence[AnyEvent], within_s: float) -> Iterable[Violation]:
-    """Each daemon that can hear reports an accepted revision in time."""
+def _find_late_adoptions(events: Sequence[AnyEvent], max_adoption_s: float) -> Iterable[Violation]:
+    """Find accepted changes that a daemon connected to the log did not apply in time."""
     end_s = max((event.time_s for event in events), default=0.0)
     for change in events:
         if not isinstance(change, ConfigurationAccepted):
             continue
-        for daemon, since in _hearing_since(events, change).items():
-            deadline_s = since.time_s + within_s
-            alive_since_s = since.time_s if isinstance(since, DaemonStarted) else 0.0
-            if deadline_s > end_s or _heard_by(events, daemon, change.revision, alive_since_s, deadline_s):
+        for daemon, start in _find_adoption_starts(events, change).items():
+            deadline_s = start.time_s + max_adoption_s
+            started_s = start.time_s if isinstance(start, DaemonStarted) else 0.0
+            if deadline_s > end_s or _has_adopted(events, daemon, change.revision, started_s, deadline_s):
                 continue
-            message = f"{daemon} lacked revision {change.revision} {within_s:g} s later"
-            excerpt = (change,) if since is change else (change, since)
-            yield _violation("in_force", message, *excerpt)
+            message = f"{daemon} had not applied revision {change.revision} after {max_adoption_s:g} s"
+            excerpt = (change,) if start is change else (change, start)
+            yield _make_violation("in_force", message, *excerpt)
 
 
-def _hearing_since(events: Sequence[AnyEvent], change: ConfigurationAccepted) -> dict[str, AnyEvent]:
-    """Return for each daemon the event from which it must learn of a change in time.
+def _find_adoption_starts(events: Sequence[AnyEvent], change: ConfigurationAccepted) -> dict[str, AnyEvent]:
+    """Return for each daemon the event from which its time to apply a change is counted.
 
-    That is the change itself, or the daemon's later start or reconnection; daemons that
-    end or are cut off before they had the time are left out.
+    That is the change itself, or the daemon's later start or reconnection.  Daemons that are
+    ended or disconnected at the end of the history are left out.
     """
-    since: dict[str, AnyEvent] = {}
-    away: set[str] = set()
+    start_by_daemon: dict[str, AnyEvent] = {}
+    absent: set[str] = set()
     for event in events:
         if isinstance(event, DaemonStarted | DaemonReconnected):
-            away.discard(event.daemon)
-            since[event.daemon] = event if event.time_s >= change.time_s else change
+            absent.discard(event.daemon)
+            start_by_daemon[event.daemon] = event if event.time_s >= change.time_s else change
         elif isinstance(event, DaemonKilled | StopRequested | StopFinished | DaemonCut):
-            away.add(event.daemon)
-    return {daemon: event for daemon, event in since.items() if daemon not in away}
+            absent.add(event.daemon)
+    return {daemon: event for daemon, event in start_by_daemon.items() if daemon not in absent}
 
 
-def _heard_by(
+def _has_adopted(
     events: Sequence[AnyEvent], daemon: str, revision: int, since_s: float, deadline_s: float
 ) -> bool:
     return any(
--- a/passgate/check/simulation/process.py
+++ b/passgate/check/simulation/process.py
@@ -1,8 +1,8 @@
-"""One daemon process in virtual time: the real daemon behind a boundary that can freeze or end.
+"""A daemon process in virtual time, which can be paused and killed.
 
-A paused process neither sends nor receives; its own timers still fire, which is
-harsher than a stopped process, as it then acts on what it believed before.  A
-killed process never sends again, while what it had sent still takes effect.
+A paused process neither sends nor receives, but its timers still fire, so that it acts on
+state that may be out of date; a process under SIGSTOP would not.  A killed process sends
+nothing more, while calls that it had sent still take effect.
 """
 
 from __future__ import annotations
@@ -37,34 +37,34 @@
 
 
 class ProcessBoundary:
-    """Everything that goes in or out of a process waits here while it is paused."""
+    """Delays all calls and answers of a process while it is paused."""
 
     def __init__(self) -> None:
         self._running = asyncio.Event()
         self._running.set()
 
     def pause(self) -> None:
-        """Hold everything back."""
+        """Delay all calls and answers from now on."""
         self._running.clear()
 
     def resume(self) -> None:
-        """Let everything pass again."""
+        """Let delayed calls and answers continue."""
         self._running.set()
 
-    async def crossing(self, work: Callable[[], Awaitable[Result]]) -> Result:
-        """Do ``work`` outside of the process; its answer too comes in only while it runs."""
+    async def cross(self, call: Callable[[], Awaitable[Result]]) -> Result:
+        """Make a call out of the process; both the call and its answer wait while the process is paused."""
         await self._running.wait()
         try:
-            return await work()
+            return await call()
         finally:
             await self._running.wait()
 
-    async def wait(self) -> None:
-        """Wait until the process runs."""
+    async def wait_until_running(self) -> None:
+        """Wait until the process is not paused."""
         await self._running.wait()
 
 
-class BoundLog:
+class PausableLog:
     """``interfaces.LogClient`` of one process."""
 
     def __init__(self, inner: LogClient, boundary: ProcessBoundary) -> None:
@@ -73,14 +73,14 @@
 
     async def append(self, stream: str, payloads: Sequence[bytes], timeout_s: float) -> int:
         """Append records; see ``interfaces.LogClient``."""
-        return await self._boundary.crossing(lambda: self._inner.append(stream, payloads, timeout_s))
+        return await self._boundary.cross(lambda: self._inner.append(stream, payloads, timeout_s))
 
     async def read(self, stream: str, offset: int, limit: int, wait_s: float) -> LogBatch:
         """Read records; see ``interfaces.LogClient``."""
-        return await self._boundary.crossing(lambda: self._inner.read(stream, offset, limit, wait_s))
+        return await self._boundary.cross(lambda: self._inner.read(stream, offset, limit, wait_s))
 
 
-class BoundEngine:
+class PausableEngine:
     """``interfaces.EngineClient`` of one process."""
 
     def __init__(self, inner: EngineClient, boundary: ProcessBoundary) -> None:
@@ -89,33 +89,33 @@
 
     async def generate(self, address: str, request: GenerateRequest) -> AsyncIterator[GenerateChunk]:
         """Stream the output of one request; see ``interfaces.EngineClient``."""
-        await self._boundary.wait()
+        await self._boundary.wait_until_running()
         stream = self._inner.generate(address, request)
         try:
             async for chunk in stream:
-                await self._boundary.wait()
+                await self._boundary.wait_until_running()
                 yield chunk
         finally:
             await stream.aclose()
 
     async def cancel(self, address: str, request_id: str) -> None:
         """Cancel a request."""
-        await self._boundary.crossing(lambda: self._inner.cancel(address, request_id))
+        await self._boundary.cross(lambda: self._inner.cancel(address, request_id))
 
     async def load_report(self, address: str) -> LoadReport:
         """Return the engine's latest report."""
-        return await self._boundary.crossing(lambda: self._inner.load_report(address))
+        return await self._boundary.cross(lambda: self._inner.load_report(address))
 
     async def cache_events(self, address: str, after_sequence: int) -> Sequence[CacheEvent]:
         """Return later cache events."""
-        return await self._boundary.crossing(lambda: self._inner.cache_events(address, after_sequence))
+        return await self._boundary.cross(lambda: self._inner.cache_events(address, after_sequence))
 
     async def order(self, address: str, order: EngineOrder) -> OrderResult:
         """Send a control order."""
-        return await self._boundary.crossing(lambda: self._inner.order(address, order))
+        return await self._boundary.cross(lambda: self._inner.order(address, order))
 
 
-class BoundApp:
+class PausableApp:
     """``interfaces.AppClient`` of one process."""
 
     def __init__(self, inner: AppClient, boundary: ProcessBoundary) -> None:
@@ -124,15 +124,15 @@
 
     async def call(self, address: str, request: AppRequest) -> AppResponse:
         """Forward a call."""
-        return await self._boundary.crossing(lambda: self._inner.call(address, request))
+        return await self._boundary.cross(lambda: self._inner.call(address, request))
 
     async def load_report(self, address: str) -> LoadReport:
         """Return the replica's latest report."""
-        return await self._boundary.crossing(lambda: self._inner.load_report(address))
+        return await self._boundary.cross(lambda: self._inner.load_report(address))
 
 
-class BoundMachineList:
-    """``interfaces.MachineList`` of one process; ``on_read`` is told what each read shows."""
+class PausableMachineList:
+    """``interfaces.MachineList`` of one process; ``on_read`` is called with the result of each read."""
 
     def __init__(
         self,
@@ -146,26 +146,26 @@
 
     async def machines(self) -> Sequence[MachineInfo]:
         """Return the list."""
-        machines = await self._boundary.crossing(self._inner.machines)
+        machines = await self._boundary.cross(self._inner.machines)
         self._on_read(machines)
         return machines
 
 
-class _PortlessDaemon(Daemon):
-    """The daemon without its HTTP ports: callers enter through :class:`SimulatedProcess`."""
+class _DaemonWithoutPorts(Daemon):
+    """A daemon without HTTP ports; callers use the components of :class:`SimulatedProcess` directly."""
 
     def _listen(self, routes: Any, address: str) -> str:
         return address
 
 
 class SimulatedProcess:
-    """One run of one daemon."""
+    """One incarnation of a daemon."""
 
     def __init__(
         self,
         name: str,
         zone: str,
-        run: int,
+        incarnation: int,
         world: EmulatedWorld,
         peers: MemoryNetwork,
         seeds: tuple[str, ...],
@@ -175,25 +175,26 @@
         self.zone = zone
         self.boundary = ProcessBoundary()
         self.ended: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-        """Done when the process is gone: connections to it are reset."""
+        """Done when the process has ended; connections to it are then reset."""
         self.stopping = False
+        """Whether a graceful shutdown has begun."""
         self._transport: MemoryTransport = peers.transport(peer_address(name), zone)
-        random = world.random(f"{name}/{run}")
-        self.daemon = _PortlessDaemon(
+        random = world.random(f"{name}/{incarnation}")
+        self.daemon = _DaemonWithoutPorts(
             self._settings(seeds),
-            _silent_logger(),
+            _make_silent_logger(),
             random,
-            self._outside(world, run, on_read),
+            self._make_external_clients(world, incarnation, on_read),
         )
 
     @property
     def parts(self):
-        """Parts of the daemon."""
+        """Components of the daemon."""
         return self.daemon.parts
 
     @property
     def is_ready(self) -> bool:
-        """Whether the daemon serves."""
+        """Whether the daemon accepts requests."""
         return not self.ended.done() and not self.daemon.context.gate.starting
 
     def start(self) -> None:
@@ -201,18 +202,18 @@
         self.daemon.start()
 
     def pause(self) -> None:
-        """Freeze the process."""
+        """Pause the process: nothing goes in or out, but its timers fire."""
         self.boundary.pause()
         self._transport.pause()
 
     def resume(self) -> None:
-        """Let the process go on."""
+        """Resume a paused process; an ended one stays disconnected from its peers."""
         self.boundary.resume()
         if not self.ended.done():
             self._transport.resume()
 
     async def kill(self) -> None:
-        """End the process at once."""
+        """Kill the process; does nothing if it has ended."""
         if self.ended.done():
             return
         self.ended.set_result(None)
@@ -221,12 +222,12 @@
         await self.daemon.close()
 
     async def stop(self) -> bool:
-        """Stop as planned; return whether everything was finished or handed over."""
+        """Shut the daemon down gracefully; return whether no work was interrupted."""
         self.stopping = True
-        whole = await self.daemon.stop()
+        is_clean = await self.daemon.stop()
         if not self.ended.done():
             self.ended.set_result(None)
-        return whole
+        return is_clean
 
     def _settings(self, seeds: tuple[str, ...]) -> Settings:
         return Settings(
@@ -238,16 +239,16 @@
             stop=StopSettings(notice_s=NOTICE_S, drain_timeout_s=DRAIN_TIMEOUT_S),
         )
 
-    def _outside(
-        self, world: EmulatedWorld, run: int, on_read: Callable[[Sequence[MachineInfo]], None]
+    def _make_external_clients(
+        self, world: EmulatedWorld, incarnation: int, on_read: Callable[[Sequence[MachineInfo]], None]
     ) -> Outside:
-        log = world.log_client(self.zone, f"{self.name}/{run}")
+        log = world.log_client(self.zone, f"{self.name}/{incarnation}")
         return Outside(
-            log=BoundLog(log, self.boundary),
-            machine_list=BoundMachineList(world.machine_list, self.boundary, on_read),
+            log=PausableLog(log, self.boundary),
+            machine_list=PausableMachineList(world.machine_list, self.boundary, on_read),
             weight_store=None,
-            engine=BoundEngine(world.engine_client(self.zone), self.boundary),
-            app=BoundApp(world.app_client(self.zone), self.boundary),
+            engine=PausableEngine(world.engine_client(self.zone), self.boundary),
+            app=PausableApp(world.app_client(self.zone), self.boundary),
             transport=self._transport,
         )
 
@@ -262,7 +263,7 @@
     return f"10.{ord(zone) - ord('a')}.0.{number}:7000"
 
 
-def _silent_logger() -> logging.Logger:
+def _make_silent_logger() -> logging.Logger:
     logger = logging.getLogger("passgate.simulation")
     logger.addHandler(logging.NullHandler())
     logger.propagate = False
--- a/passgate/check/simulation/recovery.py
+++ b/passgate/check/simulation/recovery.py
@@ -1,9 +1,9 @@
-"""Virtual time from a fault to normal service, seen by steady probes.
+"""Measures the virtual time from a fault to normal service by periodic probes.
 
-Probes of four services run side by side through all daemons: a call to an
-application, a generated answer, a lot of one sample and a configuration change.
-Service is normal again from the first probe after the fault since which none has
-failed or taken longer than its limit.
+Each probe is a call to an application, a generate request, a lot of one sample or a
+configuration change, through the daemons in turn.  Service has recovered at the first
+probe that starts after the last abnormal one.  A probe is abnormal if it fails or takes
+longer than ``MAX_NORMAL_S_BY_SERVICE``.
 """
 
 from __future__ import annotations
@@ -24,15 +24,15 @@
 from passgate.state.lot_types import LotRequest
 
 FAULT_AT_S = 10.0
-WATCHED_S = 60.0
+OBSERVED_S = 60.0
 PROBE_PERIOD_S = 0.25
 RESTART_S = 2.0
 ENGINE_RESTART_S = 5.0
 OUTAGE_S = 10.0
 PROBE_DEADLINE_S = 20.0
 
-SLOWEST_NORMAL_S = {"app": 0.5, "generate": 1.5, "lot": 3.0, "configuration": 0.5}
-"""A probe that takes longer is not normal service."""
+MAX_NORMAL_S_BY_SERVICE = {"app": 0.5, "generate": 1.5, "lot": 3.0, "configuration": 0.5}
+"""Longest duration of a normal probe by service."""
 
 SCENARIOS: dict[str, tuple[AnyScheduledFault, ...]] = {
     "one daemon killed": (DaemonKill(at_s=FAULT_AT_S, daemons=DAEMONS[:1], restart_after_s=RESTART_S),),
@@ -52,35 +52,37 @@
 
 
 class RecoveryResult(msgspec.Struct, frozen=True, kw_only=True):
-    """Recovery of one service after one fault, over some seeds; seconds from the fault's begin."""
+    """Recovery of one service after one fault, over several seeds."""
 
     fault: str
     service: str
     fault_lasts_s: float
     probes: int
     abnormal: int
-    """Probes that failed or were slow after the fault."""
+    """Number of probes that failed or were slow."""
     recovered_s: tuple[float, ...]
-    """One figure per seed; 0 when no probe was abnormal."""
+    """By seed, the time from the start of the fault to recovery; 0 if no probe was abnormal."""
 
 
 class _Probe(msgspec.Struct, frozen=True):
     service: str
     started_s: float
-    normal: bool
+    """Seconds since the first probe."""
+    is_normal: bool
 
 
 def measure(seeds: int) -> Iterator[RecoveryResult]:
-    """Yield the results of every scenario and service."""
+    """Yield a result for every scenario and service, over the first ``seeds`` seeds."""
     for name, faults in SCENARIOS.items():
         runs = [
-            run_virtual(_RecoveryRun(Schedule(seed=seed, faults=faults)).probes()) for seed in range(seeds)
+            run_virtual(_RecoveryRun(Schedule(seed=seed, faults=faults)).run_probes())
+            for seed in range(seeds)
         ]
-        for service in SLOWEST_NORMAL_S:
-            yield _result(name, faults, service, runs)
+        for service in MAX_NORMAL_S_BY_SERVICE:
+            yield _make_result(name, faults, service, runs)
 
 
-def line(result: RecoveryResult) -> str:
+def format_line(result: RecoveryResult) -> str:
     """Return a result as one line of a table."""
     times = " ".join(f"{seconds:6.2f}" for seconds in result.recovered_s)
     return (
@@ -89,56 +91,59 @@
     )
 
 
-def _result(
+def _make_result(
     name: str, faults: tuple[AnyScheduledFault, ...], service: str, runs: list[list[_Probe]]
 ) -> RecoveryResult:
-    chosen = [[probe for probe in probes if probe.service == service] for probes in runs]
+    probes_by_seed = [[probe for probe in probes if probe.service == service] for probes in runs]
     return RecoveryResult(
         fault=name,
         service=service,
-        fault_lasts_s=max(_lasts_s(fault) for fault in faults),
-        probes=sum(map(len, chosen)),
-        abnormal=sum(not probe.normal for probes in chosen for probe in probes),
-        recovered_s=tuple(_recovered_s(probes) for probes in chosen),
+        fault_lasts_s=max(_duration_s(fault) for fault in faults),
+        probes=sum(map(len, probes_by_seed)),
+        abnormal=sum(not probe.is_normal for probes in probes_by_seed for probe in probes),
+        recovered_s=tuple(_recovered_s(probes) for probes in probes_by_seed),
     )
 
 
-def _lasts_s(fault: AnyScheduledFault) -> float:
+def _duration_s(fault: AnyScheduledFault) -> float:
     return getattr(fault, "duration_s", None) or getattr(fault, "restart_after_s", 0.0)
 
 
 def _recovered_s(probes: list[_Probe]) -> float:
-    """Return the seconds from the fault to the first probe since which all are normal."""
-    abnormal = [probe.started_s for probe in probes if not probe.normal]
+    """Return the time from the fault to the first probe after the last abnormal one.
+
+    Without such a probe the service counts as recovered at the end of the observation.
+    """
+    abnormal = [probe.started_s for probe in probes if not probe.is_normal]
     if not abnormal:
         return 0.0
     later = [probe.started_s for probe in probes if probe.started_s > max(abnormal)]
-    return round(min(later, default=WATCHED_S) - FAULT_AT_S, 2)
+    return round(min(later, default=OBSERVED_S) - FAULT_AT_S, 2)
 
 
 class _RecoveryRun(SimulatedRun):
-    """A simulated run whose callers are probes."""
+    """A simulated run whose only callers are probes."""
 
     def __init__(self, schedule: Schedule) -> None:
         super().__init__(schedule, RunLimits())
         self._probes: list[_Probe] = []
-        self._begin_s = 0.0
+        self._started_s = 0.0
 
-    async def probes(self) -> list[_Probe]:
-        """Run to the end and return the probes that started after the fault."""
+    async def run_probes(self) -> list[_Probe]:
+        """Run to the end and return the probes that could still be open when the fault started."""
         await self.run()
         return [probe for probe in self._probes if probe.started_s >= FAULT_AT_S - PROBE_DEADLINE_S]
 
-    async def _work(self) -> None:
-        self._begin_s = monotonic_s()
+    async def _run_workload(self) -> None:
+        self._started_s = monotonic_s()
         service = self._service_for("probes")
         model = self.world.parameters.engines.models[0]
         self.faults.start(self.schedule.faults)
         open_probes = []
         number = 0
-        while monotonic_s() < self._begin_s + WATCHED_S:
+        while monotonic_s() < self._started_s + OBSERVED_S:
             number += 1
-            for name, call in _calls(service, model.name, number).items():
+            for name, call in _make_calls(service, model.name, number).items():
                 open_probes.append(asyncio.ensure_future(self._probe(name, call)))
             await asyncio.sleep(PROBE_PERIOD_S)
         await asyncio.gather(*open_probes)
@@ -151,12 +156,14 @@
             failed = False
         except (PassgateError, TimeoutError):
             failed = True
-        is_normal = not failed and monotonic_s() - started_s <= SLOWEST_NORMAL_S[name]
-        self._probes.append(_Probe(name, started_s - self._begin_s, is_normal))
+        is_normal = not failed and monotonic_s() - started_s <= MAX_NORMAL_S_BY_SERVICE[name]
+        self._probes.append(_Probe(name, started_s - self._started_s, is_normal))
 
 
-def _calls(service: SimulatedService, model: str, number: int) -> dict[str, Callable[[], Awaitable[object]]]:
-    """Return one call for each service."""
+def _make_calls(
+    service: SimulatedService, model: str, number: int
+) -> dict[str, Callable[[], Awaitable[object]]]:
+    """Return one call by service; ``number`` makes the identifiers unique."""
     app = AppRequest(
         request_id=f"probe-{number}",
         caller="probe",
@@ -179,12 +186,12 @@
     return {
         "app": lambda: service.call_app(app),
         "generate": lambda: service.generate(generate),
-        "lot": lambda: _collect(service, model, f"probe-{number}"),
+        "lot": lambda: _collect_sample(service, model, f"probe-{number}"),
         "configuration": lambda: service.change_class("probe"),
     }
 
 
-async def _collect(service: SimulatedService, model: str, lot_id: str) -> None:
+async def _collect_sample(service: SimulatedService, model: str, lot_id: str) -> None:
     prompts = (PromptSpec(prompt=(1, 2), max_tokens=8),)
     request = LotRequest(caller="probe", pool=model, model=model, staleness_bound=1, prompts=prompts)
     await service.open_lot(request, lot_id)
--- a/passgate/check/simulation/service.py
+++ b/passgate/check/simulation/service.py
@@ -1,4 +1,4 @@
-"""The simulated daemons as callers reach them, over the emulated network."""
+"""Calls to the simulated daemons over the emulated network."""
 
 from __future__ import annotations
 
@@ -27,16 +27,18 @@
 
 
 class ClientLink(msgspec.Struct):
-    """Present state of the way back to callers."""
+    """Current faults of the connection to callers."""
 
-    answer_loss: float = 0.0
+    answer_loss_probability: float = 0.0
+    """Probability with which each answer is lost."""
 
 
 class SimulatedService:
-    """Implements ``emulator.service.Service``: each call goes to the next daemon in turn.
+    """Implements ``emulator.service.Service``; calls go to the daemons in turn.
 
-    A daemon that is not ready, or said that it is leaving, is passed over while
-    another one is there, as a load balancer does.
+    Daemons that are not ready or are shutting down are skipped while another one is
+    available, as a load balancer does.  A failed call is not
+    repeated; the next call goes to the next daemon.
     """
 
     def __init__(
@@ -52,23 +54,23 @@
         self._link = link
         self._random = random
         self._record = record
-        self._turn = 0
+        self._call_count = 0
 
     @property
     def daemon(self) -> str:
         """Name of the daemon that the next call goes to."""
-        return self._next().name
+        return self._next_process().name
 
     # --- calls ------------------------------------------------------------------------
 
     async def generate(self, request: GenerateRequest, idempotency_key: str | None = None) -> GenerateResult:
-        """Return a whole answer."""
+        """Return a complete answer; with a key, the answer of the first request with that key."""
         if idempotency_key is None:
             return await self._call(lambda p: p.parts.dispatcher.generate(request), request.request_id)
         return await self._call(lambda p: _generate_once(p, request, idempotency_key), request.request_id)
 
     async def call_app(self, request: AppRequest, idempotency_key: str | None = None) -> AppResponse:
-        """Forward a call to an application service."""
+        """Forward a call to an application service; with a key, return the first request's answer."""
         if idempotency_key is None:
             return await self._call(lambda p: p.parts.dispatcher.call_app(request), request.request_id)
         return await self._call(lambda p: _call_app_once(p, request, idempotency_key), request.request_id)
@@ -84,15 +86,15 @@
         return await self._call(lambda p: p.parts.lots.read(lot_id, cursor, limit, wait_s, trainer_version))
 
     async def acknowledge(self, lot_id: str, sample_ids: Sequence[str]) -> None:
-        """Confirm that samples have arrived."""
+        """Confirm that samples were received."""
         await self._call(lambda p: p.parts.lots.acknowledge(lot_id, sample_ids))
 
     async def replace(self, lot_id: str, sample_ids: Sequence[str], trainer_version: int) -> None:
-        """Have withdrawn samples produced again."""
+        """Request replacements of withdrawn samples."""
         await self._call(lambda p: p.parts.lots.replace(lot_id, sample_ids, trainer_version))
 
     async def cancel_lot(self, lot_id: str) -> None:
-        """Give a lot up."""
+        """Cancel a lot."""
         await self._call(lambda p: p.parts.lots.cancel(lot_id))
 
     async def publish_version(self, model: str, version: int) -> None:
@@ -100,60 +102,60 @@
         await self._call(lambda p: _publish(p, model, version))
 
     async def change_class(self, name: str) -> None:
-        """Put a priority class without a condition, as an operator's probe does."""
+        """Put a priority class without an expected revision."""
         await self._call(lambda p: _put_class(p, name))
 
     # --- connections --------------------------------------------------------------------
 
-    def _next(self) -> SimulatedProcess:
+    def _next_process(self) -> SimulatedProcess:
         names = sorted(self._processes)
-        order = [self._processes[names[(self._turn + i) % len(names)]] for i in range(len(names))]
-        return next((p for p in order if p.is_ready and not p.stopping), order[0])
+        rotation = [self._processes[names[(self._call_count + i) % len(names)]] for i in range(len(names))]
+        return next((p for p in rotation if p.is_ready and not p.stopping), rotation[0])
 
     async def _call(
-        self, use: Callable[[SimulatedProcess], Awaitable[Result]], request_id: str = ""
+        self, call: Callable[[SimulatedProcess], Awaitable[Result]], request_id: str = ""
     ) -> Result:
-        process = self._next()
-        self._turn += 1
+        process = self._next_process()
+        self._call_count += 1
         await self._network.deliver(CLIENT_ZONE, process.zone)
-        await self._either(process.boundary.wait(), process)
+        await self._wait_unless_ended(process.boundary.wait_until_running(), process)
         if process.ended.done():
             raise BackendUnreachable("connection refused", execution=ExecutionStatus.NOT_RUN)
         gate = process.daemon.context.gate
         gate.enter()
-        work = asyncio.ensure_future(use(process))
+        work = asyncio.ensure_future(call(process))
         try:
-            await self._either(work, process)
+            await self._wait_unless_ended(work, process)
         finally:
             if not work.done():
                 work.cancel()
-            work.add_done_callback(_look_at)
+            work.add_done_callback(_retrieve_exception)
             gate.leave(None)
-        await self._either(process.boundary.wait(), process)
+        await self._wait_unless_ended(process.boundary.wait_until_running(), process)
         if not work.done() or work.cancelled() or (process.ended.done() and not process.stopping):
-            self._note_cut_off(request_id)
+            self._record_cut_off(request_id)
             raise BackendUnreachable("connection reset", execution=ExecutionStatus.UNKNOWN)
-        if self._random.random() < self._link.answer_loss:
+        if self._random.random() < self._link.answer_loss_probability:
             raise BackendUnreachable("answer lost", execution=ExecutionStatus.UNKNOWN)
         await self._network.deliver(process.zone, CLIENT_ZONE)
         return work.result()
 
-    async def _either(self, work: Awaitable[Any], process: SimulatedProcess) -> None:
-        """Wait for work or for the end of the process."""
-        task = asyncio.ensure_future(work)
+    async def _wait_unless_ended(self, awaitable: Awaitable[Any], process: SimulatedProcess) -> None:
+        """Wait until the awaitable is done or the process ends; cancel it in the latter case."""
+        task = asyncio.ensure_future(awaitable)
         try:
             await asyncio.wait({task, process.ended}, return_when=asyncio.FIRST_COMPLETED)
         finally:
             if not task.done():
                 task.cancel()
 
-    def _note_cut_off(self, request_id: str) -> None:
+    def _record_cut_off(self, request_id: str) -> None:
         if request_id:
             self._record(RequestCutOff(time_s=monotonic_s(), request_id=request_id))
 
 
-def _look_at(work: asyncio.Future[Any]) -> None:
-    """Take note of an error that nobody waits for: its caller is gone."""
+def _retrieve_exception(work: asyncio.Future[Any]) -> None:
+    """Retrieve the exception of work whose caller is gone, so that asyncio does not report it."""
     if not work.cancelled():
         work.exception()
 
@@ -164,7 +166,7 @@
         return ClaimOutcome(response.status, response.content_type, response.body)
 
     digest = request_digest(request.pool.encode(), request.path.encode(), request.body)
-    outcome = await _claimed(process, f"{request.caller}/key/{key}", digest, run)
+    outcome = await _run_claimed(process, f"{request.caller}/key/{key}", digest, run)
     return AppResponse(
         request_id=request.request_id,
         status=outcome.status,
@@ -179,17 +181,17 @@
         return ClaimOutcome(OK_STATUS, "application/json", msgspec.json.encode(result))
 
     digest = request_digest(request.model.encode(), str((request.prompt, request.seed)).encode())
-    outcome = await _claimed(process, f"{request.caller}/key/{key}", digest, run)
+    outcome = await _run_claimed(process, f"{request.caller}/key/{key}", digest, run)
     result = msgspec.json.decode(outcome.body, type=GenerateResult)
     return msgspec.structs.replace(result, request_id=request.request_id)
 
 
-async def _claimed(
+async def _run_claimed(
     process: SimulatedProcess, key: str, digest: str, run: Callable[[], Awaitable[ClaimOutcome]]
 ) -> ClaimOutcome:
-    """Run under a claim; the work goes on when its caller leaves, as in the daemon's handlers."""
-    claims = process.parts.claims.run_once(key, digest, run, DURABILITY_TIMEOUT_S)
-    return await asyncio.shield(process.daemon.context.gate.detach(claims))
+    """Run work under a claim; like in the daemon's handlers, it continues if its caller disconnects."""
+    claimed_run = process.parts.claims.run_once(key, digest, run, DURABILITY_TIMEOUT_S)
+    return await asyncio.shield(process.daemon.context.gate.detach(claimed_run))
 
 
 async def _put_class(process: SimulatedProcess, name: str) -> None:
