--- a/passgate/check/simulation/service.py
+++ b/passgate/check/simulation/service.py
@@ -121,8 +121,8 @@
         await self._wait_unless_ended(process.boundary.wait_until_running(), process)
         if process.ended.done():
             raise BackendUnreachable("connection refused", execution=ExecutionStatus.NOT_RUN)
-        gate = process.daemon.context.gate
-        gate.enter()
+        admission = process.daemon.context.gate
+        admission.enter()
         work = asyncio.ensure_future(call(process))
         try:
             await self._wait_unless_ended(work, process)
@@ -130,7 +130,7 @@
             if not work.done():
                 work.cancel()
             work.add_done_callback(_retrieve_exception)
-            gate.leave(None)
+            admission.leave(None)
         await self._wait_unless_ended(process.boundary.wait_until_running(), process)
         if not work.done() or work.cancelled() or (process.ended.done() and not process.stopping):
             self._record_cut_off(request_id)
--- a/passgate/check/socket_run.py
+++ b/passgate/check/socket_run.py
@@ -299,9 +299,9 @@
 
     def _make_report(self, events: list[AnyEvent], callers: Callers) -> SocketReport:
         violations_by_guarantee = find_violations(events)
-        tally = callers.tally
+        outcomes = callers.tally
         errors: Counter[str] = Counter()
-        for caller in [*tally.trainers, *tally.arrivals]:
+        for caller in [*outcomes.trainers, *outcomes.arrivals]:
             errors.update(caller.errors)
         return SocketReport(
             seed=self.seed,
@@ -317,9 +317,9 @@
             exit_codes=tuple(self.exit_codes),
             unhandled=find_unhandled_errors(self._directory / self.parameters.name),
             in_force_max_s=max_adoption_s(events),
-            trainer_steps=sum(trainer.steps for trainer in tally.trainers),
-            calls_answered=sum(stream.answered for stream in tally.arrivals),
-            calls_given_up=sum(stream.given_up + stream.pending for stream in tally.arrivals),
+            trainer_steps=sum(trainer.steps for trainer in outcomes.trainers),
+            calls_answered=sum(stream.answered for stream in outcomes.arrivals),
+            calls_given_up=sum(stream.given_up + stream.pending for stream in outcomes.arrivals),
             errors=dict(sorted(errors.items())),
         )
 
