--- a/passgate/capacity/sweep_page.py
+++ b/passgate/capacity/sweep_page.py
@@ -84,7 +84,7 @@
 
 
 class _EntryCommand(msgspec.Struct):
-    """Part of an entry that tells sweeps from other commands, whose entries have other fields."""
+    """Command of an entry, read first, as entries of other commands have other fields."""
 
     cmd: str
 
--- a/passgate/lab/cli.py
+++ b/passgate/lab/cli.py
@@ -146,7 +146,7 @@
         Args:
             file: output of ``passgate lab compare --json``.
         """
-        from passgate.lab.comparison_page import markdown_table, read_comparison
+        from passgate.lab.comparison_table import markdown_table, read_comparison
 
         print(markdown_table(read_comparison(file)))
 
--- a/passgate/lab/measures.py
+++ b/passgate/lab/measures.py
@@ -96,10 +96,7 @@
     violations: int
     """Number of violated guarantees, of all kinds."""
     app_busy_shares: tuple[float, ...] = ()
-    """Service time of the calls started on each application replica, as a share of its workers' time.
-
-    A share can exceed 1, as a call counts in full when it starts.
-    """
+    """Share of its workers' time that each application replica's started calls take; may exceed 1."""
     series: tuple[SeriesPoint, ...] = ()
     """State at fixed intervals of the run."""
 
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -24,7 +24,7 @@
 MAX_ENTRIES = 3
 """Number of entries beyond which a run fails."""
 SOAK_TEST = "soak"
-"""Stands for the soak in place of a node id."""
+"""Name of the soak in the list, in place of a node id."""
 SOAK_REPORT = re.compile(r"^\{$.*^\}$", re.MULTILINE | re.DOTALL)
 """JSON object in the output of a soak."""
 VIOLATION_TIME = re.compile(r"^[\d.]+ s: ")
