--- a/passgate/charts/document.py
+++ b/passgate/charts/document.py
@@ -81,7 +81,7 @@
     return sorted(name for name in expected.keys() | found.keys() if expected.get(name) != found.get(name))
 
 
-def write(directory: str = str(DIRECTORY), check: bool = False) -> None:
+def write_pages(directory: str = str(DIRECTORY), check: bool = False) -> None:
     """Write all pages, or with ``check`` raise VerificationFailed when any is outdated."""
     directory_path = Path(directory)
     if check:
@@ -122,7 +122,7 @@
 def main() -> None:
     """Run the command line; exits with status 1 when ``--check`` finds an outdated page."""
     try:
-        fire.Fire(write)
+        fire.Fire(write_pages)
     except VerificationFailed as error:
         sys.exit(f"{error.code}: {error}")
 
--- a/passgate/check/cli.py
+++ b/passgate/check/cli.py
@@ -16,7 +16,7 @@
 import msgspec
 
 from passgate.check.history import Violation, read_history
-from passgate.check.judgement import HistoryVerdict, judge_history
+from passgate.check.judgement import HistoryVerdict, check_history
 from passgate.check.output_oracle import emulated_token
 from passgate.errors import NotFound, VerificationFailed
 
@@ -93,7 +93,7 @@
                 events = read_history(lines)
         except OSError as error:
             raise HistoryFileMissing(str(error), file=file) from error
-        verdict = judge_history(events, emulated_token)
+        verdict = check_history(events, emulated_token)
         _print_result(json, verdict, _format_verdict(verdict))
         violation = verdict.shortest_violation()
         if violation is not None:
@@ -223,7 +223,7 @@
         """
         from passgate.check import tables
 
-        page = tables.write_page(root)
+        page = tables.render_page(root)
         (pathlib.Path(root) / tables.PAGE).write_text(page)
 
 
--- a/passgate/check/judgement.py
+++ b/passgate/check/judgement.py
@@ -1,7 +1,7 @@
 """Runs all checkers on a history and collects their results in one verdict.
 
 >>> from passgate.check.output_oracle import emulated_token
->>> verdict = judge_history([], oracle=emulated_token)
+>>> verdict = check_history([], oracle=emulated_token)
 >>> verdict.holds(), len(verdict.guarantees)
 (True, 9)
 """
@@ -68,7 +68,7 @@
     }
 
 
-def judge_history(events: Sequence[AnyEvent], oracle: TokenOracle) -> HistoryVerdict:
+def check_history(events: Sequence[AnyEvent], oracle: TokenOracle) -> HistoryVerdict:
     """Check a history against every guarantee."""
     guarantees = []
     for guarantee, checker in make_checkers(oracle).items():
--- a/passgate/check/simulation/operators.py
+++ b/passgate/check/simulation/operators.py
@@ -79,7 +79,7 @@
 
     async def _change_object(self, process: SimulatedProcess) -> None:
         name = f"class-{self._random.randrange(OBJECTS)}"
-        current = process.parts.configuration.state.get(KIND, name)
+        current = process.components.configuration.state.get(KIND, name)
         expected = current.revision if current is not None else 0
         is_unconditional = self._random.random() < UNCONDITIONAL_SHARE
         is_deletion = current is not None and self._random.random() < DELETE_SHARE
@@ -97,7 +97,7 @@
                 time_s=monotonic_s(), name=full_name, expected_revision=expected, value=value
             )
         )
-        service = process.parts.configuration
+        service = process.components.configuration
         try:
             if is_deletion:
                 revision = await service.delete(KIND, name, expected, PUT_TIMEOUT_S)
--- a/passgate/check/simulation/process.py
+++ b/passgate/check/simulation/process.py
@@ -27,7 +27,7 @@
     OrderResult,
 )
 from passgate.server.daemon import Daemon
-from passgate.server.parts import Outside
+from passgate.server.parts import ExternalClients
 from passgate.settings import Settings, StopSettings
 
 NOTICE_S = 2.0
@@ -188,14 +188,14 @@
         )
 
     @property
-    def parts(self):
+    def components(self):
         """Components of the daemon."""
-        return self.daemon.parts
+        return self.daemon.components
 
     @property
     def is_ready(self) -> bool:
         """Whether the daemon accepts requests."""
-        return not self.ended.done() and not self.daemon.context.gate.starting
+        return not self.ended.done() and not self.daemon.context.admission.is_starting
 
     def start(self) -> None:
         """Start the daemon."""
@@ -241,9 +241,9 @@
 
     def _make_external_clients(
         self, world: EmulatedWorld, incarnation: int, on_read: Callable[[Sequence[MachineInfo]], None]
-    ) -> Outside:
+    ) -> ExternalClients:
         log = world.log_client(self.zone, f"{self.name}/{incarnation}")
-        return Outside(
+        return ExternalClients(
             log=PausableLog(log, self.boundary),
             machine_list=PausableMachineList(world.machine_list, self.boundary, on_read),
             weight_store=None,
--- a/passgate/check/simulation/recovery.py
+++ b/passgate/check/simulation/recovery.py
@@ -136,7 +136,7 @@
 
     async def _run_workload(self) -> None:
         self._started_s = monotonic_s()
-        service = self._service_for("probes")
+        service = self._make_service("probes")
         model = self.world.parameters.engines.models[0]
         self.faults.start(self.schedule.faults)
         open_probes = []
--- a/passgate/check/simulation/run.py
+++ b/passgate/check/simulation/run.py
@@ -17,7 +17,7 @@
 from passgate.check import events as history_events
 from passgate.check.events import AnyEvent
 from passgate.check.history import HistoryRecorder
-from passgate.check.judgement import HistoryVerdict, judge_history
+from passgate.check.judgement import HistoryVerdict, check_history
 from passgate.check.output_oracle import emulated_token
 from passgate.check.simulation import slow_trainer
 from passgate.check.simulation.faults import SimulatedFaults
@@ -29,7 +29,7 @@
 from passgate.check.simulation.slow_trainer import SlowTrainer
 from passgate.clock import monotonic_s, run_virtual
 from passgate.emulator.callers import Callers
-from passgate.emulator.ledger import RunLedger, RunRecord
+from passgate.emulator.ledger import RunRecord, RunRecorder
 from passgate.emulator.trainer import Trainer
 from passgate.emulator.world import SERVICE_LABEL, EmulatedWorld
 from passgate.errors import PassgateError
@@ -92,7 +92,7 @@
         self.processes: dict[str, SimulatedProcess] = {}
         self.link = ClientLink()
         self.unhandled: list[str] = []
-        self._runs: dict[str, int] = dict.fromkeys(DAEMONS, 0)
+        self._incarnation_by_daemon: dict[str, int] = dict.fromkeys(DAEMONS, 0)
         self._tasks: set[asyncio.Task[Any]] = set()
         self._reported_leaving: set[str] = set()
 
@@ -106,7 +106,7 @@
         events = self.recorder.events
         return RunOutcome(
             schedule=self.schedule,
-            verdict=judge_history(events, emulated_token),
+            verdict=check_history(events, emulated_token),
             unhandled=tuple(self.unhandled),
             virtual_s=round(monotonic_s(), 3),
             events=tuple(events),
@@ -120,7 +120,7 @@
 
     async def _build(self) -> None:
         parameters = small_deployment()
-        self.world = EmulatedWorld(parameters, self.schedule.seed, RunLedger(self._record_run))
+        self.world = EmulatedWorld(parameters, self.schedule.seed, RunRecorder(self._record_run))
         delays = LinkDelays(between_zones_s=parameters.network.between_zones_s)
         self.peers = MemoryNetwork(self.world.random("peers"), delays)
         await self._configure()
@@ -128,9 +128,9 @@
             machine = MachineInfo(
                 machine_id=name, role=MachineRole.DAEMON, address=peer_address(name), zone=name[0]
             )
-            self.world.machine_list.register(machine)
+            self.world.machine_list.put_immediately(machine)
             self.start_daemon(name)
-        await self._until_ready()
+        await self._wait_until_ready()
 
     async def _configure(self) -> None:
         """Create the pools and the first model versions, which the daemons find at their start."""
@@ -153,10 +153,16 @@
 
     def start_daemon(self, name: str) -> None:
         """Start a new incarnation of a daemon, which replaces the previous one."""
-        self._runs[name] += 1
+        self._incarnation_by_daemon[name] += 1
         seeds = tuple(peer_address(other) for other in DAEMONS if other != name)
         process = SimulatedProcess(
-            name, name[0], self._runs[name], self.world, self.peers, seeds, self._record_leaving_machines
+            name,
+            name[0],
+            self._incarnation_by_daemon[name],
+            self.world,
+            self.peers,
+            seeds,
+            self._record_leaving_machines,
         )
         self.processes[name] = process
         process.start()
@@ -168,13 +174,13 @@
             if process.ended.done() or process.stopping:
                 return
             await asyncio.sleep(READY_POLL_INTERVAL_S)
-        state = process.parts.configuration.state
+        state = process.components.configuration.state
         self.record(history_events.DaemonStarted(time_s=monotonic_s(), daemon=process.name))
         self.faults.record_if_disconnected(process.name)
         self.record(make_configuration_event(process.name, state))
-        process.parts.configuration.subscribe(lambda state: self._record_configuration(process))
+        process.components.configuration.subscribe(lambda state: self._record_configuration(process))
 
-    async def _until_ready(self) -> None:
+    async def _wait_until_ready(self) -> None:
         self.faults = SimulatedFaults(self)
         deadline_s = monotonic_s() + READY_TIMEOUT_S
         while not all(process.is_ready for process in self.processes.values()):
@@ -187,7 +193,7 @@
 
     async def _run_workload(self) -> None:
         seed = self.schedule.seed
-        callers = Callers(self.world.parameters, self._service_for, self.world.publish, seed, self.record)
+        callers = Callers(self.world.parameters, self._make_service, self.world.publish, seed, self.record)
         steps = self.limits.trainer_steps
         trainers = [asyncio.ensure_future(self._train(trainer, steps)) for trainer in callers.trainers]
         operators = [
@@ -197,7 +203,9 @@
         late_reader = self._make_slow_trainer(callers)
         late_reader_task = asyncio.ensure_future(late_reader.run())
         self.faults.start(self.schedule.faults)
-        await asyncio.gather(*(stream.run(self.limits.calls_s, DRAIN_S) for stream in callers.streams))
+        await asyncio.gather(
+            *(stream.run(self.limits.calls_s, DRAIN_S) for stream in callers.arrival_streams)
+        )
         for operator in operators:
             operator.cancel()
         late_reader.stopping = True
@@ -212,7 +220,7 @@
     async def _train(self, trainer: Trainer, steps: int) -> None:
         """Run a trainer's steps, then publish its last version until a daemon accepts it."""
         await trainer.run(steps)
-        service = self._service_for(trainer.parameters.name)
+        service = self._make_service(trainer.parameters.name)
         while True:
             try:
                 await service.publish_version(trainer.parameters.model, trainer.version)
@@ -223,7 +231,7 @@
 
     def _make_slow_trainer(self, callers: Callers) -> SlowTrainer:
         return SlowTrainer(
-            self._service_for(slow_trainer.TRAINER_NAME),
+            self._make_service(slow_trainer.TRAINER_NAME),
             self.world.parameters.engines.models[0],
             lambda: callers.trainers[0].version,
             self.world.random(slow_trainer.TRAINER_NAME),
@@ -242,7 +250,7 @@
             if number > self.limits.trainer_steps:
                 self.record(history_events.LotAbandoned(time_s=monotonic_s(), lot_id=event.lot_id))
 
-    def _service_for(self, caller: str) -> SimulatedService:
+    def _make_service(self, caller: str) -> SimulatedService:
         random = self.world.random(f"service/{caller}")
         return SimulatedService(self.processes, self.world.network, self.link, random, self.record)
 
@@ -288,7 +296,7 @@
 
     def _record_configuration(self, process: SimulatedProcess) -> None:
         if not process.ended.done():
-            self.record(make_configuration_event(process.name, process.parts.configuration.state))
+            self.record(make_configuration_event(process.name, process.components.configuration.state))
 
     def _record_unhandled(self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
         error = context.get("exception")
--- a/passgate/check/simulation/seeded_mistakes.py
+++ b/passgate/check/simulation/seeded_mistakes.py
@@ -17,7 +17,7 @@
 from passgate.check.simulation.schedule import APPS, AnyScheduledFault, Schedule, generate_schedule
 from passgate.emulator.faults import AppSlow, LogSlow
 from passgate.errors import ExecutionStatus, PassgateError
-from passgate.routing.execution import ExecutionLedger
+from passgate.routing.execution import ExecutionHistory
 from passgate.routing.replica_directory import ReplicaDirectory
 from passgate.routing.stream_assembler import StreamAssembler
 from passgate.schema import MachineState
@@ -62,7 +62,7 @@
     return ClaimState(ClaimStatus.CLAIMED, body.request_digest, writer, body.holder), Accepted(offset)
 
 
-def _report_not_run(execution: ExecutionLedger, error: PassgateError) -> PassgateError:
+def _report_not_run(execution: ExecutionHistory, error: PassgateError) -> PassgateError:
     error.execution = ExecutionStatus.NOT_RUN
     return error
 
@@ -132,8 +132,8 @@
         name="always_not_run",
         description="every failure is reported as not run",
         guarantee="not_run",
-        target=ExecutionLedger,
-        attribute="stamp",
+        target=ExecutionHistory,
+        attribute="apply_status",
         replacement=_report_not_run,
         fault_kind="connections_lost",
     ),
@@ -185,7 +185,7 @@
     ),
 )
 
-RELATED_PATCHES = {"stop_without_waiting": ((Daemon, "_hand_over"),)}
+RELATED_PATCHES = {"stop_without_waiting": ((Daemon, "_release_ownership"),)}
 """By mistake, further functions that it disables, as each would prevent the violation."""
 
 
--- a/passgate/check/simulation/service.py
+++ b/passgate/check/simulation/service.py
@@ -66,36 +66,38 @@
     async def generate(self, request: GenerateRequest, idempotency_key: str | None = None) -> GenerateResult:
         """Return a complete answer; with a key, the answer of the first request with that key."""
         if idempotency_key is None:
-            return await self._call(lambda p: p.parts.dispatcher.generate(request), request.request_id)
+            return await self._call(lambda p: p.components.dispatcher.generate(request), request.request_id)
         return await self._call(lambda p: _generate_once(p, request, idempotency_key), request.request_id)
 
     async def call_app(self, request: AppRequest, idempotency_key: str | None = None) -> AppResponse:
         """Forward a call to an application service; with a key, return the first request's answer."""
         if idempotency_key is None:
-            return await self._call(lambda p: p.parts.dispatcher.call_app(request), request.request_id)
+            return await self._call(lambda p: p.components.dispatcher.call_app(request), request.request_id)
         return await self._call(lambda p: _call_app_once(p, request, idempotency_key), request.request_id)
 
     async def open_lot(self, request: LotRequest, lot_id: str) -> None:
         """Open a lot."""
-        await self._call(lambda p: p.parts.lots.open(request, lot_id))
+        await self._call(lambda p: p.components.lots.open(request, lot_id))
 
     async def read_lot(
         self, lot_id: str, cursor: int, limit: int, wait_s: float, trainer_version: int
     ) -> SamplesPage:
         """Read samples from a cursor on."""
-        return await self._call(lambda p: p.parts.lots.read(lot_id, cursor, limit, wait_s, trainer_version))
+        return await self._call(
+            lambda p: p.components.lots.read(lot_id, cursor, limit, wait_s, trainer_version)
+        )
 
     async def acknowledge(self, lot_id: str, sample_ids: Sequence[str]) -> None:
         """Confirm that samples were received."""
-        await self._call(lambda p: p.parts.lots.acknowledge(lot_id, sample_ids))
+        await self._call(lambda p: p.components.lots.acknowledge(lot_id, sample_ids))
 
     async def replace(self, lot_id: str, sample_ids: Sequence[str], trainer_version: int) -> None:
         """Request replacements of withdrawn samples."""
-        await self._call(lambda p: p.parts.lots.replace(lot_id, sample_ids, trainer_version))
+        await self._call(lambda p: p.components.lots.replace(lot_id, sample_ids, trainer_version))
 
     async def cancel_lot(self, lot_id: str) -> None:
         """Cancel a lot."""
-        await self._call(lambda p: p.parts.lots.cancel(lot_id))
+        await self._call(lambda p: p.components.lots.cancel(lot_id))
 
     async def publish_version(self, model: str, version: int) -> None:
         """Announce weights that are in the weight store."""
@@ -117,12 +119,12 @@
     ) -> Result:
         process = self._next_process()
         self._call_count += 1
-        await self._network.deliver(CLIENT_ZONE, process.zone)
+        await self._network.wait_for_delivery(CLIENT_ZONE, process.zone)
         await self._wait_unless_ended(process.boundary.wait_until_running(), process)
         if process.ended.done():
             raise BackendUnreachable("connection refused", execution=ExecutionStatus.NOT_RUN)
-        gate = process.daemon.context.gate
-        gate.enter()
+        gate = process.daemon.context.admission
+        gate.admit()
         work = asyncio.ensure_future(call(process))
         try:
             await self._wait_unless_ended(work, process)
@@ -130,14 +132,14 @@
             if not work.done():
                 work.cancel()
             work.add_done_callback(_retrieve_exception)
-            gate.leave(None)
+            gate.release(None)
         await self._wait_unless_ended(process.boundary.wait_until_running(), process)
         if not work.done() or work.cancelled() or (process.ended.done() and not process.stopping):
             self._record_cut_off(request_id)
             raise BackendUnreachable("connection reset", execution=ExecutionStatus.UNKNOWN)
         if self._random.random() < self._link.answer_loss_probability:
             raise BackendUnreachable("answer lost", execution=ExecutionStatus.UNKNOWN)
-        await self._network.deliver(process.zone, CLIENT_ZONE)
+        await self._network.wait_for_delivery(process.zone, CLIENT_ZONE)
         return work.result()
 
     async def _wait_unless_ended(self, awaitable: Awaitable[Any], process: SimulatedProcess) -> None:
@@ -162,7 +164,7 @@
 
 async def _call_app_once(process: SimulatedProcess, request: AppRequest, key: str) -> AppResponse:
     async def run() -> ClaimOutcome:
-        response = await process.parts.dispatcher.call_app(request)
+        response = await process.components.dispatcher.call_app(request)
         return ClaimOutcome(response.status, response.content_type, response.body)
 
     digest = request_digest(request.pool.encode(), request.path.encode(), request.body)
@@ -177,7 +179,7 @@
 
 async def _generate_once(process: SimulatedProcess, request: GenerateRequest, key: str) -> GenerateResult:
     async def run() -> ClaimOutcome:
-        result = await process.parts.dispatcher.generate(request)
+        result = await process.components.dispatcher.generate(request)
         return ClaimOutcome(OK_STATUS, "application/json", msgspec.json.encode(result))
 
     digest = request_digest(request.model.encode(), str((request.prompt, request.seed)).encode())
@@ -190,17 +192,17 @@
     process: SimulatedProcess, key: str, digest: str, run: Callable[[], Awaitable[ClaimOutcome]]
 ) -> ClaimOutcome:
     """Run work under a claim; like in the daemon's handlers, it continues if its caller disconnects."""
-    claimed_run = process.parts.claims.run_once(key, digest, run, DURABILITY_TIMEOUT_S)
-    return await asyncio.shield(process.daemon.context.gate.detach(claimed_run))
+    claimed_run = process.components.claims.run_once(key, digest, run, DURABILITY_TIMEOUT_S)
+    return await asyncio.shield(process.daemon.context.admission.run_detached(claimed_run))
 
 
 async def _put_class(process: SimulatedProcess, name: str) -> None:
     spec = PriorityClassSpec()
-    await process.parts.configuration.put("PriorityClass", name, {}, spec, None, DURABILITY_TIMEOUT_S)
+    await process.components.configuration.put("PriorityClass", name, {}, spec, None, DURABILITY_TIMEOUT_S)
 
 
 async def _publish(process: SimulatedProcess, model: str, version: int) -> None:
     spec = ModelVersionSpec(model=model, version=version)
-    await process.parts.configuration.put(
+    await process.components.configuration.put(
         "ModelVersion", f"{model}-{version}", {"model": model}, spec, None, DURABILITY_TIMEOUT_S
     )
--- a/passgate/check/simulation/slow_trainer.py
+++ b/passgate/check/simulation/slow_trainer.py
@@ -15,7 +15,7 @@
 from passgate.emulator.expected_output import expected_length
 from passgate.emulator.parameters import ModelParameters
 from passgate.emulator.prompts import PromptSource
-from passgate.emulator.service import Service
+from passgate.emulator.service import PassgateClient
 from passgate.errors import PassgateError
 from passgate.records import PromptSpec
 from passgate.state.lot_types import LotRequest, SamplesPage, index_of
@@ -38,7 +38,7 @@
 
     def __init__(
         self,
-        service: Service,
+        service: PassgateClient,
         model: ModelParameters,
         current_version: Callable[[], int],
         random: Random,
@@ -128,7 +128,9 @@
 
     def _make_lot_request(self) -> LotRequest:
         prompts = tuple(
-            PromptSpec(prompt=self._prompts.prompt(), max_tokens=MAX_TOKENS, seed=self._prompts.seed())
+            PromptSpec(
+                prompt=self._prompts.next_prompt(), max_tokens=MAX_TOKENS, seed=self._prompts.next_seed()
+            )
             for _ in range(PROMPTS_PER_LOT)
         )
         return LotRequest(
--- a/passgate/check/socket_attribution.py
+++ b/passgate/check/socket_attribution.py
@@ -5,7 +5,7 @@
 the digest of its work.
 
 >>> invocation = AppInvoked(time_s=1.0, request_id="orders-1-0", daemon="a-1", expected_digest="d")
->>> run = SeenRun(time_s=1.1, request_id="a-1-7f~1", replica_id="app-0", work="d")
+>>> run = RunStart(time_s=1.1, request_id="a-1-7f~1", replica_id="app-0", work="d")
 >>> [event.request_id for event in attribute_runs([run], [invocation], {})]
 ['orders-1-0']
 """
@@ -16,8 +16,8 @@
 from collections.abc import Iterable, Mapping, Sequence
 
 from passgate.check.events import AnyEvent, AppInvoked, BackendRunStarted, GenerateInvoked
-from passgate.emulator.admin_messages import SeenRun
-from passgate.emulator.run_feed import generate_work
+from passgate.emulator.admin_messages import RunStart
+from passgate.emulator.run_feed import generate_work_digest
 
 ATTEMPT_SEPARATOR = "~"
 """Separates passgate's identifier of a request from the number of a further attempt on a back end."""
@@ -26,7 +26,7 @@
 
 
 def attribute_runs(
-    runs: Iterable[SeenRun], events: Sequence[AnyEvent], caller_id_by_passgate_id: Mapping[str, str]
+    runs: Iterable[RunStart], events: Sequence[AnyEvent], caller_id_by_passgate_id: Mapping[str, str]
 ) -> list[BackendRunStarted]:
     """Return one event for each run, under the caller's identifier if it is known, else passgate's.
 
@@ -62,11 +62,11 @@
 def _work_of(event: Invocation) -> str:
     if isinstance(event, AppInvoked):
         return event.expected_digest
-    return generate_work(event.model, event.prompt, event.seed)
+    return generate_work_digest(event.model, event.prompt, event.seed)
 
 
 def _find_caller_id(
-    run: SeenRun, passgate_id: str, unanswered_by_work: dict[tuple[str, str], list[Invocation]]
+    run: RunStart, passgate_id: str, unanswered_by_work: dict[tuple[str, str], list[Invocation]]
 ) -> str:
     """Return the caller's identifier of the last unanswered request for the run's work, or "".
 
--- a/passgate/check/socket_faults.py
+++ b/passgate/check/socket_faults.py
@@ -136,7 +136,7 @@
         run, zone = self._run, self._next_zone()
         run.record(DaemonKilled(time_s=monotonic_s(), daemon=run.daemon_name(zone)))
         run.stop_watching(zone)
-        await run.processes.daemons[zone].kill()
+        await run.processes.daemon_by_zone[zone].kill()
         await asyncio.sleep(RESTART_DELAY_S)
         restarted_s = monotonic_s()
         await run.start_daemon(zone)
@@ -148,7 +148,7 @@
         started_s = monotonic_s()
         run.record(StopRequested(time_s=started_s, daemon=run.daemon_name(zone)))
         run.stop_watching(zone)
-        code = await run.processes.daemons[zone].stop()
+        code = await run.processes.daemon_by_zone[zone].stop()
         run.record(StopFinished(time_s=monotonic_s(), daemon=run.daemon_name(zone)))
         run.exit_codes.append(code)
         stopped_s = monotonic_s() - started_s
@@ -159,7 +159,7 @@
         """Pause a daemon's process until its peers declare it dead, and resume it."""
         run, zone = self._run, self._next_zone()
         started_s = monotonic_s()
-        process_id = run.processes.daemons[zone].process_id
+        process_id = run.processes.daemon_by_zone[zone].process_id
         self._record_disconnects([zone])
         os.kill(process_id, signal.SIGSTOP)
         try:
@@ -177,7 +177,7 @@
         """Wait until all other daemons see the daemon of a zone in a state; raises FaultNotShown."""
 
         async def is_seen_by_all() -> bool:
-            others = [other for other in self._run.processes.daemons if other != zone]
+            others = [other for other in self._run.processes.daemon_by_zone if other != zone]
             return all([await self._member_state(zone, other) == state for other in others])
 
         await _wait_until(is_seen_by_all, timeout_s, fault)
--- a/passgate/check/socket_mistake.py
+++ b/passgate/check/socket_mistake.py
@@ -12,7 +12,7 @@
 import sys
 
 from passgate.check.simulation.seeded_mistakes import MISTAKES, SeededMistake, apply_mistake
-from passgate.demo_deployment import DeploymentProcesses, Process
+from passgate.demo_deployment import ChildProcess, DeploymentProcesses
 from passgate.errors import NotFound
 
 MODULE = "passgate.check.socket_mistake"
@@ -35,10 +35,10 @@
 
     def _prepare_daemons(self) -> None:
         super()._prepare_daemons()
-        for zone in self.daemons:
+        for zone in self.daemon_by_zone:
             settings = str(self._directory / f"{zone}.yaml")
             arguments = ["-m", MODULE, self.mistake, "serve", "--settings", settings]
-            self.daemons[zone] = Process(zone, arguments, self._directory / f"{zone}.log")
+            self.daemon_by_zone[zone] = ChildProcess(zone, arguments, self._directory / f"{zone}.log")
 
 
 def main() -> None:
--- a/passgate/check/socket_run.py
+++ b/passgate/check/socket_run.py
@@ -38,8 +38,8 @@
 from passgate.clients.curl import HttpClient
 from passgate.clients.http_call import HttpCall, SendPolicy
 from passgate.clock import monotonic_s
-from passgate.demo_deployment import DeploymentProcesses, pool_of_model
-from passgate.emulator.admin_client import StandInAdmin
+from passgate.demo_deployment import DeploymentProcesses, pool_name_of_model
+from passgate.emulator.admin_client import EmulatorAdminClient
 from passgate.emulator.callers import Callers
 from passgate.emulator.parameters import DeploymentParameters
 from passgate.errors import NotFound, PlatformError
@@ -137,8 +137,8 @@
         """Run the workload on new processes, end them and return the report and the history."""
         try:
             await self._start()
-            assert self.processes.stand_ins is not None
-            self.admin = StandInAdmin(self._http, self.processes.stand_ins.admin)
+            assert self.processes.stand_in_addresses is not None
+            self.admin = EmulatorAdminClient(self._http, self.processes.stand_in_addresses.admin)
             for zone in self.parameters.zones:
                 self._record_serving(zone)
             self.started_s = monotonic_s()
@@ -158,8 +158,10 @@
             raise RunNotStarted(self._describe_daemon_outputs()) from None
 
     def _describe_daemon_outputs(self) -> str:
-        daemons = self.processes.daemons.items()
-        return "not ready in time: " + "; ".join(f"{zone}: {daemon.output()}" for zone, daemon in daemons)
+        daemons = self.processes.daemon_by_zone.items()
+        return "not ready in time: " + "; ".join(
+            f"{zone}: {daemon.read_last_lines()}" for zone, daemon in daemons
+        )
 
     def record(self, event: AnyEvent) -> None:
         """Add an event to the history."""
@@ -173,7 +175,7 @@
 
     def operator_client(self, zone: str) -> OperatorClient:
         """Return a client of the operator port of a zone's daemon."""
-        return OperatorClient(self._http, self.processes.operators[zone])
+        return OperatorClient(self._http, self.processes.operator_address_by_zone[zone])
 
     def serving_clients(self) -> list[OperatorClient]:
         """Return operator clients of all daemons that serve."""
@@ -186,9 +188,9 @@
 
     async def start_daemon(self, zone: str) -> None:
         """Start a daemon that has ended and wait until it is ready; raises RunNotStarted."""
-        await self.processes.daemons[zone].start()
+        await self.processes.daemon_by_zone[zone].start()
         try:
-            await self.processes.wait_ready(zone)
+            await self.processes.wait_until_ready(zone)
         except TimeoutError:
             raise RunNotStarted(self._describe_daemon_outputs()) from None
         self._record_serving(zone)
@@ -215,7 +217,7 @@
             self._store_weights,
             self.seed,
             self.record,
-            lambda model: pool_of_model(self.parameters, model),
+            lambda model: pool_name_of_model(self.parameters, model),
         )
         duration_s = self.scenario.workload_duration_s()
         steps = max(1, int(duration_s / TRAINER_STEP_S))
@@ -225,7 +227,9 @@
             trainers.append(asyncio.ensure_future(late_reader.run()))
         operator = asyncio.ensure_future(self.make_operator("operator").run())
         injection = asyncio.ensure_future(self._inject())
-        streams = [asyncio.ensure_future(stream.run(duration_s, DRAIN_S)) for stream in callers.streams]
+        streams = [
+            asyncio.ensure_future(stream.run(duration_s, DRAIN_S)) for stream in callers.arrival_streams
+        ]
         tasks = {*trainers, operator, injection, *streams}
         try:
             await asyncio.gather(injection, *streams)
@@ -265,7 +269,9 @@
                     self.record(history_events.LotAbandoned(time_s=monotonic_s(), lot_id=event.lot_id))
 
     def _make_client(self, caller: str) -> RecordingClient:
-        addresses = {self.daemon_name(zone): address for zone, address in self.processes.callers.items()}
+        addresses = {
+            self.daemon_name(zone): address for zone, address in self.processes.caller_address_by_zone.items()
+        }
         return RecordingClient(self._http, addresses, caller, self.record, self._caller_id_by_passgate_id)
 
     def _store_weights(self, model: str, version: int) -> None:
@@ -274,11 +280,11 @@
         task.add_done_callback(self._weight_uploads.discard)
 
     async def _put_weights(self, model: str, version: int) -> None:
-        assert self.processes.stand_ins is not None
+        assert self.processes.stand_in_addresses is not None
         size_bytes = self.parameters.model(model).weight_bytes
         call = HttpCall(
             method="PUT",
-            url=f"http://{self.processes.stand_ins.platform}/v1/weights/{model}/{version}",
+            url=f"http://{self.processes.stand_in_addresses.platform}/v1/weights/{model}/{version}",
             body=msgspec.json.encode({"size_bytes": size_bytes}),
             send=SendPolicy.REPEAT,
             timeout_s=STORE_CALL_TIMEOUT_S,
@@ -299,7 +305,7 @@
 
     def _make_report(self, events: list[AnyEvent], callers: Callers) -> SocketReport:
         violations_by_guarantee = find_violations(events)
-        tally = callers.tally
+        tally = callers.outcomes
         errors: Counter[str] = Counter()
         for caller in [*tally.trainers, *tally.arrivals]:
             errors.update(caller.errors)
--- a/passgate/check/specification/claims.py
+++ b/passgate/check/specification/claims.py
@@ -27,7 +27,7 @@
     ProposalWithdrawn,
     Record,
 )
-from passgate.state.claim_state import ClaimFold, ClaimState, ClaimStatus
+from passgate.state.claim_state import ClaimProjection, ClaimState, ClaimStatus
 from passgate.state.fold import Accepted
 
 ATTEMPTS = 2
@@ -67,7 +67,7 @@
 
     def __init__(self, mutants: frozenset[str]) -> None:
         self.mutants = mutants
-        self.log = SharedLog(ClaimFold, skip_dedupe="skip_dedupe" in mutants)
+        self.log = SharedLog(ClaimProjection, skip_dedupe="skip_dedupe" in mutants)
 
     # --- transitions -----------------------------------------------------------------
 
--- a/passgate/check/specification/configuration.py
+++ b/passgate/check/specification/configuration.py
@@ -292,10 +292,12 @@
 
     def _snapshot_equals_replay(self, d: dict) -> bool:
         log = d["transport"].log
-        whole = self.log.view(log).stream.fold.snapshot()
+        whole = self.log.view(log).stream.projection.snapshot()
         if "skip_dedupe" in self.mutants:
             return True
-        return all(self.log.replay(log, cut).stream.fold.snapshot() == whole for cut in range(1, len(log)))
+        return all(
+            self.log.replay(log, cut).stream.projection.snapshot() == whole for cut in range(1, len(log))
+        )
 
 
 def _with_change(state: ConfigurationModelState, number: int, change: Change) -> ConfigurationModelState:
--- a/passgate/check/specification/leases.py
+++ b/passgate/check/specification/leases.py
@@ -20,7 +20,7 @@
 from passgate.check.specification.shared_log import SharedLog, Transport, arrivals, send
 from passgate.records import LeaseReleased, LeaseTaken, Record
 from passgate.state.fold import Accepted, Decision
-from passgate.state.lease_state import NEVER_HELD, LeaseFold, LeaseState
+from passgate.state.lease_state import NEVER_HELD, LeaseProjection, LeaseState
 
 DAEMONS = 2
 COPIES = (1, 1)
@@ -60,24 +60,24 @@
     engine: Engine = Engine()
 
 
-class UnfencedTakeFold(LeaseFold):
+class UnfencedTakeFold(LeaseProjection):
     """Mutant: a take under an old epoch is accepted."""
 
     def apply(self, offset: int, record: Record) -> Decision:
         """Apply a take as if its epoch were the next one."""
-        current = self.roles.get(ROLE, NEVER_HELD).epoch
+        current = self.lease_by_role.get(ROLE, NEVER_HELD).epoch
         if isinstance(record.body, LeaseTaken) and record.epoch <= current:
-            self.roles[ROLE] = LeaseState(record.epoch, record.body.holder)
+            self.lease_by_role[ROLE] = LeaseState(record.epoch, record.body.holder)
             return Accepted(offset, record.epoch)
         return super().apply(offset, record)
 
 
-class UnfencedReleaseFold(LeaseFold):
+class UnfencedReleaseFold(LeaseProjection):
     """Mutant: a release under an old epoch frees the role."""
 
     def apply(self, offset: int, record: Record) -> Decision:
         """Apply a release as if it came from the holder."""
-        current = self.roles.get(ROLE, NEVER_HELD)
+        current = self.lease_by_role.get(ROLE, NEVER_HELD)
         if isinstance(record.body, LeaseReleased):
             body = LeaseReleased(role=ROLE, holder=current.holder)
             record = msgspec.structs.replace(record, epoch=current.epoch, body=body)
@@ -92,7 +92,7 @@
 
     def __init__(self, mutants: frozenset[str]) -> None:
         self.mutants = mutants
-        self.log = SharedLog(next((_FOLDS[name] for name in mutants if name in _FOLDS), LeaseFold))
+        self.log = SharedLog(next((_FOLDS[name] for name in mutants if name in _FOLDS), LeaseProjection))
 
     # --- transitions -----------------------------------------------------------------
 
@@ -152,7 +152,7 @@
 
     def _role(self, state: LeaseModelState, holder: Holder) -> LeaseState:
         fold = self.log.view(state.transport.log[: holder.applied]).fold
-        return fold.roles.get(ROLE, NEVER_HELD)
+        return fold.lease_by_role.get(ROLE, NEVER_HELD)
 
     def _order_steps(self, state: LeaseModelState, number: int, holder: Holder) -> list[Step]:
         steps: list[Step] = []
--- a/passgate/check/specification/lots.py
+++ b/passgate/check/specification/lots.py
@@ -36,7 +36,7 @@
 )
 from passgate.schema import FinishReason, VersionSpan
 from passgate.state.fold import Accepted, Decision
-from passgate.state.lot_state import HandOver, LotChange, LotFold, SlotState, SlotStatus
+from passgate.state.lot_state import DeliveryPosition, LotChange, LotProjection, SlotState, SlotStatus
 
 DAEMONS = 2
 VERSIONS = 2
@@ -84,14 +84,14 @@
     trainer: Trainer = Trainer()
 
 
-class _LaxLotFold(LotFold):
+class _LaxLotFold(LotProjection):
     """Base of mutants that let a record through which the running fold rejects."""
 
-    def _put(self, index: int, slot: SlotState, *positions: HandOver) -> None:
+    def _put(self, index: int, slot: SlotState, *positions: DeliveryPosition) -> None:
         change = LotChange(self.header, ((index, slot),), positions)
         self.slots[index] = slot
-        self.order.extend(change.positions)
-        self._count(index, slot)
+        self.delivery_order.extend(change.positions)
+        self._update_counts(index, slot)
 
 
 class ExpireAfterHandOverFold(_LaxLotFold):
@@ -118,7 +118,7 @@
         decision = super().apply(offset, record)
         replaceable = before.status in (SlotStatus.COMMITTED, SlotStatus.HANDED_OVER)
         if isinstance(body, SampleCommitted) and replaceable and body.attempt == before.attempt:
-            other = LotFold()
+            other = LotProjection()
             other.header, other.slots = self.header, [SlotState(SlotStatus.OPEN, body.attempt)]
             other.apply(offset, msgspec.structs.replace(record, epoch=self.header.epoch))
             self._put(0, msgspec.structs.replace(before, sample=other.slots[0].sample))
@@ -126,7 +126,7 @@
         return decision
 
 
-class UnfencedLotFold(LotFold):
+class UnfencedLotFold(LotProjection):
     """Mutant: records of superseded keepers are accepted."""
 
     def apply(self, offset: int, record: Record) -> Decision:
@@ -148,7 +148,7 @@
 
     def __init__(self, mutants: frozenset[str]) -> None:
         self.mutants = mutants
-        fold = next((_FOLDS[name] for name in mutants if name in _FOLDS), LotFold)
+        fold = next((_FOLDS[name] for name in mutants if name in _FOLDS), LotProjection)
         self.log = SharedLog(fold)
         opened = self.log.number(Record(writer="t", sequence=1, epoch=0, body=OPENED))
         self.initial = LotModelState(Transport(log=(opened,)))
@@ -182,7 +182,7 @@
             keeper = keeper._replace(proposed=-1)
         return _with(state, number, keeper)
 
-    def _fold(self, state: LotModelState, number: int) -> LotFold:
+    def _fold(self, state: LotModelState, number: int) -> LotProjection:
         return self.log.view(state.transport.log[: state.keepers[number].applied]).fold
 
     def _proposals(self, state: LotModelState, number: int) -> list[Step]:
@@ -203,7 +203,7 @@
             steps += self._trainer_calls(state, number, fold)
         return steps
 
-    def _commits(self, state: LotModelState, number: int, fold: LotFold) -> list[Step]:
+    def _commits(self, state: LotModelState, number: int, fold: LotProjection) -> list[Step]:
         steps: list[Step] = []
         attempt = fold.slots[0].attempt
         for version in range(1, state.trainer.version + 1):
@@ -214,7 +214,7 @@
             steps.append((f"commit({number}, v{version})", proposed))
         return steps
 
-    def _committed_steps(self, state: LotModelState, number: int, fold: LotFold) -> list[Step]:
+    def _committed_steps(self, state: LotModelState, number: int, fold: LotProjection) -> list[Step]:
         slot, version = fold.slots[0], state.trainer.version
         if number != SERVING_DAEMON and fold.header.keeper != f"d{number}":
             return []
@@ -226,7 +226,7 @@
         handed_over = SamplesHandedOver(indexes=(0,), trainer_version=told)
         return [(f"hand_over({number})", self._propose(state, number, 0, handed_over))]
 
-    def _trainer_calls(self, state: LotModelState, number: int, fold: LotFold) -> list[Step]:
+    def _trainer_calls(self, state: LotModelState, number: int, fold: LotProjection) -> list[Step]:
         slot, trainer = fold.slots[0], state.trainer
         if trainer.received:
             body = SamplesAcknowledged(indexes=(0,))
@@ -248,7 +248,7 @@
         steps: list[Step] = []
         if "deliver_before_hand_over" in self.mutants and fold.slots[0].status is SlotStatus.COMMITTED:
             steps.append((f"page({number})", self._received(state, fold, trainer.cursor)))
-        for position, handed_over in enumerate(fold.order[trainer.cursor :], start=trainer.cursor):
+        for position, handed_over in enumerate(fold.delivery_order[trainer.cursor :], start=trainer.cursor):
             slot = fold.slots[0]
             if slot.attempt != handed_over.attempt or slot.status is not SlotStatus.HANDED_OVER:
                 continue
@@ -257,7 +257,7 @@
                 steps.append((f"page({number})", self._received(state, fold, position + 1)))
         return steps
 
-    def _received(self, state: LotModelState, fold: LotFold, cursor: int) -> LotModelState:
+    def _received(self, state: LotModelState, fold: LotProjection, cursor: int) -> LotModelState:
         sample, trainer = fold.slots[0].sample, state.trainer
         trainer = trainer._replace(
             cursor=cursor,
--- a/passgate/check/specification/shared_log.py
+++ b/passgate/check/specification/shared_log.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from passgate.records import Record, encode_record
-from passgate.state.fold import Decision, Fold, StreamState
+from passgate.state.fold import Decision, Projection, StreamState
 
 Prefix = tuple[int, ...]
 
@@ -47,7 +47,7 @@
     """Mutant: repeated records are applied again."""
 
     def _decide(self, offset: int, record: Record) -> Decision:
-        return self.fold.apply(offset, record)
+        return self.projection.apply(offset, record)
 
 
 class View(msgspec.Struct, frozen=True):
@@ -59,13 +59,13 @@
     @property
     def fold(self) -> Any:
         """Return the running code's fold."""
-        return self.stream.fold
+        return self.stream.projection
 
 
 class SharedLog:
     """Record numbers for states, and cached folds of log prefixes."""
 
-    def __init__(self, new_fold: Callable[[], Fold], *, skip_dedupe: bool = False) -> None:
+    def __init__(self, new_fold: Callable[[], Projection], *, skip_dedupe: bool = False) -> None:
         self._new_fold = new_fold
         self._state_type = UndedupedState if skip_dedupe else StreamState
         self._records: list[Record] = []
--- a/passgate/check/tables.py
+++ b/passgate/check/tables.py
@@ -35,7 +35,7 @@
     code = "table_missing"
 
 
-def write_page(root: str) -> str:
+def render_page(root: str) -> str:
     """Return the page with its tables generated from the measurements of the repository at ``root``."""
     base = pathlib.Path(root)
     page = (base / PAGE).read_text()
--- a/passgate/demo.py
+++ b/passgate/demo.py
@@ -24,11 +24,11 @@
 from passgate.caller_client import CallerClient
 from passgate.clients.curl import HttpClient
 from passgate.clients.http_call import HttpCall, SendPolicy
-from passgate.demo_deployment import DeploymentProcesses, pool_of_model
-from passgate.emulator.admin_client import StandInAdmin
+from passgate.demo_deployment import DeploymentProcesses, pool_name_of_model
+from passgate.emulator.admin_client import EmulatorAdminClient
 from passgate.emulator.callers import Callers
 from passgate.emulator.parameters import DeploymentParameters, TrainerParameters, load_deployment
-from passgate.emulator.tally import Tally
+from passgate.emulator.tally import CallerOutcomes
 from passgate.errors import PassgateError
 from passgate.lab.measures import LatencySummary
 
@@ -131,15 +131,15 @@
             self._make_client,
             self._store_weights,
             seed,
-            pool_of=lambda model: pool_of_model(self.parameters, model),
+            pool_of=lambda model: pool_name_of_model(self.parameters, model),
         )
         self.status = "starting"
         """What the run does now, for the progress display."""
 
     @property
-    def tally(self) -> Tally:
+    def tally(self) -> CallerOutcomes:
         """Outcomes that the callers have recorded so far."""
-        return self._callers.tally
+        return self._callers.outcomes
 
     async def run(self) -> DeploymentResult:
         """Start all processes, run callers and faults, and return the results; stops all processes."""
@@ -166,11 +166,11 @@
         task.add_done_callback(self._store_tasks.discard)
 
     async def _put_weights(self, model: str, version: int) -> None:
-        assert self._processes.stand_ins is not None
+        assert self._processes.stand_in_addresses is not None
         size_bytes = self.parameters.model(model).weight_bytes
         call = HttpCall(
             method="PUT",
-            url=f"http://{self._processes.stand_ins.platform}/v1/weights/{model}/{version}",
+            url=f"http://{self._processes.stand_in_addresses.platform}/v1/weights/{model}/{version}",
             body=msgspec.json.encode({"size_bytes": size_bytes}),
             send=SendPolicy.REPEAT,
             timeout_s=STORE_WEIGHTS_TIMEOUT_S,
@@ -188,26 +188,28 @@
         processes = self._processes
         await asyncio.sleep(self._duration_s * KILL_AT_SHARE)
         self.status = f"{killed_zone} killed"
-        await processes.daemons[killed_zone].kill()
+        await processes.daemon_by_zone[killed_zone].kill()
         await asyncio.sleep(DOWNTIME_S)
-        await processes.daemons[killed_zone].start()
-        await processes.wait_ready(killed_zone)
+        await processes.daemon_by_zone[killed_zone].start()
+        await processes.wait_until_ready(killed_zone)
         self.status = f"{killed_zone} restarted"
         await asyncio.sleep(self._duration_s * (STOP_AT_SHARE - KILL_AT_SHARE) - DOWNTIME_S)
         self.status = f"{stopped_zone} shutting down"
-        self._shutdown_exit_code = await processes.daemons[stopped_zone].stop()
-        await processes.daemons[stopped_zone].start()
-        await processes.wait_ready(stopped_zone)
+        self._shutdown_exit_code = await processes.daemon_by_zone[stopped_zone].stop()
+        await processes.daemon_by_zone[stopped_zone].start()
+        await processes.wait_until_ready(stopped_zone)
         self.status = "running"
 
     # --- results -------------------------------------------------------------------------
 
     async def _make_result(self) -> DeploymentResult:
-        assert self._processes.stand_ins is not None
-        state = await StandInAdmin(self._http, self._processes.stand_ins.admin).state()
+        assert self._processes.stand_in_addresses is not None
+        state = await EmulatorAdminClient(self._http, self._processes.stand_in_addresses.admin).state()
         trainers, arrivals = self.tally.trainers, self.tally.arrivals
         not_run_that_ran = sum(1 for request_id in self._not_run_ids if state.runs.get(request_id, 0))
-        latencies = LatencySummary.of([item for stream in arrivals for item in stream.latencies_s])
+        latencies = LatencySummary.from_durations(
+            [item for stream in arrivals for item in stream.latencies_s]
+        )
         lost = sum(trainer.lost for trainer in trainers)
         doubled = sum(trainer.doubled for trainer in trainers)
         over_staleness = sum(trainer.over_staleness for trainer in trainers)
@@ -231,7 +233,7 @@
             interactive_p50_ms=round(latencies.p50_ms, FRACTION_DIGITS),
             interactive_p99_ms=round(latencies.p99_ms, FRACTION_DIGITS),
             p99_ms_by_callers={
-                stream.name: round(LatencySummary.of(stream.latencies_s).p99_ms, FRACTION_DIGITS)
+                stream.name: round(LatencySummary.from_durations(stream.latencies_s).p99_ms, FRACTION_DIGITS)
                 for stream in arrivals
             },
             trainer_idle_share=round(_mean([trainer.idle_share() for trainer in trainers]), FRACTION_DIGITS),
@@ -258,7 +260,7 @@
     def daemon(self) -> str:
         """Address of the daemon that receives the next call."""
         if not self._addresses:
-            self._addresses = list(self._processes.callers.values())
+            self._addresses = list(self._processes.caller_address_by_zone.values())
         return super().daemon
 
 
@@ -266,14 +268,14 @@
     return sum(values) / len(values) if values else 0.0
 
 
-def _sum_errors(tally: Tally) -> dict[str, int]:
+def _sum_errors(tally: CallerOutcomes) -> dict[str, int]:
     total: Counter[str] = Counter()
     for caller in [*tally.trainers, *tally.arrivals]:
         total.update(caller.errors)
     return dict(sorted(total.items()))
 
 
-def _staleness_p99(tally: Tally) -> int:
+def _staleness_p99(tally: CallerOutcomes) -> int:
     count_by_staleness: dict[int, int] = {}
     for trainer in tally.trainers:
         for behind, count in trainer.staleness.items():
--- a/passgate/demo_deployment.py
+++ b/passgate/demo_deployment.py
@@ -20,7 +20,7 @@
 from passgate.clients.curl import HttpClient
 from passgate.clients.http_call import HttpCall, SendPolicy
 from passgate.clock import monotonic_s
-from passgate.emulator.admin_messages import StandInAddresses
+from passgate.emulator.admin_messages import EmulatorAddresses
 from passgate.emulator.parameters import DeploymentParameters
 from passgate.errors import PassgateError, PlatformError, RevisionConflict
 from passgate.operator_client import OperatorClient, rebuild_error
@@ -42,7 +42,7 @@
 """Notice period of the daemons' shutdown."""
 
 
-def free_addresses(count: int) -> list[str]:
+def find_free_addresses(count: int) -> list[str]:
     """Return loopback addresses with ports that are free now.
 
     The ports are below the system's ephemeral ports, so that no outgoing connection takes the port of a
@@ -64,7 +64,7 @@
     path.write_text(yaml.safe_dump(msgspec.to_builtins(value), sort_keys=False), encoding="utf-8")
 
 
-class Process:
+class ChildProcess:
     """One child process that runs this Python interpreter; its output goes to a file.
 
     ``kill``, ``stop`` and ``process_id`` require that it has been started.
@@ -84,7 +84,7 @@
             )
 
     @property
-    def running(self) -> bool:
+    def is_running(self) -> bool:
         """Whether the process has been started and has not ended."""
         return self._process is not None and self._process.returncode is None
 
@@ -94,7 +94,7 @@
         assert self._process is not None
         return self._process.pid
 
-    def output(self) -> str:
+    def read_last_lines(self) -> str:
         """Return the last five lines of the output, for error messages."""
         return "\n".join(self._output.read_text(errors="replace").splitlines()[-5:])
 
@@ -129,14 +129,14 @@
         self._directory = directory / parameters.name
         self._directory.mkdir()
         self._seed = seed
-        self._stand_ins_process: Process | None = None
-        self.stand_ins: StandInAddresses | None = None
+        self._stand_ins_process: ChildProcess | None = None
+        self.stand_in_addresses: EmulatorAddresses | None = None
         """Addresses at which the stand-ins listen, once they are started."""
-        self.daemons: dict[str, Process] = {}
+        self.daemon_by_zone: dict[str, ChildProcess] = {}
         """By zone: the process of its daemon."""
-        self.callers: dict[str, str] = {}
+        self.caller_address_by_zone: dict[str, str] = {}
         """By zone: the address of its daemon's callers' port."""
-        self.operators: dict[str, str] = {}
+        self.operator_address_by_zone: dict[str, str] = {}
         """By zone: the address of its daemon's operators' port."""
 
     # --- start -------------------------------------------------------------------------
@@ -151,9 +151,9 @@
         """
         await self._start_stand_ins()
         self._prepare_daemons()
-        for daemon in self.daemons.values():
+        for daemon in self.daemon_by_zone.values():
             await daemon.start()
-        await asyncio.gather(*(self.wait_ready(zone) for zone in self.daemons))
+        await asyncio.gather(*(self.wait_until_ready(zone) for zone in self.daemon_by_zone))
         await self._configure()
 
     async def _start_stand_ins(self) -> None:
@@ -162,36 +162,38 @@
         addresses_file = self._directory / "addresses.json"
         arguments = ["-m", "passgate.emulator.standins_server", "--deployment", str(parameters_file)]
         arguments += ["--addresses-file", str(addresses_file), "--seed", str(self._seed)]
-        self._stand_ins_process = Process("stand-ins", arguments, self._directory / "stand-ins.log")
+        self._stand_ins_process = ChildProcess("stand-ins", arguments, self._directory / "stand-ins.log")
         await self._stand_ins_process.start()
         async with asyncio.timeout(START_TIMEOUT_S):
             while not addresses_file.exists():
-                if not self._stand_ins_process.running:
-                    raise PlatformError(f"the stand-ins' process ended: {self._stand_ins_process.output()}")
+                if not self._stand_ins_process.is_running:
+                    raise PlatformError(
+                        f"the stand-ins' process ended: {self._stand_ins_process.read_last_lines()}"
+                    )
                 await asyncio.sleep(POLL_INTERVAL_S)
-        self.stand_ins = msgspec.json.decode(addresses_file.read_bytes(), type=StandInAddresses)
+        self.stand_in_addresses = msgspec.json.decode(addresses_file.read_bytes(), type=EmulatorAddresses)
 
     def _prepare_daemons(self) -> None:
         zones = self.parameters.zones
-        addresses = free_addresses(len(zones) * 3)
+        addresses = find_free_addresses(len(zones) * 3)
         for index, zone in enumerate(zones):
             caller, operator, peer = (addresses[index + port * len(zones)] for port in range(3))
-            self.callers[zone], self.operators[zone] = caller, operator
+            self.caller_address_by_zone[zone], self.operator_address_by_zone[zone] = caller, operator
             settings = self._make_settings(zone, caller, operator, peer, tuple(addresses[2 * len(zones) :]))
             settings_file = self._directory / f"{zone}.yaml"
             write_yaml(settings_file, settings)
             arguments = ["-m", "passgate", "serve", "--settings", str(settings_file)]
-            self.daemons[zone] = Process(zone, arguments, self._directory / f"{zone}.log")
+            self.daemon_by_zone[zone] = ChildProcess(zone, arguments, self._directory / f"{zone}.log")
 
     def _make_settings(self, zone: str, caller: str, operator: str, peer: str, seeds: tuple[str, ...]) -> Any:
         """Return the settings of a daemon as a dictionary for YAML, without credentials."""
-        assert self.stand_ins is not None
+        assert self.stand_in_addresses is not None
         settings = Settings(
             daemon_id=f"{zone}-1",
             zone=zone,
-            log_address=self.stand_ins.logs[zone],
-            machine_list_address=self.stand_ins.platform,
-            weight_store_address=self.stand_ins.platform,
+            log_address=self.stand_in_addresses.logs[zone],
+            machine_list_address=self.stand_in_addresses.platform,
+            weight_store_address=self.stand_in_addresses.platform,
             caller_address=caller,
             operator_address=operator,
             peer_address=peer,
@@ -203,20 +205,22 @@
         del values["credentials"]
         return values
 
-    async def wait_ready(self, zone: str) -> None:
+    async def wait_until_ready(self, zone: str) -> None:
         """Wait until the daemon of a zone is ready.
 
         Raises:
             PlatformError: it ended, or was not ready within START_TIMEOUT_S.
         """
-        url = f"http://{self.operators[zone]}/readyz"
+        url = f"http://{self.operator_address_by_zone[zone]}/readyz"
         call = HttpCall(method="GET", url=url, send=SendPolicy.REPEAT, timeout_s=READINESS_CALL_TIMEOUT_S)
         deadline_s = monotonic_s() + START_TIMEOUT_S
         while True:
-            if not self.daemons[zone].running:
-                raise PlatformError(f"daemon {zone} ended: {self.daemons[zone].output()}")
+            if not self.daemon_by_zone[zone].is_running:
+                raise PlatformError(f"daemon {zone} ended: {self.daemon_by_zone[zone].read_last_lines()}")
             if monotonic_s() > deadline_s:
-                raise PlatformError(f"daemon {zone} was not ready in time: {self.daemons[zone].output()}")
+                raise PlatformError(
+                    f"daemon {zone} was not ready in time: {self.daemon_by_zone[zone].read_last_lines()}"
+                )
             with contextlib.suppress(PassgateError):
                 if (await self._http.fetch(call)).status == STATUS_OK:
                     return
@@ -227,7 +231,7 @@
 
         Objects that exist already are left as they are.
         """
-        client = OperatorClient(self._http, next(iter(self.operators.values())))
+        client = OperatorClient(self._http, next(iter(self.operator_address_by_zone.values())))
         answer = await client.apply(configuration_objects(self.parameters))
         for result in answer.results:
             if result.error is not None:
@@ -238,7 +242,7 @@
             while True:
                 watch = await client.watch()
                 reached = [view for view in watch.daemons if view.reached and view.behind == 0]
-                if len(reached) == len(self.daemons):
+                if len(reached) == len(self.daemon_by_zone):
                     return
                 await asyncio.sleep(POLL_INTERVAL_S)
 
@@ -246,14 +250,14 @@
 
     async def stop_all(self) -> None:
         """Kill the daemons and stop the stand-ins."""
-        for daemon in self.daemons.values():
-            if daemon.running:
+        for daemon in self.daemon_by_zone.values():
+            if daemon.is_running:
                 await daemon.kill()
-        if self._stand_ins_process is not None and self._stand_ins_process.running:
+        if self._stand_ins_process is not None and self._stand_ins_process.is_running:
             await self._stand_ins_process.stop(5.0)
 
 
-def pool_of_model(parameters: DeploymentParameters, model: str) -> str:
+def pool_name_of_model(parameters: DeploymentParameters, model: str) -> str:
     """Return the name of the pool that serves a model; for an empty model that of the application pool."""
     return f"{parameters.engines.name}-{model}" if model else parameters.apps.name
 
@@ -266,7 +270,7 @@
     for model in parameters.engines.models:
         pool = PoolSpec(selector=engines, role=MachineRole.ENGINE, model=model.name)
         objects.append(
-            _make_object("Pool", pool_of_model(parameters, model.name), {"model": model.name}, pool)
+            _make_object("Pool", pool_name_of_model(parameters, model.name), {"model": model.name}, pool)
         )
         version = ModelVersionSpec(model=model.name, version=model.boot_version)
         name = f"{model.name}-{model.boot_version}"
--- a/passgate/emulator/admin_client.py
+++ b/passgate/emulator/admin_client.py
@@ -11,19 +11,19 @@
 from passgate.clients.curl import HttpClient
 from passgate.clients.http_call import HttpAnswer, HttpCall, SendPolicy
 from passgate.emulator.admin_messages import (
+    EmulatorAddresses,
     EmulatorState,
     FaultCommand,
     FaultKind,
+    RunStart,
     RunStarts,
-    SeenRun,
-    StandInAddresses,
 )
 from passgate.errors import PlatformError
 
 ADMIN_TIMEOUT_S = 10.0
 
 
-class StandInAdmin:
+class EmulatorAdminClient:
     """Injects faults into running emulator servers and reads their addresses and counters.
 
     Each method raises PlatformError if the answer's status is not 200.
@@ -34,15 +34,15 @@
         self._base_url = f"http://{address}/admin"
         self._headers = wire.authorization_headers(credential)
 
-    async def addresses(self) -> StandInAddresses:
+    async def addresses(self) -> EmulatorAddresses:
         """Return the addresses of all emulator servers."""
-        return decode_body(await self._send("GET", "/addresses"), StandInAddresses)
+        return decode_body(await self._send("GET", "/addresses"), EmulatorAddresses)
 
     async def state(self, prefix: str = "") -> EmulatorState:
         """Return the counters of all emulator servers, by request only for identifiers with ``prefix``."""
         return decode_body(await self._send("GET", f"/state?prefix={quote(prefix)}"), EmulatorState)
 
-    async def runs(self, after: int = 0) -> tuple[SeenRun, ...]:
+    async def runs(self, after: int = 0) -> tuple[RunStart, ...]:
         """Return all starts of requests on back ends except the first ``after``."""
         return decode_body(await self._send("GET", f"/runs?after={after}"), RunStarts).runs
 
--- a/passgate/emulator/admin_messages.py
+++ b/passgate/emulator/admin_messages.py
@@ -13,7 +13,7 @@
 from passgate.emulator.wire import ServerCounters
 
 
-class StandInAddresses(msgspec.Struct, frozen=True, kw_only=True):
+class EmulatorAddresses(msgspec.Struct, frozen=True, kw_only=True):
     """Addresses (``host:port``) of the servers of one emulated deployment."""
 
     deployment: str
@@ -110,7 +110,7 @@
     """Bytes that the weight store has sent to engines."""
 
 
-class SeenRun(msgspec.Struct, frozen=True, kw_only=True):
+class RunStart(msgspec.Struct, frozen=True, kw_only=True):
     """A back end started to execute a request."""
 
     time_s: float
@@ -125,4 +125,4 @@
 class RunStarts(msgspec.Struct, frozen=True, kw_only=True):
     """Answer of ``GET /admin/runs?after=N``: all starts except the first N."""
 
-    runs: tuple[SeenRun, ...]
+    runs: tuple[RunStart, ...]
--- a/passgate/emulator/admin_server.py
+++ b/passgate/emulator/admin_server.py
@@ -8,17 +8,17 @@
 from passgate.emulator.app_server import AppServer
 from passgate.emulator.engine_events import SwapFailure
 from passgate.emulator.engine_server import EngineServer
-from passgate.emulator.wire import ServerCounters, StandInHandler, StandInServer
+from passgate.emulator.wire import EmulatorRequestHandler, EmulatorServer, ServerCounters
 from passgate.errors import MalformedBody, NotFound
 
 if TYPE_CHECKING:
-    from passgate.emulator.standins_server import StandIns
+    from passgate.emulator.standins_server import EmulatorServers
 
 
-class AdminServer(StandInServer):
+class AdminServer(EmulatorServer):
     """Administration server of one deployment's emulator servers."""
 
-    def __init__(self, emulator: StandIns, credential: str | None = None) -> None:
+    def __init__(self, emulator: EmulatorServers, credential: str | None = None) -> None:
         super().__init__("admin", credential)
         self.emulator = emulator
 
@@ -33,41 +33,41 @@
         ]
 
 
-class _AdminHandler(StandInHandler):
+class _AdminHandler(EmulatorRequestHandler):
     server: AdminServer
 
 
 class _AddressesHandler(_AdminHandler):
     async def get(self) -> None:
-        self.reply(self.server.emulator.addresses())
+        self.send_json(self.server.emulator.addresses())
 
 
 class _StateHandler(_AdminHandler):
     async def get(self) -> None:
-        self.reply(read_state(self.server.emulator, self.get_query_argument("prefix", "")))
+        self.send_json(read_state(self.server.emulator, self.get_query_argument("prefix", "")))
 
 
 class _RunsHandler(_AdminHandler):
     async def get(self) -> None:
         after = int(self.get_query_argument("after", "0"))
-        self.reply(RunStarts(runs=tuple(self.server.emulator.run_feed.seen[after:])))
+        self.send_json(RunStarts(runs=tuple(self.server.emulator.run_feed.run_starts[after:])))
 
 
 class _FaultsHandler(_AdminHandler):
     async def post(self) -> None:
-        command = self.body_as(FaultCommand)
+        command = self.decode_body(FaultCommand)
         inject(self.server.emulator, command)
-        self.reply(command)
+        self.send_json(command)
 
 
-def read_state(emulator: StandIns, prefix: str) -> EmulatorState:
+def read_state(emulator: EmulatorServers, prefix: str) -> EmulatorState:
     """Return all counters, by request only for identifiers that begin with ``prefix``."""
     world = emulator.world
-    ids = {record.request_id for record in world.ledger.records if record.request_id.startswith(prefix)}
+    ids = {record.request_id for record in world.run_recorder.records if record.request_id.startswith(prefix)}
     log = world.log.counters
     return EmulatorState(
-        runs={request_id: world.ledger.runs(request_id) for request_id in sorted(ids)},
-        repeated_effects=tuple(world.ledger.repeated_single_effects()),
+        runs={request_id: world.run_recorder.run_count(request_id) for request_id in sorted(ids)},
+        repeated_effects=tuple(world.run_recorder.repeated_unrepeatable_effects()),
         servers={name: _counters_of(server, prefix) for name, server in emulator.servers.items()},
         log=LogTotals(
             appends=log.appends,
@@ -80,7 +80,7 @@
     )
 
 
-def _counters_of(server: StandInServer, prefix: str) -> ServerCounters:
+def _counters_of(server: EmulatorServer, prefix: str) -> ServerCounters:
     counters = server.counters
     received = {name: count for name, count in counters.received.items() if name.startswith(prefix)}
     return ServerCounters(
@@ -88,7 +88,7 @@
     )
 
 
-def inject(emulator: StandIns, command: FaultCommand) -> None:
+def inject(emulator: EmulatorServers, command: FaultCommand) -> None:
     """Apply a fault.
 
     A machine identifier that the machine list does not know is ignored, as is an unknown zone.
@@ -109,14 +109,14 @@
         _set_backend_fault(emulator, server, command)
 
 
-def _set_connection_fault(server: StandInServer, command: FaultCommand) -> None:
+def _set_connection_fault(server: EmulatorServer, command: FaultCommand) -> None:
     name = _CONNECTION_FAULT_FIELDS[command.kind]
     # a command's value is a float; the field may be a bool or an int
     field_type = type(getattr(server.faults, name))
     setattr(server.faults, name, field_type(command.value))
 
 
-def _set_backend_fault(emulator: StandIns, server: StandInServer, command: FaultCommand) -> None:
+def _set_backend_fault(emulator: EmulatorServers, server: EmulatorServer, command: FaultCommand) -> None:
     if not isinstance(server, EngineServer | AppServer):
         raise NotFound("the target is neither an engine nor an app", target=command.target)
     match command.kind:
@@ -130,7 +130,7 @@
             _arm_swap_failure(emulator, command)
 
 
-def _arm_swap_failure(emulator: StandIns, command: FaultCommand) -> None:
+def _arm_swap_failure(emulator: EmulatorServers, command: FaultCommand) -> None:
     engine = emulator.world.engines.get(command.target)
     if engine is None:
         raise NotFound("no engine has the target's name", target=command.target)
@@ -141,7 +141,7 @@
     engine.model.arm_swap_failure(failure, int(command.value))
 
 
-def _isolate(emulator: StandIns, command: FaultCommand) -> None:
+def _isolate(emulator: EmulatorServers, command: FaultCommand) -> None:
     network = emulator.world.network
     if command.value:
         network.isolate(command.target)
@@ -149,39 +149,39 @@
         network.rejoin(command.target)
 
 
-def _set_log_down(emulator: StandIns, command: FaultCommand) -> None:
+def _set_log_down(emulator: EmulatorServers, command: FaultCommand) -> None:
     emulator.world.log.faults.down = bool(command.value)
 
 
-def _set_log_slow(emulator: StandIns, command: FaultCommand) -> None:
+def _set_log_slow(emulator: EmulatorServers, command: FaultCommand) -> None:
     emulator.world.log.faults.extra_s = command.value
 
 
-def _set_log_lag(emulator: StandIns, command: FaultCommand) -> None:
+def _set_log_lag(emulator: EmulatorServers, command: FaultCommand) -> None:
     emulator.world.log.faults.reader_lag_s[command.target] = command.value
 
 
-def _lose_log_answers(emulator: StandIns, command: FaultCommand) -> None:
+def _lose_log_answers(emulator: EmulatorServers, command: FaultCommand) -> None:
     emulator.world.log.faults.lose_next_answers = int(command.value)
 
 
-def _set_store_down(emulator: StandIns, command: FaultCommand) -> None:
+def _set_store_down(emulator: EmulatorServers, command: FaultCommand) -> None:
     emulator.world.store.available = not command.value
 
 
-def _set_machine_list_down(emulator: StandIns, command: FaultCommand) -> None:
+def _set_machine_list_down(emulator: EmulatorServers, command: FaultCommand) -> None:
     emulator.world.machine_list.available = not command.value
 
 
-def _mark_leaving(emulator: StandIns, command: FaultCommand) -> None:
+def _mark_leaving(emulator: EmulatorServers, command: FaultCommand) -> None:
     emulator.world.machine_list.mark_leaving(command.target)
 
 
-def _mark_gone(emulator: StandIns, command: FaultCommand) -> None:
+def _mark_gone(emulator: EmulatorServers, command: FaultCommand) -> None:
     emulator.world.machine_list.mark_gone(command.target)
 
 
-def _return_machine(emulator: StandIns, command: FaultCommand) -> None:
+def _return_machine(emulator: EmulatorServers, command: FaultCommand) -> None:
     emulator.world.machine_list.mark_live(command.target)
 
 
--- a/passgate/emulator/app_model.py
+++ b/passgate/emulator/app_model.py
@@ -23,7 +23,7 @@
 import xxhash
 
 from passgate.emulator.engine_reports import LoadReporter, LoadSnapshot
-from passgate.emulator.ledger import RunLedger
+from passgate.emulator.ledger import RunRecorder
 from passgate.emulator.parameters import AppParameters
 from passgate.errors import BackendRefused
 from passgate.schema import AppRequest, AppResponse, LoadReport
@@ -67,9 +67,9 @@
     started: int = 0
     finished: int = 0
     lost: int = 0
-    wait_s: float = 0.0
+    total_wait_s: float = 0.0
     """Sum of the queueing times of started calls."""
-    busy_s: float = 0.0
+    total_busy_s: float = 0.0
     """Sum of service times of started calls."""
 
 
@@ -110,7 +110,7 @@
         parameters: AppParameters,
         random: Random,
         now_s: float,
-        run_recorder: RunLedger | None = None,
+        run_recorder: RunRecorder | None = None,
     ) -> None:
         self.replica_id = replica_id
         self.parameters = parameters
@@ -119,7 +119,7 @@
         self.slow_factor = 1.0
         self.counters = AppCounters()
         self._random = random
-        self._run_recorder = run_recorder if run_recorder is not None else RunLedger()
+        self._run_recorder = run_recorder if run_recorder is not None else RunRecorder()
         self._now_s = now_s
         self._restart_at_s: float | None = None
         self._last_ticket = 0
@@ -226,8 +226,8 @@
     def _start(self, call: _QueuedCall, now_s: float) -> None:
         service_s = self._draw_service_s()
         self.counters.started += 1
-        self.counters.wait_s += now_s - call.arrived_s
-        self.counters.busy_s += service_s
+        self.counters.total_wait_s += now_s - call.arrived_s
+        self.counters.total_busy_s += service_s
         self._run_recorder.record_run(call.request.request_id, self.replica_id, now_s, call.request)
         self._run_recorder.record_effect(call_digest(call.request), repeatable=call.request.repeatable)
         heapq.heappush(self._running_calls, _RunningCall(now_s + service_s, call.ticket, call.request))
--- a/passgate/emulator/app_server.py
+++ b/passgate/emulator/app_server.py
@@ -11,7 +11,7 @@
 
 from passgate.clients import wire
 from passgate.clock import monotonic_s
-from passgate.emulator.wire import StandInHandler, StandInServer
+from passgate.emulator.wire import EmulatorRequestHandler, EmulatorServer
 from passgate.errors import BackendUnreachable
 from passgate.interfaces import AppClient
 from passgate.schema import AppRequest, AppResponse
@@ -20,14 +20,14 @@
 """Identifier in a response whose request identifier is falsified by ``ServerFaults.cross_answers``."""
 
 
-class AppServer(StandInServer):
+class AppServer(EmulatorServer):
     """One port of one replica of an application service."""
 
     def __init__(
         self, name: str, app_client: AppClient, app_address: str, credential: str | None = None
     ) -> None:
         super().__init__(name, credential)
-        self.model = app_client
+        self.app_client = app_client
         self.app_address = app_address
 
     def routes(self) -> list[tuple]:
@@ -35,7 +35,7 @@
         return [(r"/.*", _CallHandler, {"server": self})]
 
 
-class _CallHandler(StandInHandler):
+class _CallHandler(EmulatorRequestHandler):
     server: AppServer
 
     async def get(self) -> None:
@@ -47,22 +47,22 @@
         )
 
     async def _serve_call(self) -> None:
-        await self.while_connected(self._forward(self._to_app_request()))
+        await self.run_while_connected(self._forward(self._to_app_request()))
 
     post = put = patch = delete = _serve_call
 
     async def _serve_load_report(self) -> None:
-        report = await self.server.model.load_report(self.server.app_address)
-        self.reply(wire.AppLoadAnswer.from_report(report))
+        report = await self.server.app_client.load_report(self.server.app_address)
+        self.send_json(wire.AppLoadAnswer.from_report(report))
 
     async def _forward(self, request: AppRequest) -> None:
         self.server.count_received(request.request_id)
         try:
-            response = await self.server.model.call(self.server.app_address, request)
+            response = await self.server.app_client.call(self.server.app_address, request)
         except BackendUnreachable as error:
-            self.send_unreachable(error)
+            self.send_backend_unreachable(error)
             return
-        if self.takes_lost_answer():
+        if self.consume_lost_answer():
             self.drop_connection()
             return
         self._send_response(response)
@@ -71,7 +71,7 @@
         self.set_status(response.status)
         self.set_header("Content-Type", response.content_type)
         self.set_header(wire.REPLICA_HEADER, response.replica_id)
-        if self.takes_crossed_answer():
+        if self.consume_crossed_answer():
             self.set_header(wire.REQUEST_ID_HEADER, WRONG_REQUEST_ID)
         self.finish(response.body)
 
--- a/passgate/emulator/arrivals.py
+++ b/passgate/emulator/arrivals.py
@@ -27,10 +27,10 @@
 )
 from passgate.clock import monotonic_s
 from passgate.emulator.app_model import expected_app_body
-from passgate.emulator.expected_output import Verdict, expected_length, verify
+from passgate.emulator.expected_output import Verdict, expected_length, verify_result
 from passgate.emulator.parameters import ArrivalParameters, CallKind, ModelParameters
 from passgate.emulator.prompts import PromptSource
-from passgate.emulator.service import Service
+from passgate.emulator.service import PassgateClient
 from passgate.emulator.tally import ArrivalOutcomes
 from passgate.errors import ExecutionStatus, OutcomeUnknown, PassgateError
 from passgate.schema import AppRequest, GenerateRequest
@@ -83,12 +83,12 @@
         parameters: ArrivalParameters,
         model: ModelParameters | None,
         pool: str,
-        client: Service,
+        client: PassgateClient,
         random: Random,
         record_event: Callable[[AnyEvent], None] | None = None,
     ) -> None:
         self.parameters = parameters
-        self.tally = ArrivalOutcomes(name=parameters.name)
+        self.outcomes = ArrivalOutcomes(name=parameters.name)
         self._model = model
         self._pool = pool
         self._client = client
@@ -109,7 +109,7 @@
             task.add_done_callback(self._on_call_done)
         if self._open_calls:
             await asyncio.wait(list(self._open_calls), timeout=drain_timeout_s)
-        self.tally.pending = len(self._open_calls)
+        self.outcomes.pending = len(self._open_calls)
         for task in list(self._open_calls):
             task.cancel()
         if self._unexpected_error is not None:
@@ -134,9 +134,9 @@
             at_s += self._random.expovariate(max_rate)
 
     def _new_call(self) -> _Call:
-        self.tally.arrived += 1
+        self.outcomes.arrived += 1
         repeatable = self._random.random() >= self.parameters.not_repeatable_share
-        name = f"{self.parameters.name}-{self.tally.arrived}"
+        name = f"{self.parameters.name}-{self.outcomes.arrived}"
         if self._prompts is None:
             items = self._random.randint(1, 40)
             return _Call(name=name, arrived_s=monotonic_s(), repeatable=repeatable, items=items)
@@ -144,8 +144,8 @@
             name=name,
             arrived_s=monotonic_s(),
             repeatable=repeatable,
-            prompt=self._prompts.prompt(),
-            seed=self._prompts.seed(),
+            prompt=self._prompts.next_prompt(),
+            seed=self._prompts.next_seed(),
         )
 
     # --- one call ------------------------------------------------------------------------
@@ -157,7 +157,7 @@
                 return
             if attempt + 1 < self.parameters.attempts:
                 await asyncio.sleep(wait_s)
-        self.tally.given_up += 1
+        self.outcomes.given_up += 1
 
     async def _attempt(self, call: _Call, attempt: int) -> float | None:
         """Send the call once; return the wait before the next attempt, or None if there must be none.
@@ -166,14 +166,14 @@
         unknown.
         """
         request_id = f"{call.name}-{attempt}"
-        self.tally.attempts += 1
+        self.outcomes.attempts += 1
         backoff_s = INITIAL_BACKOFF_S * 2**attempt * self._random.uniform(0.5, 1.0)
         try:
             async with asyncio.timeout(self.parameters.deadline_s + TIMEOUT_MARGIN_S):
                 correct = await self._send(call, request_id)
         except TimeoutError:
-            self.tally.unknown += 1
-            self.tally.count_error("caller_timeout")
+            self.outcomes.unknown += 1
+            self.outcomes.count_error("caller_timeout")
             self._record_event(RequestAbandoned(time_s=monotonic_s(), request_id=request_id))
             return backoff_s
         except PassgateError as error:
@@ -252,33 +252,33 @@
             finish_reason=result.finish_reason,
         )
         self._record_event(completed)
-        return verify(request, result, self._model.lengths) is Verdict.RIGHT
+        return verify_result(request, result, self._model.lengths) is Verdict.CORRECT
 
     # --- outcomes -----------------------------------------------------------------------------
 
     def _record_answer(self, call: _Call, correct: bool) -> None:
         if not correct:
-            self.tally.wrong += 1
+            self.outcomes.wrong += 1
             return
         latency_s = monotonic_s() - call.arrived_s
-        self.tally.answered += 1
-        self.tally.latencies_s.append(latency_s)
+        self.outcomes.answered += 1
+        self.outcomes.latencies_s.append(latency_s)
         if latency_s > self.parameters.deadline_s:
-            self.tally.late += 1
+            self.outcomes.late += 1
 
     def _record_failure(self, request_id: str, error: PassgateError, backoff_s: float) -> float | None:
-        self.tally.count_error(error.code)
+        self.outcomes.count_error(error.code)
         failed = RequestFailed(
             time_s=monotonic_s(), request_id=request_id, error=error.code, execution=error.execution
         )
         self._record_event(failed)
         if error.execution is ExecutionStatus.NOT_RUN:
-            self.tally.refused += 1
-            self.tally.not_run_ids.append(request_id)
+            self.outcomes.refused += 1
+            self.outcomes.not_run_ids.append(request_id)
         else:
-            self.tally.unknown += 1
+            self.outcomes.unknown += 1
         if isinstance(error, OutcomeUnknown):
-            self.tally.outcome_lost += 1
+            self.outcomes.outcome_lost += 1
             return None
         return backoff_s if error.retry_after_s is None else error.retry_after_s
 
--- a/passgate/emulator/callers.py
+++ b/passgate/emulator/callers.py
@@ -15,11 +15,11 @@
 from passgate.check.events import AnyEvent
 from passgate.emulator.arrivals import ArrivalStream
 from passgate.emulator.parameters import ArrivalParameters, DeploymentParameters, TrainerParameters
-from passgate.emulator.service import Service
-from passgate.emulator.tally import Tally
+from passgate.emulator.service import PassgateClient
+from passgate.emulator.tally import CallerOutcomes
 from passgate.emulator.trainer import Trainer
 
-ClientFactory = Callable[[str], Service]
+ClientFactory = Callable[[str], PassgateClient]
 """Returns a client of passgate for the named caller."""
 
 
@@ -47,31 +47,33 @@
         self._record_event = record_event
         self._pool_of = pool_of or self._default_pool
         self.trainers = [self._make_trainer(trainer) for trainer in parameters.trainers]
-        self.streams = [self._make_stream(arrivals) for arrivals in parameters.arrivals]
+        self.arrival_streams = [self._make_stream(arrivals) for arrivals in parameters.arrivals]
 
     @property
-    def tally(self) -> Tally:
+    def outcomes(self) -> CallerOutcomes:
         """Outcomes so far; the lists are new, but their items go on counting."""
-        return Tally(
-            trainers=[trainer.tally for trainer in self.trainers],
-            arrivals=[stream.tally for stream in self.streams],
+        return CallerOutcomes(
+            trainers=[trainer.outcomes for trainer in self.trainers],
+            arrivals=[stream.outcomes for stream in self.arrival_streams],
         )
 
-    async def run(self, duration_s: float, drain_timeout_s: float = 60.0) -> Tally:
+    async def run(self, duration_s: float, drain_timeout_s: float = 60.0) -> CallerOutcomes:
         """Run all callers for ``duration_s``, then wait up to ``drain_timeout_s`` for interactive calls.
 
         Raises the exception of a trainer or stream that failed unexpectedly, though not before
         ``duration_s`` is over.
         """
         trainers = [asyncio.ensure_future(trainer.run()) for trainer in self.trainers]
-        streams = [asyncio.ensure_future(stream.run(duration_s, drain_timeout_s)) for stream in self.streams]
+        streams = [
+            asyncio.ensure_future(stream.run(duration_s, drain_timeout_s)) for stream in self.arrival_streams
+        ]
         try:
             await asyncio.wait(trainers, timeout=duration_s) if trainers else await asyncio.sleep(duration_s)
             await _cancel_all(trainers)
             await asyncio.gather(*streams)
         finally:
             await _cancel_all([*trainers, *streams])
-        return self.tally
+        return self.outcomes
 
     def _make_trainer(self, parameters: TrainerParameters) -> Trainer:
         return Trainer(
--- a/passgate/emulator/engine.py
+++ b/passgate/emulator/engine.py
@@ -9,7 +9,13 @@
 import msgspec
 
 from passgate.clock import monotonic_s
-from passgate.emulator.engine_events import ChunkProduced, EndReason, EngineEvent, StreamEnded, TransferWanted
+from passgate.emulator.engine_events import (
+    ChunkProduced,
+    EndReason,
+    EngineEvent,
+    StreamEnded,
+    TransferRequested,
+)
 from passgate.emulator.engine_model import EngineModel
 from passgate.emulator.network import PLATFORM_ZONE
 from passgate.emulator.weight_store import EmulatedWeightStore, RateLimiter
@@ -49,11 +55,11 @@
 
     store: EmulatedWeightStore
 
-    def peer(self, address: str) -> EmulatedEngine | None:
+    def engine_at(self, address: str) -> EmulatedEngine | None:
         """Return the engine at an address; None when there is none."""
         ...
 
-    async def carry(self, source_zone: str, target_zone: str) -> None:
+    async def wait_for_network(self, source_zone: str, target_zone: str) -> None:
         """Wait for the network delay between two zones.
 
         Raises:
@@ -90,7 +96,7 @@
 
     # --- requests ---------------------------------------------------------------------
 
-    def open(self, request: GenerateRequest) -> EngineStream:
+    def open_stream(self, request: GenerateRequest) -> EngineStream:
         """Submit a request and return its output stream.
 
         A waiting or running request with the same identifier is cancelled.
@@ -198,7 +204,7 @@
                 self._send_to_stream(chunk.request_id, chunk, now_s, is_last=chunk.finish_reason is not None)
             case StreamEnded(request_id, reason):
                 self._send_to_stream(request_id, reason, now_s, is_last=True)
-            case TransferWanted():
+            case TransferRequested():
                 self._start_transfer(event)
 
     def _send_to_stream(
@@ -242,14 +248,14 @@
             await self._progress_changed.wait()
         await self._upload_limiter.send(size_bytes)
 
-    def _start_transfer(self, transfer: TransferWanted) -> None:
+    def _start_transfer(self, transfer: TransferRequested) -> None:
         previous = self._transfer_by_model.pop(transfer.model, None)
         if previous is not None:
             previous.cancel()
         self._fetch_progress_by_model[transfer.model] = (transfer.version, 0)
         self._transfer_by_model[transfer.model] = asyncio.ensure_future(self._transfer(transfer))
 
-    async def _transfer(self, transfer: TransferWanted) -> None:
+    async def _transfer(self, transfer: TransferRequested) -> None:
         failed = False  # reported to the model, which fails the stage orders that wait for the transfer
         try:
             if transfer.source == STORE_SOURCE:
@@ -264,13 +270,13 @@
         self._wake_progress_waiters()
         self._advance_model()
 
-    async def _fetch_from_store(self, transfer: TransferWanted) -> None:
+    async def _fetch_from_store(self, transfer: TransferRequested) -> None:
         async for received_bytes in self._weight_sources.store.pieces(transfer.model, transfer.version):
-            await self._weight_sources.carry(PLATFORM_ZONE, self.zone)
+            await self._weight_sources.wait_for_network(PLATFORM_ZONE, self.zone)
             self._record_progress(transfer, received_bytes)
 
-    async def _fetch_from_peer(self, transfer: TransferWanted) -> None:
-        peer = self._weight_sources.peer(transfer.source)
+    async def _fetch_from_peer(self, transfer: TransferRequested) -> None:
+        peer = self._weight_sources.engine_at(transfer.source)
         if peer is None or not peer.up:
             raise BackendUnreachable(
                 "no running engine at the source address", execution=ExecutionStatus.NOT_RUN
@@ -281,11 +287,11 @@
         while received_bytes < size_bytes:
             next_bytes = min(piece_bytes, size_bytes - received_bytes)
             await peer.upload_piece(transfer.model, transfer.version, received_bytes, next_bytes)
-            await self._weight_sources.carry(peer.zone, self.zone)
+            await self._weight_sources.wait_for_network(peer.zone, self.zone)
             received_bytes += next_bytes
             self._record_progress(transfer, received_bytes)
 
-    def _record_progress(self, transfer: TransferWanted, received_bytes: int) -> None:
+    def _record_progress(self, transfer: TransferRequested, received_bytes: int) -> None:
         self._fetch_progress_by_model[transfer.model] = (transfer.version, received_bytes)
         self._wake_progress_waiters()
 
--- a/passgate/emulator/engine_batch.py
+++ b/passgate/emulator/engine_batch.py
@@ -17,7 +17,7 @@
 from passgate.emulator.engine_sequence import Sequence, StepRun
 from passgate.emulator.engine_weights import EngineWeights
 from passgate.emulator.kv_cache import BlockKey, KvCache
-from passgate.emulator.ledger import RunLedger
+from passgate.emulator.ledger import RunRecorder
 from passgate.emulator.parameters import EngineParameters
 from passgate.schema import CacheEventKind, GenerateRequest
 
@@ -41,7 +41,7 @@
         cache_events: CacheEventLog,
         counters: EngineCounters,
         emit: Callable[[EngineEvent], None],
-        run_recorder: RunLedger,
+        run_recorder: RunRecorder,
     ) -> None:
         self._replica_id = replica_id
         self._parameters = parameters
--- a/passgate/emulator/engine_control.py
+++ b/passgate/emulator/engine_control.py
@@ -68,7 +68,7 @@
         while self._adapter_loads and self._adapter_loads[0].due_s <= now_s:
             self._finish_adapter_load(heapq.heappop(self._adapter_loads))
 
-    def holds_steps(self, now_s: float) -> bool:
+    def pause_for_swap(self, now_s: float) -> bool:
         """Begin the pause of a pending activation, if there is one; return whether a pause is on.
 
         No step may run during a pause.
@@ -149,8 +149,8 @@
         if transfer is not None:
             self._emit(transfer)
 
-    def transferred(self, model: str, version: int, failed: bool) -> None:
-        """Finish or fail the stage orders of a transfer that was requested with ``TransferWanted``.
+    def record_transfer_end(self, model: str, version: int, failed: bool) -> None:
+        """Finish or fail the stage orders of a transfer that was requested with ``TransferRequested``.
 
         A transfer that a later stage order superseded is ignored.
         """
--- a/passgate/emulator/engine_events.py
+++ b/passgate/emulator/engine_events.py
@@ -34,7 +34,7 @@
     reason: EndReason
 
 
-class TransferWanted(msgspec.Struct, frozen=True):
+class TransferRequested(msgspec.Struct, frozen=True):
     """The owner must fetch weights and then call ``EngineModel.record_transfer_end``."""
 
     model: str
@@ -43,7 +43,7 @@
     """``store`` for the weight store, otherwise the address of an engine."""
 
 
-EngineEvent = ChunkProduced | StreamEnded | TransferWanted
+EngineEvent = ChunkProduced | StreamEnded | TransferRequested
 
 
 class SwapFailure(enum.Enum):
--- a/passgate/emulator/engine_model.py
+++ b/passgate/emulator/engine_model.py
@@ -35,7 +35,7 @@
 from passgate.emulator.engine_sequence import Sequence
 from passgate.emulator.engine_weights import EngineWeights
 from passgate.emulator.kv_cache import BlockKey
-from passgate.emulator.ledger import RunLedger
+from passgate.emulator.ledger import RunRecorder
 from passgate.emulator.parameters import EngineParameters, ModelParameters
 from passgate.errors import BackendRefused
 from passgate.routing.prefix import block_hashes
@@ -68,7 +68,7 @@
         models: SequenceOf[ModelParameters],
         random: Random,
         now_s: float,
-        run_recorder: RunLedger | None = None,
+        run_recorder: RunRecorder | None = None,
     ) -> None:
         self.replica_id = replica_id
         self.parameters = parameters
@@ -93,7 +93,7 @@
             self._cache_events,
             self.counters,
             self._undelivered_events.append,
-            run_recorder if run_recorder is not None else RunLedger(),
+            run_recorder if run_recorder is not None else RunRecorder(),
         )
         self.control = EngineControl(
             parameters, self.weights, self.batch, self.counters, self._undelivered_events.append
@@ -139,7 +139,7 @@
         self._begin_step_run_if_idle(now_s)
 
     def _begin_step_run_if_idle(self, now_s: float) -> None:
-        if not self.up or self.batch.step_run is not None or self.control.holds_steps(now_s):
+        if not self.up or self.batch.step_run is not None or self.control.pause_for_swap(now_s):
             return
         self.batch.begin_step_run(now_s)
         self.control.finish_drain_if_idle()
@@ -241,9 +241,9 @@
         return result
 
     def record_transfer_end(self, model: str, version: int, now_s: float, *, failed: bool = False) -> None:
-        """Finish or fail the stage orders of a transfer that was requested with ``TransferWanted``."""
+        """Finish or fail the stage orders of a transfer that was requested with ``TransferRequested``."""
         self._process_due_events(now_s)
-        self.control.transferred(model, version, failed)
+        self.control.record_transfer_end(model, version, failed)
 
     def arm_swap_failure(self, failure: SwapFailure, count: int = 1) -> None:
         """Make the next ``count`` stages or activations, whichever the failure applies to, fail."""
--- a/passgate/emulator/engine_server.py
+++ b/passgate/emulator/engine_server.py
@@ -13,13 +13,13 @@
 
 from passgate.clients import wire
 from passgate.clock import monotonic_s
-from passgate.emulator.wire import StandInHandler, StandInServer
+from passgate.emulator.wire import EmulatorRequestHandler, EmulatorServer
 from passgate.errors import BackendUnreachable, OrderRefused, PassgateError
 from passgate.interfaces import EngineClient
 from passgate.schema import EngineOrder, GenerateChunk, GenerateRequest
 
 
-class EngineServer(StandInServer):
+class EngineServer(EmulatorServer):
     """One port of one engine."""
 
     def __init__(
@@ -41,14 +41,14 @@
         ]
 
 
-class _EngineHandler(StandInHandler):
+class _EngineHandler(EmulatorRequestHandler):
     server: EngineServer
 
 
 class _CompletionHandler(_EngineHandler):
     async def post(self) -> None:
-        request = to_generate_request(self.body_as(wire.CompletionCall))
-        await self.while_connected(self._serve(request))
+        request = to_generate_request(self.decode_body(wire.CompletionCall))
+        await self.run_while_connected(self._serve(request))
 
     async def _serve(self, request: GenerateRequest) -> None:
         self.server.count_received(request.request_id)
@@ -57,9 +57,9 @@
             try:
                 first_chunk = await anext(chunks, None)
             except BackendUnreachable as error:
-                self.send_unreachable(error)
+                self.send_backend_unreachable(error)
                 return
-            if self.takes_lost_answer():
+            if self.consume_lost_answer():
                 self.drop_connection()
                 return
             await self._send_stream(request, first_chunk, chunks)
@@ -107,32 +107,32 @@
 
 class _CancelHandler(_EngineHandler):
     async def post(self) -> None:
-        cancellation = self.body_as(wire.CancelCall)
+        cancellation = self.decode_body(wire.CancelCall)
         await self.server.engine_client.cancel(self.server.engine_address, cancellation.request_id)
-        self.reply(cancellation)
+        self.send_json(cancellation)
 
 
 class _LoadHandler(_EngineHandler):
     async def get(self) -> None:
-        self.reply(await self.server.engine_client.load_report(self.server.engine_address))
+        self.send_json(await self.server.engine_client.load_report(self.server.engine_address))
 
 
 class _CacheEventsHandler(_EngineHandler):
     async def get(self) -> None:
         after_sequence = int(self.get_query_argument("after", "0"))
         events = await self.server.engine_client.cache_events(self.server.engine_address, after_sequence)
-        self.reply(wire.CacheEventsAnswer(events=tuple(events)))
+        self.send_json(wire.CacheEventsAnswer(events=tuple(events)))
 
 
 class _OrderHandler(_EngineHandler):
     async def post(self) -> None:
-        order = self.body_as(EngineOrder)
+        order = self.decode_body(EngineOrder)
         try:
             result = await self.server.engine_client.order(self.server.engine_address, order)
         except OrderRefused as error:
             self.send_error_body(409, error.body())
             return
-        self.reply(result)
+        self.send_json(result)
 
 
 def to_generate_request(call: wire.CompletionCall) -> GenerateRequest:
--- a/passgate/emulator/engine_weights.py
+++ b/passgate/emulator/engine_weights.py
@@ -2,7 +2,7 @@
 
 >>> weights = EngineWeights({"m": 1})
 >>> weights.stage("m", 2, "store", "o1")
-TransferWanted(model='m', version=2, source='store')
+TransferRequested(model='m', version=2, source='store')
 >>> weights.complete_fetch("m", 2)
 ['o1']
 >>> weights.activate("m", 2)
@@ -16,7 +16,7 @@
 
 import msgspec
 
-from passgate.emulator.engine_events import TransferWanted
+from passgate.emulator.engine_events import TransferRequested
 
 
 class _Fetch(msgspec.Struct):
@@ -46,7 +46,7 @@
         """Return whether the version is active or staged."""
         return version in (self.active.get(model), self.staged.get(model))
 
-    def stage(self, model: str, version: int, source: str, order_id: str) -> TransferWanted | None:
+    def stage(self, model: str, version: int, source: str, order_id: str) -> TransferRequested | None:
         """Start a fetch and return its transfer; None if the version is being fetched already.
 
         A fetch of another version is replaced.  The caller first checks that the engine does not hold the
@@ -57,7 +57,7 @@
             fetch.order_ids.append(order_id)
             return None
         self._fetch_by_model[model] = _Fetch(version=version, order_ids=[order_id])
-        return TransferWanted(model, version, source)
+        return TransferRequested(model, version, source)
 
     def orders_superseded_by(self, model: str, version: int) -> list[str]:
         """Return the order identifiers of the fetch that staging ``version`` would replace."""
--- a/passgate/emulator/expected_output.py
+++ b/passgate/emulator/expected_output.py
@@ -49,7 +49,7 @@
 class Verdict(enum.Enum):
     """Outcome of verifying a result against its request."""
 
-    RIGHT = "right"
+    CORRECT = "right"
     ANOTHER_REQUEST = "another_request"
     """The result has another request identifier."""
     WRONG_LENGTH = "wrong_length"
@@ -105,7 +105,7 @@
     return tuple(tokens)
 
 
-def verify(request: GenerateRequest, result: GenerateResult, lengths: LengthDistribution) -> Verdict:
+def verify_result(request: GenerateRequest, result: GenerateResult, lengths: LengthDistribution) -> Verdict:
     """Verify that a result is the complete output of ``request``; report the first deviation."""
     if result.request_id != request.request_id:
         return Verdict.ANOTHER_REQUEST
@@ -119,7 +119,7 @@
     finish_reason: FinishReason,
     lengths: LengthDistribution,
 ) -> Verdict:
-    """Verify tokens, spans and finish reason like :func:`verify`, but no request identifier."""
+    """Verify tokens, spans and finish reason like :func:`verify_result`, but no request identifier."""
     length, reason = expected_length(request.prompt, request.seed, request.max_tokens, lengths)
     if len(tokens) != length:
         return Verdict.WRONG_LENGTH
@@ -129,7 +129,7 @@
         return Verdict.WRONG_SPANS
     if tuple(tokens) != expected_tokens(request, spans):
         return Verdict.WRONG_TOKENS
-    return Verdict.RIGHT
+    return Verdict.CORRECT
 
 
 def _spans_cover(spans: Sequence[VersionSpan], length: int) -> bool:
--- a/passgate/emulator/ledger.py
+++ b/passgate/emulator/ledger.py
@@ -4,9 +4,9 @@
 was refused as "not run" must have no execution here, and a call that is not repeatable
 at most one side effect.
 
->>> run_recorder = RunLedger()
+>>> run_recorder = RunRecorder()
 >>> run_recorder.record_run("r1", "linha-0", now_s=1.0)
->>> run_recorder.runs("r1"), run_recorder.runs("r2")
+>>> run_recorder.run_count("r1"), run_recorder.run_count("r2")
 (1, 0)
 """
 
@@ -29,14 +29,14 @@
     """Time of the start on the loop's clock."""
 
 
-class RunLedger:
+class RunRecorder:
     """Counts executions by request and side effects by effect key.
 
-    ``on_run`` is called with the record of each execution when it starts.
+    ``on_run_start`` is called with the record of each execution when it starts.
     """
 
-    def __init__(self, on_run: Callable[[RunRecord], None] | None = None) -> None:
-        self._on_run = on_run
+    def __init__(self, on_run_start: Callable[[RunRecord], None] | None = None) -> None:
+        self._on_run_start = on_run_start
         self.records: list[RunRecord] = []
         self._run_counts: Counter[str] = Counter()
         self._effect_counts: Counter[str] = Counter()
@@ -52,8 +52,8 @@
         """Record that a replica starts to execute a request; ``request`` is for subclasses."""
         record = RunRecord(request_id, replica_id, now_s)
         self.records.append(record)
-        if self._on_run is not None:
-            self._on_run(record)
+        if self._on_run_start is not None:
+            self._on_run_start(record)
         self._run_counts[request_id] += 1
 
     def record_effect(self, effect_key: str, *, repeatable: bool = True) -> None:
@@ -62,14 +62,14 @@
         if not repeatable:
             self._unrepeatable_effects.add(effect_key)
 
-    def runs(self, request_id: str) -> int:
+    def run_count(self, request_id: str) -> int:
         """Return how many executions of a request have started on all replicas."""
         return self._run_counts[request_id]
 
-    def effects(self, effect_key: str) -> int:
+    def effect_count(self, effect_key: str) -> int:
         """Return how often a side effect has happened."""
         return self._effect_counts[effect_key]
 
-    def repeated_single_effects(self) -> list[str]:
+    def repeated_unrepeatable_effects(self) -> list[str]:
         """Return the sorted keys of side effects that happened more than once but must not."""
         return sorted(key for key in self._unrepeatable_effects if self._effect_counts[key] > 1)
--- a/passgate/emulator/log_groups.py
+++ b/passgate/emulator/log_groups.py
@@ -61,7 +61,7 @@
     def __init__(self, now: Callable[[], float]) -> None:
         self._now = now
         self._groups: dict[str, _Group] = {}
-        self.shift = 0
+        self.assignment_offset = 0
         """Rotates the order in which partitions are assigned to members."""
 
     def join(
@@ -97,19 +97,19 @@
             self._compute_targets(group)
             self._move_released_partitions(group)
 
-    def owners(self, name: str) -> dict[Partition, str]:
+    def holders(self, name: str) -> dict[Partition, str]:
         """Return the holder of each partition that has one."""
         group = self._groups.get(name, _Group())
         self._expire(group)
         return dict(group.holder_by_partition)
 
-    def deal_anew(self) -> None:
+    def reassign_all(self) -> None:
         """Assign all partitions of all groups to other members; each moves once its holder confirms that."""
-        self.shift += 1
+        self.assignment_offset += 1
         for group in self._groups.values():
             self._compute_targets(group)
 
-    def drop_members(self) -> None:
+    def expire_all_members(self) -> None:
         """Expire all members of all groups; they get their partitions back by joining."""
         for group in self._groups.values():
             group.members.clear()
@@ -131,7 +131,7 @@
         group.generation += 1
         members = sorted(group.members)
         group.target_by_partition = {
-            part: members[(index + self.shift) % len(members)]
+            part: members[(index + self.assignment_offset) % len(members)]
             for index, part in enumerate(group.partitions)
             if members
         }
--- a/passgate/emulator/log_model.py
+++ b/passgate/emulator/log_model.py
@@ -1,9 +1,9 @@
 """In-memory emulation of the platform's append-only log, with its delays and faults.
 
-``MemoryLog`` is the service; ``MemoryLogClient`` is the client in one zone, which
+``EmulatedLog`` is the service; ``EmulatedLogClient`` is the client in one zone, which
 reaches the service over the emulated network.
 
->>> log = MemoryLog(LogParameters())
+>>> log = EmulatedLog(LogParameters())
 >>> log.append_now("config", [b"a", b"b"], now_s=0.0)
 0
 >>> log.visible_end("config", lag_s=0.0, now_s=0.0)
@@ -66,14 +66,14 @@
     payload: bytes
 
 
-class MemoryLog:
+class EmulatedLog:
     """The log service: named streams of records, shared by the clients of all zones."""
 
     def __init__(self, parameters: LogParameters) -> None:
         self.parameters = parameters
         self.faults = LogFaults()
         self.counters = LogCounters()
-        self.records_by_stream: Counter[str] = Counter()
+        self.record_count_by_stream: Counter[str] = Counter()
         self._streams: dict[str, list[_StoredRecord]] = {}
         self._waiters: dict[str, dict[asyncio.Future[None], None]] = {}
 
@@ -85,7 +85,7 @@
         self.counters.appends += 1
         self.counters.records += len(payloads)
         self.counters.bytes += sum(map(len, payloads))
-        self.records_by_stream[stream] += len(payloads)
+        self.record_count_by_stream[stream] += len(payloads)
         for waiter in self._waiters.pop(stream, ()):
             if not waiter.done():
                 waiter.set_result(None)
@@ -124,14 +124,14 @@
             del waiters[waiter]
 
 
-class MemoryLogClient:
+class EmulatedLogClient:
     """Client of the log in one zone; implements ``interfaces.LogClient``.
 
     ``append`` and ``read`` raise LogUnavailable if the call had no effect; ``append`` raises LogAppendUnknown
     if its records may have been appended or still may be.
     """
 
-    def __init__(self, log: MemoryLog, network: Network, zone: str, random: Random) -> None:
+    def __init__(self, log: EmulatedLog, network: Network, zone: str, random: Random) -> None:
         self._log = log
         self._network = network
         self._zone = zone
--- a/passgate/emulator/log_server.py
+++ b/passgate/emulator/log_server.py
@@ -6,7 +6,7 @@
 from __future__ import annotations
 
 from passgate.clients import wire
-from passgate.emulator.wire import StandInHandler, StandInServer
+from passgate.emulator.wire import EmulatorRequestHandler, EmulatorServer
 from passgate.errors import LogAppendUnknown
 from passgate.interfaces import LogClient
 
@@ -15,7 +15,7 @@
 MAX_LIMIT = 10_000
 
 
-class LogServer(StandInServer):
+class LogServer(EmulatorServer):
     """Serves the log as one client of it sees it, on one port.
 
     The connection of an append with unknown outcome is closed without an answer.  A read is
@@ -31,24 +31,24 @@
         return [(r"/v1/streams/([^/]+)/records", _RecordsHandler, {"server": self})]
 
 
-class _RecordsHandler(StandInHandler):
+class _RecordsHandler(EmulatorRequestHandler):
     server: LogServer
 
     async def post(self, stream: str) -> None:
-        call = self.body_as(wire.AppendCall)
+        call = self.decode_body(wire.AppendCall)
         try:
             offset = await self.server.log_client.append(stream, call.payloads, APPEND_TIMEOUT_S)
         except LogAppendUnknown:
             self.drop_connection()
             return
-        self.reply(wire.AppendAnswer(offset=offset))
+        self.send_json(wire.AppendAnswer(offset=offset))
 
     async def get(self, stream: str) -> None:
-        await self.while_connected(self._read(stream))
+        await self.run_while_connected(self._read(stream))
 
     async def _read(self, stream: str) -> None:
         offset = int(self.get_query_argument("offset", "0"))
         limit = min(int(self.get_query_argument("limit", "100")), MAX_LIMIT)
         wait_s = min(float(self.get_query_argument("wait_s", "0")), MAX_WAIT_S)
         batch = await self.server.log_client.read(stream, offset, limit, wait_s)
-        self.reply(wire.ReadAnswer(entries=batch.entries, end_offset=batch.end_offset))
+        self.send_json(wire.ReadAnswer(entries=batch.entries, end_offset=batch.end_offset))
--- a/passgate/emulator/machine_list.py
+++ b/passgate/emulator/machine_list.py
@@ -33,7 +33,7 @@
         self._visible: dict[str, MachineInfo] = {}
         self._pending_changes: deque[_PendingChange] = deque()
 
-    def register(self, machine: MachineInfo) -> None:
+    def put_immediately(self, machine: MachineInfo) -> None:
         """Add or replace a machine, visible to readers at once; meant for the start of a run."""
         self._current[machine.machine_id] = machine
         self._visible[machine.machine_id] = machine
--- a/passgate/emulator/memory_clients.py
+++ b/passgate/emulator/memory_clients.py
@@ -97,7 +97,7 @@
         engine = self._registry.engine(address)
         await self._connect(engine)
         report = engine.load_report()
-        await self._network.deliver(engine.zone, self._zone)
+        await self._network.wait_for_delivery(engine.zone, self._zone)
         return report
 
     async def cache_events(self, address: str, after_sequence: int) -> Sequence[CacheEvent]:
@@ -105,7 +105,7 @@
         engine = self._registry.engine(address)
         await self._connect(engine)
         events = engine.cache_events(after_sequence)
-        await self._network.deliver(engine.zone, self._zone)
+        await self._network.wait_for_delivery(engine.zone, self._zone)
         return events
 
     async def order(self, address: str, order: EngineOrder) -> OrderResult:
@@ -115,7 +115,7 @@
         try:
             return engine.order(order)
         finally:
-            await self._network.deliver(engine.zone, self._zone)
+            await self._network.wait_for_delivery(engine.zone, self._zone)
 
     async def _connect(self, backend: EmulatedEngine) -> None:
         await _connect(self._network, self._zone, backend)
@@ -123,10 +123,10 @@
     async def _open_stream(self, engine: EmulatedEngine, request: GenerateRequest) -> EngineStream:
         await self._connect(engine)
         try:
-            return engine.open(request)
+            return engine.open_stream(request)
         except BackendRefused as error:
             refusal = error
-        await self._network.deliver(engine.zone, self._zone)
+        await self._network.wait_for_delivery(engine.zone, self._zone)
         raise refusal
 
     async def _receive_chunk(
@@ -135,7 +135,7 @@
         execution = ExecutionStatus.RAN if has_received else ExecutionStatus.UNKNOWN
         item = await stream.get()
         try:
-            await self._network.deliver(engine.zone, self._zone, item.sent_s)
+            await self._network.wait_for_delivery(engine.zone, self._zone, item.sent_s)
         except BackendUnreachable as error:
             raise BackendUnreachable(str(error), execution=execution) from error
         if self._network.draw_connection_loss():
@@ -177,10 +177,10 @@
         try:
             answer = app.submit(request)
         except BackendRefused as error:
-            await self._network.deliver(app.zone, self._zone)
+            await self._network.wait_for_delivery(app.zone, self._zone)
             raise error
         response = await asyncio.shield(answer)
-        await self._network.deliver(app.zone, self._zone)
+        await self._network.wait_for_delivery(app.zone, self._zone)
         if response is None or self._network.draw_connection_loss():
             raise BackendUnreachable("connection reset before the answer", execution=ExecutionStatus.UNKNOWN)
         return response
@@ -190,14 +190,14 @@
         app = self._registry.app(address)
         await _connect(self._network, self._zone, app)
         report = app.load_report()
-        await self._network.deliver(app.zone, self._zone)
+        await self._network.wait_for_delivery(app.zone, self._zone)
         return report
 
 
 async def _connect(network: Network, zone: str, backend: EmulatedEngine | EmulatedApp) -> None:
     """Open a connection and wait until a request arrives; raises BackendUnreachable."""
     await network.connect(zone, backend.zone)
-    await network.deliver(zone, backend.zone)
+    await network.wait_for_delivery(zone, backend.zone)
     if not backend.up:
         raise BackendUnreachable("the back end refused the connection", execution=ExecutionStatus.NOT_RUN)
 
--- a/passgate/emulator/network.py
+++ b/passgate/emulator/network.py
@@ -91,7 +91,7 @@
                 "connection attempt timed out in a network partition", execution=ExecutionStatus.NOT_RUN
             )
 
-    async def deliver(self, source: str, target: str, sent_s: float | None = None) -> None:
+    async def wait_for_delivery(self, source: str, target: str, sent_s: float | None = None) -> None:
         """Wait until a message sent at ``sent_s`` (default: now) arrives.
 
         Raises:
--- a/passgate/emulator/platform_server.py
+++ b/passgate/emulator/platform_server.py
@@ -9,7 +9,7 @@
 from typing import Protocol
 
 from passgate.clients import wire
-from passgate.emulator.wire import StandInHandler, StandInServer
+from passgate.emulator.wire import EmulatorRequestHandler, EmulatorServer
 from passgate.interfaces import MachineList, WeightStore
 from passgate.schema import MachineInfo
 
@@ -34,7 +34,7 @@
         ...
 
 
-class PlatformServer(StandInServer):
+class PlatformServer(EmulatorServer):
     """Serves the machine list and the weight store on one port, compressed for clients that accept gzip."""
 
     compresses = True
@@ -61,34 +61,34 @@
         ]
 
 
-class _PlatformHandler(StandInHandler):
+class _PlatformHandler(EmulatorRequestHandler):
     server: PlatformServer
 
 
 class _MachinesHandler(_PlatformHandler):
     async def get(self) -> None:
-        self.reply(wire.MachinesAnswer(machines=tuple(await self.server.machine_list.machines())))
+        self.send_json(wire.MachinesAnswer(machines=tuple(await self.server.machine_list.machines())))
 
 
 class _MachineHandler(_PlatformHandler):
     async def put(self, machine_id: str) -> None:
-        machine = self.body_as(MachineInfo)
+        machine = self.decode_body(MachineInfo)
         self.server.machine_list.put(machine)
-        self.reply(machine)
+        self.send_json(machine)
 
 
 class _LeavingHandler(_PlatformHandler):
     async def post(self, machine_id: str) -> None:
         self.server.machine_list.mark_leaving(machine_id)
-        self.reply(wire.MachineAnswer(machine_id=machine_id))
+        self.send_json(wire.MachineAnswer(machine_id=machine_id))
 
 
 class _WeightHandler(_PlatformHandler):
     async def get(self, model: str, version: str) -> None:
         size_bytes = await self.server.weight_store.size_bytes(model, int(version))
-        self.reply(wire.WeightAnswer(size_bytes=size_bytes))
+        self.send_json(wire.WeightAnswer(size_bytes=size_bytes))
 
     async def put(self, model: str, version: str) -> None:
-        call = self.body_as(wire.WeightAnswer)
+        call = self.decode_body(wire.WeightAnswer)
         self.server.weight_store.publish(model, int(version), call.size_bytes)
-        self.reply(call)
+        self.send_json(call)
--- a/passgate/emulator/prompts.py
+++ b/passgate/emulator/prompts.py
@@ -1,7 +1,7 @@
 """Random prompts of emulated callers: a prefix that all prompts of a model share, then random tokens.
 
 >>> source = PromptSource(ModelParameters(name="m", system_prompt_tokens=4, prompt_tokens=3), Random(1))
->>> first, second = source.prompt(), source.prompt()
+>>> first, second = source.next_prompt(), source.next_prompt()
 >>> first[:4] == second[:4], first == second, len(first)
 (True, False, 7)
 """
@@ -26,11 +26,11 @@
         prefix_random = Random(f"system prompt of {model.name}")
         self._prefix = _draw_tokens(prefix_random, model.system_prompt_tokens)
 
-    def prompt(self) -> tuple[int, ...]:
+    def next_prompt(self) -> tuple[int, ...]:
         """Return a new random prompt with the model's prefix."""
         return self._prefix + _draw_tokens(self._random, self._token_count)
 
-    def seed(self) -> int:
+    def next_seed(self) -> int:
         """Return a new random sampling seed, from 0 to 2**31 - 1."""
         return self._random.getrandbits(31)
 
--- a/passgate/emulator/queueing_check.py
+++ b/passgate/emulator/queueing_check.py
@@ -42,7 +42,7 @@
     """Relative standard error of the simulated value; 0 where the values must be equal."""
 
     @property
-    def error(self) -> float:
+    def relative_error(self) -> float:
         """Relative error of the simulated value."""
         return self.simulated / self.theory - 1.0
 
@@ -54,7 +54,7 @@
     return weight_at_capacity / (sum(weights_below_capacity) + weight_at_capacity)
 
 
-def application_wait(servers: int, utilisation: float, calls: int, seed: int) -> QueueingResult:
+def compare_app_wait_with_mmc(servers: int, utilisation: float, calls: int, seed: int) -> QueueingResult:
     """Compare the mean wait of calls with exponential service times at one replica with M/M/c."""
     service_s = 0.08
     parameters = AppParameters(
@@ -64,19 +64,19 @@
     rate_per_s = utilisation * servers / service_s
     waits_s: list[float] = []
     for at_s in _poisson_arrivals_s(rate_per_s, calls, seed):
-        earlier_totals = app.counters.wait_s, app.counters.started
+        earlier_totals = app.counters.total_wait_s, app.counters.started
         app.submit(_app_request(), at_s)
         app.advance(at_s)
         _record_waits(waits_s, app, earlier_totals)
     while (due_s := app.next_event_s()) is not None:
-        earlier_totals = app.counters.wait_s, app.counters.started
+        earlier_totals = app.counters.total_wait_s, app.counters.started
         app.advance(due_s)
         _record_waits(waits_s, app, earlier_totals)
     theory_s = erlang_c(servers, utilisation * servers) * service_s / (servers * (1 - utilisation))
     return _result_of_samples(f"M/M/{servers} at {utilisation:.2f}", "mean wait, s", waits_s, theory_s)
 
 
-def engine_wait(utilisation: float, calls: int, seed: int) -> QueueingResult:
+def compare_engine_wait_with_md1(utilisation: float, calls: int, seed: int) -> QueueingResult:
     """Compare the mean wait at an engine with one request at a time, all of equal size, with M/D/1."""
     engine = _engine_with_constant_service(max_running=1)
     service_s = _service_s(engine.parameters)
@@ -86,7 +86,7 @@
     return _result_of_samples(f"engine as M/D/1 at {utilisation:.2f}", "mean wait, s", waits_s, theory_s)
 
 
-def engine_recursion(utilisation: float, calls: int, seed: int) -> QueueingResult:
+def compare_engine_with_lindley(utilisation: float, calls: int, seed: int) -> QueueingResult:
     """Compare the mean sojourn time at the same engine with Lindley's recursion over the same arrivals."""
     engine = _engine_with_constant_service(max_running=1)
     service_s = _service_s(engine.parameters)
@@ -106,7 +106,7 @@
     )
 
 
-def engine_little(calls: int, seed: int) -> QueueingResult:
+def compare_engine_with_littles_law(calls: int, seed: int) -> QueueingResult:
     """Compare the mean number of requests in a batching engine with Little's law."""
     engine = _engine_with_constant_service(max_running=16)
     run = _run_engine(engine, 16.0, calls, seed)
@@ -121,7 +121,7 @@
     )
 
 
-def engine_full_batch(context_tokens: int = 500, output_tokens: int = 400) -> QueueingResult:
+def compare_full_batch_rate(context_tokens: int = 500, output_tokens: int = 400) -> QueueingResult:
     """Compare the decode rate of a full batch of equal sequences with the step time formula."""
     parameters = EngineParameters()
     lengths = LengthDistribution(median_tokens=output_tokens, sigma=0.0)
@@ -160,15 +160,15 @@
 def run_all(calls: int = 100_000, seed: int = 1) -> list[QueueingResult]:
     """Run every comparison."""
     return [
-        application_wait(1, 0.5, calls, seed),
-        application_wait(1, 0.8, calls, seed),
-        application_wait(4, 0.7, calls, seed),
-        application_wait(4, 0.9, calls, seed),
-        engine_wait(0.5, calls // 4, seed),
-        engine_wait(0.8, calls // 4, seed),
-        engine_recursion(0.8, calls // 20, seed),
-        engine_little(calls // 50, seed),
-        engine_full_batch(),
+        compare_app_wait_with_mmc(1, 0.5, calls, seed),
+        compare_app_wait_with_mmc(1, 0.8, calls, seed),
+        compare_app_wait_with_mmc(4, 0.7, calls, seed),
+        compare_app_wait_with_mmc(4, 0.9, calls, seed),
+        compare_engine_wait_with_md1(0.5, calls // 4, seed),
+        compare_engine_wait_with_md1(0.8, calls // 4, seed),
+        compare_engine_with_lindley(0.8, calls // 20, seed),
+        compare_engine_with_littles_law(calls // 50, seed),
+        compare_full_batch_rate(),
     ]
 
 
@@ -214,7 +214,7 @@
     """Append the mean wait of the calls that started since the earlier totals, once for each call."""
     started = app.counters.started - earlier_totals[1]
     if started:
-        waits_s.extend([(app.counters.wait_s - earlier_totals[0]) / started] * started)
+        waits_s.extend([(app.counters.total_wait_s - earlier_totals[0]) / started] * started)
 
 
 def _engine_with_constant_service(max_running: int) -> EngineModel:
@@ -277,7 +277,7 @@
     for result in run_all(calls, seed):
         print(
             f"{result.case:<26} {result.measure:<24} {result.simulated:>10.5f} {result.theory:>10.5f}"
-            f" {result.error:>+8.2%} {result.standard_error:>8.2%}"
+            f" {result.relative_error:>+8.2%} {result.standard_error:>8.2%}"
         )
 
 
--- a/passgate/emulator/run_feed.py
+++ b/passgate/emulator/run_feed.py
@@ -6,7 +6,7 @@
 
 >>> feed = RunFeed()
 >>> feed.record_run("a-1-7f", "engine-0", 1.5)
->>> feed.seen[0].replica_id, feed.seen[0].work
+>>> feed.run_starts[0].replica_id, feed.run_starts[0].work
 ('engine-0', '')
 """
 
@@ -15,13 +15,13 @@
 import msgspec
 import xxhash
 
-from passgate.emulator.admin_messages import SeenRun
+from passgate.emulator.admin_messages import RunStart
 from passgate.emulator.app_model import expected_app_body
-from passgate.emulator.ledger import RunLedger
+from passgate.emulator.ledger import RunRecorder
 from passgate.schema import AppRequest, GenerateRequest
 
 
-def generate_work(model: str, prompt: tuple[int, ...], seed: int | None) -> str:
+def generate_work_digest(model: str, prompt: tuple[int, ...], seed: int | None) -> str:
     """Return the digest of a generate request's model, prompt and seed."""
     return xxhash.xxh64_hexdigest(msgspec.json.encode((model, prompt, seed)))
 
@@ -31,12 +31,12 @@
     return xxhash.xxh64_hexdigest(expected_app_body(request))
 
 
-class RunFeed(RunLedger):
+class RunFeed(RunRecorder):
     """Execution record that also lists each start with its work digest, in order."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.seen: list[SeenRun] = []
+        self.run_starts: list[RunStart] = []
         """Read through the administration port."""
 
     def record_run(
@@ -51,10 +51,10 @@
         Without a ``request`` the digest is empty.
         """
         super().record_run(request_id, replica_id, now_s, request)
-        start = SeenRun(
+        start = RunStart(
             time_s=now_s, request_id=request_id, replica_id=replica_id, work=_work_digest(request)
         )
-        self.seen.append(start)
+        self.run_starts.append(start)
 
 
 def _work_digest(request: GenerateRequest | AppRequest | None) -> str:
@@ -62,4 +62,4 @@
         return ""
     if isinstance(request, AppRequest):
         return app_work_digest(request)
-    return generate_work(request.model, tuple(request.prompt), request.seed)
+    return generate_work_digest(request.model, tuple(request.prompt), request.seed)
--- a/passgate/emulator/service.py
+++ b/passgate/emulator/service.py
@@ -9,7 +9,7 @@
 from passgate.state.lot_types import LotRequest, SamplesPage
 
 
-class Service(Protocol):
+class PassgateClient(Protocol):
     """Client of one caller; successive calls may go to different daemons.
 
     Every method raises the errors of ``passgate.errors`` with the ``execution`` and ``retry_after_s`` that
--- a/passgate/emulator/shared_log.py
+++ b/passgate/emulator/shared_log.py
@@ -95,14 +95,14 @@
     Its own methods take effect at once and are not subject to the faults, except ``transfer``.
     """
 
-    def __init__(self, seed: int = 0, *, parts: int = 4) -> None:
+    def __init__(self, seed: int = 0, *, partition_count: int = 4) -> None:
         self.faults = SharedLogFaults()
-        self.parts = parts
+        self.partition_count = partition_count
         """Number of partitions of each topic that is not keyed."""
         self.groups = LogGroups(monotonic_s)
-        self.cut_off: set[str] = set()
+        self.cut_off_clients: set[str] = set()
         """Names of the clients whose calls get no answer."""
-        self.calls = 0
+        self.call_count = 0
         self.bytes_read = 0
         self._bandwidth_free_s = 0.0
         """Loop time at which the bytes of all reads so far have been sent."""
@@ -120,9 +120,9 @@
 
     def put_keyed(self, topic: str, key: str, value: bytes) -> None:
         """Append a value for a key of a keyed topic; an empty value deletes the key."""
-        self.add(topic, 0, [key.encode() + KEY_SEPARATOR + value])
+        self.append_now(topic, 0, [key.encode() + KEY_SEPARATOR + value])
 
-    def add(self, topic: str, part: int, records: Sequence[bytes]) -> int:
+    def append_now(self, topic: str, part: int, records: Sequence[bytes]) -> int:
         """Append records and return the offset of the first; those of a keyed topic update their keys."""
         if topic.startswith(KEYED_TOPIC_PREFIX):
             newest = self._newest_by_topic.setdefault(topic, {})
@@ -134,7 +134,7 @@
                     newest.pop(key.decode(), None)
         return self.partition(topic, part).append(records)
 
-    def newest(self, topic: str) -> dict[str, bytes]:
+    def newest_values(self, topic: str) -> dict[str, bytes]:
         """Return the newest value of each key of a keyed topic."""
         return dict(self._newest_by_topic.get(topic, {}))
 
@@ -191,7 +191,7 @@
         partition = self._log.partition(topic, part)
         if at is not None and at != partition.end:
             raise AppendConflict(partition.end)
-        offset = self._log.add(topic, part, records)
+        offset = self._log.append_now(topic, part, records)
         await self._send_answer(LogAppendUnknown)
         return offset
 
@@ -199,7 +199,7 @@
         """Append the records unless ``at`` differs from the partition's end by now."""
         partition = self._log.partition(topic, part)
         if at is None or at == partition.end:
-            self._log.add(topic, part, records)
+            self._log.append_now(topic, part, records)
 
     async def read(
         self, topic: str, part: int, start: int, *, wait_s: float, max_bytes: int = MAX_PAGE_BYTES
@@ -224,7 +224,9 @@
     async def newest(self, topic: str, part: int, *, most_pages: int | None = None) -> KeyedSnapshot:
         """Return the newest record of every key; see :class:`SharedLog`."""
         await self._send_call(LogUnavailable)
-        records = tuple(KeyedRecord(key=key, value=value) for key, value in self._log.newest(topic).items())
+        records = tuple(
+            KeyedRecord(key=key, value=value) for key, value in self._log.newest_values(topic).items()
+        )
         returned = records if most_pages is None else records[: most_pages * RECORDS_PER_SNAPSHOT_PAGE]
         next_offset = self._log.partition(topic, part).end
         await self._log.transfer(sum(len(record.value) for record in returned))
@@ -235,7 +237,7 @@
     ) -> GroupAssignment:
         """Join a group or renew the membership; see :class:`SharedLog`."""
         await self._send_call(LogUnavailable)
-        partitions = [(topic, part) for topic in topics for part in range(self._log.parts)]
+        partitions = [(topic, part) for topic in topics for part in range(self._log.partition_count)]
         assignment = self._log.groups.join(
             group, member, partitions, lifetime_s=lifetime_s, generation=generation
         )
@@ -252,7 +254,7 @@
     async def members(self, group: str) -> dict[GroupPartition, str]:
         """Return the member that holds each partition; see :class:`SharedLog`."""
         await self._send_call(LogUnavailable)
-        holders = self._log.groups.owners(group)
+        holders = self._log.groups.holders(group)
         await self._send_answer(LogUnavailable)
         return {GroupPartition(topic, part): member for (topic, part), member in holders.items()}
 
@@ -267,7 +269,7 @@
 
     async def _send_call(self, failure: type[LogUnavailable] | type[LogAppendUnknown]) -> None:
         """Deliver the call; raises LogUnavailable if the log refuses it, ``failure`` if the log is silent."""
-        self._log.calls += 1
+        self._log.call_count += 1
         await asyncio.sleep(ANSWER_S / 2 + self._log.faults.slow_s / 2)
         if self._log.faults.refusing:
             raise LogUnavailable("the log refused the call")
@@ -279,6 +281,6 @@
         await self._raise_if_unanswered(failure)
 
     async def _raise_if_unanswered(self, failure: type[LogUnavailable] | type[LogAppendUnknown]) -> None:
-        if self._log.faults.silent or self._name in self._log.cut_off:
+        if self._log.faults.silent or self._name in self._log.cut_off_clients:
             await asyncio.sleep(ANSWER_TIMEOUT_S)
             raise failure("the log did not answer the call")
--- a/passgate/emulator/standins_server.py
+++ b/passgate/emulator/standins_server.py
@@ -1,7 +1,7 @@
 """Runs all emulator servers of one deployment in one process, on the loopback interface.
 
 ``python -m passgate.emulator.standins_server --deployment olhar --addresses-file FILE`` writes one JSON line
-with all addresses (:class:`StandInAddresses`) to standard output and to FILE once all ports listen, serves
+with all addresses (:class:`EmulatorAddresses`) to standard output and to FILE once all ports listen, serves
 until SIGTERM or SIGINT, and accepts faults on its administration port.
 """
 
@@ -16,7 +16,7 @@
 import fire
 import msgspec
 
-from passgate.emulator.admin_messages import StandInAddresses
+from passgate.emulator.admin_messages import EmulatorAddresses
 from passgate.emulator.admin_server import AdminServer
 from passgate.emulator.app import EmulatedApp
 from passgate.emulator.app_server import AppServer
@@ -27,7 +27,7 @@
 from passgate.emulator.parameters import DeploymentParameters, load_deployment
 from passgate.emulator.platform_server import PlatformServer, WritableMachineList
 from passgate.emulator.run_feed import RunFeed
-from passgate.emulator.wire import StandInServer
+from passgate.emulator.wire import EmulatorServer
 from passgate.emulator.world import EmulatedWorld
 from passgate.schema import MachineInfo
 
@@ -36,7 +36,7 @@
 """Prefix of the names of the zones' log servers."""
 
 
-class StandIns:
+class EmulatorServers:
     """The HTTP servers of one emulated deployment; must be created and used inside a running event loop.
 
     Each engine and app has one port without an emulated network and one for each zone, with the delays and
@@ -48,10 +48,10 @@
     ) -> None:
         self.run_feed = RunFeed()
         self.world = EmulatedWorld(parameters, seed, self.run_feed)
-        self.servers: dict[str, StandInServer] = {}
+        self.servers: dict[str, EmulatorServer] = {}
         """Servers by name: machines by identifier, ``platform``, ``admin``, ``log/ZONE``."""
         self._credential = credential
-        self._backend_servers_by_zone: dict[str, dict[str, StandInServer]] = {}
+        self._backend_servers_by_zone: dict[str, dict[str, EmulatorServer]] = {}
         self._platform_server_by_zone: dict[str, PlatformServer] = {}
         self._restart_tasks: set[asyncio.Task[None]] = set()
         self.servers.update(self._make_backend_servers(SAME_PROCESS))
@@ -60,17 +60,17 @@
         for zone in parameters.zones:
             self._add_zone(zone)
 
-    async def start(self) -> StandInAddresses:
+    async def start(self) -> EmulatorAddresses:
         """Listen on free ports, put their addresses on the machine list and return them."""
         for server in self._all_servers():
             server.start()
         await self._register_addresses()
         return self.addresses()
 
-    def addresses(self) -> StandInAddresses:
+    def addresses(self) -> EmulatorAddresses:
         """Return the addresses of all servers; valid after :meth:`start`."""
         servers = self.servers
-        return StandInAddresses(
+        return EmulatorAddresses(
             deployment=self.world.parameters.name,
             zones=self.world.parameters.zones,
             process_id=os.getpid(),
@@ -119,23 +119,23 @@
             if not server.is_listening:
                 server.start()
 
-    def _servers_of(self, machine_id: str) -> list[StandInServer]:
+    def _servers_of(self, machine_id: str) -> list[EmulatorServer]:
         """Return the servers on all ports of an engine or app."""
         return [
             self.servers[machine_id],
             *(servers[machine_id] for servers in self._backend_servers_by_zone.values()),
         ]
 
-    def _all_servers(self) -> list[StandInServer]:
+    def _all_servers(self) -> list[EmulatorServer]:
         zone_servers = [
             server for servers in self._backend_servers_by_zone.values() for server in servers.values()
         ]
         return [*self.servers.values(), *zone_servers, *self._platform_server_by_zone.values()]
 
-    def _make_backend_servers(self, zone: str) -> dict[str, StandInServer]:
+    def _make_backend_servers(self, zone: str) -> dict[str, EmulatorServer]:
         engine_client = self.world.engine_client(zone)
         app_client = self.world.app_client(zone)
-        servers: dict[str, StandInServer] = {}
+        servers: dict[str, EmulatorServer] = {}
         for name, engine in self.world.engines.items():
             servers[name] = EngineServer(name, engine_client, engine.address)
         for name, app in self.world.apps.items():
@@ -160,7 +160,7 @@
     async def _register_addresses(self) -> None:
         for machine in await self.world.machine_list.machines():
             address = self.servers[machine.machine_id].address
-            self.world.machine_list.register(msgspec.structs.replace(machine, address=address))
+            self.world.machine_list.put_immediately(msgspec.structs.replace(machine, address=address))
         for name, engine in self.world.engines.items():
             for server in self._servers_of(name):
                 # load orders name the engine that sends the weights by one of these addresses
@@ -170,7 +170,9 @@
 class ZoneMachineList:
     """The machine list with the addresses at which daemons of one zone reach the engines and apps."""
 
-    def __init__(self, machines: WritableMachineList, server_by_machine_id: dict[str, StandInServer]) -> None:
+    def __init__(
+        self, machines: WritableMachineList, server_by_machine_id: dict[str, EmulatorServer]
+    ) -> None:
         self._machines = machines
         self._server_by_machine_id = server_by_machine_id
 
@@ -201,7 +203,7 @@
     stop = asyncio.Event()
     for signal_number in (signal.SIGTERM, signal.SIGINT):
         asyncio.get_running_loop().add_signal_handler(signal_number, stop.set)
-    emulator = StandIns(parameters, seed, credential)
+    emulator = EmulatorServers(parameters, seed, credential)
     line = msgspec.json.encode(await emulator.start()).decode() + "\n"
     print(line, end="", flush=True)
     if addresses_file is not None:
--- a/passgate/emulator/tally.py
+++ b/passgate/emulator/tally.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from passgate.emulator.ledger import RunLedger
+from passgate.emulator.ledger import RunRecorder
 
 
 class ArrivalOutcomes(msgspec.Struct, kw_only=True):
@@ -40,12 +40,12 @@
         """Count a typed error."""
         self.errors[code] = self.errors.get(code, 0) + 1
 
-    def not_run_that_ran(self, run_recorder: RunLedger) -> list[str]:
+    def not_run_that_ran(self, run_recorder: RunRecorder) -> list[str]:
         """Return the attempts that were reported as not run although a back end started them."""
-        return [request_id for request_id in self.not_run_ids if run_recorder.runs(request_id) > 0]
+        return [request_id for request_id in self.not_run_ids if run_recorder.run_count(request_id) > 0]
 
 
-class TrainerTally(msgspec.Struct, kw_only=True):
+class TrainerOutcomes(msgspec.Struct, kw_only=True):
     """Outcomes of one trainer."""
 
     name: str
@@ -88,15 +88,15 @@
         return self.idle_s / total_s if total_s > 0 else 0.0
 
 
-class Tally(msgspec.Struct, kw_only=True):
+class CallerOutcomes(msgspec.Struct, kw_only=True):
     """Outcomes of all callers of a run."""
 
-    trainers: list[TrainerTally] = []
+    trainers: list[TrainerOutcomes] = []
     arrivals: list[ArrivalOutcomes] = []
 
-    def violations(self, run_recorder: RunLedger) -> int:
+    def violations(self, run_recorder: RunRecorder) -> int:
         """Return the number of violated guarantees, as counted by the callers and on the back ends."""
-        total = len(run_recorder.repeated_single_effects())
+        total = len(run_recorder.repeated_unrepeatable_effects())
         for trainer in self.trainers:
             total += trainer.lost + trainer.doubled + trainer.wrong + trainer.over_staleness
         for arrival in self.arrivals:
--- a/passgate/emulator/trainer.py
+++ b/passgate/emulator/trainer.py
@@ -20,8 +20,8 @@
 from passgate.emulator.parameters import ModelParameters, TrainerParameters
 from passgate.emulator.prompts import PromptSource
 from passgate.emulator.scoring import ScoringService
-from passgate.emulator.service import Service
-from passgate.emulator.tally import TrainerTally
+from passgate.emulator.service import PassgateClient
+from passgate.emulator.tally import TrainerOutcomes
 from passgate.errors import PassgateError
 from passgate.records import PromptSpec
 from passgate.schema import GenerateRequest
@@ -59,14 +59,14 @@
         parameters: TrainerParameters,
         model: ModelParameters,
         pool: str,
-        client: Service,
+        client: PassgateClient,
         store_weights: Callable[[str, int], None],
         random: Random,
         record_event: Callable[[AnyEvent], None] | None = None,
     ) -> None:
         self.parameters = parameters
         self.version = model.boot_version
-        self.tally = TrainerTally(name=parameters.name, version=self.version)
+        self.outcomes = TrainerOutcomes(name=parameters.name, version=self.version)
         self._model = model
         self._pool = pool
         self._client = client
@@ -82,7 +82,7 @@
     async def run(self, steps: int | None = None) -> None:
         """Run a number of steps, or until cancelled; lots open at the end stay open on the daemons."""
         try:
-            while steps is None or self.tally.steps < steps:
+            while steps is None or self.outcomes.steps < steps:
                 await self._run_step()
         finally:
             for task in (*self._lot_collections, self._announcement):
@@ -96,8 +96,8 @@
         self._lot_collections.popleft()
         await self._wait_for_scores(scored_s)
         await self._train()
-        self.tally.steps += 1
-        if self.tally.steps % self.parameters.publish_every_steps == 0:
+        self.outcomes.steps += 1
+        if self.outcomes.steps % self.parameters.publish_every_steps == 0:
             self._publish()
 
     async def _wait_for_lot(self, collection: asyncio.Task[float]) -> float:
@@ -105,12 +105,12 @@
         try:
             return await collection
         finally:
-            self.tally.idle_s += monotonic_s() - started_s
+            self.outcomes.idle_s += monotonic_s() - started_s
 
     async def _wait_for_scores(self, scored_s: float) -> None:
         wait_s = scored_s - monotonic_s()
         if wait_s > 0:
-            self.tally.scoring_s += wait_s
+            self.outcomes.scoring_s += wait_s
             await asyncio.sleep(wait_s)
 
     async def _train(self) -> None:
@@ -118,7 +118,7 @@
         try:
             await asyncio.sleep(self.parameters.train_s)
         finally:
-            self.tally.train_s += monotonic_s() - started_s
+            self.outcomes.train_s += monotonic_s() - started_s
 
     # --- lots ------------------------------------------------------------------------
 
@@ -143,9 +143,9 @@
         self._opened_lots += 1
         prompts: list[PromptSpec] = []
         for _ in range(parameters.prompts_per_step):
-            prompt = self._prompts.prompt()
+            prompt = self._prompts.next_prompt()
             for _ in range(parameters.samples_per_prompt):
-                seed = self._prompts.seed()
+                seed = self._prompts.next_seed()
                 prompts.append(PromptSpec(prompt=prompt, max_tokens=parameters.max_tokens, seed=seed))
         request = LotRequest(
             caller=parameters.name,
@@ -172,26 +172,26 @@
         lot.failed.update(failure.index for failure in page.failed)
         for sample in page.samples:
             if sample.index in lot.received:
-                self.tally.doubled += 1
+                self.outcomes.doubled += 1
                 continue
             lot.received[sample.index] = sample
-            self.tally.delivered += 1
+            self.outcomes.delivered += 1
             lot.scored_s = max(lot.scored_s, self._scoring.submit(monotonic_s()))
             self._check_sample(lot, sample)
 
     def _check_sample(self, lot: _OpenLot, sample: DeliveredSample) -> None:
         staleness = max(0, lot.asked_version - min(span.version for span in sample.spans))
-        self.tally.staleness[staleness] = self.tally.staleness.get(staleness, 0) + 1
+        self.outcomes.staleness[staleness] = self.outcomes.staleness.get(staleness, 0) + 1
         if staleness > self.parameters.staleness_bound:
-            self.tally.over_staleness += 1
+            self.outcomes.over_staleness += 1
         spec = lot.request.prompts[sample.index]
         request = to_generate_request(lot.request, spec)
         verdict = verify_output(
             request, sample.tokens, sample.spans, sample.finish_reason, self._model.lengths
         )
-        if verdict is not Verdict.RIGHT:
-            self.tally.wrong += 1
-            self.tally.count_error(f"verdict_{verdict.value}")
+        if verdict is not Verdict.CORRECT:
+            self.outcomes.wrong += 1
+            self.outcomes.count_error(f"verdict_{verdict.value}")
 
     async def _acknowledge_page(self, lot: _OpenLot, page: SamplesPage) -> None:
         """Acknowledge a page's samples, and request those again that were withdrawn before they arrived."""
@@ -200,20 +200,20 @@
             await self._retry_until_success(lambda: self._client.acknowledge(lot.lot_id, received))
         missing = [name for name in page.withdrawn if index_of(lot.lot_id, name) not in lot.received]
         if missing:
-            self.tally.replaced += len(missing)
+            self.outcomes.replaced += len(missing)
             await self._retry_until_success(lambda: self._client.replace(lot.lot_id, missing, self.version))
 
     def _record_lot_outcome(self, lot: _OpenLot) -> None:
         failed = lot.failed - set(lot.received)
-        self.tally.failed += len(failed)
-        self.tally.lost += len(lot.request.prompts) - len(lot.received) - len(failed)
-        self.tally.lot_times_s.append(monotonic_s() - lot.opened_s)
+        self.outcomes.failed += len(failed)
+        self.outcomes.lost += len(lot.request.prompts) - len(lot.received) - len(failed)
+        self.outcomes.lot_times_s.append(monotonic_s() - lot.opened_s)
 
     # --- weights ----------------------------------------------------------------------
 
     def _publish(self) -> None:
         self.version += 1
-        self.tally.version = self.version
+        self.outcomes.version = self.version
         self._store_weights(self.parameters.model, self.version)
         if self._announcement is None or self._announcement.done():
             self._announcement = asyncio.ensure_future(self._announce_versions())
@@ -236,7 +236,7 @@
             try:
                 return await call()
             except PassgateError as error:
-                self.tally.count_error(error.code)
+                self.outcomes.count_error(error.code)
                 wait_s = error.retry_after_s
             await asyncio.sleep(wait_s if wait_s is not None else backoff_s * self._random.uniform(0.5, 1.0))
             backoff_s = min(2 * backoff_s, MAX_BACKOFF_S)
--- a/passgate/emulator/wire.py
+++ b/passgate/emulator/wire.py
@@ -91,7 +91,7 @@
         self.open_streams.clear()
 
 
-class StandInServer:
+class EmulatorServer:
     """One HTTP server on the loopback interface, whose port stays the same after a crash."""
 
     compress_responses = False
@@ -137,7 +137,7 @@
         """Whether the server listens."""
         return self._http_server is not None
 
-    def share_state_of(self, owner: StandInServer) -> None:
+    def share_state_of(self, owner: EmulatorServer) -> None:
         """Use the faults and counters of another server, which serves the same back end on another port."""
         self.faults = owner.faults
         self.counters = owner.counters
@@ -171,12 +171,12 @@
         received[request_id] = received.get(request_id, 0) + 1
 
 
-class StandInHandler(RequestHandler):
+class EmulatorRequestHandler(RequestHandler):
     """Base class of all handlers: applies the server's faults and answers errors in passgate's JSON form."""
 
-    server: StandInServer
+    server: EmulatorServer
 
-    def initialize(self, server: StandInServer) -> None:
+    def initialize(self, server: EmulatorServer) -> None:
         """Set the server to which the handler belongs (called by Tornado)."""
         self.server = server
         self._request_task: asyncio.Task[None] | None = None
@@ -196,7 +196,7 @@
         if self._request_task is not None:
             self._request_task.cancel()
 
-    async def while_connected(self, coroutine: Coroutine[None, None, None]) -> None:
+    async def run_while_connected(self, coroutine: Coroutine[None, None, None]) -> None:
         """Run a coroutine until it ends, or cancel it when the client disconnects; that is no error."""
         self._request_task = asyncio.get_running_loop().create_task(coroutine)
         try:
@@ -219,36 +219,36 @@
         elif not self._is_authorized():
             self.send_error_body(401, Unauthorized("credential required").body())
 
-    def body_as(self, kind: type[_Body]) -> _Body:
+    def decode_body(self, kind: type[_Body]) -> _Body:
         """Return the body decoded as JSON of a type; raises MalformedBody."""
         try:
             return msgspec.json.decode(self.request.body, type=kind)
         except msgspec.MsgspecError as error:
             raise MalformedBody(str(error)) from error
 
-    def reply(self, body: msgspec.Struct) -> None:
+    def send_json(self, body: msgspec.Struct) -> None:
         """Answer with a JSON body, unless ``lose_answers`` applies."""
-        if self.takes_lost_answer():
+        if self.consume_lost_answer():
             self.drop_connection()
             return
         self.set_header("Content-Type", wire.JSON_TYPE)
         self.finish(msgspec.json.encode(body))
 
-    def takes_lost_answer(self) -> bool:
+    def consume_lost_answer(self) -> bool:
         """Return whether ``lose_answers`` applies to this request; if so, decrement it."""
         if self.server.faults.lose_answers <= 0:
             return False
         self.server.faults.lose_answers -= 1
         return True
 
-    def takes_crossed_answer(self) -> bool:
+    def consume_crossed_answer(self) -> bool:
         """Return whether ``cross_answers`` applies to this request; if so, decrement it."""
         if self.server.faults.cross_answers <= 0:
             return False
         self.server.faults.cross_answers -= 1
         return True
 
-    def send_unreachable(self, error: BackendUnreachable) -> None:
+    def send_backend_unreachable(self, error: BackendUnreachable) -> None:
         """Answer with 503 if the emulated network failed before the request ran, else disconnect."""
         if error.execution is ExecutionStatus.NOT_RUN:
             self.send_error_body(503, error.body())
--- a/passgate/emulator/world.py
+++ b/passgate/emulator/world.py
@@ -25,8 +25,8 @@
 from passgate.emulator.app_model import AppModel
 from passgate.emulator.engine import EmulatedEngine
 from passgate.emulator.engine_model import EngineModel
-from passgate.emulator.ledger import RunLedger
-from passgate.emulator.log_model import MemoryLog, MemoryLogClient
+from passgate.emulator.ledger import RunRecorder
+from passgate.emulator.log_model import EmulatedLog, EmulatedLogClient
 from passgate.emulator.machine_list import EmulatedMachineList
 from passgate.emulator.memory_clients import BackendRegistry, MemoryAppClient, MemoryEngineClient
 from passgate.emulator.network import Network
@@ -42,15 +42,17 @@
 class EmulatedWorld:
     """The external systems of a deployment; the same parameters and seed give the same random decisions.
 
-    ``ledger`` records which requests ran on back ends; by default it is a new one.
+    ``run_recorder`` records which requests ran on back ends; by default it is a new one.
     """
 
-    def __init__(self, parameters: DeploymentParameters, seed: int, ledger: RunLedger | None = None) -> None:
+    def __init__(
+        self, parameters: DeploymentParameters, seed: int, run_recorder: RunRecorder | None = None
+    ) -> None:
         self.parameters = parameters
         self.seed = seed
-        self.ledger = ledger if ledger is not None else RunLedger()
+        self.run_recorder = run_recorder if run_recorder is not None else RunRecorder()
         self.network = Network(parameters.network, self.random("network"))
-        self.log = MemoryLog(parameters.log)
+        self.log = EmulatedLog(parameters.log)
         self.store = EmulatedWeightStore(parameters.store)
         self.machine_list = EmulatedMachineList(parameters.machine_list)
         self.registry = BackendRegistry()
@@ -75,21 +77,21 @@
         """Return an app client for a daemon in ``zone``."""
         return MemoryAppClient(self.registry, self.network, zone)
 
-    def log_client(self, zone: str, name: str = "") -> MemoryLogClient:
+    def log_client(self, zone: str, name: str = "") -> EmulatedLogClient:
         """Return a log client for a daemon in ``zone``; ``name`` derives the seed of its random faults."""
-        return MemoryLogClient(self.log, self.network, zone, self.random(f"log/{zone}/{name}"))
+        return EmulatedLogClient(self.log, self.network, zone, self.random(f"log/{zone}/{name}"))
 
     def publish(self, model: str, version: int) -> None:
         """Add a version of a model to the weight store."""
         self.store.publish(model, version, self.parameters.model(model).weight_bytes)
 
-    def peer(self, address: str) -> EmulatedEngine | None:
+    def engine_at(self, address: str) -> EmulatedEngine | None:
         """Return the engine at an address, from which another one can load weights, or None."""
         return self.registry.engines.get(address)
 
-    async def carry(self, source_zone: str, target_zone: str) -> None:
+    async def wait_for_network(self, source_zone: str, target_zone: str) -> None:
         """Wait for a message's network delay; raises BackendUnreachable if a partition lasts too long."""
-        await self.network.deliver(source_zone, target_zone)
+        await self.network.wait_for_delivery(source_zone, target_zone)
 
     def close(self) -> None:
         """Stop the timers and weight transfers of all engines and apps."""
@@ -107,23 +109,23 @@
             group.models,
             self.random(machine.machine_id),
             monotonic_s(),
-            self.ledger,
+            self.run_recorder,
         )
         engine = EmulatedEngine(model, machine.address, machine.zone, self)
         self.engines[machine.machine_id] = engine
         self.registry.add_engine(engine)
-        self.machine_list.register(machine)
+        self.machine_list.put_immediately(machine)
 
     def _add_app(self, index: int) -> None:
         group = self.parameters.apps
         machine = self._make_machine(MachineRole.APP, group.name, index)
         model = AppModel(
-            machine.machine_id, group.app, self.random(machine.machine_id), monotonic_s(), self.ledger
+            machine.machine_id, group.app, self.random(machine.machine_id), monotonic_s(), self.run_recorder
         )
         app = EmulatedApp(model, machine.address, machine.zone)
         self.apps[machine.machine_id] = app
         self.registry.add_app(app)
-        self.machine_list.register(machine)
+        self.machine_list.put_immediately(machine)
 
     def _make_machine(self, role: MachineRole, service: str, index: int) -> MachineInfo:
         zones = self.parameters.zones
--- a/passgate/lab/measures.py
+++ b/passgate/lab/measures.py
@@ -1,6 +1,6 @@
 """Measures of one run of a scenario: idle trainers, staleness, latencies, refusals and violations.
 
->>> summary = LatencySummary.of([0.010, 0.020, 0.030])
+>>> summary = LatencySummary.from_durations([0.010, 0.020, 0.030])
 >>> round(summary.p50_ms), summary.count
 (20, 3)
 """
@@ -24,7 +24,7 @@
     p99_ms: float
 
     @classmethod
-    def of(cls, durations_s: Sequence[float]) -> LatencySummary:
+    def from_durations(cls, durations_s: Sequence[float]) -> LatencySummary:
         """Return the summary of durations in seconds."""
         if not durations_s:
             return cls(count=0, mean_ms=0.0, p50_ms=0.0, p99_ms=0.0)
--- a/passgate/lab/virtual_run.py
+++ b/passgate/lab/virtual_run.py
@@ -22,9 +22,9 @@
 from passgate.check.simulation.schedule import Schedule
 from passgate.clock import monotonic_s, run_virtual
 from passgate.emulator.callers import Callers
-from passgate.emulator.ledger import RunLedger
+from passgate.emulator.ledger import RunRecorder
 from passgate.emulator.parameters import DeploymentParameters
-from passgate.emulator.tally import Tally
+from passgate.emulator.tally import CallerOutcomes
 from passgate.emulator.world import EmulatedWorld
 from passgate.errors import PassgateError
 from passgate.lab.fault_sets import build_faults
@@ -86,9 +86,9 @@
 
     def _apply_swap_mode(self) -> None:
         """Replace the daemon's rollout service, as the swap mode is not a setting of a daemon."""
-        parts = self.parts
+        parts = self.components
         parts.rollouts = RolloutService(
-            parts.outside.engine,
+            parts.external.engine,
             parts.leases,
             parts.configuration,
             parts.directory,
@@ -109,7 +109,7 @@
         daemon_ids = tuple(self.zone_by_daemon)
         faults = build_faults(fault, self.parameters, daemon_ids, scenario.duration_s)
         super().__init__(Schedule(seed=seed, faults=faults), RunLimits(calls_s=scenario.duration_s))
-        self._runs = dict.fromkeys(daemon_ids, 0)
+        self._incarnation_by_daemon = dict.fromkeys(daemon_ids, 0)
         self._series: list[SeriesPoint] = []
         self._last_cache_counts = (0, 0)
 
@@ -117,7 +117,7 @@
         """Run to the end and return the measures; raises RunFailed if an exception was not handled."""
         await self._build()
         started_s = monotonic_s()
-        callers = Callers(self.parameters, self._service_for, self.world.publish, self.schedule.seed)
+        callers = Callers(self.parameters, self._make_service, self.world.publish, self.schedule.seed)
         series_task = self.spawn(self._record_series(callers, started_s))
         self.faults.start(self.schedule.faults)
         outcomes = await callers.run(self.scenario.duration_s, OPEN_CALL_TIMEOUT_S)
@@ -131,27 +131,27 @@
     # --- building ---------------------------------------------------------------------
 
     async def _build(self) -> None:
-        self.world = EmulatedWorld(self.parameters, self.schedule.seed, RunLedger())
+        self.world = EmulatedWorld(self.parameters, self.schedule.seed, RunRecorder())
         delays = LinkDelays(between_zones_s=self.parameters.network.between_zones_s)
         self.peers = MemoryNetwork(self.world.random("peers"), delays)
         await self._configure()
         for name, zone in self.zone_by_daemon.items():
             address = peer_address(name)
             machine = MachineInfo(machine_id=name, role=MachineRole.DAEMON, address=address, zone=zone)
-            self.world.machine_list.register(machine)
+            self.world.machine_list.put_immediately(machine)
             self.start_daemon(name)
         self.faults = SimulatedFaults(self)
-        await self._until_ready()
+        await self._wait_until_ready()
 
     def start_daemon(self, name: str) -> None:
         """Start a new process of a daemon, which replaces its previous one."""
-        self._runs[name] += 1
+        self._incarnation_by_daemon[name] += 1
         seeds = tuple(peer_address(other) for other in self.zone_by_daemon if other != name)
         process = LabDaemonProcess(
             self.policy,
             name,
             self.zone_by_daemon[name],
-            self._runs[name],
+            self._incarnation_by_daemon[name],
             self.world,
             self.peers,
             seeds,
@@ -169,7 +169,7 @@
             self._series.append(self._series_point(callers, monotonic_s() - started_s))
 
     def _series_point(self, callers: Callers, at_s: float) -> SeriesPoint:
-        queued = sum(process.parts.dispatcher.queued for process in self.processes.values())
+        queued = sum(process.components.dispatcher.queued_count for process in self.processes.values())
         reports = [engine.model.load_report(monotonic_s()) for engine in self.world.engines.values()]
         used = sum(report.kv_used_tokens for report in reports)
         capacity = sum(report.kv_capacity_tokens for report in reports)
@@ -178,7 +178,7 @@
             queued_requests=queued,
             kv_used_share=used / capacity if capacity else 0.0,
             cache_hit_share=self._cache_hit_share(),
-            samples_delivered=sum(trainer.tally.delivered for trainer in callers.trainers),
+            samples_delivered=sum(trainer.outcomes.delivered for trainer in callers.trainers),
             newest_version=max((trainer.version for trainer in callers.trainers), default=0),
         )
 
@@ -191,7 +191,7 @@
         self._last_cache_counts = (hits, prefilled)
         return new_hits / (new_hits + new_prefilled) if new_hits else 0.0
 
-    def _summarize(self, outcomes: Tally) -> RunMeasures:
+    def _summarize(self, outcomes: CallerOutcomes) -> RunMeasures:
         """Return the measures of the finished run."""
         trainers, arrivals = outcomes.trainers, outcomes.arrivals
         latencies = [latency for arrival in arrivals for latency in arrival.latencies_s]
@@ -199,9 +199,9 @@
         arrived = sum(arrival.arrived for arrival in arrivals)
         late = sum(arrival.late + arrival.given_up for arrival in arrivals)
         tokens = sum(
-            process.parts.dispatcher.counters.generated_tokens for process in self.processes.values()
+            process.components.dispatcher.counters.generated_tokens for process in self.processes.values()
         )
-        not_run_that_ran = sum(len(arrival.not_run_that_ran(self.world.ledger)) for arrival in arrivals)
+        not_run_that_ran = sum(len(arrival.not_run_that_ran(self.world.run_recorder)) for arrival in arrivals)
         return RunMeasures(
             scenario=self.scenario.name,
             policy=self.policy.name,
@@ -212,8 +212,10 @@
             steps_done=sum(trainer.steps for trainer in trainers),
             staleness_mean=float(staleness.mean()) if staleness.size else 0.0,
             staleness_p99=float(numpy.percentile(staleness, STALENESS_PERCENTILE)) if staleness.size else 0.0,
-            interactive=LatencySummary.of(latencies),
-            lot_time=LatencySummary.of([time_s for trainer in trainers for time_s in trainer.lot_times_s]),
+            interactive=LatencySummary.from_durations(latencies),
+            lot_time=LatencySummary.from_durations(
+                [time_s for trainer in trainers for time_s in trainer.lot_times_s]
+            ),
             samples_delivered=sum(trainer.delivered for trainer in trainers),
             samples_lost=sum(trainer.lost for trainer in trainers),
             samples_doubled=sum(trainer.doubled for trainer in trainers),
@@ -224,14 +226,16 @@
             late_share=late / arrived if arrived else 0.0,
             not_run_that_ran=not_run_that_ran,
             goodput_tokens_per_s=tokens / self.scenario.duration_s,
-            violations=outcomes.violations(self.world.ledger),
+            violations=outcomes.violations(self.world.run_recorder),
             app_busy_shares=self._app_busy_shares(),
             series=tuple(self._series),
         )
 
     def _app_busy_shares(self) -> tuple[float, ...]:
         worker_time_s = self.parameters.apps.app.concurrency * self.scenario.duration_s
-        return tuple(round(app.model.counters.busy_s / worker_time_s, 4) for app in self.world.apps.values())
+        return tuple(
+            round(app.model.counters.total_busy_s / worker_time_s, 4) for app in self.world.apps.values()
+        )
 
 
 def _assign_daemon_zones(parameters: DeploymentParameters) -> dict[str, str]:
@@ -248,7 +252,7 @@
     }
 
 
-def _staleness_counts(outcomes: Tally) -> tuple[list[int], list[int]]:
+def _staleness_counts(outcomes: CallerOutcomes) -> tuple[list[int], list[int]]:
     """Return values of staleness and, by the same index, the number of samples with each.
 
     A value occurs once for each trainer.
--- a/passgate/membership/agent.py
+++ b/passgate/membership/agent.py
@@ -1,7 +1,7 @@
 """Runs the membership protocol of a daemon on a transport and an event loop.
 
 The agent also carries calls between daemons: components register methods with
-:meth:`MembershipAgent.handle` and call those of other members with
+:meth:`MembershipAgent.register_handler` and call those of other members with
 :meth:`MembershipAgent.call`.
 """
 
@@ -171,7 +171,7 @@
 
     # --- calls -------------------------------------------------------------------------------------
 
-    def handle(self, method: str, handler: Handler) -> None:
+    def register_handler(self, method: str, handler: Handler) -> None:
         """Register ``handler`` for calls of ``method``, replacing an earlier one."""
         self._handler_by_method[method] = handler
 
--- a/passgate/membership/configuration_sync.py
+++ b/passgate/membership/configuration_sync.py
@@ -141,9 +141,9 @@
 
     def start(self) -> None:
         """Start answering peers and pulling from them; needs a running event loop."""
-        self._agent.handle(RECORDS_METHOD, self._answer_records)
-        self._agent.handle(SNAPSHOT_METHOD, self._answer_snapshot)
-        self._agent.handle(REVISION_METHOD, self._answer_revision)
+        self._agent.register_handler(RECORDS_METHOD, self._answer_records)
+        self._agent.register_handler(SNAPSHOT_METHOD, self._answer_snapshot)
+        self._agent.register_handler(REVISION_METHOD, self._answer_revision)
         self._agent.subscribe_peers_ahead(REVISION_KEY, self._peers_ahead_changed.set)
         self._source.subscribe(lambda _state: self._publish_revision())
         self._task = asyncio.get_running_loop().create_task(self._run())
@@ -163,7 +163,7 @@
         deadline_s = monotonic_s() + timeout_s
         minimum = 0
         while True:
-            minimum = max(minimum, await self.highest_known())
+            minimum = max(minimum, await self.highest_known_revision())
             if self._source.ready_at(minimum):
                 return
             if monotonic_s() >= deadline_s:
@@ -176,7 +176,7 @@
 
     # --- views ------------------------------------------------------------------------------
 
-    async def highest_known(self) -> int:
+    async def highest_known_revision(self) -> int:
         """Return the highest revision of this daemon, some queried peers and the peers known to be ahead."""
         peers = self._live_peers()
         queried_peers = self._random.sample(peers, min(PEERS_QUERIED_AT_START, len(peers)))
--- a/passgate/routing/admission.py
+++ b/passgate/routing/admission.py
@@ -96,7 +96,7 @@
     max_wait_s: float
 
 
-class AdmissionController:
+class QueueAdmissionController:
     """Decides whether a request may be queued; tracks the service rate of each pool."""
 
     def __init__(self, reject_by_projection: bool, minimum_retry_after_s: float) -> None:
--- a/passgate/routing/app_call.py
+++ b/passgate/routing/app_call.py
@@ -8,7 +8,7 @@
 from passgate.errors import AnswerMismatch, BackendUnreachable, ExecutionStatus, PassgateError
 from passgate.routing.attempt_failure import RetryDecision, handle_failure
 from passgate.routing.context import RoutingContext
-from passgate.routing.execution import ExecutionLedger
+from passgate.routing.execution import ExecutionHistory
 from passgate.routing.replica_directory import ReplicaInfo
 from passgate.routing.work import WorkItem
 from passgate.schema import AppRequest, AppResponse
@@ -23,7 +23,7 @@
     A call that is not repeatable is retried only while no attempt can have run.
     """
 
-    def __init__(self, context: RoutingContext, request: AppRequest, execution: ExecutionLedger) -> None:
+    def __init__(self, context: RoutingContext, request: AppRequest, execution: ExecutionHistory) -> None:
         self._context = context
         self._request = request
         self._execution = execution
--- a/passgate/routing/attempt.py
+++ b/passgate/routing/attempt.py
@@ -14,7 +14,7 @@
 from passgate.clock import monotonic_s
 from passgate.errors import BackendUnreachable, ExecutionStatus, IncompleteAnswer, PassgateError
 from passgate.interfaces import EngineClient
-from passgate.routing.execution import ExecutionLedger
+from passgate.routing.execution import ExecutionHistory
 from passgate.routing.replica_directory import ReplicaInfo
 from passgate.routing.stream_assembler import StreamAssembler
 from passgate.schema import GenerateChunk, GenerateRequest
@@ -31,7 +31,7 @@
     Creating it opens an attempt in ``execution``, so create it only right before it is run.
     """
 
-    def __init__(self, replica: ReplicaInfo, request: GenerateRequest, execution: ExecutionLedger) -> None:
+    def __init__(self, replica: ReplicaInfo, request: GenerateRequest, execution: ExecutionHistory) -> None:
         self.replica = replica
         self.request = request
         self.assembler = StreamAssembler(request)
--- a/passgate/routing/dispatcher.py
+++ b/passgate/routing/dispatcher.py
@@ -26,7 +26,7 @@
 from passgate.routing.app_call import AppCall
 from passgate.routing.context import RoutingContext
 from passgate.routing.counters import RoutingCounters
-from passgate.routing.execution import ExecutionLedger
+from passgate.routing.execution import ExecutionHistory
 from passgate.routing.gate import ReplicaSlots
 from passgate.routing.generate_call import ChunkCallback, GenerateCall
 from passgate.routing.hedge_scanner import HedgeScanner
@@ -60,18 +60,24 @@
         zone: str,
         policy: RoutingPolicy,
         random: Random,
-        owner: str = "",
+        daemon_id: str = "",
     ) -> None:
         """Create a dispatcher; nothing runs until :meth:`start`.
 
-        ``owner`` is the daemon's identifier, which determines its subset of replicas; if it
+        ``daemon_id`` is the daemon's identifier, which determines its subset of replicas; if it
         is empty, a random one is used.
         """
         self.counters = RoutingCounters()
         self._context = RoutingContext(engine, app, configuration, policy, self.counters)
-        owner = owner or f"{random.getrandbits(64):016x}"
+        daemon_id = daemon_id or f"{random.getrandbits(64):016x}"
         self._scheduler = WorkScheduler(
-            directory, self._context.pool, policy, zone, owner, random, self._context.models_sharing_replicas
+            directory,
+            self._context.pool,
+            policy,
+            zone,
+            daemon_id,
+            random,
+            self._context.models_sharing_replicas,
         )
         self._context.slots = ReplicaSlots(self._scheduler)
         self._poller = LoadPoller(self._context)
@@ -83,7 +89,7 @@
         self.in_flight = 0
 
     @property
-    def queued(self) -> int:
+    def queued_count(self) -> int:
         """Number of requests that wait for a replica."""
         return self._scheduler.queued_count
 
@@ -109,12 +115,12 @@
             PassgateError: other errors (see :mod:`passgate.errors`); ``execution`` is the
                 status over all attempts.
         """
-        execution = ExecutionLedger()
+        execution = ExecutionHistory()
         return await self._track(self._generate(request, on_chunk, execution), execution)
 
     async def call_app(self, request: AppRequest) -> AppResponse:
         """Forward one call to an application service; raises the errors of :meth:`generate`."""
-        execution = ExecutionLedger()
+        execution = ExecutionHistory()
         return await self._track(self._call_app(request, execution), execution)
 
     async def drain(self, timeout_s: float) -> bool:
@@ -137,7 +143,7 @@
     # --- internals ---------------------------------------------------------------------
 
     async def _generate(
-        self, request: GenerateRequest, on_chunk: ChunkCallback | None, execution: ExecutionLedger
+        self, request: GenerateRequest, on_chunk: ChunkCallback | None, execution: ExecutionHistory
     ) -> GenerateResult:
         _check_resume_spans(request)
         request = msgspec.structs.replace(request, deadline_s=self._deadline_s(request))
@@ -149,7 +155,7 @@
         finally:
             del self._call_by_key[call.key]
 
-    async def _call_app(self, request: AppRequest, execution: ExecutionLedger) -> AppResponse:
+    async def _call_app(self, request: AppRequest, execution: ExecutionHistory) -> AppResponse:
         request = msgspec.structs.replace(request, deadline_s=self._deadline_s(request))
         call = AppCall(self._context, request, execution)
         async with asyncio.timeout_at(call.response_deadline_s):
@@ -161,7 +167,7 @@
             return request.deadline_s
         return monotonic_s() + pool.default_deadline_s
 
-    async def _track(self, call: Coroutine[Any, Any, Response], execution: ExecutionLedger) -> Response:
+    async def _track(self, call: Coroutine[Any, Any, Response], execution: ExecutionHistory) -> Response:
         if self._draining:
             call.close()
             self.counters.refused += 1
@@ -186,8 +192,8 @@
         self.counters.succeeded += 1
         return response
 
-    def _finalize_error(self, error: PassgateError, execution: ExecutionLedger) -> PassgateError:
-        final = execution.stamp(error)
+    def _finalize_error(self, error: PassgateError, execution: ExecutionHistory) -> PassgateError:
+        final = execution.apply_status(error)
         if isinstance(final, Refused):
             self.counters.refused += 1
         else:
--- a/passgate/routing/execution.py
+++ b/passgate/routing/execution.py
@@ -1,6 +1,6 @@
 """Execution status of a request: whether any of its attempts ran on a back end.
 
->>> execution = ExecutionLedger()
+>>> execution = ExecutionHistory()
 >>> execution.status
 <ExecutionStatus.NOT_RUN: 'not_run'>
 >>> first = execution.open_attempt()
@@ -18,7 +18,7 @@
 _PRECEDENCE = {ExecutionStatus.NOT_RUN: 0, ExecutionStatus.UNKNOWN: 1, ExecutionStatus.RAN: 2}
 
 
-class ExecutionLedger:
+class ExecutionHistory:
     """Execution status of each attempt of one request; an open attempt counts as ``unknown``.
 
     The request's status is ``ran`` when any attempt ran, else ``unknown`` when any may have
@@ -52,7 +52,7 @@
         if self._status_by_attempt[attempt_number] is not ExecutionStatus.RAN:
             self._status_by_attempt[attempt_number] = status
 
-    def stamp(self, error: PassgateError) -> PassgateError:
+    def apply_status(self, error: PassgateError) -> PassgateError:
         """Return ``error`` with the request's execution status set on it.
 
         A refusal guarantees that nothing ran, so it is replaced by ExecutionFailed unless the
--- a/passgate/routing/generate_call.py
+++ b/passgate/routing/generate_call.py
@@ -17,7 +17,7 @@
 from passgate.routing.attempt import Attempt
 from passgate.routing.attempt_failure import RetryDecision, handle_failure
 from passgate.routing.context import RoutingContext
-from passgate.routing.execution import ExecutionLedger
+from passgate.routing.execution import ExecutionHistory
 from passgate.routing.hedging import AttemptProgress, HedgeOrder, HedgeReason
 from passgate.routing.output_length import remaining_tokens
 from passgate.routing.prefix import BLOCK_TOKENS, block_hashes
@@ -53,7 +53,7 @@
         context: RoutingContext,
         request: GenerateRequest,
         on_chunk: ChunkCallback | None,
-        execution: ExecutionLedger,
+        execution: ExecutionHistory,
     ) -> None:
         self.key = context.next_key()
         self.request = request
--- a/passgate/routing/work_scheduler.py
+++ b/passgate/routing/work_scheduler.py
@@ -19,7 +19,7 @@
     NoReplicaAvailable,
     PassgateError,
 )
-from passgate.routing.admission import AdmissionController, QueueLimits
+from passgate.routing.admission import QueueAdmissionController, QueueLimits
 from passgate.routing.fair_queue import FairQueue, FifoQueue
 from passgate.routing.load_tracker import LoadTracker
 from passgate.routing.output_length import OutputLengthEstimator
@@ -79,7 +79,7 @@
         self.health = ReplicaHealth()
         self.prefix_index = PrefixIndex(policy.prefix_index_entries)
         self.output_lengths = OutputLengthEstimator()
-        self.admission = AdmissionController(policy.reject_by_projection, policy.minimum_retry_after_s)
+        self.admission = QueueAdmissionController(policy.reject_by_projection, policy.minimum_retry_after_s)
         self.queue = FairQueue(policy.batch_min_share) if policy.queue is QueueKind.FAIR else FifoQueue()
         self.chooser = ReplicaChooser(
             directory,
--- a/passgate/server/apps.py
+++ b/passgate/server/apps.py
@@ -110,7 +110,7 @@
 
         timeout_s = self.context.settings.limits.durability_timeout_s
         claimed_call = self.context.services.claims.run_once(claim_key, digest, run, timeout_s)
-        task = self.context.gate.detach(claimed_call)
+        task = self.context.admission.run_detached(claimed_call)
         try:
             async with asyncio.timeout_at(request.deadline_s):
                 outcome = await asyncio.shield(task)
--- a/passgate/server/base_handlers.py
+++ b/passgate/server/base_handlers.py
@@ -85,9 +85,9 @@
         self._check_headers()
         self.check_credential()
         if self.uses_admission:
-            self.context.gate.enter()
+            self.context.admission.admit()
             self._is_admitted = True
-            self.context.metrics.in_flight.set(self.context.gate.in_flight)
+            self.context.metrics.in_flight.set(self.context.admission.in_flight)
         self._check_content_length()
         loop = asyncio.get_running_loop()
         self._body_timer = loop.call_later(self.context.settings.limits.body_timeout_s, self._on_body_timeout)
@@ -201,8 +201,8 @@
         self.started_s = -1.0
         if self._is_admitted:
             self._is_admitted = False
-            self.context.gate.leave(getattr(self.request.connection, "stream", None))
-            metrics.in_flight.set(self.context.gate.in_flight)
+            self.context.admission.release(getattr(self.request.connection, "stream", None))
+            metrics.in_flight.set(self.context.admission.in_flight)
 
     # --- answers -------------------------------------------------------------------
 
@@ -216,7 +216,7 @@
         self.set_header("X-Request-Id", self.echoed_request_id)
         self.set_header("X-Passgate-Request-Id", self.request_id)
         self.set_header("X-Passgate-Daemon", self.context.settings.daemon_id)
-        if self.context.gate.is_closing_connections:
+        if self.context.admission.is_closing_connections:
             self.set_header("Connection", "close")
 
     def answer_json(self, value: Any, status: int = 200) -> None:
--- a/passgate/server/cluster_status.py
+++ b/passgate/server/cluster_status.py
@@ -37,7 +37,7 @@
     def __init__(self, membership: MembershipAgent, get_own_status: Callable[[], DaemonStatus]) -> None:
         self._membership = membership
         self._get_own_status = get_own_status
-        membership.handle(STATUS_METHOD, self._handle_request)
+        membership.register_handler(STATUS_METHOD, self._handle_request)
 
     async def _handle_request(self, payload: bytes) -> bytes:
         return msgspec.json.encode(self._get_own_status())
--- a/passgate/server/completions.py
+++ b/passgate/server/completions.py
@@ -148,7 +148,7 @@
 
         timeout_s = self.context.settings.limits.durability_timeout_s
         claimed_run = self.context.services.claims.run_once(options.claim_key or "", digest, run, timeout_s)
-        task = self.context.gate.detach(claimed_run)
+        task = self.context.admission.run_detached(claimed_run)
         if streamed:
             task.add_done_callback(lambda _: chunks.put_nowait(_EndOfChunks()))
             await self._write_chunks(chunks, builder, asyncio.shield(task))
--- a/passgate/server/context.py
+++ b/passgate/server/context.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from passgate.metrics import DaemonMetrics
-from passgate.server.gate import AdmissionController
+from passgate.server.gate import RequestAdmissionController
 from passgate.settings import Settings
 
 if TYPE_CHECKING:
@@ -40,18 +40,18 @@
         self,
         settings: Settings,
         services: Services,
-        life: Machine,
+        lifecycle: Machine,
         metrics: DaemonMetrics,
         logger: logging.Logger,
         random: Random,
     ) -> None:
         self.settings = settings
         self.services = services
-        self.life = life
+        self.lifecycle = lifecycle
         self.metrics = metrics
         self.logger = logger
         self.random = random
-        self.gate = AdmissionController(
+        self.admission = RequestAdmissionController(
             settings.limits.max_in_flight, settings.stop.retry_after_s, settings.limits.write_timeout_s
         )
 
@@ -59,6 +59,6 @@
         """Return a new random identifier; unlike a caller's X-Request-Id it is unique among all requests."""
         return f"{self.settings.daemon_id}-{self.random.randbytes(REQUEST_ID_BYTES).hex()}"
 
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """Return whether load balancers should send requests to this daemon."""
-        return self.life.within("serving")
+        return self.lifecycle.within("serving")
--- a/passgate/server/daemon.py
+++ b/passgate/server/daemon.py
@@ -21,8 +21,8 @@
 from passgate.server.cluster_status import ClusterStatus, DaemonStatus
 from passgate.server.context import ServerContext, Services
 from passgate.server.parts import (
-    Outside,
-    Parts,
+    DaemonComponents,
+    ExternalClients,
     build_components,
     close_components,
     connect_external_systems,
@@ -50,7 +50,7 @@
 class Daemon:
     """One daemon; it serves from :meth:`start` until :meth:`stop` or :meth:`close`.  Needs a running loop.
 
-    Its components are reached at ``parts``, the state machine of its lifecycle at ``life``.
+    Its components are reached at ``components``, the state machine of its lifecycle at ``lifecycle``.
     """
 
     def __init__(
@@ -58,23 +58,23 @@
         settings: Settings,
         logger: logging.Logger,
         random: Random,
-        outside: Outside | None = None,
+        external: ExternalClients | None = None,
     ) -> None:
-        self._http = None if outside else make_http_client(settings)
+        self._http = None if external else make_http_client(settings)
         self.settings = settings
-        self.parts: Parts = build_components(
-            settings, outside or connect_external_systems(settings, self._http), random
+        self.components: DaemonComponents = build_components(
+            settings, external or connect_external_systems(settings, self._http), random
         )
         self.metrics = DaemonMetrics()
-        self.life = Machine("daemon")
+        self.lifecycle = Machine("daemon")
         self._logger = logger
         self._configuration_sync = ConfigurationSync(
-            self.parts.membership, self.parts.configuration, Random(random.random())
+            self.components.membership, self.components.configuration, Random(random.random())
         )
         self.context = ServerContext(
-            settings, self._make_services(), self.life, self.metrics, logger, Random(random.random())
+            settings, self._make_services(), self.lifecycle, self.metrics, logger, Random(random.random())
         )
-        self.context.gate.starting = True
+        self.context.admission.is_starting = True
         self._servers: list[HTTPServer] = []
         self._background_tasks: list[asyncio.Task[Any]] = []
         self._shutdown_task: asyncio.Task[bool] | None = None
@@ -83,18 +83,18 @@
         self.operator_address = ""
 
     def _make_services(self) -> Services:
-        parts = self.parts
+        components = self.components
         return Services(
-            configuration=parts.configuration,
-            dispatcher=parts.dispatcher,
-            claims=parts.claims,
-            lots=parts.lots,
-            cluster_status=ClusterStatus(parts.membership, self._get_status),
+            configuration=components.configuration,
+            dispatcher=components.dispatcher,
+            claims=components.claims,
+            lots=components.lots,
+            cluster_status=ClusterStatus(components.membership, self._get_status),
         )
 
     def _get_status(self) -> DaemonStatus:
-        revision = self.parts.configuration.state.revision
-        return DaemonStatus(life=self.life.state, revision=revision, labels=self.settings.labels)
+        revision = self.components.configuration.state.revision
+        return DaemonStatus(life=self.lifecycle.state, revision=revision, labels=self.settings.labels)
 
     # --- start -----------------------------------------------------------------------
 
@@ -108,14 +108,14 @@
         """
         self.caller_address = self._listen(CALLER_ROUTES, self.settings.caller_address)
         self.operator_address = self._listen(OPERATOR_ROUTES, self.settings.operator_address)
-        parts = self.parts
-        parts.configuration.subscribe(self._on_configuration_changed)
-        parts.configuration.start()
-        parts.leases.start()
-        parts.membership.start()
-        parts.membership.join(self.settings.seeds)
+        components = self.components
+        components.configuration.subscribe(self._on_configuration_changed)
+        components.configuration.start()
+        components.leases.start()
+        components.membership.start()
+        components.membership.join(self.settings.seeds)
         self._configuration_sync.start()
-        parts.dispatcher.start()
+        components.dispatcher.start()
         self._catch_up_task = asyncio.ensure_future(self._catch_up())
         self._start_background(self._poll_machine_list)
         self._start_background(self._watch_log)
@@ -162,18 +162,18 @@
     async def _catch_up(self) -> None:
         """Become ready once this daemon has applied the newest configuration known to it or its peers."""
         await self._wait_until_configured(0)
-        self.life.send("caught_up")
+        self.lifecycle.send("caught_up")
         await self._wait_for_first_peer()
         # The log may have been read from a replica that lags behind, so peers are asked for their revision.
-        await self._wait_until_configured(await self._configuration_sync.highest_known())
-        self.life.send("joined")
-        self.parts.rollouts.start()
-        self.context.gate.starting = False
+        await self._wait_until_configured(await self._configuration_sync.highest_known_revision())
+        self.lifecycle.send("joined")
+        self.components.rollouts.start()
+        self.context.admission.is_starting = False
         self.metrics.ready.set(1)
-        self._log_change("daemon_ready", revision=self.parts.configuration.state.revision)
+        self._log_change("daemon_ready", revision=self.components.configuration.state.revision)
 
     async def _wait_until_configured(self, minimum_offset: int) -> None:
-        configuration = self.parts.configuration
+        configuration = self.components.configuration
         while not configuration.ready_at(minimum_offset):
             with contextlib.suppress(DeadlineExceeded):
                 await configuration.wait_ready(minimum_offset, POLL_INTERVAL_S)
@@ -183,7 +183,7 @@
         if not self.settings.seeds:
             return
         deadline_s = clock.monotonic_s() + JOIN_TIMEOUT_S
-        while len(self.parts.membership.members()) < 2 and clock.monotonic_s() < deadline_s:
+        while len(self.components.membership.members()) < 2 and clock.monotonic_s() < deadline_s:
             await asyncio.sleep(POLL_INTERVAL_S)
 
     # --- background work ---------------------------------------------------------------
@@ -199,7 +199,7 @@
         is_readable = True
         while True:
             try:
-                machines = await self.parts.outside.machine_list.machines()
+                machines = await self.components.external.machine_list.machines()
             except PlatformError:
                 if is_readable:
                     self._log_change("machine_list_lost")
@@ -208,30 +208,30 @@
                 if not is_readable:
                     self._log_change("machine_list_back")
                 is_readable = True
-                self.parts.directory.apply_machines(machines, clock.monotonic_s())
+                self.components.directory.apply_machines(machines, clock.monotonic_s())
                 self._join_unknown_daemons(
                     [item.address for item in machines if item.role is MachineRole.DAEMON]
                 )
             await asyncio.sleep(MACHINE_LIST_POLL_INTERVAL_S)
 
     def _join_unknown_daemons(self, addresses: list[str]) -> None:
-        known_addresses = {member.address for member in self.parts.membership.members()}
+        known_addresses = {member.address for member in self.components.membership.members()}
         unknown_addresses = [address for address in addresses if address not in known_addresses]
-        if unknown_addresses and self.life.within("running"):
-            self.parts.membership.join(unknown_addresses)
+        if unknown_addresses and self.lifecycle.within("running"):
+            self.components.membership.join(unknown_addresses)
 
     async def _watch_log(self) -> None:
         """Move the lifecycle between ready and degraded as reads of the log fail and succeed."""
-        counters = self.parts.configuration.follower.counters
+        counters = self.components.configuration.follower.counters
         while True:
             previous_failures = counters.read_failures
             await asyncio.sleep(LOG_CHECK_INTERVAL_S)
             failures = counters.read_failures - previous_failures
-            if failures and self.life.can("log_lost"):
-                self.life.send("log_lost")
+            if failures and self.lifecycle.can("log_lost"):
+                self.lifecycle.send("log_lost")
                 self._log_change("log_lost")
-            elif not failures and self.life.can("log_back"):
-                self.life.send("log_back")
+            elif not failures and self.lifecycle.can("log_back"):
+                self.lifecycle.send("log_back")
                 self._log_change("log_back")
 
     async def _measure_loop_lag(self) -> None:
@@ -260,19 +260,19 @@
         """
         stop = self.settings.stop
         await self._cancel_all([self._catch_up_task] if self._catch_up_task else [])
-        self.life.send("stop")
+        self.lifecycle.send("stop")
         self.metrics.ready.set(0)
-        self.context.gate.is_closing_connections = True
+        self.context.admission.is_closing_connections = True
         self._log_change("stop_announced", notice_s=stop.notice_s)
         await asyncio.sleep(stop.notice_s)
-        self.life.send("announced")
-        self.context.gate.refusing = True
-        self._log_change("stop_draining", in_flight=self.context.gate.in_flight)
+        self.lifecycle.send("announced")
+        self.context.admission.is_draining = True
+        self._log_change("stop_draining", in_flight=self.context.admission.in_flight)
         is_clean = await self._finish_work(stop.drain_timeout_s)
-        self.life.send("finished")
-        await self._hand_over(stop.leave_timeout_s)
+        self.lifecycle.send("finished")
+        await self._release_ownership(stop.leave_timeout_s)
         await self.close()
-        self.life.send("handed_over")
+        self.lifecycle.send("handed_over")
         self._log_change("daemon_stopped", whole=is_clean)
         return is_clean
 
@@ -283,19 +283,21 @@
         """
         started_s = clock.monotonic_s()
         lots_drained, requests_drained = await asyncio.gather(
-            self._run_shutdown_step(self.parts.lots.drain(timeout_s)),
-            self.context.gate.wait_idle(timeout_s),
+            self._run_shutdown_step(self.components.lots.drain(timeout_s)),
+            self.context.admission.wait_idle(timeout_s),
         )
         remaining_s = max(POLL_INTERVAL_S, started_s + timeout_s - clock.monotonic_s())
-        calls_drained = await self._run_shutdown_step(self.parts.dispatcher.drain(remaining_s))
-        claims_drained = await self.parts.claims.drain(remaining_s)
+        calls_drained = await self._run_shutdown_step(self.components.dispatcher.drain(remaining_s))
+        claims_drained = await self.components.claims.drain(remaining_s)
         return lots_drained and requests_drained and calls_drained and claims_drained
 
-    async def _hand_over(self, timeout_s: float) -> None:
+    async def _release_ownership(self, timeout_s: float) -> None:
         """Stop the rollout managers, release this daemon's leases and leave the membership."""
-        await self._run_shutdown_step(self.parts.rollouts.drain(timeout_s))
-        await self._run_shutdown_step(self._await_with_timeout(self.parts.leases.release_all(), timeout_s))
-        await self._run_shutdown_step(self.parts.membership.leave(timeout_s))
+        await self._run_shutdown_step(self.components.rollouts.drain(timeout_s))
+        await self._run_shutdown_step(
+            self._await_with_timeout(self.components.leases.release_all(), timeout_s)
+        )
+        await self._run_shutdown_step(self.components.membership.leave(timeout_s))
 
     async def _await_with_timeout(self, work: Awaitable[None], timeout_s: float) -> None:
         async with asyncio.timeout(timeout_s):
@@ -322,7 +324,7 @@
         for server in self._servers:
             await server.close_all_connections()
         await self._configuration_sync.close()
-        await close_components(self.parts)
+        await close_components(self.components)
         if self._http is not None:
             self._http.close()
 
@@ -333,7 +335,12 @@
 
     def _log_change(self, change: str, level: int = logging.INFO, **fields: object) -> None:
         log_state_change(
-            self._logger, change, level, run=self.parts.incarnation_id, life=self.life.state, **fields
+            self._logger,
+            change,
+            level,
+            run=self.components.incarnation_id,
+            life=self.lifecycle.state,
+            **fields,
         )
 
 
--- a/passgate/server/gate.py
+++ b/passgate/server/gate.py
@@ -1,8 +1,8 @@
 """Admission control of a daemon's HTTP servers, and the count of its work in flight.
 
->>> admission = AdmissionController(max_in_flight=1, retry_after_s=1.0, write_timeout_s=60.0)
->>> admission.enter()
->>> admission.enter()
+>>> admission = RequestAdmissionController(max_in_flight=1, retry_after_s=1.0, write_timeout_s=60.0)
+>>> admission.admit()
+>>> admission.admit()
 Traceback (most recent call last):
     ...
 passgate.errors.Overloaded: the daemon has too many requests in flight
@@ -36,7 +36,7 @@
         ...
 
 
-class AdmissionController:
+class RequestAdmissionController:
     """Admits or refuses requests, and reports when no work is left.
 
     A request is work until the last byte of its answer is sent or ``write_timeout_s`` has passed since its
@@ -53,9 +53,9 @@
         self._detached_tasks: set[asyncio.Task[Any]] = set()
         self.is_closing_connections = False
         """Set when shutdown begins: answers carry ``Connection: close``."""
-        self.starting = False
+        self.is_starting = False
         """Set until the active configuration is known: requests are refused as not run."""
-        self.refusing = False
+        self.is_draining = False
         """Set after the notice period of a shutdown: new requests are refused as not run."""
 
     @property
@@ -63,7 +63,7 @@
         """Number of requests whose handler has not finished, plus detached work."""
         return self._admitted_count + len(self._detached_tasks)
 
-    def enter(self) -> None:
+    def admit(self) -> None:
         """Admit one request.
 
         Raises:
@@ -71,21 +71,21 @@
             Draining: the daemon is shutting down, and its notice period has passed.
             Overloaded: ``max_in_flight`` requests are admitted.
         """
-        if self.refusing:
+        if self.is_draining:
             raise Draining("the daemon is shutting down", retry_after_s=self._retry_after_s)
-        if self.starting:
+        if self.is_starting:
             raise NotReady("the daemon is starting", retry_after_s=self._retry_after_s)
         if self._admitted_count >= self._max_in_flight:
             raise Overloaded("the daemon has too many requests in flight", retry_after_s=self._retry_after_s)
         self._admitted_count += 1
 
-    def leave(self, stream: ClientStream | None) -> None:
+    def release(self, stream: ClientStream | None) -> None:
         """Release one admitted request; ``stream`` may still hold unsent bytes of its answer."""
         self._admitted_count -= 1
         if stream is not None and not stream.closed() and stream.writing():
             self._flush_deadline_s_by_stream[stream] = clock.monotonic_s() + self._write_timeout_s
 
-    def detach(self, work: Coroutine[Any, Any, Any]) -> asyncio.Task[Any]:
+    def run_detached(self, work: Coroutine[Any, Any, Any]) -> asyncio.Task[Any]:
         """Start work in a task that is not cancelled when its caller disconnects; return the task."""
         task = asyncio.ensure_future(work)
         self._detached_tasks.add(task)
--- a/passgate/server/health.py
+++ b/passgate/server/health.py
@@ -23,8 +23,8 @@
         """Return the lifecycle state and readiness of the daemon."""
         return HealthAnswer(
             daemon_id=self.context.settings.daemon_id,
-            state=self.context.life.state,
-            ready=self.context.ready(),
+            state=self.context.lifecycle.state,
+            ready=self.context.is_ready(),
         )
 
 
