--- a/passgate/server/parts.py
+++ b/passgate/server/parts.py
@@ -32,7 +32,7 @@
 INCARNATION_ID_BYTES = 4
 
 
-class Outside(msgspec.Struct, kw_only=True):
+class ExternalClients(msgspec.Struct, kw_only=True):
     """Clients of the external systems; tests and the simulation pass their own."""
 
     log: LogClient
@@ -43,12 +43,12 @@
     transport: PeerTransport
 
 
-class Parts(msgspec.Struct, kw_only=True):
+class DaemonComponents(msgspec.Struct, kw_only=True):
     """The components that one daemon runs."""
 
     incarnation_id: str
     """Identifies this run of the daemon's process: daemon id, ``/`` and a random part."""
-    outside: Outside
+    external: ExternalClients
     membership: MembershipAgent
     configuration: ConfigurationService
     leases: LeaseService
@@ -59,11 +59,11 @@
     rollouts: RolloutService
 
 
-def connect_external_systems(settings: Settings, http: HttpClient) -> Outside:
+def connect_external_systems(settings: Settings, http: HttpClient) -> ExternalClients:
     """Return clients that use sockets; binds the peer port, and raises SettingsError when it cannot."""
     credential = settings.credentials.platform.reveal() or None
     store_address = settings.weight_store_address
-    return Outside(
+    return ExternalClients(
         log=HttpLogClient(http, settings.log_address, credential),
         machine_list=HttpMachineList(http, settings.machine_list_address, credential),
         weight_store=HttpWeightStore(http, store_address, credential) if store_address else None,
@@ -87,7 +87,7 @@
     return HttpClient(HttpLimits(max_transfers=settings.limits.max_in_flight))
 
 
-def build_components(settings: Settings, outside: Outside, random: Random) -> Parts:
+def build_components(settings: Settings, external: ExternalClients, random: Random) -> DaemonComponents:
     """Build and connect all components without starting them; needs a running loop.
 
     Raises:
@@ -97,32 +97,32 @@
         names = ", ".join(sorted(POLICIES))
         raise SettingsError(f"unknown routing policy {settings.policy!r}", key="policy", expected=names)
     incarnation_id = f"{settings.daemon_id}/{random.randbytes(INCARNATION_ID_BYTES).hex()}"
-    self_info = MemberInfo(member_id=incarnation_id, address=outside.transport.address, zone=settings.zone)
-    membership = MembershipAgent(self_info, outside.transport, Random(random.random()))
-    configuration = ConfigurationService(outside.log, f"{incarnation_id}/config", Random(random.random()))
+    self_info = MemberInfo(member_id=incarnation_id, address=external.transport.address, zone=settings.zone)
+    membership = MembershipAgent(self_info, external.transport, Random(random.random()))
+    configuration = ConfigurationService(external.log, f"{incarnation_id}/config", Random(random.random()))
     directory = ReplicaDirectory()
     dispatcher = Dispatcher(
-        outside.engine,
-        outside.app,
+        external.engine,
+        external.app,
         directory,
         configuration.state,
         settings.zone,
         POLICIES[settings.policy],
         Random(random.random()),
-        owner=settings.daemon_id,
+        daemon_id=settings.daemon_id,
     )
     leases = LeaseService(
-        outside.log, incarnation_id, lambda: list_live_members(membership), Random(random.random())
+        external.log, incarnation_id, lambda: list_live_members(membership), Random(random.random())
     )
-    return Parts(
+    return DaemonComponents(
         incarnation_id=incarnation_id,
-        outside=outside,
+        external=external,
         membership=membership,
         configuration=configuration,
         leases=leases,
-        claims=ClaimService(outside.log, incarnation_id, membership.is_alive, Random(random.random())),
+        claims=ClaimService(external.log, incarnation_id, membership.is_alive, Random(random.random())),
         lots=LotService(
-            outside.log,
+            external.log,
             dispatcher.generate,
             configuration.state.newest_version,
             incarnation_id,
@@ -131,7 +131,7 @@
         ),
         directory=directory,
         dispatcher=dispatcher,
-        rollouts=RolloutService(outside.engine, leases, configuration, directory, Random(random.random())),
+        rollouts=RolloutService(external.engine, leases, configuration, directory, Random(random.random())),
     )
 
 
@@ -141,12 +141,12 @@
     return [member.member_id for member in membership.members() if member.state in live_states]
 
 
-async def close_components(parts: Parts) -> None:
+async def close_components(components: DaemonComponents) -> None:
     """Close all components, those that use others first."""
-    await parts.rollouts.close()
-    await parts.lots.close()
-    await parts.claims.close()
-    await parts.dispatcher.close()
-    await parts.leases.close()
-    await parts.configuration.close()
-    await parts.membership.close()
+    await components.rollouts.close()
+    await components.lots.close()
+    await components.claims.close()
+    await components.dispatcher.close()
+    await components.leases.close()
+    await components.configuration.close()
+    await components.membership.close()
--- a/passgate/state/claim_state.py
+++ b/passgate/state/claim_state.py
@@ -93,7 +93,7 @@
     return msgspec.structs.replace(state, status=ClaimStatus.COMPLETED, outcome=outcome)
 
 
-class ClaimFold:
+class ClaimProjection:
     """State of one key, as a projection for a log follower."""
 
     def __init__(self) -> None:
--- a/passgate/state/claims.py
+++ b/passgate/state/claims.py
@@ -33,7 +33,7 @@
 )
 from passgate.interfaces import LogClient
 from passgate.records import Body, ClaimCompleted, ClaimMade, ClaimReleased, ClaimUnresolved, Record
-from passgate.state.claim_state import ClaimFold, ClaimStatus, StoredOutcome
+from passgate.state.claim_state import ClaimProjection, ClaimStatus, StoredOutcome
 from passgate.state.fold import Accepted, Decision
 from passgate.state.log_follower import LogFollower
 
@@ -126,7 +126,7 @@
             await asyncio.sleep(0)
 
     def _start_follower(
-        self, key: str, projection: ClaimFold, on_late_acceptance: Callable[[Record, Decision], None]
+        self, key: str, projection: ClaimProjection, on_late_acceptance: Callable[[Record, Decision], None]
     ) -> LogFollower:
         self._follower_count += 1
         writer = f"{self._daemon_id}/claim-{self._follower_count}"
@@ -164,7 +164,7 @@
         self._service = service
         self._key = key
         self._request_digest = request_digest
-        self._projection = ClaimFold()
+        self._projection = ClaimProjection()
         self._follower = service._start_follower(key, self._projection, self._release_late_claim)
         self._run_task: asyncio.Task[ClaimOutcome] | None = None
         self._record_task: asyncio.Task[None] | None = None
--- a/passgate/state/fold.py
+++ b/passgate/state/fold.py
@@ -44,7 +44,7 @@
 Decision = Accepted | Rejected
 
 
-class Fold(Protocol):
+class Projection(Protocol):
     """State of one stream, built from its records."""
 
     def apply(self, offset: int, record: Record) -> Decision:
@@ -101,8 +101,8 @@
     snapshot, are in the same state.
     """
 
-    def __init__(self, projection: Fold) -> None:
-        self.fold = projection
+    def __init__(self, projection: Projection) -> None:
+        self.projection = projection
         self.next_offset = 0
         """First offset not yet applied."""
         self.unknown_record_count = 0
@@ -136,7 +136,7 @@
             self.unknown_record_count += 1
             return Rejected(offset, UnknownRecord("the record kind is not known", kind=record.body.kind))
         try:
-            return self.fold.apply(offset, record)
+            return self.projection.apply(offset, record)
         except Exception as error:  # noqa: BLE001  Deterministic: every reader fails alike and must skip the record.
             return Rejected(offset, PassgateError("the record can not be applied", cause=repr(error)))
 
@@ -149,7 +149,7 @@
         if self.unknown_record_count:
             return None
         content = _SnapshotContent(
-            self._duplicate_filter.last_sequence_by_writer(), msgspec.Raw(self.fold.snapshot())
+            self._duplicate_filter.last_sequence_by_writer(), msgspec.Raw(self.projection.snapshot())
         )
         state = msgspec.Raw(msgspec.json.encode(content))
         return SnapshotTaken(offset=self.next_offset - 1, schema_version=SNAPSHOT_SCHEMA_VERSION, state=state)
@@ -165,7 +165,7 @@
             return False
         try:
             content = msgspec.json.decode(snapshot.state, type=_SnapshotContent)
-            self.fold.restore(bytes(content.state))
+            self.projection.restore(bytes(content.state))
         except msgspec.MsgspecError:
             return False
         self._duplicate_filter = DuplicateFilter(content.writers)
--- a/passgate/state/lease_state.py
+++ b/passgate/state/lease_state.py
@@ -46,26 +46,26 @@
     return state, Rejected(offset, error)
 
 
-class LeaseFold:
+class LeaseProjection:
     """Mapping of each role to its lease, as a projection for a log follower."""
 
     def __init__(self) -> None:
-        self.roles: dict[str, LeaseState] = {}
+        self.lease_by_role: dict[str, LeaseState] = {}
 
     def apply(self, offset: int, record: Record) -> Decision:
         """Apply one record of the lease stream."""
         body = record.body
         if not isinstance(body, LeaseTaken | LeaseReleased):
             return Rejected(offset, UnknownRecord("the record is not a lease record"))
-        state, decision = transition(self.roles.get(body.role, NEVER_HELD), offset, record)
+        state, decision = transition(self.lease_by_role.get(body.role, NEVER_HELD), offset, record)
         if state is not NEVER_HELD:
-            self.roles[body.role] = state
+            self.lease_by_role[body.role] = state
         return decision
 
     def snapshot(self) -> bytes:
         """Return the leases of all roles as JSON."""
-        return msgspec.json.encode(self.roles)
+        return msgspec.json.encode(self.lease_by_role)
 
     def restore(self, state: bytes) -> None:
         """Replace all leases by a snapshot; raises ``msgspec.MsgspecError`` when it is not readable."""
-        self.roles = msgspec.json.decode(state, type=dict[str, LeaseState])
+        self.lease_by_role = msgspec.json.decode(state, type=dict[str, LeaseState])
--- a/passgate/state/leases.py
+++ b/passgate/state/leases.py
@@ -23,7 +23,7 @@
 from passgate.interfaces import LogClient
 from passgate.records import LeaseReleased, LeaseTaken, Record
 from passgate.state.fold import Accepted, Decision, Rejected
-from passgate.state.lease_state import NEVER_HELD, LeaseFold
+from passgate.state.lease_state import NEVER_HELD, LeaseProjection
 from passgate.state.log_follower import LogFollower
 
 STREAM = "leases"
@@ -57,7 +57,7 @@
         self._daemon_id = daemon_id
         self._live_members = live_members
         self._on_change = on_change
-        self._projection = LeaseFold()
+        self._projection = LeaseProjection()
         self.follower = LogFollower(
             log,
             STREAM,
@@ -90,7 +90,7 @@
         held_epoch = self.held_epoch(role)
         if held_epoch is not None:
             return held_epoch
-        current = self._projection.roles.get(role, NEVER_HELD)
+        current = self._projection.lease_by_role.get(role, NEVER_HELD)
         if current.holder and current.holder in self._live_members():
             raise SupersededEpoch("a live daemon holds the role", epoch=current.epoch, holder=current.holder)
         body = LeaseTaken(role=role, holder=self._daemon_id)
@@ -115,18 +115,18 @@
     async def release_all(self) -> None:
         """Release all held roles, for a graceful shutdown; stops at the first error of :meth:`release`."""
         for role in [
-            name for name, state in self._projection.roles.items() if state.holder == self._daemon_id
+            name for name, state in self._projection.lease_by_role.items() if state.holder == self._daemon_id
         ]:
             await self.release(role)
 
     def holder(self, role: str) -> LeaseHolder | None:
         """Return the holder of the role in the records read so far; None when the role is free."""
-        state = self._projection.roles.get(role, NEVER_HELD)
+        state = self._projection.lease_by_role.get(role, NEVER_HELD)
         return LeaseHolder(state.holder, state.epoch) if state.holder else None
 
     def held_epoch(self, role: str) -> int | None:
         """Return the epoch under which this daemon holds the role; None when it does not."""
-        state = self._projection.roles.get(role, NEVER_HELD)
+        state = self._projection.lease_by_role.get(role, NEVER_HELD)
         return state.epoch if state.holder == self._daemon_id else None
 
     def check(self, role: str, epoch: int) -> None:
@@ -136,7 +136,7 @@
         another daemon may take the role right after the check.
         """
         if self.held_epoch(role) != epoch:
-            state = self._projection.roles.get(role, NEVER_HELD)
+            state = self._projection.lease_by_role.get(role, NEVER_HELD)
             raise SupersededEpoch(
                 "this daemon does not hold the role under the given epoch",
                 role=role,
@@ -151,7 +151,7 @@
         member, which spreads roles evenly and moves few when members come and go.
         """
         members = self._live_members()
-        current = self._projection.roles.get(role, NEVER_HELD)
+        current = self._projection.lease_by_role.get(role, NEVER_HELD)
         if current.holder in members:
             return current.holder
         return max(members, key=lambda member: (_rendezvous_weight(role, member), member), default=None)
--- a/passgate/state/log_follower.py
+++ b/passgate/state/log_follower.py
@@ -3,7 +3,7 @@
 The log has no conditional append.  A daemon appends a record, reads it back and acts
 on the decision of its projection, which is the decision of every other reader too::
 
-    follower = LogFollower(log, "leases", LeaseFold(), writer="caruaru-1/7f3a", random=random)
+    follower = LogFollower(log, "leases", LeaseProjection(), writer="caruaru-1/7f3a", random=random)
     follower.start()
     decision = await follower.propose(LeaseTaken(role="pool/modelos", holder="caruaru-1/7f3a"), timeout_s=2.0)
 
@@ -26,9 +26,9 @@
 from passgate.records import Body, Record, SnapshotTaken
 from passgate.state import snapshots
 from passgate.state.append_queue import AppendQueue, Backoff
-from passgate.state.fold import Accepted, Decision, Fold, Rejected, StreamState
+from passgate.state.fold import Accepted, Decision, Projection, Rejected, StreamState
 
-__all__ = ["Accepted", "Decision", "Fold", "LogFollower", "Rejected"]
+__all__ = ["Accepted", "Decision", "Projection", "LogFollower", "Rejected"]
 
 READ_LIMIT_RECORDS = 256
 READ_WAIT_S = 10.0
@@ -67,7 +67,7 @@
         self,
         log: LogClient,
         stream: str,
-        projection: Fold,
+        projection: Projection,
         writer: str,
         *,
         use_snapshots: bool = False,
--- a/passgate/state/lot_handle.py
+++ b/passgate/state/lot_handle.py
@@ -20,7 +20,7 @@
 )
 from passgate.state.fold import Decision
 from passgate.state.log_follower import LogFollower
-from passgate.state.lot_state import LotFold, SlotStatus
+from passgate.state.lot_state import LotProjection, SlotStatus
 from passgate.state.lot_types import LotInfo
 
 TRAINER_RECORD_TYPES = (LotOpened, SamplesHandedOver, SamplesAcknowledged, SamplesReplaced)
@@ -38,7 +38,7 @@
         self, log: LogClient, lot_id: str, writer: str, newest_version: Callable[[str], int], random: Random
     ) -> None:
         self.lot_id = lot_id
-        self.projection = LotFold()
+        self.projection = LotProjection()
         self.last_used_s = 0.0
         """Time of the last call for the lot on this daemon."""
         self.last_trainer_action_s = 0.0
--- a/passgate/state/lot_reader.py
+++ b/passgate/state/lot_reader.py
@@ -12,7 +12,7 @@
 from passgate.records import SamplesHandedOver
 from passgate.state.lot_handle import LotHandle
 from passgate.state.lot_keeper import expire_samples
-from passgate.state.lot_state import HandOver, LotFold, SlotState, SlotStatus
+from passgate.state.lot_state import DeliveryPosition, LotProjection, SlotState, SlotStatus
 from passgate.state.lot_types import DeliveredSample, SampleFailure, SamplesPage, sample_id
 
 HAND_OVER_TIMEOUT_S = 5.0
@@ -50,7 +50,7 @@
     handle: LotHandle, cursor: int, limit: int, trainer_version: int | None
 ) -> SamplesPage:
     version = handle.newest_known_version(trainer_version)
-    has_handed_over = cursor < len(handle.projection.order)
+    has_handed_over = cursor < len(handle.projection.delivery_order)
     try:
         await _hand_over(handle, cursor, limit, version)
     except (DurabilityUnavailable, DurabilityUnknown):
@@ -61,21 +61,21 @@
 
 async def _hand_over(handle: LotHandle, cursor: int, limit: int, version: int) -> None:
     """Record the hand-over of committed samples, up to the end of the page; expire stale ones."""
-    missing_count = cursor + limit - len(handle.projection.order)
+    missing_count = cursor + limit - len(handle.projection.delivery_order)
     if missing_count <= 0 or handle.projection.header.cancelled:
         return
     stale = set(handle.stale_committed_indexes(version))
     if stale:
         await expire_samples(handle, sorted(stale), version, HAND_OVER_TIMEOUT_S)
     fresh = [index for index in handle.projection.committed_indexes if index not in stale][:missing_count]
-    if fresh and cursor <= len(handle.projection.order):
+    if fresh and cursor <= len(handle.projection.delivery_order):
         body = SamplesHandedOver(indexes=tuple(fresh), trainer_version=version)
         await handle.propose(body, timeout_s=HAND_OVER_TIMEOUT_S)
 
 
 def _build_page(handle: LotHandle, cursor: int, limit: int, version: int) -> SamplesPage:
     projection = handle.projection
-    positions = _limit_tokens(projection, projection.order[cursor : cursor + limit])
+    positions = _limit_tokens(projection, projection.delivery_order[cursor : cursor + limit])
     samples: list[DeliveredSample] = []
     withdrawn: list[str] = []
     failed: list[SampleFailure] = []
@@ -94,13 +94,13 @@
     return SamplesPage(
         samples=tuple(samples),
         next_cursor=next_cursor,
-        finished=projection.is_finished() and next_cursor >= len(projection.order) and not withdrawn,
+        finished=projection.is_finished() and next_cursor >= len(projection.delivery_order) and not withdrawn,
         withdrawn=tuple(withdrawn),
         failed=tuple(failed),
     )
 
 
-def _limit_tokens(projection: LotFold, positions: list[HandOver]) -> list[HandOver]:
+def _limit_tokens(projection: LotProjection, positions: list[DeliveryPosition]) -> list[DeliveryPosition]:
     """Return the first positions whose samples have at most PAGE_LIMIT_TOKENS tokens, but at least one."""
     token_count = 0
     for count, position in enumerate(positions):
@@ -111,7 +111,7 @@
     return positions
 
 
-def _to_delivered_sample(identifier: str, position: HandOver, slot: SlotState) -> DeliveredSample:
+def _to_delivered_sample(identifier: str, position: DeliveryPosition, slot: SlotState) -> DeliveredSample:
     assert slot.sample is not None
     return DeliveredSample(
         sample_id=identifier,
--- a/passgate/state/lot_state.py
+++ b/passgate/state/lot_state.py
@@ -43,7 +43,7 @@
 )
 from passgate.state.fold import Accepted, Decision, Rejected
 from passgate.state.lot_values import (
-    HandOver,
+    DeliveryPosition,
     LotChange,
     LotHeader,
     LotState,
@@ -53,9 +53,9 @@
 )
 
 __all__ = [
-    "HandOver",
+    "DeliveryPosition",
     "LotChange",
-    "LotFold",
+    "LotProjection",
     "LotHeader",
     "LotState",
     "SlotState",
@@ -171,7 +171,7 @@
     if slot.status is not SlotStatus.OPEN:
         return LotChange(header), Rejected(offset, _slot_changed_error(slot))
     failed = SlotState(SlotStatus.FAILED, slot.attempt, failure_code=body.code)
-    position = HandOver(body.index, slot.attempt)
+    position = DeliveryPosition(body.index, slot.attempt)
     return LotChange(header, ((body.index, failed),), (position,)), Accepted(offset)
 
 
@@ -221,7 +221,7 @@
         slot = slots[index] if 0 <= index < len(slots) else SlotState()
         if slot.status is SlotStatus.COMMITTED and not updated.is_stale(slot.sample, 0):
             changed[index] = msgspec.structs.replace(slot, status=SlotStatus.HANDED_OVER)
-    positions = tuple(HandOver(index, slot.attempt) for index, slot in changed.items())
+    positions = tuple(DeliveryPosition(index, slot.attempt) for index, slot in changed.items())
     return LotChange(updated, tuple(changed.items()), positions), Accepted(offset, tuple(changed))
 
 
@@ -273,13 +273,13 @@
             slots[index] = slot
 
 
-class LotFold:
+class LotProjection:
     """State of a lot, as a projection for a log follower; changes only the slots that a record names."""
 
     def __init__(self) -> None:
         self.header = LotHeader()
         self.slots: list[SlotState] = []
-        self.order: list[HandOver] = []
+        self.delivery_order: list[DeliveryPosition] = []
         self.committed_indexes: dict[int, None] = {}
         """Indexes of slots whose status is COMMITTED as keys, in the order of their commits."""
         self.count_by_status = dict.fromkeys(SlotStatus, 0)
@@ -292,9 +292,9 @@
         change, decision = decide(self.header, self.slots, offset, record)
         self.header = change.header
         _update_slots(self.slots, change)
-        self.order.extend(change.positions)
+        self.delivery_order.extend(change.positions)
         for index, slot in change.slots:
-            self._count(index, slot)
+            self._update_counts(index, slot)
         return decision
 
     def has_open_slots(self) -> bool:
@@ -311,7 +311,7 @@
         undelivered = self.count_by_status[SlotStatus.OPEN] + self.count_by_status[SlotStatus.COMMITTED]
         return self.header.cancelled or undelivered == 0
 
-    def _count(self, index: int, slot: SlotState) -> None:
+    def _update_counts(self, index: int, slot: SlotState) -> None:
         """Update the counts and ``committed_indexes`` for the new state of a slot."""
         previous_status = self._status_by_index.get(index)
         if previous_status is not None:
@@ -325,14 +325,14 @@
 
     def snapshot(self) -> bytes:
         """Return the lot as JSON."""
-        return msgspec.json.encode(LotState(self.header, tuple(self.slots), tuple(self.order)))
+        return msgspec.json.encode(LotState(self.header, tuple(self.slots), tuple(self.delivery_order)))
 
     def restore(self, state: bytes) -> None:
         """Replace the lot by a snapshot; raises ``msgspec.MsgspecError`` when it is not readable."""
         lot = msgspec.json.decode(state, type=LotState)
-        self.header, self.slots, self.order = lot.header, list(lot.slots), list(lot.order)
+        self.header, self.slots, self.delivery_order = lot.header, list(lot.slots), list(lot.order)
         self.committed_indexes = {}
         self.count_by_status = dict.fromkeys(SlotStatus, 0)
         self._status_by_index = {}
         for index, slot in enumerate(self.slots):
-            self._count(index, slot)
+            self._update_counts(index, slot)
--- a/passgate/state/lot_values.py
+++ b/passgate/state/lot_values.py
@@ -61,7 +61,7 @@
     """Code of the error that made the slot fail."""
 
 
-class HandOver(msgspec.Struct, frozen=True):
+class DeliveryPosition(msgspec.Struct, frozen=True):
     """Entry of the delivery order: a slot's attempt that was handed over or failed."""
 
     index: int
@@ -94,7 +94,7 @@
     """The header after the record."""
     slots: tuple[tuple[int, SlotState], ...] = ()
     """Indexes and new states of the changed slots."""
-    positions: tuple[HandOver, ...] = ()
+    positions: tuple[DeliveryPosition, ...] = ()
     """Entries to append to the delivery order."""
 
 
@@ -103,5 +103,5 @@
 
     header: LotHeader = LotHeader()
     slots: tuple[SlotState, ...] = ()
-    order: tuple[HandOver, ...] = ()
+    order: tuple[DeliveryPosition, ...] = ()
     """Delivery order: entries in the order in which trainers read them."""
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -175,11 +175,11 @@
     async def start(self, name="d1", wait=True, **settings):
         """Start a daemon that joins the running ones; with ``wait``, wait until it is ready."""
         from passgate.server.daemon import Daemon
-        from passgate.server.parts import Outside
+        from passgate.server.parts import ExternalClients
         from passgate.settings import Settings, StopSettings
 
         settings.setdefault("stop", StopSettings(notice_s=0.0, leave_timeout_s=0.0))
-        outside = Outside(
+        outside = ExternalClients(
             log=self.client_of(name),
             machine_list=self.machines,
             weight_store=None,
@@ -187,8 +187,8 @@
             app=self.app,
             transport=self.network.transport(f"10.0.0.{len(self.daemons) + 1}:7000", "z"),
         )
-        running = [daemon for daemon in self.daemons if daemon.life.state != "stopped"]
-        seeds = tuple(daemon.parts.outside.transport.address for daemon in running)
+        running = [daemon for daemon in self.daemons if daemon.lifecycle.state != "stopped"]
+        seeds = tuple(daemon.components.external.transport.address for daemon in running)
         daemon = Daemon(
             Settings(
                 daemon_id=name,
@@ -205,8 +205,8 @@
         self.daemons.append(daemon)
         daemon.start()
         if wait:
-            await self.until(lambda: daemon.context.ready())
-            await self.until(lambda: daemon.parts.directory.get("e1") is not None)
+            await self.until(lambda: daemon.context.is_ready())
+            await self.until(lambda: daemon.components.directory.get("e1") is not None)
         return daemon
 
     async def configure(self, daemon):
@@ -266,7 +266,7 @@
 
     async def close(self):
         for daemon in self.daemons:
-            if daemon.life.state != "stopped":
+            if daemon.lifecycle.state != "stopped":
                 await daemon.close()
         self.http.close()
 
--- a/tests/crashing_world.py
+++ b/tests/crashing_world.py
@@ -8,7 +8,7 @@
 from passgate.clients.http_call import HttpCall, SendPolicy
 from passgate.errors import PassgateError
 from passgate.jobs.partitions import partition_of
-from tests import platform_stand_ins as stand_ins
+from tests import platform_stand_ins as fake_platform
 from tests.test_platform_daemon import HOST, World, start_daemon_at_free_ports
 
 CRASHING_BODY = b"crash"
@@ -39,12 +39,16 @@
         self.started_count += 1
         fields.setdefault("work_s", 0.03)
         start_time_ms = 1_000 + self.started_count if self.keep_replica_ids else 0
-        replica = stand_ins.Replica(
-            self.log, replica_id or f"i-{self.started_count}", service, born=start_time_ms, **fields
+        replica = fake_platform.FakeReplica(
+            self.log,
+            replica_id or f"i-{self.started_count}",
+            service,
+            started_unix_ms=start_time_ms,
+            **fields,
         )
-        replica.crash_on = lambda request: request.body in self.crashing_bodies
-        replica.crash_on_load = lambda model, version: (model, version) in self.crashing_loads
-        replica.on_end = lambda crashed: self._record_crash(crashed, fields)
+        replica.crashes_on = lambda request: request.body in self.crashing_bodies
+        replica.crashes_on_load = lambda model, version: (model, version) in self.crashing_loads
+        replica.on_crash = lambda crashed: self._record_crash(crashed, fields)
         self.replicas[replica.replica_id] = replica.start(port)
         return replica
 
@@ -114,7 +118,7 @@
         """Submit a job under a host; later calls of the world for results go to that host."""
         self.daemon, self.host = self.daemons[0], host
         answer = await self.send_request(
-            self.daemon, stand_ins.job_body(items), job_id, "/stream/j", Host=host
+            self.daemon, fake_platform.job_body(items), job_id, "/stream/j", Host=host
         )
         assert answer.status == 202
 
--- a/tests/duty_stand_in.py
+++ b/tests/duty_stand_in.py
@@ -8,7 +8,7 @@
 from tornado.httpserver import HTTPServer
 from tornado.web import Application, RequestHandler
 
-from tests.platform_stand_ins import listen
+from tests.platform_stand_ins import listen_on_loopback
 
 
 @dataclass
@@ -36,7 +36,7 @@
 
     def start(self):
         self.server = HTTPServer(Application([("/usage", UsageHandler, {"endpoint": self})]))
-        self.address = listen(self.server)
+        self.address = listen_on_loopback(self.server)
         return self
 
     def handle_call(self, holder, fence, report):
--- a/tests/fault_proxy.py
+++ b/tests/fault_proxy.py
@@ -16,11 +16,11 @@
         self.target = target
         self.delay_s = 0.0
         """Mean delay of each chunk of bytes, in either direction."""
-        self.silent_up = False
+        self.drops_to_target = False
         """Whether bytes to the target are dropped."""
-        self.silent_down = False
+        self.drops_from_target = False
         """Whether bytes from the target are dropped."""
-        self.refusing = False
+        self.refuses_connections = False
         """Whether new connections are closed at once."""
         self.address = ""
         self._server = None
@@ -35,12 +35,17 @@
 
     def heal(self):
         """Stop all faults; if bytes were being dropped, reset all connections, as their streams have gaps."""
-        dropped_bytes = self.silent_up or self.silent_down
-        self.delay_s, self.silent_up, self.silent_down, self.refusing = 0.0, False, False, False
+        dropped_bytes = self.drops_to_target or self.drops_from_target
+        self.delay_s, self.drops_to_target, self.drops_from_target, self.refuses_connections = (
+            0.0,
+            False,
+            False,
+            False,
+        )
         if dropped_bytes:
-            self.reset_all()
+            self.reset_connections()
 
-    def reset_all(self):
+    def reset_connections(self):
         """Reset every open connection."""
         for writer in list(self._writers):
             sock = writer.get_extra_info("socket")
@@ -52,20 +57,20 @@
     async def stop(self):
         """Stop listening and reset all connections."""
         self._server.close()
-        self.reset_all()
+        self.reset_connections()
 
     async def _handle_connection(self, reader, writer):
         self._writers.add(writer)
         target_host, _, target_port = self.target.rpartition(":")
         target_writer = None
         try:
-            if self.refusing:
+            if self.refuses_connections:
                 return
             target_reader, target_writer = await asyncio.open_connection(target_host, int(target_port))
             self._writers.add(target_writer)
             await self._forward_until_closed(
-                self._forward(reader, target_writer, "silent_up"),
-                self._forward(target_reader, writer, "silent_down"),
+                self._forward(reader, target_writer, "drops_to_target"),
+                self._forward(target_reader, writer, "drops_from_target"),
             )
         except (ConnectionError, OSError, asyncio.IncompleteReadError):
             pass
--- a/tests/job_daemons.py
+++ b/tests/job_daemons.py
@@ -125,7 +125,7 @@
         self.leadership = self.control.leadership
         settings = JobPartitionSettings(
             topic="jobs",
-            partition_count=log.parts,
+            partition_count=log.partition_count,
             writer=self.name,
             retention_s=150.0,
             **sizes,
--- a/tests/platform_stand_ins.py
+++ b/tests/platform_stand_ins.py
@@ -75,24 +75,24 @@
     """All calls get status 429 and have no effect."""
     silent: bool = False
     """All calls wait 30 s before they are handled, longer than a client waits."""
-    lost_appends: float = 0.0
-    """Share of appends that take effect after ``late_s`` and get no response for 30 s.
+    lost_append_share: float = 0.0
+    """Share of appends that take effect after ``lost_append_delay_s`` and get no response for 30 s.
 
     Then, when their client has given up, they are handled once more as any other append.
     """
-    late_s: float = 0.0
+    lost_append_delay_s: float = 0.0
     slow_s: float = 0.0
     """Delay before each call is handled."""
 
 
-class LogService:
+class FakeLogService:
     """HTTP server with the interface of the platform's log service; holds its records in memory."""
 
     def __init__(self):
         self.partitions = {}
         self.groups = LogGroups(time.monotonic)
         self.faults = LogServiceFaults()
-        self.calls = 0
+        self.call_count = 0
         self.random = random.Random(1)
         self.server = None
         self.address = ""
@@ -108,7 +108,7 @@
         """Append any bytes under a key of a keyed topic; none delete the key."""
         self.partition(topic).append([bytes([len(key)]) + key.encode() + data])
 
-    def newest(self, topic):
+    def newest_values(self, topic):
         """Return the newest value and its offset by key, without deleted keys."""
         newest = {}
         partition = self.partition(topic)
@@ -133,7 +133,7 @@
             ("/-/log-owners", OwnersHandler, {"service": self}),
         ]
         self.server = HTTPServer(Application(handlers))
-        self.address = listen(self.server, port)
+        self.address = listen_on_loopback(self.server, port)
         return self
 
     async def stop(self):
@@ -141,7 +141,7 @@
         await self.server.close_all_connections()
 
 
-def listen(server, port=0):
+def listen_on_loopback(server, port=0):
     """Let an HTTP server listen on a loopback port, with 0 on a free one, and return its address."""
     server.listen(port, "127.0.0.1")
     (sock,) = server._sockets.values()
@@ -155,7 +155,7 @@
         self.service = service
 
     async def prepare(self):
-        self.service.calls += 1
+        self.service.call_count += 1
         faults = self.service.faults
         if faults.slow_s:
             await asyncio.sleep(faults.slow_s)
@@ -176,8 +176,8 @@
         faults = self.service.faults
         partition = self.service.partition(*self.topic_and_partition())
         records = decode_records(self.request.body)
-        if faults.lost_appends and self.service.random.random() < faults.lost_appends:
-            asyncio.get_running_loop().call_later(faults.late_s, partition.append, records)
+        if faults.lost_append_share and self.service.random.random() < faults.lost_append_share:
+            asyncio.get_running_loop().call_later(faults.lost_append_delay_s, partition.append, records)
             await asyncio.sleep(30)
         expected_end = self.get_query_argument("at", None)
         if expected_end is not None and int(expected_end) != partition.end_offset:
@@ -221,7 +221,7 @@
         topic, number = self.topic_and_partition()
         rows = [
             {"key": key, "value": base64.b64encode(value).decode(), "offset": offset}
-            for key, (value, offset) in sorted(self.service.newest(topic).items())
+            for key, (value, offset) in sorted(self.service.newest_values(topic).items())
         ]
         last_key = self.get_query_argument("afterRev", "")
         rows = [row for row in rows if row["key"] > last_key]
@@ -259,13 +259,13 @@
     """Returns the member that holds each partition of a group."""
 
     def get(self):
-        member_by_partition = self.service.groups.owners(self.get_query_argument("group"))
+        member_by_partition = self.service.groups.holders(self.get_query_argument("group"))
         rows = [[topic, number, member, 0] for (topic, number), member in member_by_partition.items()]
         self.finish({"parts": rows})
 
 
 @dataclass
-class Run:
+class ReplicaRun:
     """One run of a request on a replica; times by the monotonic clock."""
 
     request_id: str
@@ -281,11 +281,11 @@
     """Values of the header ``Authorization``."""
     versions: list = field(default_factory=list)
     """Weight version of each event sent."""
-    whole: bool = False
+    completed: bool = False
     """Whether the replica finished the run, even if its response was lost."""
-    crashed: bool = False
+    crashed_replica: bool = False
     """Whether this run crashed its replica."""
-    began_s: float = 0.0
+    started_s: float = 0.0
     ended_s: float = 0.0
 
 
@@ -295,21 +295,21 @@
 
     refusing: bool = False
     """Requests get status 503 with the header that says that they have not run."""
-    dark: bool = False
+    unresponsive: bool = False
     """All requests wait 30 s before they are handled."""
-    break_after: int = -1
+    break_after_events: int = -1
     """Number of events after which each stream's connection is closed; -1 for never."""
-    lost_answers: float = 0.0
+    lost_response_probability: float = 0.0
     """Probability that the connection is closed in place of a response, or of an event of a stream."""
-    slow: float = 1.0
+    slowdown_factor: float = 1.0
     """Factor on the time of a request or event."""
-    wrong_id: bool = False
+    wrong_attempt_id: bool = False
     """Responses carry another attempt's identifier."""
-    failing: int = 0
+    failure_status: int = 0
     """Status with which all runs fail; 0 for none."""
 
 
-class Replica:
+class FakeReplica:
     """HTTP server of one replica of a service.
 
     Paths that contain ``/stream`` get an event stream, other paths a plain response.
@@ -324,7 +324,7 @@
         work_s: time of a plain request.
         event_s: time between events of a stream.
         cold_ms: remaining cold time in its entry, in milliseconds.
-        born: start time in Unix milliseconds; with 0 it reports none, and its identifier isn't used again.
+        started_unix_ms: start time in Unix milliseconds; with 0 it reports none; its identifier is used once.
     """
 
     def __init__(
@@ -339,47 +339,47 @@
         work_s=0.01,
         event_s=0.01,
         cold_ms=0,
-        born=0,
+        started_unix_ms=0,
     ):
         self.log = log
-        self.born = born
+        self.started_unix_ms = started_unix_ms
         self.replica_id = replica_id
         self.service = service
         self.zone = zone
         self.slots = slots
-        self.versions = dict(models)
+        self.version_by_model = dict(models)
         self.work_s = work_s
         self.event_s = event_s
         self.faults = ReplicaFaults()
         self.runs = []
-        self.orders = []
-        self.orders_taken = 0
-        self.fence = -1
-        self.busy = False
-        self.running = 0
+        self.received_orders = []
+        self.accepted_order_count = 0
+        self.highest_fence = -1
+        self.is_loading = False
+        self.running_count = 0
         self.draining = False
         self.cold_ms = cold_ms
         self.server = None
         self.address = ""
         self.beating = None
-        self.crash_on = lambda request: False
+        self.crashes_on = lambda request: False
         """Returns whether a request crashes this replica while it runs."""
-        self.crash_on_load = lambda model, version: False
+        self.crashes_on_load = lambda model, version: False
         """Returns whether the load of a version of a model crashes this replica."""
-        self.work_of = lambda request: self.work_s
+        self.work_s_of = lambda request: self.work_s
         """Returns the time of a plain request in seconds."""
-        self.ended = False
-        self.on_end = lambda replica: None
+        self.has_crashed = False
+        self.on_crash = lambda replica: None
         """Called once when this replica has crashed."""
 
     def start(self, port=0):
         """Listen on a port, with 0 on a free one, write the entry and return the replica."""
         self.server = HTTPServer(Application([(".*", ReplicaHandler, {"replica": self})]))
-        self.address = listen(self.server, port)
-        self.tell()
+        self.address = listen_on_loopback(self.server, port)
+        self.write_entry()
         return self
 
-    def tell(self):
+    def write_entry(self):
         """Write this replica's entry, with its current state, to the list of replicas."""
         entry = {
             "service": self.service,
@@ -388,32 +388,32 @@
             "version": "v1",
             "slots": self.slots,
             "state": "draining" if self.draining else "ready",
-            "models": [{"name": name, "version": version} for name, version in self.versions.items()],
+            "models": [{"name": name, "version": version} for name, version in self.version_by_model.items()],
             "coldRemainingMs": self.cold_ms,
         }
-        self.log.put("keyed.servers", self.replica_id, entry | self.told_of_its_start())
+        self.log.put("keyed.servers", self.replica_id, entry | self.start_time_field())
 
-    def told_of_its_start(self):
-        return {"born": self.born} if self.born else {}
+    def start_time_field(self):
+        return {"born": self.started_unix_ms} if self.started_unix_ms else {}
 
-    async def crash(self):
+    async def stop_without_drain(self):
         """Close all connections and remove the entry, without a drain."""
         self.server.stop()
         await self.server.close_all_connections()
         self.log.put("keyed.servers", self.replica_id, None)
 
-    def end(self):
+    def crash(self):
         """Behave like a crashed process: the port is closed, all connections are reset, the entry stays."""
-        if self.ended:
+        if self.has_crashed:
             return
-        self.ended = True
+        self.has_crashed = True
         self.server.stop()
         for connection in list(self.server._connections):
             stream = connection.stream
             if not stream.closed():
                 stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
                 stream.close()
-        self.on_end(self)
+        self.on_crash(self)
 
     async def stop(self):
         self.server.stop()
@@ -421,14 +421,14 @@
 
     async def load(self, model, version):
         """Load a version; takes 0.1 s, in which the replica is busy for further orders."""
-        self.busy = True
+        self.is_loading = True
         await asyncio.sleep(0.1)
-        if self.crash_on_load(model, version):
-            self.end()
+        if self.crashes_on_load(model, version):
+            self.crash()
             return
-        self.versions[model] = version
-        self.busy = False
-        self.tell()
+        self.version_by_model[model] = version
+        self.is_loading = False
+        self.write_entry()
 
 
 def event_data(item_id, number):
@@ -441,7 +441,7 @@
     return 3 + sum(item_id.encode()) % 12
 
 
-def whole_text(item_id):
+def complete_output(item_id):
     """Return an item's complete output."""
     return "\n".join(event_data(item_id, number) for number in range(1, event_count(item_id) + 1))
 
@@ -457,14 +457,20 @@
         self.client_has_gone = True
 
     async def prepare(self):
-        if self.replica.faults.dark:
+        if self.replica.faults.unresponsive:
             await asyncio.sleep(30)
 
     async def get(self):
         if self.request.path == "/-/report":
-            models = [{"name": name, "version": version} for name, version in self.replica.versions.items()]
-            report = {"seq": self.replica.orders_taken, "busy": self.replica.busy, "models": models}
-            self.finish(report | self.replica.told_of_its_start())
+            models = [
+                {"name": name, "version": version} for name, version in self.replica.version_by_model.items()
+            ]
+            report = {
+                "seq": self.replica.accepted_order_count,
+                "busy": self.replica.is_loading,
+                "models": models,
+            }
+            self.finish(report | self.replica.start_time_field())
             return
         await self.post()
 
@@ -478,22 +484,22 @@
             self.set_status(421)
             self.finish()
             return
-        if replica.faults.refusing or replica.running >= replica.slots + 4:
+        if replica.faults.refusing or replica.running_count >= replica.slots + 4:
             self.set_status(503)
             self.set_header("X-Not-Executed", "1")
             self.finish()
             return
-        replica.running += 1
+        replica.running_count += 1
         try:
             await self.run_request()
         finally:
-            replica.running -= 1
+            replica.running_count -= 1
 
     async def run_request(self):
         """Record the run and respond as the replica's faults say."""
         replica, headers = self.replica, self.request.headers
         request_id = headers.get("X-Attempt-Id", "")
-        run = Run(
+        run = ReplicaRun(
             request_id=request_id,
             replica_id=replica.replica_id,
             path=self.request.uri,
@@ -502,27 +508,27 @@
             last_event_id=headers.get("Last-Event-Id", ""),
             tenants=headers.get_list("X-Tenant"),
             credentials=headers.get_list("Authorization"),
-            began_s=time.monotonic(),
+            started_s=time.monotonic(),
         )
         replica.runs.append(run)
-        self.set_header("X-Attempt-Id", "0" if replica.faults.wrong_id else request_id)
+        self.set_header("X-Attempt-Id", "0" if replica.faults.wrong_attempt_id else request_id)
         self.set_header("X-Replica-Stamp", f"{replica.replica_id}.{request_id}")
-        if replica.faults.failing:
-            self.set_status(replica.faults.failing)
+        if replica.faults.failure_status:
+            self.set_status(replica.faults.failure_status)
             self.finish()
             return
-        if replica.crash_on(self.request):
+        if replica.crashes_on(self.request):
             await asyncio.sleep(replica.work_s)
             if not self.client_has_gone:
-                run.crashed, run.ended_s = True, time.monotonic()
-                replica.end()
+                run.crashed_replica, run.ended_s = True, time.monotonic()
+                replica.crash()
             return
         if "/stream" in self.request.path:
             await self.send_events(run)
             return
-        await asyncio.sleep(replica.work_of(self.request) * replica.faults.slow)
-        run.whole, run.ended_s = True, time.monotonic()
-        if random.random() < replica.faults.lost_answers:
+        await asyncio.sleep(replica.work_s_of(self.request) * replica.faults.slowdown_factor)
+        run.completed, run.ended_s = True, time.monotonic()
+        if random.random() < replica.faults.lost_response_probability:
             self.close_connection()
             return
         self.finish(b"answer of " + request_id.encode() + b" " + self.request.body)
@@ -536,25 +542,28 @@
         model = self.request.headers.get("X-Model", "")
         announced_version = None
         self.set_header("Content-Type", "text/event-stream")
-        self.set_header("X-Weight-Versions", str(replica.versions.get(model, 1)))
+        self.set_header("X-Weight-Versions", str(replica.version_by_model.get(model, 1)))
         first_number = int(run.last_event_id or 0) + 1
         for sent_count, number in enumerate(range(first_number, event_count(run.request_id) + 1)):
-            await asyncio.sleep(replica.event_s * replica.faults.slow)
+            await asyncio.sleep(replica.event_s * replica.faults.slowdown_factor)
             if self.client_has_gone:
                 return
-            if sent_count == replica.faults.break_after or random.random() < replica.faults.lost_answers:
+            if (
+                sent_count == replica.faults.break_after_events
+                or random.random() < replica.faults.lost_response_probability
+            ):
                 self.close_connection()
                 return
             lines = [f"id: {number}"]
-            if replica.versions.get(model, 1) != announced_version:
-                announced_version = replica.versions.get(model, 1)
+            if replica.version_by_model.get(model, 1) != announced_version:
+                announced_version = replica.version_by_model.get(model, 1)
                 lines.insert(0, f"x-weight-versions: {announced_version}")
             run.versions.append(announced_version)
             lines.append(f"data: {event_data(run.request_id, number)}")
             self.write("\n".join(lines) + "\n\n")
             with contextlib.suppress(Exception):
                 await self.flush()
-        run.whole, run.ended_s = True, time.monotonic()
+        run.completed, run.ended_s = True, time.monotonic()
         self.finish()
 
     def accept_order(self):
@@ -564,18 +573,21 @@
         accepted orders, and 200 if the version is loaded already.
         """
         replica, order = self.replica, json.loads(self.request.body)
-        replica.orders.append(order)
-        if order["fence"] < replica.fence:
+        replica.received_orders.append(order)
+        if order["fence"] < replica.highest_fence:
             status = 412
-        elif replica.busy or order.get("expected", replica.orders_taken) != replica.orders_taken:
+        elif (
+            replica.is_loading
+            or order.get("expected", replica.accepted_order_count) != replica.accepted_order_count
+        ):
             status = 409
-        elif replica.versions.get(order["model"]) == order["version"]:
+        elif replica.version_by_model.get(order["model"]) == order["version"]:
             status = 200
         else:
             status = 202
-            replica.orders_taken += 1
+            replica.accepted_order_count += 1
             asyncio.get_running_loop().create_task(replica.load(order["model"], order["version"]))
-        replica.fence = max(replica.fence, order["fence"])
+        replica.highest_fence = max(replica.highest_fence, order["fence"])
         self.set_status(status)
         self.finish()
 
@@ -673,26 +685,28 @@
     return json.dumps(document).encode()
 
 
-def settings_text(daemon_id, log_address, front, ready, *, zone="a", grace_s=8, duties=""):
+def settings_text(
+    daemon_id, log_address, caller_address, readiness_address, *, zone="a", grace_s=8, usage_address=""
+):
     """Return a settings file of a daemon.
 
     Args:
         daemon_id: identifier of the daemon.
         log_address: address of the log service.
-        front: address for callers.
-        ready: address for readiness probes.
+        caller_address: address for callers.
+        readiness_address: address for readiness probes.
         zone: zone of the daemon.
         grace_s: time for a graceful shutdown.
-        duties: address of the usage endpoint; with none, the daemon reports no usage.
+        usage_address: address of the usage endpoint; with none, the daemon reports no usage.
     """
-    cloud = f'cloud:\n  address: "{duties}"\n  duties: ["usage"]\n' if duties else ""
+    cloud = f'cloud:\n  address: "{usage_address}"\n  duties: ["usage"]\n' if usage_address else ""
     return f"""
 {cloud}node: "{daemon_id}"
 role: "gateway"
 zone: "{zone}"
 listen:
-  front: "{front}"
-  ready: "{ready}"
+  front: "{caller_address}"
+  ready: "{readiness_address}"
 bounds:
   graceS: {grace_s}
   leaseMs: 3000
--- a/tests/rollout_fleet.py
+++ b/tests/rollout_fleet.py
@@ -16,10 +16,10 @@
 from passgate.clock import monotonic_s
 from passgate.emulator.engine_batch import EngineBatch
 from passgate.emulator.engine_control import EngineControl
-from passgate.emulator.engine_events import EngineCounters, EngineEvent, SwapFailure, TransferWanted
+from passgate.emulator.engine_events import EngineCounters, EngineEvent, SwapFailure, TransferRequested
 from passgate.emulator.engine_reports import CacheEventLog
 from passgate.emulator.engine_weights import EngineWeights
-from passgate.emulator.ledger import RunLedger
+from passgate.emulator.ledger import RunRecorder
 from passgate.emulator.parameters import EngineParameters
 from passgate.emulator.weight_store import EmulatedWeightStore, RateLimiter
 from passgate.errors import BackendUnreachable, ExecutionStatus, PlatformError
@@ -87,7 +87,7 @@
         self._start_transfer = start_transfer
         counters = EngineCounters()
         cache_events = CacheEventLog(view.replica_id, 0.0, 0.0, 1, Random(0))
-        ledger = RunLedger()
+        ledger = RunRecorder()
         batch = EngineBatch(
             view.replica_id, settings.engine, self.weights, cache_events, counters, self._emit, ledger
         )
@@ -111,7 +111,7 @@
         result = self.control.order(order, now_s)
         self.highest_fence = max(self.highest_fence, order.fence)
         if order.kind is OrderKind.ACTIVATE_VERSION:
-            self.control.holds_steps(now_s)
+            self.control.pause_for_swap(now_s)
         due_s = self.control.next_event_s()
         if due_s is not None:
             asyncio.get_running_loop().call_at(due_s, self._process)
@@ -147,14 +147,14 @@
             self._version_history = [*self._version_history[-4:], (now_s, versions)]
 
     def _emit(self, event: EngineEvent) -> None:
-        if isinstance(event, TransferWanted):
+        if isinstance(event, TransferRequested):
             self._start_transfer(self, event)
 
 
 class TransferStarter:
     """Starts the weight transfers that engines request; implemented by the fleet."""
 
-    def __call__(self, engine: SimulatedEngine, transfer: TransferWanted) -> None:
+    def __call__(self, engine: SimulatedEngine, transfer: TransferRequested) -> None:
         """Start the transfer in the background."""
         raise NotImplementedError
 
@@ -237,13 +237,13 @@
 
     # --- transfers -----------------------------------------------------------------------
 
-    def __call__(self, engine: SimulatedEngine, transfer: TransferWanted) -> None:
+    def __call__(self, engine: SimulatedEngine, transfer: TransferRequested) -> None:
         """Start the transfer that ``engine`` requested."""
         task = asyncio.get_running_loop().create_task(self._transfer(engine, transfer))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _transfer(self, engine: SimulatedEngine, transfer: TransferWanted) -> None:
+    async def _transfer(self, engine: SimulatedEngine, transfer: TransferRequested) -> None:
         fetch = engine.fetch_by_version[transfer.version] = _Fetch()
         try:
             if transfer.source == STORE_SOURCE:
@@ -255,10 +255,10 @@
                 )
         except PlatformError:
             fetch.fail()
-        engine.control.transferred(transfer.model, transfer.version, fetch.failed)
+        engine.control.record_transfer_end(transfer.model, transfer.version, fetch.failed)
 
     async def _fetch_from_engine(
-        self, engine: SimulatedEngine, source: SimulatedEngine, transfer: TransferWanted, fetch: _Fetch
+        self, engine: SimulatedEngine, source: SimulatedEngine, transfer: TransferRequested, fetch: _Fetch
     ) -> None:
         received = 0
         while received < self.settings.weight_bytes:
@@ -275,7 +275,7 @@
             received += piece
             fetch.record_received(received)
 
-    async def _wait_for_source(self, source: SimulatedEngine, transfer: TransferWanted, size: int) -> None:
+    async def _wait_for_source(self, source: SimulatedEngine, transfer: TransferRequested, size: int) -> None:
         if source.weights.holds(transfer.model, transfer.version):
             return
         fetch = source.fetch_by_version.get(transfer.version)
--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -8,7 +8,7 @@
 
 from passgate.clients.http_call import HttpCall, SendPolicy
 from passgate.errors import PassgateError
-from tests import platform_stand_ins as stand_ins
+from tests import platform_stand_ins as fake_platform
 from tests.soak.kept_connection import AnswerCutOff, ReusedConnection
 from tests.soak.world import (
     CRASHING_BODIES,
@@ -240,7 +240,7 @@
     async def submit_job(self, job_id):
         """Send a job until it is accepted, up to six times."""
         job = self.jobs[job_id]
-        body = stand_ins.job_body(job.items, model=MODEL, min_version=job.min_version, scored=job.scored)
+        body = fake_platform.job_body(job.items, model=MODEL, min_version=job.min_version, scored=job.scored)
         for _ in range(6):
             try:
                 answer = await self.send(self.world.random_daemon(), "POST", "/stream/j", body, job_id)
@@ -306,7 +306,7 @@
             return
         if result["state"] != "succeeded":
             report_violation(f"{job_id}: {result['id']} is {result['state']}")
-        elif result["text"] != stand_ins.whole_text(result["id"]):
+        elif result["text"] != fake_platform.complete_output(result["id"]):
             report_violation(f"{job_id}: {result['id']} is not whole")
         if result["versions"] and min(result["versions"]) < job.min_version:
             report_violation(f"{job_id}: {result['id']} was made by version {min(result['versions'])}")
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -6,7 +6,7 @@
 import time
 
 from passgate.errors import PassgateError
-from tests import platform_stand_ins as stand_ins
+from tests import platform_stand_ins as fake_platform
 from tests.duty_stand_in import DutyFaults
 from tests.soak.processes import SHUTDOWN_GRACE_S
 from tests.soak.world import KEYS
@@ -135,14 +135,14 @@
                 case "delay":
                     proxy.delay_s = self.random.uniform(0.02, 0.3)
                 case "reset":
-                    proxy.reset_all()
+                    proxy.reset_connections()
                 case "up":
-                    proxy.silent_up = True
+                    proxy.drops_to_target = True
                 case "down":
-                    proxy.silent_down = True
+                    proxy.drops_from_target = True
                 case "refuse":
-                    proxy.refusing = True
-                    proxy.reset_all()
+                    proxy.refuses_connections = True
+                    proxy.reset_connections()
             await asyncio.sleep(self.random.uniform(*FAULT_DURATION_S))
             proxy.heal()
 
@@ -159,29 +159,29 @@
                 case "silent":
                     faults.silent = True
                 case "lost":
-                    faults.lost_appends, faults.late_s = 0.4, self.random.uniform(0.0, 3.0)
+                    faults.lost_append_share, faults.lost_append_delay_s = 0.4, self.random.uniform(0.0, 3.0)
                 case "slow":
                     faults.slow_s = self.random.uniform(0.05, 0.3)
             await asyncio.sleep(self.random.uniform(*FAULT_DURATION_S))
-            self.world.log.faults = stand_ins.LogServiceFaults()
+            self.world.log.faults = fake_platform.LogServiceFaults()
 
     async def disturb_replica(self):
         replica = self.random.choice(self.world.replicas)
         match self.random.choice(["dark", "refuse", "break", "lost", "slow", "wrong"]):
             case "dark":
-                replica.faults.dark = True
+                replica.faults.unresponsive = True
             case "refuse":
                 replica.faults.refusing = True
             case "break":
-                replica.faults.break_after = self.random.randint(0, 3)
+                replica.faults.break_after_events = self.random.randint(0, 3)
             case "lost":
-                replica.faults.lost_answers = 0.2
+                replica.faults.lost_response_probability = 0.2
             case "slow":
-                replica.faults.slow = self.random.uniform(2, 8)
+                replica.faults.slowdown_factor = self.random.uniform(2, 8)
             case "wrong":
-                replica.faults.wrong_id = True
+                replica.faults.wrong_attempt_id = True
         await asyncio.sleep(self.random.uniform(0.5, 3.0))
-        replica.faults = stand_ins.ReplicaFaults()
+        replica.faults = fake_platform.ReplicaFaults()
 
     async def replace_replica(self):
         """Add a replica and crash or drain an old one of the same service."""
@@ -189,10 +189,10 @@
         self.world.add_replica(old.service, old.zone)
         self.world.remove_replica(old)
         if self.random.random() < 0.4:
-            await old.crash()
+            await old.stop_without_drain()
             return
         old.draining = True
-        old.tell()
+        old.write_entry()
         self.world.leaving_s_by_replica[old.replica_id] = time.monotonic()
         await asyncio.sleep(2.0)
 
@@ -206,7 +206,7 @@
             self.world.log.put_bytes("keyed.servers", key, corrupt_data)
         await asyncio.sleep(self.random.uniform(*GAP_S))
         if replica in self.world.replicas:
-            replica.tell()
+            replica.write_entry()
 
     async def change_configuration(self):
         for _ in range(self.choose_repetitions()):
@@ -259,4 +259,4 @@
             daemon.proxy.heal()
             daemon.incarnation.send_signal(signal.SIGCONT)
             await daemon.start()
-        self.world.log.faults = stand_ins.LogServiceFaults()
+        self.world.log.faults = fake_platform.LogServiceFaults()
--- a/tests/soak/judge.py
+++ b/tests/soak/judge.py
@@ -5,7 +5,7 @@
 import time
 
 from passgate.errors import PassgateError
-from tests import platform_stand_ins as stand_ins
+from tests import platform_stand_ins as fake_platform
 from tests.soak.callers import GUARANTEED_NOT_RUN_STATUSES
 from tests.soak.trouble import RECOVERY_S
 from tests.soak.world import CRASHING_BODIES, TENANT
@@ -115,7 +115,7 @@
         """Check that only one leader sent orders under each fence."""
         leaders_by_fence = {}
         for replica in self.world.all_replicas():
-            for order in replica.orders:
+            for order in replica.received_orders:
                 leaders_by_fence.setdefault(order["fence"], set()).add(order["holder"])
         for fence, names in leaders_by_fence.items():
             if len(names) > 1:
@@ -127,10 +127,10 @@
             leaving_s = self.world.leaving_s_by_replica.get(replica.replica_id)
             for run in replica.runs:
                 daemon = self.callers.daemon_by_request.get(run.request_id)
-                if leaving_s is None or daemon is None or run.began_s < leaving_s + LEAVING_GRACE_S:
+                if leaving_s is None or daemon is None or run.started_s < leaving_s + LEAVING_GRACE_S:
                     continue
-                if self.world.disturbances.was_undisturbed(daemon, leaving_s, run.began_s):
-                    late_s = run.began_s - leaving_s
+                if self.world.disturbances.was_undisturbed(daemon, leaving_s, run.started_s):
+                    late_s = run.started_s - leaving_s
                     self.report_violation(
                         f"{daemon} sent {run.request_id} to a replica that left {late_s:.1f} s before"
                     )
@@ -143,14 +143,14 @@
         for evacuation in self.world.evacuations:
             known_s = evacuation.started_s + EVACUATION_GRACE_S
             replicas = [r for r in self.world.all_replicas() if r.zone == evacuation.zone]
-            late = [run for r in replicas for run in r.runs if known_s < run.began_s < evacuation.ended_s]
+            late = [run for r in replicas for run in r.runs if known_s < run.started_s < evacuation.ended_s]
             for run in late:
                 sender = self.callers.daemon_by_request.get(run.request_id)
                 senders = [sender] if sender else [daemon.name for daemon in self.world.daemons]
                 if all(
-                    self.world.disturbances.was_undisturbed(name, known_s, run.began_s) for name in senders
+                    self.world.disturbances.was_undisturbed(name, known_s, run.started_s) for name in senders
                 ):
-                    late_s = run.began_s - evacuation.started_s
+                    late_s = run.started_s - evacuation.started_s
                     self.report_violation(f"{run.request_id} reached a zone evacuated {late_s:.1f} s before")
 
     def _check_crashes(self):
@@ -159,14 +159,14 @@
             replicas = self.world.all_replicas()
             runs = sorted(
                 (run for replica in replicas for run in replica.runs if run.body == body),
-                key=lambda run: run.began_s,
+                key=lambda run: run.started_s,
             )
-            ended_s = sorted(run.ended_s for run in runs if run.crashed)
+            ended_s = sorted(run.ended_s for run in runs if run.crashed_replica)
             self.world.count(f"replicas ended by {body.decode()}: {len(ended_s)}")
             if len(ended_s) < KNOWN_CRASHES:
                 continue
             known_s = ended_s[KNOWN_CRASHES - 1] + RECOVERY_S
-            late = [run for run in runs if run.began_s > known_s and self._is_from_undisturbed_daemon(run)]
+            late = [run for run in runs if run.started_s > known_s and self._is_from_undisturbed_daemon(run)]
             if len(late) > MAX_LATE_SENDS:
                 self.report_violation(
                     f"{body.decode()} had ended {KNOWN_CRASHES} replicas and reached {len(late)} more"
@@ -174,7 +174,7 @@
 
     def _is_from_undisturbed_daemon(self, run):
         daemon = self.callers.daemon_by_request[run.request_id]
-        return self.world.disturbances.was_undisturbed(daemon, run.began_s, run.began_s)
+        return self.world.disturbances.was_undisturbed(daemon, run.started_s, run.started_s)
 
     def _check_cut_offs(self, runs):
         """Check that graceful shutdowns cut no request off that had started or was sent long before."""
@@ -188,7 +188,7 @@
 
 
 def _is_scored_after_text(result, runs):
-    text_end_times = [run.ended_s for run in runs.get(result["id"], []) if run.whole]
-    calls = runs.get(stand_ins.reward_id(result["id"]), [])
+    text_end_times = [run.ended_s for run in runs.get(result["id"], []) if run.completed]
+    calls = runs.get(fake_platform.reward_id(result["id"]), [])
     own_calls = [run for run in calls if f"{run.replica_id}.{run.request_id}" == result["score"]]
-    return any(run.began_s >= min(text_end_times, default=float("inf")) for run in own_calls)
+    return any(run.started_s >= min(text_end_times, default=float("inf")) for run in own_calls)
--- a/tests/soak/processes.py
+++ b/tests/soak/processes.py
@@ -10,7 +10,7 @@
 import sys
 import time
 
-from tests import platform_stand_ins as stand_ins
+from tests import platform_stand_ins as fake_platform
 from tests.fault_proxy import FaultProxy
 
 ROOT = pathlib.Path(__file__).parent.parent.parent
@@ -109,13 +109,13 @@
 
     def write_settings(self):
         self.settings_path.write_text(
-            stand_ins.settings_text(
+            fake_platform.settings_text(
                 self.name,
                 self.proxy.address,
                 self.caller_address,
                 self.readiness_address,
                 grace_s=SHUTDOWN_GRACE_S,
-                duties=self.duties.address,
+                usage_address=self.duties.address,
             )
         )
 
--- a/tests/soak/world.py
+++ b/tests/soak/world.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 
 from passgate.daemon.http_client import make_http_client
-from tests import platform_stand_ins as stand_ins
+from tests import platform_stand_ins as fake_platform
 from tests.duty_stand_in import DutyEndpoint
 from tests.soak.processes import DaemonProcess, PortAllocator
 from tests.soak.trouble import DisturbanceLog
@@ -38,7 +38,7 @@
 def crashes_replicas(request):
     """Return whether a request crashes each replica that runs it."""
     return request.body in CRASHING_BODIES or request.body.startswith(
-        stand_ins.item_body(CRASHING_ITEM_PREFIX)
+        fake_platform.item_body(CRASHING_ITEM_PREFIX)
     )
 
 
@@ -59,7 +59,7 @@
         self.folder, self.log_file = folder, log_file
         self.started_s = time.monotonic()
         self.disturbances = DisturbanceLog()
-        self.log = stand_ins.LogService().start()
+        self.log = fake_platform.FakeLogService().start()
         self.duties = DutyEndpoint(seed).start()
         self.http = make_http_client()
         self.tenant_keys = list(KEYS)
@@ -118,7 +118,7 @@
 
     def add_replica(self, service, zone, port=0, replica_id=""):
         models = {MODEL: self.target_version} if service == "llm" else {}
-        replica = stand_ins.Replica(
+        replica = fake_platform.FakeReplica(
             self.log,
             replica_id or f"i-{self.next_number()}",
             service,
@@ -126,11 +126,11 @@
             slots=8,
             models=models.items(),
             work_s=0.02,
-            born=time.time_ns() // 1_000_000,
+            started_unix_ms=time.time_ns() // 1_000_000,
         )
-        replica.crash_on = crashes_replicas
-        replica.on_end = self._on_replica_crash
-        replica.work_of = lambda request: SLOW_S if SLOW_CALL in request.path else replica.work_s
+        replica.crashes_on = crashes_replicas
+        replica.on_crash = self._on_replica_crash
+        replica.work_s_of = lambda request: SLOW_S if SLOW_CALL in request.path else replica.work_s
         self.replicas.append(replica.start(port))
         return replica
 
@@ -169,12 +169,12 @@
     def publish_configuration(self):
         self.config_version += self.random.randint(1, 3)
         routes = [
-            stand_ins.safe_route(timeoutMs=1500),
-            stand_ins.safe_route(name="once", pathPrefix="/once/", kind="unsafe"),
-            stand_ins.batch_route(),
+            fake_platform.safe_route(timeoutMs=1500),
+            fake_platform.safe_route(name="once", pathPrefix="/once/", kind="unsafe"),
+            fake_platform.batch_route(),
         ]
         tenants = {TENANT: self.tenant_keys, OTHER_TENANT: [OTHER_KEY]}
-        document = stand_ins.config_document(self.config_version, routes, ["app", "llm"], tenants)
+        document = fake_platform.config_document(self.config_version, routes, ["app", "llm"], tenants)
         self.log.put("keyed.op", "config", document)
 
     def start_evacuation(self):
--- a/tests/test_caller_client.py
+++ b/tests/test_caller_client.py
@@ -52,12 +52,12 @@
         first = await cluster.start("d1", stop=stop)
         second = await cluster.start("d2")
         await cluster.configure(first)
-        await cluster.until(lambda: second.parts.configuration.state.get("Pool", "linha"))
+        await cluster.until(lambda: second.components.configuration.state.get("Pool", "linha"))
         cluster.app.hold = asyncio.Event()
         call = asyncio.ensure_future(cluster.post(first, "/v1/apps/linha/v", b"photo"))
         await cluster.until(lambda: cluster.app.requests)
         stop_task = asyncio.ensure_future(first.stop())
-        await cluster.until(lambda: first.context.gate.refusing)
+        await cluster.until(lambda: first.context.admission.is_draining)
         client = CallerClient(cluster.http, [first.caller_address, second.caller_address], "c")
         assert (await client.generate(generate_request())).tokens
         cluster.app.failure = BackendUnreachable("answer lost", execution=ExecutionStatus.UNKNOWN)
@@ -85,7 +85,7 @@
         assert caught.value.execution is ExecutionStatus.NOT_RUN
         assert caught.value.retry_after_s
         assert len(not_run) == 1 and not_run[0].startswith("d1-")
-        daemon.parts.directory.mark_leaving("a1", "test")
+        daemon.components.directory.mark_leaving("a1", "test")
         with pytest.raises(NoReplicaAvailable):
             await client.call_app(app_request("r2"))
         assert cluster.app.requests == []
--- a/tests/test_check_judges.py
+++ b/tests/test_check_judges.py
@@ -9,7 +9,7 @@
 
 from passgate.check import events as e
 from passgate.check.history import HistoryRecorder, read_history
-from passgate.check.judgement import judge_history
+from passgate.check.judgement import check_history
 from passgate.errors import ExecutionStatus
 from passgate.schema import FinishReason, VersionSpan
 
@@ -201,14 +201,14 @@
 
 
 def test_clean_history_has_no_violations():
-    verdict = judge_history(CLEAN, oracle)
+    verdict = check_history(CLEAN, oracle)
     assert verdict.violation_counts() == {}
 
 
 @pytest.mark.parametrize("name", VIOLATING_HISTORIES)
 def test_violation_is_found_with_a_short_excerpt(name):
     guarantee, rule, history = VIOLATING_HISTORIES[name]
-    verdict = judge_history(history, oracle)
+    verdict = check_history(history, oracle)
     shortest = next(v for v in verdict.guarantees if v.guarantee == guarantee).shortest_violation
     assert shortest is not None
     assert shortest.rule == rule
@@ -218,7 +218,7 @@
 
 def test_every_guarantee_has_a_violating_history():
     guarantees = {guarantee for guarantee, _, _ in VIOLATING_HISTORIES.values()}
-    assert guarantees == {verdict.guarantee for verdict in judge_history([], oracle).guarantees}
+    assert guarantees == {verdict.guarantee for verdict in check_history([], oracle).guarantees}
 
 
 def test_killed_daemon_may_cut_requests_off():
@@ -229,7 +229,7 @@
         e.DaemonKilled(time_s=8.5, daemon="b"),
         e.RequestCutOff(time_s=9.0, request_id="g3"),
     )
-    assert judge_history(history, oracle).holds()
+    assert check_history(history, oracle).holds()
 
 
 def test_history_is_read_back_as_it_was_written():
--- a/tests/test_check_socket_run.py
+++ b/tests/test_check_socket_run.py
@@ -32,9 +32,9 @@
 from passgate.check.socket_faults import FaultRecord
 from passgate.check.socket_report import BEFORE_FAULTS, NOT_OBSERVED, find_violations, make_cells
 from passgate.check.socket_run import SocketScenario, find_unhandled_errors, run_sockets
-from passgate.demo_deployment import free_addresses
-from passgate.emulator.admin_messages import SeenRun
-from passgate.emulator.run_feed import generate_work
+from passgate.demo_deployment import find_free_addresses
+from passgate.emulator.admin_messages import RunStart
+from passgate.emulator.run_feed import generate_work_digest
 from passgate.errors import ExecutionStatus, NotFound
 from passgate.schema import FinishReason
 
@@ -60,7 +60,7 @@
 
 
 def run_start(request_id, time_s=1.5, work="d"):
-    return SeenRun(time_s=time_s, request_id=request_id, replica_id="app-0", work=work)
+    return RunStart(time_s=time_s, request_id=request_id, replica_id="app-0", work=work)
 
 
 def lot(bound=1):
@@ -118,7 +118,9 @@
     invocation = GenerateInvoked(
         time_s=1.0, request_id="g-0", daemon="a-1", model="m", prompt=(1, 2), max_tokens=4, seed=7
     )
-    (event,) = attribute_runs([run_start("a-1-f", work=generate_work("m", (1, 2), 7))], [invocation], {})
+    (event,) = attribute_runs(
+        [run_start("a-1-f", work=generate_work_digest("m", (1, 2), 7))], [invocation], {}
+    )
     assert event.request_id == "g-0"
 
 
@@ -219,7 +221,7 @@
 
 
 def test_daemons_get_ports_outside_of_the_range_of_outgoing_connections():
-    addresses = free_addresses(9)
+    addresses = find_free_addresses(9)
     assert len(set(addresses)) == 9
     assert all(int(address.rpartition(":")[2]) < 32768 for address in addresses)
 
--- a/tests/test_check_tables.py
+++ b/tests/test_check_tables.py
@@ -12,7 +12,7 @@
 
 
 def test_page_is_made_from_the_measurements():
-    assert tables.write_page(str(ROOT)) == (ROOT / tables.PAGE).read_text()
+    assert tables.render_page(str(ROOT)) == (ROOT / tables.PAGE).read_text()
 
 
 @pytest.mark.parametrize("name", tables.table_names())
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -11,7 +11,7 @@
 
 from passgate import cli, settings_page
 from passgate.emulator.parameters import load_deployment
-from passgate.emulator.standins_server import StandIns
+from passgate.emulator.standins_server import EmulatorServers
 from passgate.errors import VerificationFailed
 from passgate.operator_commands import read_objects
 from passgate.settings import load_settings
@@ -131,7 +131,7 @@
 
 def test_daemon_process_starts_serves_operators_commands_and_shuts_down(tmp_path):
     async def scenario():
-        stand_ins = StandIns(load_deployment("olhar"))
+        stand_ins = EmulatorServers(load_deployment("olhar"))
         addresses = await stand_ins.start()
         settings_file = tmp_path / "daemon.yaml"
         settings_file.write_text(
--- a/tests/test_clients_http_app.py
+++ b/tests/test_clients_http_app.py
@@ -72,7 +72,7 @@
     async with served_app() as (server, client, address):
         response = await client.call(address, app_request(repeatable=False, priority_class="gold"))
         assert (response.status, response.body, response.replica_id) == (200, b'{"photo": 1}', "linha-0")
-        received = server.model.calls[0]
+        received = server.app_client.calls[0]
         assert (received.caller, received.path, received.priority_class) == (
             "supervisor",
             "/verdict?lot=7",
@@ -94,17 +94,17 @@
     async with served_app() as (server, client, address):
         response = await client.call(address, app_request(caller + "/1", caller=caller))
         assert response.request_id == caller + "/1"
-        received = server.model.calls[0]
+        received = server.app_client.calls[0]
         assert (received.request_id, received.caller) == (caller + "/1", caller)
 
 
 async def test_load_report_is_read_and_a_caller_may_still_use_its_path():
     async with served_app() as (server, client, address):
         report = await client.load_report(address)
-        assert report == await server.model.load_report("a1")
+        assert report == await server.app_client.load_report("a1")
         response = await client.call(address, app_request(method="GET", path="/load", body=b""))
         assert (response.request_id, response.body) == ("r1", b"")
-        assert [call.path for call in server.model.calls] == ["/load"]
+        assert [call.path for call in server.app_client.calls] == ["/load"]
 
 
 async def test_failed_load_report_raises_backend_unreachable():
@@ -127,7 +127,7 @@
 
 async def test_refusal_by_the_service_is_not_run_and_keeps_its_retry_after():
     async with served_app() as (server, client, address):
-        server.model.refuse = True
+        server.app_client.refuse = True
         with pytest.raises(BackendRefused) as caught:
             await client.call(address, app_request())
         assert caught.value.execution is ExecutionStatus.NOT_RUN
@@ -146,13 +146,13 @@
 
 async def test_answer_to_a_cancelled_call_is_not_returned_to_the_next_call():
     async with served_app() as (server, client, address):
-        server.model.resume_event = asyncio.Event()
+        server.app_client.resume_event = asyncio.Event()
         cancelled = asyncio.create_task(client.call(address, app_request("late")))
-        while not server.model.calls:
+        while not server.app_client.calls:
             await asyncio.sleep(0)
         cancelled.cancel()
         await asyncio.gather(cancelled, return_exceptions=True)
-        server.model.resume_event.set()
+        server.app_client.resume_event.set()
         response = await client.call(address, app_request("next", body=b"own"))
         assert (response.request_id, response.body) == ("next", b"own")
 
@@ -162,4 +162,4 @@
         with pytest.raises(DeadlineExceeded) as caught:
             await client.call(address, app_request(deadline_s=monotonic_s() - 1.0))
         assert caught.value.execution is ExecutionStatus.NOT_RUN
-        assert not server.model.calls
+        assert not server.app_client.calls
--- a/tests/test_clients_http_log.py
+++ b/tests/test_clients_http_log.py
@@ -6,7 +6,7 @@
 
 from passgate.clients.curl import HttpClient
 from passgate.clients.http_log import HttpLogClient
-from passgate.emulator.log_model import MemoryLog, MemoryLogClient
+from passgate.emulator.log_model import EmulatedLog, EmulatedLogClient
 from passgate.emulator.log_server import LogServer
 from passgate.emulator.network import SAME_PROCESS, Network
 from passgate.emulator.parameters import LogParameters, NetworkParameters
@@ -18,9 +18,9 @@
 @contextlib.asynccontextmanager
 async def served_log(server_credential=None, client_credential=None):
     """Run a log server and yield its log, the server and a client."""
-    log = MemoryLog(LogParameters(append_s=0.0, read_s=0.0))
+    log = EmulatedLog(LogParameters(append_s=0.0, read_s=0.0))
     network = Network(NetworkParameters(between_zones_s=0.0), Random(1))
-    server = LogServer("log", MemoryLogClient(log, network, SAME_PROCESS, Random(1)), server_credential)
+    server = LogServer("log", EmulatedLogClient(log, network, SAME_PROCESS, Random(1)), server_credential)
     http = HttpClient()
     try:
         yield log, server, HttpLogClient(http, server.start(), client_credential)
@@ -75,7 +75,7 @@
         server.faults.lose_answers = 1
         with pytest.raises(LogAppendUnknown):
             await client.append("s", [b"x"], TIMEOUT_S)
-        assert log.records_by_stream["s"] == 2
+        assert log.record_count_by_stream["s"] == 2
 
 
 async def test_append_dropped_on_a_reused_connection_is_unknown_and_not_sent_again():
@@ -85,7 +85,7 @@
         with pytest.raises(LogAppendUnknown):
             await client.append("s", [b"x"], TIMEOUT_S)
         assert server.counters.requests == 2
-        assert log.records_by_stream["s"] == 1
+        assert log.record_count_by_stream["s"] == 1
 
 
 async def test_credential_is_required_when_configured():
--- a/tests/test_crash_guard.py
+++ b/tests/test_crash_guard.py
@@ -407,11 +407,11 @@
 async def test_daemon_cut_off_from_log_publishes_reports_through_peers(fleet):
     daemons = [fleet.daemon() for _ in range(6)]
     await asyncio.sleep(1.0)
-    fleet.log.cut_off.add("d0")
+    fleet.log.cut_off_clients.add("d0")
     await daemons[0].crash("r1", "r2")
     await asyncio.sleep(MAX_CURRENT_AGE_S + 2 * EXCHANGE_INTERVAL_S + 0.2)
     assert all(daemon.guard.is_quarantined(request()) for daemon in daemons)
-    assert len(fleet.log.newest(TOPIC)) == 2
+    assert len(fleet.log.newest_values(TOPIC)) == 2
 
 
 @in_virtual_time
@@ -437,11 +437,11 @@
     await asyncio.sleep(1.0)
     await first.crash("r1", "r2")
     await asyncio.sleep(0.1)
-    fleet.log.cut_off.add("d1")
+    fleet.log.cut_off_clients.add("d1")
     first.guard.record_success(request(), SERVICE)
     await asyncio.sleep(1.0)
     fleet.log.drop_history(TOPIC)
-    fleet.log.cut_off.clear()
+    fleet.log.cut_off_clients.clear()
     await asyncio.sleep(2 * POLL_WAIT_S)
     assert not second.guard.is_suspect(request())
 
--- a/tests/test_crashing_loads.py
+++ b/tests/test_crashing_loads.py
@@ -5,7 +5,7 @@
 
 import asyncio
 
-from tests import platform_stand_ins as stand_ins
+from tests import platform_stand_ins as fake_platform
 from tests.crashing_world import in_crashing_world
 
 MAX_CRASHED = 4
@@ -15,7 +15,7 @@
 async def start_replicas_and_daemons(world):
     for _ in range(4):
         world.add_replica("llm", models={"m": 1}.items())
-    world.configure(1, stand_ins.batch_route())
+    world.configure(1, fake_platform.batch_route())
     await world.start_daemons(2)
 
 
@@ -24,7 +24,7 @@
 
 
 def running_replicas(world):
-    return [replica for replica in world.replicas.values() if not replica.ended]
+    return [replica for replica in world.replicas.values() if not replica.has_crashed]
 
 
 @in_crashing_world
@@ -35,7 +35,9 @@
     await asyncio.sleep(6.0)
     assert 2 <= len(world.ended) <= MAX_CRASHED
     publish_version(world, 3)
-    await world.until(lambda: all(replica.versions["m"] == 3 for replica in running_replicas(world)), 8.0)
+    await world.until(
+        lambda: all(replica.version_by_model["m"] == 3 for replica in running_replicas(world)), 8.0
+    )
     assert len(world.ended) <= MAX_CRASHED
 
 
@@ -44,10 +46,12 @@
     """Guards against suspending a working version after crashes with another cause."""
     await start_replicas_and_daemons(world)
     holder = running_replicas(world)[0]
-    holder.versions["m"] = 2
-    holder.tell()
+    holder.version_by_model["m"] = 2
+    holder.write_entry()
     world.crashing_loads = {("m", 2)}
     publish_version(world, 2)
     await world.until(lambda: len(world.ended) >= 4)
     world.crashing_loads = set()
-    await world.until(lambda: all(replica.versions["m"] == 2 for replica in running_replicas(world)), 8.0)
+    await world.until(
+        lambda: all(replica.version_by_model["m"] == 2 for replica in running_replicas(world)), 8.0
+    )
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -8,7 +8,7 @@
 import pytest
 
 from passgate.discovery.view import RETURN_GRACE_S
-from tests import platform_stand_ins as stand_ins
+from tests import platform_stand_ins as fake_platform
 from tests.crashing_world import in_crashing_world
 
 MAX_CRASHED = 3
@@ -19,7 +19,7 @@
 async def test_request_that_crashes_replicas_is_quarantined(world):
     for _ in range(3):
         world.add_replica()
-    world.configure(1, stand_ins.safe_route())
+    world.configure(1, fake_platform.safe_route())
     await world.start_daemons(3)
     answers = await world.send_crashing_request(12, gap_s=0.3)
     assert len(world.ended) <= MAX_CRASHED
@@ -35,7 +35,7 @@
     world.keep_replica_ids = True
     for _ in range(3):
         world.add_replica()
-    world.configure(1, stand_ins.safe_route())
+    world.configure(1, fake_platform.safe_route())
     await world.start_daemons(3)
     crashing = asyncio.create_task(world.send_crashing_request(12, gap_s=0.4))
     await world.until(lambda: len(world.ended) == 2 and len(world.replicas) == 3)
@@ -48,7 +48,7 @@
         number += 1
     assert len(world.ended) <= MAX_CRASHED
     assert {answer.status for answer in crashing.result()[MAX_CRASHED:]} == {503}
-    restarted = [replica for replica in world.replicas.values() if replica.born > 1_003]
+    restarted = [replica for replica in world.replicas.values() if replica.started_unix_ms > 1_003]
     assert any(replica.runs for replica in restarted)
 
 
@@ -56,7 +56,7 @@
 async def test_other_requests_are_served_while_the_crashing_one_is_repeated(world):
     for _ in range(3):
         world.add_replica()
-    world.configure(1, stand_ins.safe_route())
+    world.configure(1, fake_platform.safe_route())
     await world.start_daemons(3)
     crashing = asyncio.create_task(world.send_crashing_request(12, gap_s=0.3))
     statuses = []
@@ -74,7 +74,7 @@
     """Crash reports are on the log, so a power failure of all daemons does not end a quarantine."""
     for _ in range(3):
         world.add_replica()
-    world.configure(1, stand_ins.safe_route())
+    world.configure(1, fake_platform.safe_route())
     await world.start_daemons(2)
     await world.send_crashing_request(3, gap_s=0.2)
     crashed = len(world.ended)
@@ -89,7 +89,7 @@
 async def test_crashes_are_limited_while_the_log_is_unavailable(world):
     for _ in range(3):
         world.add_replica()
-    world.configure(1, stand_ins.safe_route())
+    world.configure(1, fake_platform.safe_route())
     await world.start_daemons(4)
     await asyncio.sleep(1.0)  # until the daemons know each other from the log's group
     world.log.faults.refusing = True
@@ -97,14 +97,14 @@
     await world.send_crashing_request(12, gap_s=0.7)
     assert len(world.ended) <= 2 + MAX_CRASHED
     world.log.faults.refusing = False
-    await world.until(lambda: len(world.log.newest("keyed.passgate-crashes")) == len(world.ended))
+    await world.until(lambda: len(world.log.newest_values("keyed.passgate-crashes")) == len(world.ended))
 
 
 @in_crashing_world
 async def test_crashes_are_limited_if_all_daemons_get_the_request_at_once(world):
     for _ in range(8):
         world.add_replica()
-    world.configure(1, stand_ins.safe_route())
+    world.configure(1, fake_platform.safe_route())
     await world.start_daemons(4)
     for number in range(4):
         requests = [
@@ -122,7 +122,7 @@
 async def test_unrepeatable_request_crashes_one_replica_each_time_and_is_then_refused(world):
     for _ in range(3):
         world.add_replica()
-    world.configure(1, stand_ins.safe_route(kind="unsafe"))
+    world.configure(1, fake_platform.safe_route(kind="unsafe"))
     await world.start_daemons(2)
     answers = await world.send_crashing_request(4, gap_s=0.3)
     assert [answer.status for answer in answers] == [502, 502, 503, 503]
@@ -133,7 +133,7 @@
 async def test_stream_that_crashes_replicas_is_quarantined(world):
     for _ in range(3):
         world.add_replica("llm")
-    world.configure(1, stand_ins.batch_route(kind="streaming", maxAttempts=2))
+    world.configure(1, fake_platform.batch_route(kind="streaming", maxAttempts=2))
     await world.start_daemons(2)
     answers = await world.send_crashing_request(4, gap_s=0.3, path="/stream/x")
     assert [answer.status for answer in answers] == [502, 503, 503, 503]
@@ -143,13 +143,13 @@
 @in_crashing_world
 async def test_lost_answers_of_live_replicas_quarantine_nothing(world):
     for _ in range(2):
-        world.add_replica().faults.lost_answers = 1.0
-    world.configure(1, stand_ins.safe_route())
+        world.add_replica().faults.lost_response_probability = 1.0
+    world.configure(1, fake_platform.safe_route())
     await world.start_daemons(1)
     for number in range(3):
         assert (await world.send_request(world.daemons[0], b"x", f"lost-{number}")).status == 502
     for replica in world.replicas.values():
-        replica.faults.lost_answers = 0.0
+        replica.faults.lost_response_probability = 0.0
     assert (await world.send_request(world.daemons[0], b"x", "served")).status == 200
 
 
@@ -157,8 +157,8 @@
 @pytest.mark.parametrize("entry", ["draining", "gone"])
 async def test_exit_of_draining_or_delisted_replica_is_no_crash(world, entry):
     replica = world.add_replica(work_s=1.0)
-    replica.on_end = lambda exited: None
-    world.configure(1, stand_ins.safe_route(maxAttempts=1))
+    replica.on_crash = lambda exited: None
+    world.configure(1, fake_platform.safe_route(maxAttempts=1))
     await world.start_daemons(1)
     (daemon,) = world.daemons
     await asyncio.sleep(RETURN_GRACE_S + 0.5)  # an entry that is deleted sooner may only have expired
@@ -166,27 +166,27 @@
     await world.until(lambda: replica.runs)
     if entry == "draining":
         replica.draining = True
-        replica.tell()
+        replica.write_entry()
         await world.until(lambda: daemon.replicas.get(replica.replica_id).info.draining)
     else:
         world.log.put("keyed.servers", replica.replica_id, None)
         await world.until(lambda: daemon.replicas.get(replica.replica_id) is None)
-    replica.end()
+    replica.crash()
     assert (await request).status == 502
     await asyncio.sleep(0.2)
-    assert world.log.newest("keyed.passgate-crashes") == {}
+    assert world.log.newest_values("keyed.passgate-crashes") == {}
 
 
 @in_crashing_world
 async def test_item_that_crashes_replicas_fails_and_the_others_succeed(world):
     for _ in range(4):
         world.add_replica("llm", models={"m": 1}.items())
-    world.configure(1, stand_ins.batch_route(queueTtlS=4.0))
+    world.configure(1, fake_platform.batch_route(queueTtlS=4.0))
     await world.start_daemons(2)
     world.daemon = world.daemons[0]
     items = [f"item{number}" for number in range(6)]
-    body = stand_ins.job_body(items)
-    world.crashing_bodies = {stand_ins.item_body("item0")}
+    body = fake_platform.job_body(items)
+    world.crashing_bodies = {fake_platform.item_body("item0")}
     answer = await world.send_request(world.daemon, body, "job1", path="/stream/j")
     assert answer.status == 202
     rows = await world.all_results("job1", timeout_s=20.0)
@@ -201,7 +201,7 @@
     for _ in range(3):
         world.add_replica("llm", models={"m": 1}.items(), event_s=0.05)
     hosts = ["h.example", *(f"h{number}.example" for number in range(24))]
-    routes = [stand_ins.batch_route(name=host, host=host, queueTtlS=20.0) for host in hosts]
+    routes = [fake_platform.batch_route(name=host, host=host, queueTtlS=20.0) for host in hosts]
     world.configure(1, *routes)
     await world.start_daemons(4)
     owned = [(await world.hosts_of(daemon, hosts))[0] for daemon in world.daemons]
@@ -211,7 +211,7 @@
     for number, (job_id, items) in enumerate(concurrent_jobs.items()):
         await world.submit_to(owned[1 + number % 3], job_id, items)
     causes = [f"cause{number}" for number in range(8)]
-    world.crashing_bodies = {stand_ins.item_body(cause) for cause in causes}
+    world.crashing_bodies = {fake_platform.item_body(cause) for cause in causes}
     for number, cause in enumerate(causes):
         await world.submit_to(owned[number % 4], f"job of {cause}", [cause])
         await asyncio.sleep(0.25)
@@ -227,14 +227,14 @@
     world.add_replica("llm", models={"m": 1}.items(), slots=16)
     for _ in range(2):
         world.add_replica("app", work_s=0.25)
-    world.configure(1, stand_ins.batch_route(queueTtlS=20.0), stand_ins.safe_route())
+    world.configure(1, fake_platform.batch_route(queueTtlS=20.0), fake_platform.safe_route())
     await world.start_daemons(2)
     world.daemon = world.daemons[0]
     items = [f"item{number}" for number in range(12)]
     causes = {"item0", "item1", "item2"}
     world.crashing_bodies = {f"score {cause}".encode() for cause in causes}
     answer = await world.send_request(
-        world.daemon, stand_ins.job_body(items, scored=True), "job1", path="/stream/j"
+        world.daemon, fake_platform.job_body(items, scored=True), "job1", path="/stream/j"
     )
     assert answer.status == 202
     rows = await world.all_results("job1", timeout_s=30.0)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -247,10 +247,10 @@
         await asyncio.sleep(8.0)
         assert all(node.discovery.loaded for node in nodes)
         assert sum(node.discovery.is_relaying for node in nodes) == ZONES
-        calls, read = log.calls, log.bytes_read
+        calls, read = log.call_count, log.bytes_read
         await asyncio.sleep(10.0)
         joins = 10.0 * len(nodes) / 0.35
-        assert log.calls - calls - joins < 2.5 * 10.0 * len(nodes)
+        assert log.call_count - calls - joins < 2.5 * 10.0 * len(nodes)
         assert log.bytes_read - read < 10_000_000
         writing.cancel()
         for node in nodes:
@@ -321,12 +321,12 @@
             write_entry(log, number)
         nodes = await start_nodes(log, 6)
         await asyncio.sleep(4.0)
-        assert log.newest(TOPICS.parts)
+        assert log.newest_values(TOPICS.parts)
         for number in range(10, 60):
             log.put_keyed(ENTRIES_TOPIC, f"r{number}", b"")
         await asyncio.sleep(4.0)
         assert all(node.discovery.reads_directly and not node.discovery.is_relaying for node in nodes)
-        assert not log.newest(TOPICS.parts)
+        assert not log.newest_values(TOPICS.parts)
         late = Node(log, 6)
         await asyncio.sleep(0.5)
         assert late.discovery.loaded and len(late.replica_table.all()) == 10
--- a/tests/test_emulator_callers.py
+++ b/tests/test_emulator_callers.py
@@ -7,7 +7,7 @@
 import pytest
 
 from passgate.check.history import HistoryRecorder
-from passgate.check.judgement import judge_history
+from passgate.check.judgement import check_history
 from passgate.check.output_oracle import emulated_token
 from passgate.clock import monotonic_s, run_virtual
 from passgate.emulator.arrivals import ArrivalStream
@@ -115,14 +115,14 @@
     callers = Callers(world.parameters, lambda caller: client, world.publish, seed, history.record)
     outcomes = await callers.run(duration_s)
     world.close()
-    return outcomes, outcomes.violations(world.ledger), history.events
+    return outcomes, outcomes.violations(world.run_recorder), history.events
 
 
 @pytest.mark.parametrize(("name", "lots_ahead"), [("olhar", 0), ("huon", 0), ("huon", 1)])
 def test_callers_find_no_violation_in_correct_answers(name, lots_ahead):
     outcomes, violations, history = run_virtual(run_callers(name, 1, lots_ahead))
     assert violations == 0
-    assert judge_history(history, emulated_token).holds()
+    assert check_history(history, emulated_token).holds()
     for trainer in outcomes.trainers:
         assert trainer.steps >= 3
         assert trainer.delivered >= 8 * trainer.steps
@@ -236,7 +236,7 @@
         trainer = Trainer(parameters, model, "p", stub, lambda model, version: None, world.random("t"))
         await trainer.run(steps=1)
         world.close()
-        return trainer.tally
+        return trainer.outcomes
 
     return run_virtual(run())
 
@@ -267,7 +267,7 @@
         stream = ArrivalStream(parameters, None, "p", stub, world.random("a"))
         await stream._run_call(stream._new_call())
         world.close()
-        return stream.tally, stream.tally.not_run_that_ran(world.ledger)
+        return stream.outcomes, stream.outcomes.not_run_that_ran(world.run_recorder)
 
     return run_virtual(run())
 
--- a/tests/test_emulator_engine_model.py
+++ b/tests/test_emulator_engine_model.py
@@ -7,7 +7,13 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from passgate.emulator.engine_events import ChunkProduced, EndReason, StreamEnded, SwapFailure, TransferWanted
+from passgate.emulator.engine_events import (
+    ChunkProduced,
+    EndReason,
+    StreamEnded,
+    SwapFailure,
+    TransferRequested,
+)
 from passgate.emulator.engine_model import EngineModel
 from passgate.emulator.expected_output import LengthDistribution, Verdict, output_length, verify_output
 from passgate.emulator.parameters import EngineParameters, FenceScope, ModelParameters
@@ -58,7 +64,7 @@
 
 def assert_correct(events, expected_request: GenerateRequest) -> None:
     tokens, spans, finish_reason = output(events, expected_request.request_id)
-    assert verify_output(expected_request, tokens, spans, finish_reason, LENGTHS) is Verdict.RIGHT
+    assert verify_output(expected_request, tokens, spans, finish_reason, LENGTHS) is Verdict.CORRECT
 
 
 def order(kind, fence=1, name=None, **fields) -> EngineOrder:
@@ -393,8 +399,8 @@
     staging = order(OrderKind.STAGE_VERSION, version=2)
     assert not engine.order(staging, 0.0).done
     assert not engine.order(staging, 0.1).done
-    transfers = [event for event in engine.advance(0.1) if isinstance(event, TransferWanted)]
-    assert transfers == [TransferWanted("m", 2, "store")]
+    transfers = [event for event in engine.advance(0.1) if isinstance(event, TransferRequested)]
+    assert transfers == [TransferRequested("m", 2, "store")]
     engine.record_transfer_end("m", 2, 1.0)
     assert engine.order(staging, 1.0).done
 
--- a/tests/test_emulator_world.py
+++ b/tests/test_emulator_world.py
@@ -27,11 +27,11 @@
 from passgate.emulator.network import PLATFORM_ZONE
 from passgate.emulator.parameters import AppParameters, load_deployment
 from passgate.emulator.queueing_check import (
-    application_wait,
-    engine_full_batch,
-    engine_little,
-    engine_recursion,
-    engine_wait,
+    compare_app_wait_with_mmc,
+    compare_engine_wait_with_md1,
+    compare_engine_with_lindley,
+    compare_engine_with_littles_law,
+    compare_full_batch_rate,
 )
 from passgate.emulator.world import EmulatedWorld
 from passgate.errors import (
@@ -121,7 +121,7 @@
             chunks, error = await collect_chunks(world, request, f"modelos-{random.randrange(5)}")
             return chunks, repr(error), monotonic_s()
 
-        return await asyncio.gather(*map(send, requests)), world.ledger.records
+        return await asyncio.gather(*map(send, requests)), world.run_recorder.records
 
     faults = [EngineCrash(2.0, ENGINE), ConnectionsLost(1.0, 0.05, 2.0), ZoneCut(2.0, "campina", 2.5)]
     first, second = (run_in_world(scenario, 4, faults) for _ in range(2))
@@ -145,7 +145,7 @@
     async def scenario(world):
         await asyncio.sleep(0.5)
         chunks, error = await collect_chunks(world, make_long_request(), zone="campina")
-        return chunks, error, world.ledger.runs("r")
+        return chunks, error, world.run_recorder.run_count("r")
 
     chunks, error, runs = run_in_world(scenario, faults=[fault])
     assert isinstance(error, BackendUnreachable)
@@ -160,7 +160,7 @@
         chunks, error = await collect_chunks(world, request, zone="campina")
         return verify_chunks(request, chunks), error
 
-    assert run_in_world(scenario, faults=[LinkCut(1.0, "campina", "caruaru", 2.0)]) == (Verdict.RIGHT, None)
+    assert run_in_world(scenario, faults=[LinkCut(1.0, "campina", "caruaru", 2.0)]) == (Verdict.CORRECT, None)
 
 
 def test_refusal_lost_in_a_partition_is_not_reported_as_not_run():
@@ -198,7 +198,7 @@
         chunks, error = await collection
         return verify_chunks(request, chunks), error
 
-    assert run_in_world(scenario) == (Verdict.RIGHT, None)
+    assert run_in_world(scenario) == (Verdict.CORRECT, None)
 
 
 def test_overlapping_partitions_end_with_the_last_one():
@@ -312,10 +312,10 @@
         client, address = world.app_client("caruaru"), world.apps[APP].address
         calls = [client.call(address, make_app_request(f"a{i}", repeatable=False)) for i in range(4)]
         outcomes = await asyncio.gather(*calls, return_exceptions=True)
-        ran = next(i for i in range(4) if world.ledger.runs(f"a{i}"))
+        ran = next(i for i in range(4) if world.run_recorder.run_count(f"a{i}"))
         repetition = make_app_request("again", body=f"a{ran}".encode(), repeatable=False)
         await client.call(address, repetition)
-        return outcomes, [world.ledger.runs(f"a{i}") for i in range(4)], world.ledger
+        return outcomes, [world.run_recorder.run_count(f"a{i}") for i in range(4)], world.run_recorder
 
     outcomes, runs, ledger = run_in_world(scenario, parameters=parameters)
     assert sorted(runs) == [0, 0, 1, 1]
@@ -324,7 +324,7 @@
             assert outcome.body == expected_app_body(make_app_request(f"a{number}"))
         else:
             assert isinstance(outcome, BackendRefused) and outcome.retry_after_s
-    assert len(ledger.repeated_single_effects()) == 1
+    assert len(ledger.repeated_unrepeatable_effects()) == 1
 
 
 def test_crashed_application_leaves_the_outcome_unknown():
@@ -338,7 +338,7 @@
             await running
         await asyncio.sleep(6.0)
         await client.call(address, make_app_request("c"))
-        return lost.value.execution, refused.value.execution, world.ledger.runs("b")
+        return lost.value.execution, refused.value.execution, world.run_recorder.run_count("b")
 
     assert run_in_world(scenario, faults=[AppCrash(0.005, APP)]) == (UNKNOWN, NOT_RUN, 0)
 
@@ -377,7 +377,7 @@
         assert counters.submitted == counters.refused + counters.lost + counters.finished + app.running + (
             app.waiting
         )
-        assert counters.wait_s >= 0.0
+        assert counters.total_wait_s >= 0.0
     assert min(counters.refused, counters.lost, counters.finished) > 0
 
 
@@ -529,10 +529,10 @@
 
 
 def test_waiting_times_match_queueing_theory():
-    for result in (application_wait(1, 0.5, 8_000, 1), application_wait(4, 0.7, 8_000, 1)):
-        assert abs(result.error) < 3 * result.standard_error < 0.3
-    result = engine_wait(0.5, 2_000, 1)
-    assert abs(result.error) < 3 * result.standard_error < 0.4
-    assert abs(engine_recursion(0.8, 1_000, 1).error) < 1e-9
-    assert abs(engine_little(500, 1).error) < 1e-9
-    assert abs(engine_full_batch().error) < 0.01
+    for result in (compare_app_wait_with_mmc(1, 0.5, 8_000, 1), compare_app_wait_with_mmc(4, 0.7, 8_000, 1)):
+        assert abs(result.relative_error) < 3 * result.standard_error < 0.3
+    result = compare_engine_wait_with_md1(0.5, 2_000, 1)
+    assert abs(result.relative_error) < 3 * result.standard_error < 0.4
+    assert abs(compare_engine_with_lindley(0.8, 1_000, 1).relative_error) < 1e-9
+    assert abs(compare_engine_with_littles_law(500, 1).relative_error) < 1e-9
+    assert abs(compare_full_batch_rate().relative_error) < 0.01
--- a/tests/test_evacuation_daemon.py
+++ b/tests/test_evacuation_daemon.py
@@ -6,7 +6,7 @@
 import unittest.mock
 
 from passgate.jobs.item_run import ItemRun
-from tests import platform_stand_ins as stand_ins
+from tests import platform_stand_ins as fake_platform
 from tests.test_platform_daemon import in_world, stream_route
 
 ZONE = "b"
@@ -30,7 +30,7 @@
 
 def runs_in(world, zone, began_after_s=0.0):
     replicas = [replica for replica in world.replicas.values() if replica.zone == zone]
-    return [run for replica in replicas for run in replica.runs if run.began_s > began_after_s]
+    return [run for replica in replicas for run in replica.runs if run.started_s > began_after_s]
 
 
 async def start_daemon_with_replicas(world, *routes, count=2, **fields):
@@ -39,7 +39,7 @@
         for number in range(count):
             world.replica(f"i-app-{zone}{number}", "app", zone=zone)
             world.replica(f"i-llm-{zone}{number}", "llm", zone=zone, models=MODELS, **fields)
-    world.configure(1, *(routes or (stand_ins.safe_route(), stand_ins.batch_route())))
+    world.configure(1, *(routes or (fake_platform.safe_route(), fake_platform.batch_route())))
     await world.start()
 
 
@@ -54,17 +54,17 @@
     rows = await world.all_results("job1")
     assert {row["state"] for row in rows} == {"succeeded"}
     llm = [replica for replica in world.replicas.values() if replica.service == "llm"]
-    await world.until(lambda: all(r.versions["m"] == 2 for r in llm if r.zone == "a"))
+    await world.until(lambda: all(r.version_by_model["m"] == 2 for r in llm if r.zone == "a"))
     assert runs_in(world, ZONE, evacuated_s) == []
-    assert not any(replica.orders for replica in llm if replica.zone == ZONE)
+    assert not any(replica.received_orders for replica in llm if replica.zone == ZONE)
     await end_evacuation(world)
-    await world.until(lambda: all(replica.versions["m"] == 2 for replica in llm))
+    await world.until(lambda: all(replica.version_by_model["m"] == 2 for replica in llm))
 
 
 @in_world
 async def test_a_request_is_refused_as_not_run_while_its_only_zone_is_evacuated(world):
     world.replica("i-1", "app", zone=ZONE)
-    world.configure(1, stand_ins.safe_route())
+    world.configure(1, fake_platform.safe_route())
     await world.start()
     await evacuate_zone(world)
     answer = await world.call("POST", "/call/x", b"")
@@ -97,10 +97,10 @@
 async def test_a_broken_stream_is_not_resumed_in_an_evacuated_zone(world):
     replicas = [world.replica(f"i-{n}", "llm", zone=ZONE, models=MODELS, event_s=0.2) for n in range(2)]
     for replica in replicas:
-        replica.faults.break_after = 3
+        replica.faults.break_after_events = 3
     world.configure(1, stream_route(resumable=True, maxAttempts=3, timeoutMs=9000))
     await world.start()
-    request_id = next(f"chat{n}" for n in range(99) if stand_ins.event_count(f"chat{n}") >= 10)
+    request_id = next(f"chat{n}" for n in range(99) if fake_platform.event_count(f"chat{n}") >= 10)
     calling = asyncio.create_task(
         world.call("POST", "/stream/x", b"", request_id=request_id, deadline_ms=9000, **{"X-Model": "m"})
     )
@@ -109,7 +109,7 @@
     await world.until(lambda: world.daemon.replicas.get("i-a") is not None)
     await evacuate_zone(world)
     data = [line[6:] for line in (await calling).body.decode().split("\n") if line.startswith("data: ")]
-    assert "\n".join(data) == stand_ins.whole_text(request_id)
+    assert "\n".join(data) == fake_platform.complete_output(request_id)
     assert len(runs_in(world, ZONE)) == 1
     assert [int(run.last_event_id) for run in other.runs] == [3]
 
@@ -122,7 +122,7 @@
     evacuated_s = await evacuate_zone(world)
     rows = await world.all_results("job1")
     assert {row["state"] for row in rows} == {"succeeded"}
-    assert all(row["text"] == stand_ins.whole_text(row["id"]) for row in rows)
+    assert all(row["text"] == fake_platform.complete_output(row["id"]) for row in rows)
     assert runs_in(world, ZONE, evacuated_s) == []
 
 
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -8,7 +8,7 @@
 from passgate.decisions import DecisionLog, ForwardEnded, ForwardSent, JobEnded
 from passgate.errors import InvalidRequest
 from passgate.explain import explain
-from tests import platform_stand_ins as stand_ins
+from tests import platform_stand_ins as fake_platform
 from tests.test_platform_daemon import World
 
 
@@ -19,7 +19,9 @@
     async def main():
         world = World()
         try:
-            world.configure(1, stand_ins.safe_route(timeoutMs=300, maxAttempts=1), stand_ins.batch_route())
+            world.configure(
+                1, fake_platform.safe_route(timeoutMs=300, maxAttempts=1), fake_platform.batch_route()
+            )
             await world.start()
             world.daemon.decisions._write = lambda data: written.append(data) or len(data)
             await scenario(world)
@@ -55,12 +57,12 @@
 def test_item_with_failed_attempts_is_explained():
     async def scenario(world):
         first = world.replica("i-1", "llm", models={"m": 1}.items())
-        first.faults.break_after = 2
+        first.faults.break_after_events = 2
         await world.until(lambda: world.daemon.replicas.get("i-1"))
         await world.submit(["item1"])
         await world.until(lambda: first.runs)
         await asyncio.sleep(0.2)
-        first.faults.break_after = -1
+        first.faults.break_after_events = -1
         await world.all_results("job1")
 
     lines = decision_lines_of(scenario)
@@ -129,11 +131,11 @@
     assert json.loads(bytes(written))["job_id"] == "j"
 
 
-@pytest.mark.parametrize("identifier", ["item1", stand_ins.reward_id("item1")])
+@pytest.mark.parametrize("identifier", ["item1", fake_platform.reward_id("item1")])
 def test_an_item_whose_reward_call_fails_is_explained_by_either_id(identifier):
     async def scenario(world):
         world.replica("i-1", "llm", models={"m": 1}.items())
-        world.replica("i-2", "app").faults.failing = 500
+        world.replica("i-2", "app").faults.failure_status = 500
         await world.until(lambda: world.daemon.replicas.get("i-2"))
         await world.submit(["item1"], scored=True)
         await world.all_results("job1")
@@ -147,10 +149,10 @@
 def test_requests_with_the_same_content_that_crash_replicas_are_explained_by_their_fingerprint():
     async def scenario(world):
         for name in ("i-1", "i-2"):
-            world.replica(name, "app").crash_on = lambda request: request.body == b"crash"
+            world.replica(name, "app").crashes_on = lambda request: request.body == b"crash"
         await world.until(lambda: len(world.daemon.replicas.all()) == 2)
         await world.call("POST", "/call/x", b"crash", request_id="first")
-        (crashed,) = [replica for replica in world.replicas.values() if replica.ended]
+        (crashed,) = [replica for replica in world.replicas.values() if replica.has_crashed]
         world.log.put("keyed.servers", crashed.replica_id, None)
         await world.until(lambda: len(world.daemon.replicas.all()) == 1)
         await world.call("POST", "/call/x", b"crash", request_id="second")
--- a/tests/test_jobs_daemons.py
+++ b/tests/test_jobs_daemons.py
@@ -49,11 +49,11 @@
         daemons = await start_daemons(log, 3)
         await asyncio.sleep(DIRECTORY_REFRESH_S)
         for number, daemon in enumerate(daemons):
-            log.cut_off = {f"d{number}"}
+            log.cut_off_clients = {f"d{number}"}
             began_s = monotonic_s()
             await daemon.service.submit(job_spec(f"j{number}", host=host), began_s + 3.0)
             assert monotonic_s() - began_s < 1.0
-            log.cut_off = set()
+            log.cut_off_clients = set()
             await asyncio.sleep(1.0)
         await wait_until_complete(daemons, ["j0", "j1", "j2"], host=host)
         for daemon in daemons:
@@ -76,7 +76,7 @@
         victim = next(
             daemon for daemon in daemons if daemon.member.assigned_partitions() and daemon.name != owner
         )
-        log.cut_off = {victim.name.split(".")[0]}
+        log.cut_off_clients = {victim.name.split(".")[0]}
         await asyncio.sleep(2.0)
         seen = len((await victim.service.read_results(host, "j", 0, 1.0)).results)
         page = await victim.service.read_results(host, "j", seen, 1.0)
@@ -96,7 +96,7 @@
         await asyncio.sleep(DIRECTORY_REFRESH_S)
         await daemons[0].service.submit(job_spec("j", 12), monotonic_s() + 3.0)
         await asyncio.sleep(0.5)
-        log.cut_off = {"d0", "d1", "d2"}
+        log.cut_off_clients = {"d0", "d1", "d2"}
         await asyncio.sleep(4.0)
         await daemons[1].service.submit(job_spec("k", 2), monotonic_s() + 2.0)
         for daemon in daemons:
@@ -254,11 +254,11 @@
                     zone = f"z{victim % zones}"
                     daemons[victim] = Daemon(log, f"d{victim}", incarnation_by_daemon[victim], zone).start()
                 case "cut_off":
-                    log.cut_off = {f"d{victim}"}
+                    log.cut_off_clients = {f"d{victim}"}
                 case "reassign":
-                    log.groups.deal_anew()
+                    log.groups.reassign_all()
                 case "expire_members":
-                    log.groups.drop_members()
+                    log.groups.expire_all_members()
                 case "split_zone":
                     network_by_log[log].cut(
                         lambda address, zone, split_daemon=f"d{victim}": zone == split_daemon
@@ -272,7 +272,7 @@
                 case "slow":
                     log.faults = SharedLogFaults(slow_s=0.25)
                 case "none":
-                    log.faults, log.cut_off = SharedLogFaults(), set()
+                    log.faults, log.cut_off_clients = SharedLogFaults(), set()
                     network_by_log[log].heal()
             job_id = f"j{step}"
             try:
@@ -280,7 +280,7 @@
                 jobs.append(job_id)
             except (LogUnavailable, DurabilityUnknown):
                 pass
-        log.faults, log.cut_off = SharedLogFaults(), set()
+        log.faults, log.cut_off_clients = SharedLogFaults(), set()
         network_by_log[log].heal()
         lists = await wait_until_complete(daemons, jobs)
         if sampler_task.done():
@@ -323,7 +323,7 @@
     results = (Result(item_id="i", state=ResultState.SUCCEEDED, text=text, versions=(1,)) for text in texts)
     for result in results:
         batch = Batch(writer="d9.0", entries=(ItemsDone(job_id="unknown", results=(result,)),))
-        log.add("jobs", partition_of(HOST, log.parts), [encode_batch(batch)])
+        log.append_now("jobs", partition_of(HOST, log.partition_count), [encode_batch(batch)])
 
 
 def test_a_job_is_read_through_the_earlier_watcher_while_the_next_one_reads_the_log():
@@ -334,10 +334,10 @@
         await wait_until_complete(daemons, ["j"])
         fill_partition(log)
         await asyncio.sleep(FOLLOW_AFTER_USE_S + DIRECTORY_REFRESH_S)
-        partition = partition_of(HOST, log.parts)
+        partition = partition_of(HOST, log.partition_count)
         first = next(daemon for daemon in daemons if daemon.job_partitions.is_watcher_of(partition))
         log.faults = SLOW_LOG
-        log.groups.deal_anew()
+        log.groups.reassign_all()
         while not any(
             daemon.job_partitions.is_watcher_of(partition) for daemon in daemons if daemon is not first
         ):
@@ -375,15 +375,15 @@
         await wait_until_complete(daemons, ["j"])
         for daemon in daemons:
             await daemon.kill()
-        log.groups.drop_members()
+        log.groups.expire_all_members()
         fill_partition(log)
         log.faults = SLOW_LOG
         daemons = [Daemon(log, f"d{number}", incarnation=1).start() for number in range(6)]
-        partition = partition_of(HOST, log.parts)
+        partition = partition_of(HOST, log.partition_count)
         watched = set()
         asking = asyncio.get_running_loop().create_task(read_periodically(daemons))
         for _ in range(100):
-            watched.add(log.groups.owners("watch.a").get(("jobs", partition), "").partition("~")[0])
+            watched.add(log.groups.holders("watch.a").get(("jobs", partition), "").partition("~")[0])
             await asyncio.sleep(0.02)
         asking.cancel()
         following = {
@@ -406,7 +406,7 @@
 
 def test_restarted_daemons_do_not_wait_for_the_lease_of_a_leader_that_has_ended():
     async def main():
-        log = MemorySharedLog(parts=4)
+        log = MemorySharedLog(partition_count=4)
         daemons = [Daemon(log, f"d{number}").start() for number in range(3)]
         await asyncio.sleep(8.0)
         assert any(daemon.leadership.may_order() for daemon in daemons)
--- a/tests/test_jobs_regions.py
+++ b/tests/test_jobs_regions.py
@@ -124,7 +124,9 @@
     await wait_until_complete(fleet.daemons, ["j0", "j1", "j2"])
     topic = bodies_topic("jobs", frozenset("bc"))
     partitions_with_bodies = [
-        partition for partition in range(fleet.log.parts) if fleet.log.partition(topic, partition).end
+        partition
+        for partition in range(fleet.log.partition_count)
+        if fleet.log.partition(topic, partition).end
     ]
     assert len(partitions_with_bodies) == 1
 
@@ -209,10 +211,10 @@
 async def test_a_daemon_cut_off_from_the_log_sends_no_bodies_to_daemons_of_other_regions(fleet):
     outside = fleet.daemons_in("a")[0]
     await asyncio.sleep(6.0)
-    fleet.log.cut_off = {outside.name.split(".")[0]}
+    fleet.log.cut_off_clients = {outside.name.split(".")[0]}
     with contextlib.suppress(Exception):
         await outside.service.submit(spec_with_bodies("j"), monotonic_s() + 2.0)
-    fleet.log.cut_off = set()
+    fleet.log.cut_off_clients = set()
     await asyncio.sleep(PROPAGATION_S)
     assert fleet.regions_with_bodies("j") <= {"b"}
     sent = [
@@ -225,7 +227,7 @@
 
 
 def cut_off_region(fleet, region):
-    fleet.log.cut_off = {daemon.name.split(".")[0] for daemon in fleet.daemons_in(region)}
+    fleet.log.cut_off_clients = {daemon.name.split(".")[0] for daemon in fleet.daemons_in(region)}
 
 
 @with_fleet()
@@ -238,7 +240,7 @@
     assert monotonic_s() - began_s < 1.5
     await asyncio.sleep(PROPAGATION_S)
     assert (await fleet.daemons_in("a")[0].service.read_results(HOST, "j", 0, 1.0)).total == 4
-    fleet.log.cut_off = set()
+    fleet.log.cut_off_clients = set()
     await wait_until_complete(fleet.daemons, ["j"])
 
 
@@ -249,7 +251,7 @@
     await asyncio.sleep(3.0)
     with pytest.raises((LogUnavailable, DurabilityUnknown)):
         await submit(fleet.daemons_in("a")[0], "j")
-    fleet.log.cut_off = set()
+    fleet.log.cut_off_clients = set()
     await asyncio.sleep(PROPAGATION_S)
     assert fleet.regions_with_bodies("j") <= {"a"}
 
--- a/tests/test_jobs_takeover.py
+++ b/tests/test_jobs_takeover.py
@@ -34,10 +34,10 @@
     daemons = await start_daemons(log, 3)
     await daemons[0].service.submit(job_spec("j", 40, host), monotonic_s() + 5.0)
     await asyncio.sleep(1.0)
-    log.groups.deal_anew()
+    log.groups.reassign_all()
     await asyncio.sleep(2.5)
     owner = next(daemon for daemon in daemons if daemon.job_partitions.running_jobs)
-    assert not owner.job_partitions.is_watcher_of(partition_of(host, log.parts))
+    assert not owner.job_partitions.is_watcher_of(partition_of(host, log.partition_count))
     return [owner, *(daemon for daemon in daemons if daemon is not owner)]
 
 
@@ -179,7 +179,7 @@
         await daemons[0].service.submit(job_spec("j", 20), monotonic_s() + 2)
         await asyncio.sleep(0.5)
         owner = await daemons[0].read_owner("j")
-        log.groups.deal_anew()
+        log.groups.reassign_all()
         await asyncio.sleep(3.0)
         assert await daemons[0].read_owner("j") == owner
         await wait_until_complete(daemons, ["j"])
@@ -219,8 +219,8 @@
         for daemon in daemons:
             await daemon.kill()
         await asyncio.sleep(0.3)
-        log.groups.drop_members()
-        log.groups.shift += 1  # another daemon than the owner will watch
+        log.groups.expire_all_members()
+        log.groups.assignment_offset += 1  # another daemon than the owner will watch
         restarted_s = monotonic_s()
         daemons = [Daemon(log, f"d{number}", incarnation=1).start() for number in range(3)]
         while not any(daemon.job_partitions.running_jobs for daemon in daemons):
@@ -257,7 +257,7 @@
         log = MemorySharedLog()
         owner, *others = await owner_and_others(log)
         name = owner.name.partition(".")[0]
-        log.cut_off = {name}
+        log.cut_off_clients = {name}
         cut_s = monotonic_s()
         while not any(daemon.job_partitions.running_jobs for daemon in others):
             await asyncio.sleep(0.02)
@@ -271,7 +271,7 @@
             result.text for result in (await find_job(others[0].job_partitions.of_host(HOST), "j")).results
         }
         assert texts <= result_texts
-        log.cut_off = set()
+        log.cut_off_clients = set()
         await wait_until_complete(others, ["j"])
         for daemon in (owner, *others):
             await daemon.kill()
@@ -302,13 +302,13 @@
     async def main():
         log = MemorySharedLog()
         owner, *others = await owner_and_others(log)
-        log.cut_off = {owner.name.partition(".")[0]}
+        log.cut_off_clients = {owner.name.partition(".")[0]}
         while owner.job_partitions.running_jobs:
             await asyncio.sleep(0.02)
         for daemon in others:
             await daemon.kill()
         await asyncio.sleep(1.0)
-        log.cut_off = set()
+        log.cut_off_clients = set()
         await wait_until_complete([owner], ["j"])
         await owner.kill()
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -17,7 +17,7 @@
 
 def build_measures(**changes) -> RunMeasures:
     """Return the measures of a run without violations, with some fields changed."""
-    no_latencies = LatencySummary.of([])
+    no_latencies = LatencySummary.from_durations([])
     base = RunMeasures(
         scenario="s",
         policy="current",
--- a/tests/test_log_follower.py
+++ b/tests/test_log_follower.py
@@ -305,7 +305,7 @@
         SnapshotTaken(offset=9, schema_version=1, state=msgspec.Raw(b'{"writers":{},"state":3}')),
     ):
         assert not state.restore(snapshot)
-    assert state.fold.keys == ["a", "b", "c", "d"]
+    assert state.projection.keys == ["a", "b", "c", "d"]
     assert state.next_offset == 4
 
 
@@ -334,7 +334,7 @@
     state.apply(0, payload("d1", 1, "a"))
     assert restored.restore(state.snapshot())
     restored.apply(1, payload("d1", 1, "a"))
-    assert restored.fold.keys == ["a"]
+    assert restored.projection.keys == ["a"]
 
 
 def test_duplicate_filter_is_bounded_and_evicts_the_least_recent_writer():
--- a/tests/test_lot_state.py
+++ b/tests/test_lot_state.py
@@ -20,7 +20,7 @@
 )
 from passgate.schema import FinishReason, VersionSpan
 from passgate.state.fold import Accepted
-from passgate.state.lot_state import LotFold, LotState, SlotState, SlotStatus, transition
+from passgate.state.lot_state import LotProjection, LotState, SlotState, SlotStatus, transition
 
 SLOTS = 3
 BOUND = 1
@@ -83,7 +83,7 @@
 @given(st.lists(records, max_size=30))
 @settings(max_examples=300, deadline=None)
 def test_any_sequence_of_records_keeps_the_invariants(drawn):
-    state, projection = opened_lot(), LotFold()
+    state, projection = opened_lot(), LotProjection()
     projection.apply(0, Record(writer="w", sequence=1, epoch=0, body=OPENED))
     for offset, record in enumerate(drawn, 1):
         before = state
@@ -92,17 +92,17 @@
         check_step(before, state, record)
         if not isinstance(decision, Accepted):
             assert state == before
-    assert (projection.header, tuple(projection.slots), tuple(projection.order)) == (
+    assert (projection.header, tuple(projection.slots), tuple(projection.delivery_order)) == (
         state.header,
         state.slots,
         state.order,
     )
     assert sum(projection.count_by_status.values()) == SLOTS
-    restored = LotFold()
+    restored = LotProjection()
     restored.restore(projection.snapshot())
-    assert (restored.slots, restored.order, restored.count_by_status) == (
+    assert (restored.slots, restored.delivery_order, restored.count_by_status) == (
         projection.slots,
-        projection.order,
+        projection.delivery_order,
         projection.count_by_status,
     )
 
--- a/tests/test_membership_configuration.py
+++ b/tests/test_membership_configuration.py
@@ -93,7 +93,7 @@
             raise RuntimeError("broken handler")
 
         for daemon in (broken, third):
-            daemon.agent.handle(RECORDS_METHOD, fail)
+            daemon.agent.register_handler(RECORDS_METHOD, fail)
         await put_pool(writer, 1)
         await wait_until(lambda: lagging.next_offset == writer.next_offset, TIMEOUT_S)
 
--- a/tests/test_platform_tenants.py
+++ b/tests/test_platform_tenants.py
@@ -11,7 +11,7 @@
 from passgate.platform.log_client import PlatformLog
 from passgate.platform.program import make_daemon
 from passgate.platform.settings import parse_settings
-from tests import platform_stand_ins as stand_ins
+from tests import platform_stand_ins as fake_platform
 from tests.test_platform_daemon import World, in_world
 
 KEYS_BY_TENANT = {"orchard": ["key-o1", "key-o2"], "mill": ["key-m1"]}
@@ -21,7 +21,7 @@
 
 
 async def submit_job(world, key, item_ids, job_id="job1", **fields):
-    body = stand_ins.job_body(item_ids, **fields)
+    body = fake_platform.job_body(item_ids, **fields)
     return await world.call("POST", "/stream/j", body, request_id=job_id, **key)
 
 
@@ -44,7 +44,7 @@
 @in_world
 async def test_replica_receives_the_tenant_but_not_the_key(world: World):
     app = world.replica("i-1", "app")
-    world.configure(1, stand_ins.safe_route(), tenants=KEYS_BY_TENANT)
+    world.configure(1, fake_platform.safe_route(), tenants=KEYS_BY_TENANT)
     await world.start()
     answer = await world.call("POST", "/call/x", b"", **ORCHARD, **{"x-tenant": "mill", "X-Other": "kept"})
     assert answer.status == 200
@@ -55,7 +55,7 @@
 @in_world
 async def test_requests_without_a_valid_key_are_refused_and_run_nothing(world):
     app = world.replica("i-1", "app")
-    world.configure(1, stand_ins.safe_route(), stand_ins.batch_route(), tenants=KEYS_BY_TENANT)
+    world.configure(1, fake_platform.safe_route(), fake_platform.batch_route(), tenants=KEYS_BY_TENANT)
     await world.start()
     for headers in ({}, {"Authorization": "Bearer no"}, {"Authorization": "key-o1"}):
         for method, path in (
@@ -74,7 +74,7 @@
 @in_world
 async def test_public_route_needs_no_key_and_ignores_a_tenant_header(world):
     app = world.replica("i-1", "app")
-    world.configure(1, stand_ins.safe_route(public=True), tenants=KEYS_BY_TENANT)
+    world.configure(1, fake_platform.safe_route(public=True), tenants=KEYS_BY_TENANT)
     await world.start()
     assert (await world.call("POST", "/call/x", b"", **{"X-Tenant": "mill"})).status == 200
     assert app.runs[0].tenants == []
@@ -83,7 +83,7 @@
 @in_world
 async def test_job_is_visible_only_to_the_tenant_that_submitted_it(world):
     llm = world.replica("i-1", "llm", models=[("m", 1)])
-    world.configure(1, stand_ins.batch_route(), tenants=KEYS_BY_TENANT)
+    world.configure(1, fake_platform.batch_route(), tenants=KEYS_BY_TENANT)
     await world.start()
     assert (await submit_job(world, ORCHARD, ["a1", "a2"])).status == 202
     assert len(await read_all_results(world, ORCHARD_SECOND_KEY)) == 2
@@ -97,7 +97,7 @@
 @in_world
 async def test_tenants_with_the_same_job_and_item_identifiers_share_no_results(world):
     llm = world.replica("i-1", "llm", models=[("m", 1)])
-    world.configure(1, stand_ins.batch_route(), tenants=KEYS_BY_TENANT)
+    world.configure(1, fake_platform.batch_route(), tenants=KEYS_BY_TENANT)
     await world.start()
     assert (await submit_job(world, ORCHARD, ["a1"])).status == 202
     await read_all_results(world, ORCHARD)
@@ -109,9 +109,9 @@
 @in_world
 async def test_item_headers_can_not_set_tenant_or_credential(world):
     llm = world.replica("i-1", "llm", models=[("m", 1)])
-    world.configure(1, stand_ins.batch_route(), tenants=KEYS_BY_TENANT)
+    world.configure(1, fake_platform.batch_route(), tenants=KEYS_BY_TENANT)
     await world.start()
-    document = json.loads(stand_ins.job_body(["a1"]))
+    document = json.loads(fake_platform.job_body(["a1"]))
     document["requests"][0]["headers"] |= {"X-Tenant": "mill", "Authorization": "Bearer key-m1"}
     answer = await world.call(
         "POST", "/stream/j", json.dumps(document).encode(), request_id="job1", **ORCHARD
@@ -125,7 +125,7 @@
 async def test_revoked_key_is_refused_while_its_jobs_continue(world):
     app = world.replica("i-1", "app")
     world.replica("i-2", "llm", models=[("m", 1)], event_s=0.1)
-    routes = (stand_ins.safe_route(), stand_ins.batch_route())
+    routes = (fake_platform.safe_route(), fake_platform.batch_route())
     world.configure(1, *routes, tenants=KEYS_BY_TENANT)
     await world.start()
     assert (await submit_job(world, ORCHARD, ["a1", "a2"])).status == 202
@@ -141,7 +141,7 @@
 async def test_key_revoked_while_its_request_waits_starts_no_run(world):
     app = world.replica("i-1", "app")
     app.faults.refusing = True
-    route = stand_ins.safe_route(targetLatencyMs=5000, timeoutMs=5000)
+    route = fake_platform.safe_route(targetLatencyMs=5000, timeoutMs=5000)
     world.configure(1, route, tenants=KEYS_BY_TENANT)
     await world.start()
     waiting = asyncio.create_task(world.call("POST", "/call/x", b"", deadline_ms=5000, **ORCHARD))
@@ -158,7 +158,7 @@
 @in_world
 async def test_unknown_key_is_refused_as_retryable_while_the_configuration_may_be_stale(world):
     world.replica("i-1", "app")
-    world.configure(1, stand_ins.safe_route(), tenants=KEYS_BY_TENANT)
+    world.configure(1, fake_platform.safe_route(), tenants=KEYS_BY_TENANT)
     await world.start()
     world.log.faults.silent = True
     await world.until(lambda: world.daemon.configuration_may_be_stale)
@@ -170,7 +170,7 @@
 @in_world
 async def test_fail_closed_daemon_refuses_requests_once_its_configuration_is_too_old(world):
     app = world.replica("i-1", "app")
-    world.configure(1, stand_ins.safe_route(), tenants=KEYS_BY_TENANT)
+    world.configure(1, fake_platform.safe_route(), tenants=KEYS_BY_TENANT)
     await world.start()
     settings = world.daemon.settings
     world.daemon.settings = msgspec.structs.replace(settings, fail_closed=True, configuration_age_s=0.5)
@@ -187,7 +187,7 @@
     lines = bytearray()
     world.replica("i-1", "app")
     world.replica("i-2", "llm", models=[("m", 1)])
-    world.configure(1, stand_ins.safe_route(), stand_ins.batch_route(), tenants=KEYS_BY_TENANT)
+    world.configure(1, fake_platform.safe_route(), fake_platform.batch_route(), tenants=KEYS_BY_TENANT)
     await world.start()
     world.daemon.decisions._write = lambda data: lines.extend(data) or len(data)
     await world.call("POST", "/call/x", b"", **ORCHARD)
@@ -209,8 +209,8 @@
 
 def test_usage_is_counted_only_if_the_platform_asks_for_usage_reports():
     async def check_both_duties():
-        text = stand_ins.settings_text(
-            "d1", "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", duties="127.0.0.1:4"
+        text = fake_platform.settings_text(
+            "d1", "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", usage_address="127.0.0.1:4"
         )
         for duty, counts_usage in (("usage", True), ("autoscale", False)):
             settings = parse_settings(text.replace('["usage"]', f'["{duty}"]'))
--- a/tests/test_process_signals.py
+++ b/tests/test_process_signals.py
@@ -8,7 +8,7 @@
 import subprocess
 import sys
 
-from tests import platform_stand_ins as stand_ins
+from tests import platform_stand_ins as fake_platform
 from tests.test_platform_daemon import free_address
 
 ROOT = pathlib.Path(__file__).parent.parent
@@ -28,12 +28,12 @@
     @classmethod
     @contextlib.asynccontextmanager
     async def start(cls, folder):
-        log = stand_ins.LogService().start()
-        log.put("keyed.op", "config", stand_ins.config_document(1, [], []))
+        log = fake_platform.FakeLogService().start()
+        log.put("keyed.op", "config", fake_platform.config_document(1, [], []))
         caller_address = free_address()
         settings = pathlib.Path(folder, "d1.yaml")
         settings.write_text(
-            stand_ins.settings_text("d1", log.address, caller_address, free_address(), grace_s=GRACE_S)
+            fake_platform.settings_text("d1", log.address, caller_address, free_address(), grace_s=GRACE_S)
         )
         process = subprocess.Popen(
             [sys.executable, "-m", "passgate.platform"],
--- a/tests/test_refusals.py
+++ b/tests/test_refusals.py
@@ -14,11 +14,11 @@
     error_answer,
     error_status,
 )
-from tests import platform_stand_ins as stand_ins
+from tests import platform_stand_ins as fake_platform
 from tests.crashing_world import in_crashing_world as in_world
 
-STREAMING_ROUTE = stand_ins.batch_route(kind="streaming", maxAttempts=2)
-UNSAFE_ROUTE = stand_ins.safe_route(kind="unsafe")
+STREAMING_ROUTE = fake_platform.batch_route(kind="streaming", maxAttempts=2)
+UNSAFE_ROUTE = fake_platform.safe_route(kind="unsafe")
 ERROR_CLASSES = [
     each
     for each in vars(passgate.errors).values()
@@ -55,7 +55,7 @@
     world, route, path, status
 ):
     replica = world.replica("i-1", "app" if path.startswith("/call") else "llm")
-    replica.faults.failing = status
+    replica.faults.failure_status = status
     world.configure(1, route)
     await world.start()
     await world.until(lambda: world.daemon.replicas.get("i-1"))
@@ -67,15 +67,15 @@
 
 @in_world
 async def test_a_repeatable_request_is_sent_again_after_an_unconfirmed_refusal(world):
-    world.replica("i-1", "app").faults.failing = 503
-    world.replica("i-2", "app").faults.failing = 503
-    world.configure(1, stand_ins.safe_route())
+    world.replica("i-1", "app").faults.failure_status = 503
+    world.replica("i-2", "app").faults.failure_status = 503
+    world.configure(1, fake_platform.safe_route())
     await world.start()
     await world.until(lambda: len(world.daemon.replicas.all()) == 2)
     assert (await world.call("POST", "/call/a", b"x")).status == 502
     assert len(runs_of(world, "r1")) == 2
     for replica in world.replicas.values():
-        replica.faults.failing = 0
+        replica.faults.failure_status = 0
     await asyncio.sleep(1.2)
     assert (await world.call("POST", "/call/a", b"x", request_id="r2")).status == 200
 
@@ -100,9 +100,9 @@
 async def test_a_refusal_after_an_attempt_that_may_have_run_gets_502(world, path):
     """The first attempt loses its answer, and the replica of the second one refuses."""
     service = "app" if path.startswith("/call") else "llm"
-    streamed = stand_ins.batch_route(kind="streaming", resumable=True)
+    streamed = fake_platform.batch_route(kind="streaming", resumable=True)
     first, second = world.replica("i-1", service), world.replica("i-2", service)
-    world.configure(1, stand_ins.safe_route() if service == "app" else streamed)
+    world.configure(1, fake_platform.safe_route() if service == "app" else streamed)
     await world.start()
     await world.until(lambda: len(world.daemon.replicas.all()) == 2)
 
@@ -111,8 +111,8 @@
         return False
 
     for replica, other in ((first, second), (second, first)):
-        replica.faults.lost_answers = 1.0
-        replica.crash_on = lambda request, other=other: make_refuse(other)
+        replica.faults.lost_response_probability = 1.0
+        replica.crashes_on = lambda request, other=other: make_refuse(other)
     answer = await world.call("POST", path, b"x")
     assert answer.status == 502
     assert len(runs_of(world, "r1")) == 1
@@ -125,7 +125,7 @@
     for name in ("old-1", "old-2"):
         entry = {"service": "app", "address": replica.address, "zone": "a", "slots": 8, "state": "ready"}
         world.log.put("keyed.servers", name, entry)
-    world.configure(1, stand_ins.safe_route(maxAttempts=2))
+    world.configure(1, fake_platform.safe_route(maxAttempts=2))
     await world.start()
     await world.until(lambda: len(world.daemon.replicas.all()) == 3)
     world.daemon.replicas.get("i-1").in_flight += 7
@@ -136,7 +136,7 @@
 @in_world
 async def test_a_request_that_times_out_at_a_replica_gets_504(world):
     world.replica("i-1", "app", work_s=1.0)
-    world.configure(1, stand_ins.safe_route(kind="unsafe", timeoutMs=300))
+    world.configure(1, fake_platform.safe_route(kind="unsafe", timeoutMs=300))
     await world.start()
     await world.until(lambda: world.daemon.replicas.get("i-1"))
     assert (await world.call("POST", "/call/a", b"x")).status == 504
@@ -145,7 +145,7 @@
 
 @in_world
 async def test_a_request_that_found_no_replica_never_runs(world):
-    world.configure(1, stand_ins.safe_route(kind="unsafe"))
+    world.configure(1, fake_platform.safe_route(kind="unsafe"))
     await world.start()
     assert (await world.call("POST", "/call/a", b"x")).status == 503
     world.replica("i-1", "app")
@@ -174,21 +174,21 @@
 
 @in_world
 async def test_ending_a_job_with_an_unconfirmed_outcome_gets_502(world):
-    world.configure(1, stand_ins.batch_route())
+    world.configure(1, fake_platform.batch_route())
     await world.start()
     assert (await world.submit(["a"])).status == 202
-    world.log.faults.lost_appends = 1.0
+    world.log.faults.lost_append_share = 1.0
     answer = await world.call("DELETE", "/-/lots/job1", deadline_ms=800)
     assert answer.status == 502
 
 
 @in_world
 async def test_a_submission_with_an_unconfirmed_outcome_gets_502_and_the_decision_log_says_so(world):
-    world.configure(1, stand_ins.batch_route())
+    world.configure(1, fake_platform.batch_route())
     await world.start()
     events = []
     world.daemon.decisions._observe = events.append
-    world.log.faults.lost_appends = 1.0
+    world.log.faults.lost_append_share = 1.0
     answer = await world.submit(["a"], deadline_ms=800)
     assert answer.status == 502
     failures = [event for event in events if event.name == "job_accept_failed"]
--- a/tests/test_rollout_sockets.py
+++ b/tests/test_rollout_sockets.py
@@ -12,7 +12,7 @@
 from passgate.clients.http_engine import HttpEngineClient
 from passgate.clients.http_platform import HttpMachineList
 from passgate.emulator.parameters import load_deployment
-from passgate.emulator.standins_server import StandIns
+from passgate.emulator.standins_server import EmulatorServers
 from passgate.errors import SupersededEpoch
 from passgate.rollout.live_inputs import ServiceAddresses, read_plan_request
 from passgate.rollout.manager import RolloutManager
@@ -42,7 +42,7 @@
 
 def run_over_sockets(scenario):
     async def run():
-        standins = StandIns(fast_deployment())
+        standins = EmulatorServers(fast_deployment())
         http = HttpClient()
         try:
             await scenario(standins, http, await standins.start())
--- a/tests/test_routing_dispatcher.py
+++ b/tests/test_routing_dispatcher.py
@@ -440,14 +440,14 @@
         running = asyncio.create_task(dispatcher.generate(make_request()))
         queued = asyncio.create_task(dispatcher.generate(make_request(request_id="r2")))
         await asyncio.sleep(1)
-        assert (dispatcher.in_flight, dispatcher.queued) == (2, 1)
+        assert (dispatcher.in_flight, dispatcher.queued_count) == (2, 1)
         queued.cancel()
         await asyncio.gather(queued, return_exceptions=True)
-        assert dispatcher.queued == 0
+        assert dispatcher.queued_count == 0
         running.cancel()
         await asyncio.gather(running, return_exceptions=True)
         load = dispatcher.scheduler.load_tracker.load("e0")
-        return dispatcher.in_flight, dispatcher.queued, load.own_requests, load.own_tokens
+        return dispatcher.in_flight, dispatcher.queued_count, load.own_requests, load.own_tokens
 
     assert run(main()) == (0, 0, 0, 0)
     assert engine.closed_streams == 1
--- a/tests/test_routing_queues.py
+++ b/tests/test_routing_queues.py
@@ -3,7 +3,7 @@
 from hypothesis import strategies as st
 
 from passgate.errors import DeadlineExceeded, ExecutionStatus, NoReplicaAvailable, Overloaded
-from passgate.routing.admission import AdmissionController, QueueLimits
+from passgate.routing.admission import QueueAdmissionController, QueueLimits
 from passgate.routing.fair_queue import FairQueue, FifoQueue
 from passgate.routing.policies import RoutingPolicy
 from passgate.routing.replica_directory import ReplicaDirectory
@@ -89,7 +89,7 @@
 
 @pytest.mark.parametrize("queue", [FairQueue(0.1), FifoQueue()], ids=["fair", "fifo"])
 def test_admission_enforces_all_queue_limits(queue):
-    controller = AdmissionController(True, 0.25)
+    controller = QueueAdmissionController(True, 0.25)
     limits = QueueLimits(
         max_queued=10, max_queued_pool=9, max_queued_class=8, max_queued_caller=5, max_wait_s=50.0
     )
--- a/tests/test_server_callers.py
+++ b/tests/test_server_callers.py
@@ -81,8 +81,8 @@
         first = await cluster.start("d1")
         second = await cluster.start("d2")
         await cluster.configure(first)
-        revision = first.parts.configuration.state.revision
-        await cluster.until(lambda: second.parts.configuration.state.revision == revision)
+        revision = first.components.configuration.state.revision
+        await cluster.until(lambda: second.components.configuration.state.revision == revision)
         for path, body in ((COMPLETIONS, BODY), (COMPLETIONS, {**BODY, "stream": True})):
             headers = {"Idempotency-Key": f"key-{body.get('stream', False)}"}
             runs_before = len(cluster.engine.requests)
@@ -166,11 +166,11 @@
         cluster.engine.hold = asyncio.Event()
         await start_stream_and_disconnect(daemon, "")
         await cluster.until(lambda: cluster.engine.cancelled)
-        await cluster.until(daemon.context.gate.is_idle)
+        await cluster.until(daemon.context.admission.is_idle)
         await start_stream_and_disconnect(daemon, "Idempotency-Key: k\r\n")
-        assert not daemon.context.gate.is_idle()
+        assert not daemon.context.admission.is_idle()
         cluster.engine.hold.set()
-        await cluster.until(daemon.context.gate.is_idle)
+        await cluster.until(daemon.context.admission.is_idle)
         assert len(set(cluster.engine.cancelled)) == 1
         stored = await cluster.post(daemon, COMPLETIONS, {**BODY, "stream": True}, {"Idempotency-Key": "k"})
         assert stored.events[-1] == "[DONE]"
@@ -212,7 +212,7 @@
         wrong_method = await cluster.get(daemon, COMPLETIONS)
         assert wrong_method.status == 405
         assert cluster.engine.requests == []
-        assert daemon.context.gate.is_idle()
+        assert daemon.context.admission.is_idle()
 
     run_cluster(scenario)
 
@@ -233,7 +233,7 @@
         assert b" 413 " in oversized_body and b"payload_too_large" in oversized_body
         assert (await cluster.post(daemon, COMPLETIONS, BODY)).status == 200
         assert b" 408 " in await slow_body
-        await cluster.until(daemon.context.gate.is_idle)
+        await cluster.until(daemon.context.admission.is_idle)
 
     run_cluster(scenario)
 
@@ -306,7 +306,7 @@
             assert answer.status == 200 or (
                 400 <= answer.status < 500 and answer.error["execution"] == "not_run"
             )
-        assert daemon.context.gate.is_idle()
+        assert daemon.context.admission.is_idle()
 
     run_cluster(scenario)
 
@@ -323,7 +323,7 @@
         writer.write(head.encode() + body)
         await cluster.until(lambda: cluster.engine.requests)
         writer.transport.pause_reading()
-        await cluster.until(daemon.context.gate.is_idle)
+        await cluster.until(daemon.context.admission.is_idle)
         writer.close()
 
     run_cluster(scenario)
@@ -341,7 +341,7 @@
         negative_length = b"POST /v1/completions HTTP/1.1\r\nHost: x\r\nContent-Length: -5\r\n\r\n"
         assert b" 200 " not in await cluster.raw(daemon.caller_address, negative_length, eof=True)
         assert (await cluster.post(daemon, COMPLETIONS, BODY)).status == 200
-        await cluster.until(daemon.context.gate.is_idle)
+        await cluster.until(daemon.context.admission.is_idle)
 
     run_cluster(scenario)
 
@@ -361,7 +361,7 @@
         running = await cluster.post(daemon, path, b"photo", short_deadline)
         assert (running.status, running.error["code"]) == (409, "request_in_progress")
         cluster.app.hold.set()
-        await cluster.until(daemon.context.gate.is_idle)
+        await cluster.until(daemon.context.admission.is_idle)
         stored = await cluster.post(daemon, path, b"photo", short_deadline)
         assert (stored.status, stored.body) == (207, b"verdict of photo")
         assert len(cluster.app.requests) == 1
--- a/tests/test_server_lots.py
+++ b/tests/test_server_lots.py
@@ -24,7 +24,7 @@
     async def scenario(cluster):
         daemons = [await cluster.start("d1"), await cluster.start("d2")]
         await cluster.configure(daemons[0])
-        await cluster.until(lambda: daemons[1].parts.configuration.state.get("Pool", "modelos"))
+        await cluster.until(lambda: daemons[1].components.configuration.state.get("Pool", "modelos"))
         opened = await cluster.post(daemons[0], "/v1/lots", LOT, {**TRAINER, "Idempotency-Key": "step-1"})
         assert opened.status == 201
         lot_id = opened.json["lot_id"]
--- a/tests/test_server_operators.py
+++ b/tests/test_server_operators.py
@@ -52,7 +52,7 @@
         assert answer.status == 400
         assert [item["name"] for item in answer.json["results"]] == ["a", "b"]
         assert answer.json["results"][1]["error"]["details"]["field"] == "spec.selector"
-        assert daemon.parts.configuration.state.get("Pool", "a") is not None
+        assert daemon.components.configuration.state.get("Pool", "a") is not None
 
     run_cluster(scenario)
 
@@ -65,7 +65,7 @@
         changed = {"spec": {**SPEC, "maximum_in_flight": 7}}
         answer = await cluster.call(daemon.operator_address, "PUT", POOL, changed)
         assert (answer.status, answer.error["code"]) == (503, "durability_unavailable")
-        assert daemon.parts.configuration.state.get("Pool", "modelos").spec.maximum_in_flight != 7
+        assert daemon.components.configuration.state.get("Pool", "modelos").spec.maximum_in_flight != 7
 
     run_cluster(scenario)
 
@@ -93,8 +93,8 @@
         second = await cluster.start("d2")
         cluster.log_clients["d2"].down = True
         await cluster.configure(first)
-        revision = first.parts.configuration.state.revision
-        await cluster.until(lambda: second.parts.configuration.state.revision == revision)
+        revision = first.components.configuration.state.revision
+        await cluster.until(lambda: second.components.configuration.state.revision == revision)
 
     run_cluster(scenario)
 
@@ -115,8 +115,8 @@
             "not_run",
         )
         cluster.log_clients["d2"].down = False
-        await cluster.until(second.context.ready)
-        assert second.parts.configuration.state.revision == first.parts.configuration.state.revision
+        await cluster.until(second.context.is_ready)
+        assert second.components.configuration.state.revision == first.components.configuration.state.revision
 
     run_cluster(scenario)
 
@@ -156,11 +156,11 @@
         cluster.client_of("d2").hidden_records = 1
         was_ready_at_changes = []
         second = await cluster.start("d2", wait=False)
-        second.parts.configuration.subscribe(
-            lambda state: was_ready_at_changes.append(second.context.ready())
+        second.components.configuration.subscribe(
+            lambda state: was_ready_at_changes.append(second.context.is_ready())
         )
-        await cluster.until(second.context.ready)
-        assert second.parts.configuration.state.revision == first.parts.configuration.state.revision
+        await cluster.until(second.context.is_ready)
+        assert second.components.configuration.state.revision == first.components.configuration.state.revision
         assert not any(was_ready_at_changes), (
             "the configuration must not change after the daemon became ready"
         )
@@ -174,6 +174,6 @@
         machines, cluster.machines.listed = cluster.machines.listed, None
         await cluster.until(lambda: "background_work_failed" in caplog.messages)
         cluster.machines.listed = [*machines, APP_2]
-        await cluster.until(lambda: daemon.parts.directory.get("a2") is not None)
+        await cluster.until(lambda: daemon.components.directory.get("a2") is not None)
 
     run_cluster(scenario)
--- a/tests/test_server_stop.py
+++ b/tests/test_server_stop.py
@@ -1,6 +1,6 @@
 import asyncio
 
-from passgate.server.gate import AdmissionController
+from passgate.server.gate import RequestAdmissionController
 from passgate.settings import StopSettings
 
 COMPLETIONS = "/v1/completions"
@@ -18,15 +18,15 @@
         stream_body = {**BODY, "stream": True}
         stream = asyncio.ensure_future(cluster.call(address, "POST", COMPLETIONS, stream_body))
         call = asyncio.ensure_future(cluster.call(address, "POST", "/v1/apps/linha/v", b"photo"))
-        await cluster.until(lambda: daemon.context.gate.in_flight == 2)
+        await cluster.until(lambda: daemon.context.admission.in_flight == 2)
 
         stopping = asyncio.ensure_future(daemon.stop())
-        await cluster.until(lambda: daemon.life.state == "announcing")
+        await cluster.until(lambda: daemon.lifecycle.state == "announcing")
         assert (await cluster.call(daemon.operator_address, "GET", "/readyz")).status == 503
         late_call = asyncio.ensure_future(cluster.call(address, "POST", COMPLETIONS, BODY))
         await cluster.until(lambda: len(cluster.engine.requests) == 2)
 
-        await cluster.until(lambda: daemon.life.state == "finishing")
+        await cluster.until(lambda: daemon.lifecycle.state == "finishing")
         refused = await cluster.call(address, "POST", COMPLETIONS, BODY)
         assert (refused.status, refused.error["code"]) == (503, "draining")
         assert refused.error["execution"] == "not_run" and "Retry-After" in refused.headers
@@ -38,7 +38,7 @@
         assert (await call).status == 207
         assert (await late_call).status == 200
         assert await stopping is True
-        assert daemon.life.state == "stopped"
+        assert daemon.lifecycle.state == "stopped"
 
     run_cluster(scenario)
 
@@ -53,7 +53,7 @@
         await cluster.until(lambda: cluster.app.requests)
         call.cancel()
         stopping = asyncio.ensure_future(daemon.stop())
-        await cluster.until(lambda: daemon.life.state == "finishing")
+        await cluster.until(lambda: daemon.lifecycle.state == "finishing")
         assert not stopping.done()
         cluster.app.hold.set()
         assert await stopping is True
@@ -99,17 +99,17 @@
 
 
 async def _release_with_unsent_bytes():
-    admission = AdmissionController(max_in_flight=10, retry_after_s=1.0, write_timeout_s=0.05)
+    admission = RequestAdmissionController(max_in_flight=10, retry_after_s=1.0, write_timeout_s=0.05)
     stream = _FakeStream()
-    admission.enter()
-    admission.leave(stream)
+    admission.admit()
+    admission.release(stream)
     assert admission.in_flight == 0
     assert not admission.is_idle()
     stream.sending = False
     assert admission.is_idle()
     unread_stream = _FakeStream()
-    admission.enter()
-    admission.leave(unread_stream)
+    admission.admit()
+    admission.release(unread_stream)
     assert await admission.wait_idle(5.0)
     assert unread_stream.is_closed
 
@@ -119,7 +119,7 @@
         cluster.client_of("d1").down = True
         daemon = await cluster.start("d1", wait=False)
         assert await daemon.stop() is True
-        assert daemon.life.state == "stopped"
+        assert daemon.lifecycle.state == "stopped"
 
     run_cluster(scenario)
 
@@ -135,7 +135,7 @@
         assert (await cluster.post(first, "/v1/lots", lot)).status == 201
         await cluster.until(lambda: cluster.engine.requests)
         stopping = asyncio.ensure_future(first.stop())
-        await cluster.until(lambda: first.life.state == "finishing")
+        await cluster.until(lambda: first.lifecycle.state == "finishing")
         cluster.engine.hold.set()
         assert await stopping is True
         page = await cluster.get(second, "/v1/lots/l1/samples?wait_s=5&limit=4")
--- a/tests/test_servers_standins.py
+++ b/tests/test_servers_standins.py
@@ -16,11 +16,11 @@
 from passgate.clients.http_engine import HttpEngineClient
 from passgate.clients.http_log import HttpLogClient
 from passgate.clients.http_platform import HttpMachineList, HttpWeightStore
-from passgate.emulator.admin_client import StandInAdmin
-from passgate.emulator.admin_messages import FaultCommand, FaultKind, StandInAddresses
+from passgate.emulator.admin_client import EmulatorAdminClient
+from passgate.emulator.admin_messages import EmulatorAddresses, FaultCommand, FaultKind
 from passgate.emulator.admin_server import inject, read_state
 from passgate.emulator.parameters import load_deployment
-from passgate.emulator.standins_server import StandIns
+from passgate.emulator.standins_server import EmulatorServers
 from passgate.errors import (
     BackendRefused,
     BackendUnreachable,
@@ -76,7 +76,7 @@
         self.log = HttpLogClient(http, addresses.logs["campina"])
         self.machines = HttpMachineList(http, addresses.platform)
         self.weights = HttpWeightStore(http, addresses.platform)
-        self.admin = StandInAdmin(http, addresses.admin)
+        self.admin = EmulatorAdminClient(http, addresses.admin)
 
 
 class InProcessClients:
@@ -104,7 +104,7 @@
 @contextlib.asynccontextmanager
 async def running_deployment(kind="http"):
     """Run the emulator servers of a deployment and yield their clients of a kind."""
-    standins = StandIns(fast_deployment())
+    standins = EmulatorServers(fast_deployment())
     http = HttpClient()
     try:
         addresses = await standins.start()
@@ -409,7 +409,7 @@
     process = subprocess.Popen([*command, "--addresses-file", str(path)], stdout=subprocess.PIPE)
     try:
         line = process.stdout.readline()
-        addresses = msgspec.json.decode(line, type=StandInAddresses)
+        addresses = msgspec.json.decode(line, type=EmulatorAddresses)
         assert len(addresses.engines) == 6
         process.send_signal(signal.SIGTERM)
         assert process.wait(TIMEOUT_S) == 0
--- a/tests/test_sharedlog_candidacy.py
+++ b/tests/test_sharedlog_candidacy.py
@@ -50,7 +50,7 @@
 
 def run_scenario(scenario):
     async def main():
-        await scenario(MemorySharedLog(parts=PARTITIONS))
+        await scenario(MemorySharedLog(partition_count=PARTITIONS))
 
     run_virtual(main())
 
--- a/tests/test_sharedlog_silence.py
+++ b/tests/test_sharedlog_silence.py
@@ -51,7 +51,7 @@
         task = asyncio.get_running_loop().create_task(tail.run())
         assert await tail.wait_caught_up(1.0)
         returned_s = await make_log_silent(log, silent_s)
-        log.add("t", 0, [b"x"])
+        log.append_now("t", 0, [b"x"])
         assert await tail.wait_until_applied(0, 5.0)
         assert monotonic_s() - returned_s < MAX_RESUME_S
         task.cancel()
--- a/tests/test_sharedlog_tail.py
+++ b/tests/test_sharedlog_tail.py
@@ -15,7 +15,7 @@
         log = MemorySharedLog()
         record = b"x" * (MAX_PAGE_BYTES // 2 + 1)
         for _ in range(8):
-            log.add("t", 0, [record])
+            log.append_now("t", 0, [record])
         pages = []
         tail = RecordTail(
             log.client("d"), TailSettings(topic="t", gap_s=GAP_S), lambda page: pages.append(page)
@@ -39,7 +39,7 @@
         )
         task = asyncio.get_running_loop().create_task(tail.run())
         for _ in range(50):
-            log.add("t", 0, [b"x"])
+            log.append_now("t", 0, [b"x"])
             await asyncio.sleep(0.1)
         assert 4 <= len(pages) <= 8
         task.cancel()
--- a/tests/test_statecharts.py
+++ b/tests/test_statecharts.py
@@ -10,7 +10,7 @@
 from sismic.io import import_from_yaml
 
 from passgate.charts.compiler import compile_chart, compiled_tables, read_statechart
-from passgate.charts.document import stale_pages, write
+from passgate.charts.document import stale_pages, write_pages
 from passgate.errors import ChartError, IllegalTransition
 from passgate.statecharts import Machine, chart_names, load_chart
 
@@ -137,7 +137,7 @@
 
 
 def test_outdated_and_leftover_pages_are_reported(tmp_path):
-    write(str(tmp_path))
+    write_pages(str(tmp_path))
     assert stale_pages(tmp_path) == []
     (tmp_path / "lease.md").write_text("changed")
     (tmp_path / "old.md").write_text("left behind")
