--- a/passgate/caller_client.py
+++ b/passgate/caller_client.py
@@ -5,9 +5,9 @@
     client = CallerClient(http, ["127.0.0.1:8100", "127.0.0.1:8110"], "trainer-a")
     result = await client.generate(request)
 
-It implements ``passgate.emulator.service.Service``, by which emulated callers use real daemons.  A request is
-sent to a further daemon only if the previous one certainly did not run it; any other error is raised, and the
-caller decides whether to repeat.
+It implements ``passgate.emulator.passgate_client.PassgateClient``, by which emulated callers use real
+daemons.  A request is sent to a further daemon only if the previous one certainly did not run it; any other
+error is raised, and the caller decides whether to repeat.
 """
 
 from __future__ import annotations
--- a/passgate/check/cli.py
+++ b/passgate/check/cli.py
@@ -16,7 +16,7 @@
 import msgspec
 
 from passgate.check.history import Violation, read_history
-from passgate.check.judgement import HistoryVerdict, check_history
+from passgate.check.history_verdict import HistoryVerdict, check_history
 from passgate.check.output_oracle import emulated_token
 from passgate.errors import NotFound, VerificationFailed
 
--- a/passgate/check/guarantee_coverage.py
+++ b/passgate/check/guarantee_coverage.py
@@ -11,7 +11,7 @@
 
 from collections.abc import Callable, Sequence
 
-from passgate.check import judges_operations, judges_requests, sample_checks
+from passgate.check import operation_checks, request_checks, sample_checks
 from passgate.check.events import (
     AnyEvent,
     AppCompleted,
@@ -114,7 +114,7 @@
     """Return the times of reports of leaving after whose grace period any back end still started work."""
     run_times = [event.time_s for event in events if isinstance(event, BackendRunStarted)]
     last_s = max(run_times, default=0.0)
-    grace_s = judges_operations.LEAVING_GRACE_S
+    grace_s = operation_checks.LEAVING_GRACE_S
     return [
         event.time_s
         for event in events
@@ -157,10 +157,10 @@
     sample_checks.CORRECT_VERSIONS: _output_times,
     sample_checks.STALENESS: _bounded_page_times,
     sample_checks.EXACTLY_ONCE: _required_page_times,
-    judges_requests.COMPLETE_ANSWER: _answer_times,
-    judges_requests.NOT_RUN: _refusal_times,
-    judges_requests.AT_MOST_ONCE: _single_run_times,
-    judges_operations.LEAVING: _leaving_times,
-    judges_operations.GRACEFUL_SHUTDOWN: _shutdown_request_end_times,
-    judges_operations.CONFIGURATION: _adopted_change_times,
+    request_checks.COMPLETE_ANSWER: _answer_times,
+    request_checks.NOT_RUN: _refusal_times,
+    request_checks.AT_MOST_ONCE: _single_run_times,
+    operation_checks.LEAVING: _leaving_times,
+    operation_checks.GRACEFUL_SHUTDOWN: _shutdown_request_end_times,
+    operation_checks.CONFIGURATION: _adopted_change_times,
 }
--- a/passgate/check/judgement.py
+++ b/passgate/check/history_verdict.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from passgate.check import judges_operations, judges_requests, sample_checks
+from passgate.check import operation_checks, request_checks, sample_checks
 from passgate.check.events import AnyEvent
 from passgate.check.history import Checker, Violation, shortest_violation
 from passgate.check.sample_checks import TokenOracle
@@ -59,12 +59,12 @@
         sample_checks.CORRECT_VERSIONS: partial(sample_checks.check_versions, oracle=oracle),
         sample_checks.STALENESS: sample_checks.check_staleness,
         sample_checks.EXACTLY_ONCE: sample_checks.check_exactly_once,
-        judges_requests.COMPLETE_ANSWER: partial(judges_requests.check_complete_answer, oracle=oracle),
-        judges_requests.NOT_RUN: judges_requests.check_not_run,
-        judges_requests.AT_MOST_ONCE: judges_requests.check_at_most_once,
-        judges_operations.LEAVING: judges_operations.check_leaving,
-        judges_operations.GRACEFUL_SHUTDOWN: judges_operations.check_graceful_shutdown,
-        judges_operations.CONFIGURATION: judges_operations.check_configuration,
+        request_checks.COMPLETE_ANSWER: partial(request_checks.check_complete_answer, oracle=oracle),
+        request_checks.NOT_RUN: request_checks.check_not_run,
+        request_checks.AT_MOST_ONCE: request_checks.check_at_most_once,
+        operation_checks.LEAVING: operation_checks.check_leaving,
+        operation_checks.GRACEFUL_SHUTDOWN: operation_checks.check_graceful_shutdown,
+        operation_checks.CONFIGURATION: operation_checks.check_configuration,
     }
 
 
--- a/passgate/check/simulation/campaign.py
+++ b/passgate/check/simulation/campaign.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from passgate.check.judgement import make_checkers
+from passgate.check.history_verdict import make_checkers
 from passgate.check.output_oracle import emulated_token
 from passgate.check.simulation.run import RunOutcome, simulate
 from passgate.check.simulation.schedule import Schedule, generate_schedule
--- a/passgate/check/simulation/process.py
+++ b/passgate/check/simulation/process.py
@@ -26,8 +26,8 @@
     MachineInfo,
     OrderResult,
 )
+from passgate.server.components import ExternalClients
 from passgate.server.daemon import Daemon
-from passgate.server.parts import ExternalClients
 from passgate.settings import Settings, StopSettings
 
 NOTICE_S = 2.0
--- a/passgate/check/simulation/run.py
+++ b/passgate/check/simulation/run.py
@@ -17,7 +17,7 @@
 from passgate.check import events as history_events
 from passgate.check.events import AnyEvent
 from passgate.check.history import HistoryRecorder
-from passgate.check.judgement import HistoryVerdict, check_history
+from passgate.check.history_verdict import HistoryVerdict, check_history
 from passgate.check.output_oracle import emulated_token
 from passgate.check.simulation import slow_trainer
 from passgate.check.simulation.faults import SimulatedFaults
@@ -29,7 +29,7 @@
 from passgate.check.simulation.slow_trainer import SlowTrainer
 from passgate.clock import monotonic_s, run_virtual
 from passgate.emulator.callers import Callers
-from passgate.emulator.ledger import RunRecord, RunRecorder
+from passgate.emulator.run_recorder import RunRecord, RunRecorder
 from passgate.emulator.trainer import Trainer
 from passgate.emulator.world import SERVICE_LABEL, EmulatedWorld
 from passgate.errors import PassgateError
--- a/passgate/check/simulation/seeded_mistakes.py
+++ b/passgate/check/simulation/seeded_mistakes.py
@@ -25,9 +25,9 @@
 from passgate.state import claim_state, configuration_state
 from passgate.state.claim_state import ClaimState, ClaimStatus
 from passgate.state.configuration import ConfigurationService
-from passgate.state.fold import Accepted
 from passgate.state.lot_state import LotHeader
 from passgate.state.lots import LotService
+from passgate.state.projection import Accepted
 
 
 class SeededMistake(msgspec.Struct, frozen=True, kw_only=True):
--- a/passgate/check/simulation/service.py
+++ b/passgate/check/simulation/service.py
@@ -34,7 +34,7 @@
 
 
 class SimulatedService:
-    """Implements ``emulator.service.Service``; calls go to the daemons in turn.
+    """Implements ``emulator.passgate_client.PassgateClient``; calls go to the daemons in turn.
 
     Daemons that are not ready or are shutting down are skipped while another one is
     available, as a load balancer does.  A failed call is not
--- a/passgate/check/simulation/slow_trainer.py
+++ b/passgate/check/simulation/slow_trainer.py
@@ -14,8 +14,8 @@
 from passgate.clock import monotonic_s
 from passgate.emulator.expected_output import expected_length
 from passgate.emulator.parameters import ModelParameters
+from passgate.emulator.passgate_client import PassgateClient
 from passgate.emulator.prompts import PromptSource
-from passgate.emulator.service import PassgateClient
 from passgate.errors import PassgateError
 from passgate.records import PromptSpec
 from passgate.state.lot_types import LotRequest, SamplesPage, index_of
--- a/passgate/check/socket_report.py
+++ b/passgate/check/socket_report.py
@@ -17,7 +17,7 @@
 from passgate.check.events import AnyEvent
 from passgate.check.guarantee_coverage import observations
 from passgate.check.history import Violation
-from passgate.check.judgement import make_checkers
+from passgate.check.history_verdict import make_checkers
 from passgate.check.output_oracle import emulated_token
 from passgate.check.socket_faults import FaultRecord
 
--- a/passgate/check/specification/claims.py
+++ b/passgate/check/specification/claims.py
@@ -28,7 +28,7 @@
     Record,
 )
 from passgate.state.claim_state import ClaimProjection, ClaimState, ClaimStatus
-from passgate.state.fold import Accepted
+from passgate.state.projection import Accepted
 
 ATTEMPTS = 2
 COPIES = (2, 1)
--- a/passgate/check/specification/configuration.py
+++ b/passgate/check/specification/configuration.py
@@ -26,7 +26,7 @@
 from passgate.errors import RevisionConflict
 from passgate.records import ObjectPut, ProposalWithdrawn, Record
 from passgate.state.configuration_state import ConfigurationState
-from passgate.state.fold import Accepted, Rejected
+from passgate.state.projection import Accepted, Rejected
 from passgate.state.specs import PriorityClassSpec
 
 OPERATORS = 2
--- a/passgate/check/specification/leases.py
+++ b/passgate/check/specification/leases.py
@@ -19,8 +19,8 @@
 from passgate.check.specification.kernel import Mutant, Specification, Step
 from passgate.check.specification.shared_log import SharedLog, Transport, arrivals, send
 from passgate.records import LeaseReleased, LeaseTaken, Record
-from passgate.state.fold import Accepted, Decision
 from passgate.state.lease_state import NEVER_HELD, LeaseProjection, LeaseState
+from passgate.state.projection import Accepted, Decision
 
 DAEMONS = 2
 COPIES = (1, 1)
--- a/passgate/check/specification/lots.py
+++ b/passgate/check/specification/lots.py
@@ -35,8 +35,8 @@
     SamplesReplaced,
 )
 from passgate.schema import FinishReason, VersionSpan
-from passgate.state.fold import Accepted, Decision
 from passgate.state.lot_state import DeliveryPosition, LotChange, LotProjection, SlotState, SlotStatus
+from passgate.state.projection import Accepted, Decision
 
 DAEMONS = 2
 VERSIONS = 2
--- a/passgate/check/specification/shared_log.py
+++ b/passgate/check/specification/shared_log.py
@@ -3,7 +3,7 @@
 A record on its way to the log may arrive late, never, or twice; the sender learns
 the outcome from its own fold only.  States hold record numbers, so
 that they stay small; what a reader knows after a prefix of the log is computed by
-the running code's :class:`~passgate.state.fold.StreamState`.
+the running code's :class:`~passgate.state.projection.StreamState`.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 import msgspec
 
 from passgate.records import Record, encode_record
-from passgate.state.fold import Decision, Projection, StreamState
+from passgate.state.projection import Decision, Projection, StreamState
 
 Prefix = tuple[int, ...]
 
--- a/passgate/demo.py
+++ b/passgate/demo.py
@@ -26,9 +26,9 @@
 from passgate.clients.http_call import HttpCall, SendPolicy
 from passgate.demo_deployment import DeploymentProcesses, pool_name_of_model
 from passgate.emulator.admin_client import EmulatorAdminClient
+from passgate.emulator.caller_outcomes import CallerOutcomes
 from passgate.emulator.callers import Callers
 from passgate.emulator.parameters import DeploymentParameters, TrainerParameters, load_deployment
-from passgate.emulator.tally import CallerOutcomes
 from passgate.errors import PassgateError
 from passgate.lab.measures import LatencySummary
 
--- a/passgate/emulator/admin_messages.py
+++ b/passgate/emulator/admin_messages.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from passgate.emulator.wire import ServerCounters
+from passgate.emulator.server_base import ServerCounters
 
 
 class EmulatorAddresses(msgspec.Struct, frozen=True, kw_only=True):
--- a/passgate/emulator/admin_server.py
+++ b/passgate/emulator/admin_server.py
@@ -8,7 +8,7 @@
 from passgate.emulator.app_server import AppServer
 from passgate.emulator.engine_events import SwapFailure
 from passgate.emulator.engine_server import EngineServer
-from passgate.emulator.wire import EmulatorRequestHandler, EmulatorServer, ServerCounters
+from passgate.emulator.server_base import EmulatorRequestHandler, EmulatorServer, ServerCounters
 from passgate.errors import MalformedBody, NotFound
 
 if TYPE_CHECKING:
--- a/passgate/emulator/app_model.py
+++ b/passgate/emulator/app_model.py
@@ -23,8 +23,8 @@
 import xxhash
 
 from passgate.emulator.engine_reports import LoadReporter, LoadSnapshot
-from passgate.emulator.ledger import RunRecorder
 from passgate.emulator.parameters import AppParameters
+from passgate.emulator.run_recorder import RunRecorder
 from passgate.errors import BackendRefused
 from passgate.schema import AppRequest, AppResponse, LoadReport
 
--- a/passgate/emulator/app_server.py
+++ b/passgate/emulator/app_server.py
@@ -11,7 +11,7 @@
 
 from passgate.clients import wire
 from passgate.clock import monotonic_s
-from passgate.emulator.wire import EmulatorRequestHandler, EmulatorServer
+from passgate.emulator.server_base import EmulatorRequestHandler, EmulatorServer
 from passgate.errors import BackendUnreachable
 from passgate.interfaces import AppClient
 from passgate.schema import AppRequest, AppResponse
--- a/passgate/emulator/arrivals.py
+++ b/passgate/emulator/arrivals.py
@@ -27,11 +27,11 @@
 )
 from passgate.clock import monotonic_s
 from passgate.emulator.app_model import expected_app_body
+from passgate.emulator.caller_outcomes import ArrivalOutcomes
 from passgate.emulator.expected_output import Verdict, expected_length, verify_result
 from passgate.emulator.parameters import ArrivalParameters, CallKind, ModelParameters
+from passgate.emulator.passgate_client import PassgateClient
 from passgate.emulator.prompts import PromptSource
-from passgate.emulator.service import PassgateClient
-from passgate.emulator.tally import ArrivalOutcomes
 from passgate.errors import ExecutionStatus, OutcomeUnknown, PassgateError
 from passgate.schema import AppRequest, GenerateRequest
 
--- a/passgate/emulator/tally.py
+++ b/passgate/emulator/caller_outcomes.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from passgate.emulator.ledger import RunRecorder
+from passgate.emulator.run_recorder import RunRecorder
 
 
 class ArrivalOutcomes(msgspec.Struct, kw_only=True):
--- a/passgate/emulator/callers.py
+++ b/passgate/emulator/callers.py
@@ -14,9 +14,9 @@
 
 from passgate.check.events import AnyEvent
 from passgate.emulator.arrivals import ArrivalStream
+from passgate.emulator.caller_outcomes import CallerOutcomes
 from passgate.emulator.parameters import ArrivalParameters, DeploymentParameters, TrainerParameters
-from passgate.emulator.service import PassgateClient
-from passgate.emulator.tally import CallerOutcomes
+from passgate.emulator.passgate_client import PassgateClient
 from passgate.emulator.trainer import Trainer
 
 ClientFactory = Callable[[str], PassgateClient]
--- a/passgate/emulator/engine_batch.py
+++ b/passgate/emulator/engine_batch.py
@@ -17,8 +17,8 @@
 from passgate.emulator.engine_sequence import Sequence, StepRun
 from passgate.emulator.engine_weights import EngineWeights
 from passgate.emulator.kv_cache import BlockKey, KvCache
-from passgate.emulator.ledger import RunRecorder
 from passgate.emulator.parameters import EngineParameters
+from passgate.emulator.run_recorder import RunRecorder
 from passgate.schema import CacheEventKind, GenerateRequest
 
 
--- a/passgate/emulator/engine_model.py
+++ b/passgate/emulator/engine_model.py
@@ -35,8 +35,8 @@
 from passgate.emulator.engine_sequence import Sequence
 from passgate.emulator.engine_weights import EngineWeights
 from passgate.emulator.kv_cache import BlockKey
-from passgate.emulator.ledger import RunRecorder
 from passgate.emulator.parameters import EngineParameters, ModelParameters
+from passgate.emulator.run_recorder import RunRecorder
 from passgate.errors import BackendRefused
 from passgate.routing.prefix import block_hashes
 from passgate.schema import (
--- a/passgate/emulator/engine_server.py
+++ b/passgate/emulator/engine_server.py
@@ -13,7 +13,7 @@
 
 from passgate.clients import wire
 from passgate.clock import monotonic_s
-from passgate.emulator.wire import EmulatorRequestHandler, EmulatorServer
+from passgate.emulator.server_base import EmulatorRequestHandler, EmulatorServer
 from passgate.errors import BackendUnreachable, OrderRefused, PassgateError
 from passgate.interfaces import EngineClient
 from passgate.schema import EngineOrder, GenerateChunk, GenerateRequest
--- a/passgate/emulator/log_server.py
+++ b/passgate/emulator/log_server.py
@@ -6,7 +6,7 @@
 from __future__ import annotations
 
 from passgate.clients import wire
-from passgate.emulator.wire import EmulatorRequestHandler, EmulatorServer
+from passgate.emulator.server_base import EmulatorRequestHandler, EmulatorServer
 from passgate.errors import LogAppendUnknown
 from passgate.interfaces import LogClient
 
--- a/passgate/emulator/platform_server.py
+++ b/passgate/emulator/platform_server.py
@@ -9,7 +9,7 @@
 from typing import Protocol
 
 from passgate.clients import wire
-from passgate.emulator.wire import EmulatorRequestHandler, EmulatorServer
+from passgate.emulator.server_base import EmulatorRequestHandler, EmulatorServer
 from passgate.interfaces import MachineList, WeightStore
 from passgate.schema import MachineInfo
 
--- a/passgate/emulator/run_feed.py
+++ b/passgate/emulator/run_feed.py
@@ -17,7 +17,7 @@
 
 from passgate.emulator.admin_messages import RunStart
 from passgate.emulator.app_model import expected_app_body
-from passgate.emulator.ledger import RunRecorder
+from passgate.emulator.run_recorder import RunRecorder
 from passgate.schema import AppRequest, GenerateRequest
 
 
--- a/passgate/emulator/standins_server.py
+++ b/passgate/emulator/standins_server.py
@@ -27,7 +27,7 @@
 from passgate.emulator.parameters import DeploymentParameters, load_deployment
 from passgate.emulator.platform_server import PlatformServer, WritableMachineList
 from passgate.emulator.run_feed import RunFeed
-from passgate.emulator.wire import EmulatorServer
+from passgate.emulator.server_base import EmulatorServer
 from passgate.emulator.world import EmulatedWorld
 from passgate.schema import MachineInfo
 
--- a/passgate/emulator/trainer.py
+++ b/passgate/emulator/trainer.py
@@ -16,12 +16,12 @@
 
 from passgate.check.events import AnyEvent, LotPrompt, LotSubmitted, PageReceived, ReceivedSample
 from passgate.clock import monotonic_s
+from passgate.emulator.caller_outcomes import TrainerOutcomes
 from passgate.emulator.expected_output import Verdict, expected_length, verify_output
 from passgate.emulator.parameters import ModelParameters, TrainerParameters
+from passgate.emulator.passgate_client import PassgateClient
 from passgate.emulator.prompts import PromptSource
 from passgate.emulator.scoring import ScoringService
-from passgate.emulator.service import PassgateClient
-from passgate.emulator.tally import TrainerOutcomes
 from passgate.errors import PassgateError
 from passgate.records import PromptSpec
 from passgate.schema import GenerateRequest
--- a/passgate/emulator/world.py
+++ b/passgate/emulator/world.py
@@ -23,14 +23,14 @@
 from passgate.clock import monotonic_s
 from passgate.emulator.app import EmulatedApp
 from passgate.emulator.app_model import AppModel
+from passgate.emulator.emulated_log import EmulatedLog, EmulatedLogClient
 from passgate.emulator.engine import EmulatedEngine
 from passgate.emulator.engine_model import EngineModel
-from passgate.emulator.ledger import RunRecorder
-from passgate.emulator.log_model import EmulatedLog, EmulatedLogClient
 from passgate.emulator.machine_list import EmulatedMachineList
 from passgate.emulator.memory_clients import BackendRegistry, MemoryAppClient, MemoryEngineClient
 from passgate.emulator.network import Network
 from passgate.emulator.parameters import DeploymentParameters
+from passgate.emulator.run_recorder import RunRecorder
 from passgate.emulator.weight_store import EmulatedWeightStore
 from passgate.schema import MachineInfo, MachineRole
 
--- a/passgate/lab/virtual_run.py
+++ b/passgate/lab/virtual_run.py
@@ -21,10 +21,10 @@
 from passgate.check.simulation.run import RunLimits, SimulatedRun
 from passgate.check.simulation.schedule import Schedule
 from passgate.clock import monotonic_s, run_virtual
+from passgate.emulator.caller_outcomes import CallerOutcomes
 from passgate.emulator.callers import Callers
-from passgate.emulator.ledger import RunRecorder
 from passgate.emulator.parameters import DeploymentParameters
-from passgate.emulator.tally import CallerOutcomes
+from passgate.emulator.run_recorder import RunRecorder
 from passgate.emulator.world import EmulatedWorld
 from passgate.errors import PassgateError
 from passgate.lab.fault_sets import build_faults
--- a/passgate/membership/anti_entropy.py
+++ b/passgate/membership/anti_entropy.py
@@ -19,8 +19,8 @@
     SyncDigest,
     SyncRows,
 )
+from passgate.membership.peer_selector import PeerSelector
 from passgate.membership.table import MemberTable
-from passgate.membership.targets import PeerSelector
 
 SyncMessage = SyncDigest | SyncBuckets | SyncRows
 
--- a/passgate/membership/swim.py
+++ b/passgate/membership/swim.py
@@ -26,7 +26,6 @@
 from passgate.membership.anti_entropy import AntiEntropy, SyncMessage
 from passgate.membership.config import MembershipConfig
 from passgate.membership.counters import SwimCounters
-from passgate.membership.held_revisions import RevisionTracker
 from passgate.membership.messages import (
     Ack,
     AliveUpdate,
@@ -47,11 +46,12 @@
     SyncDigest,
     SyncRows,
 )
-from passgate.membership.news_queue import UpdateQueue
+from passgate.membership.peer_selector import PeerSelector
 from passgate.membership.probes import ProbeTracker
+from passgate.membership.revision_tracker import RevisionTracker
 from passgate.membership.suspicion import LocalHealth, Suspicions
 from passgate.membership.table import MemberTable, alive_update
-from passgate.membership.targets import PeerSelector
+from passgate.membership.update_queue import UpdateQueue
 
 REAP_INTERVAL_S = 10.0
 
--- a/passgate/rollout/model_rollout.py
+++ b/passgate/rollout/model_rollout.py
@@ -18,7 +18,7 @@
 
 from passgate.rollout.seeds import SeedPlan, seed_plan
 from passgate.rollout.sources import SourceTable
-from passgate.rollout.swap_track import SwapTracker
+from passgate.rollout.swap_tracker import SwapTracker
 from passgate.rollout.types import DistributionSettings, ReplicaView, RolloutProgress, RolloutTarget
 from passgate.schema import OrderKind
 
--- a/passgate/rollout/planned_orders.py
+++ b/passgate/rollout/planned_orders.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from passgate.rollout.swap_track import SwapTracker
+from passgate.rollout.swap_tracker import SwapTracker
 from passgate.rollout.types import PlannedOrder, RolloutTarget
 from passgate.schema import OrderKind
 
--- a/passgate/rollout/reconciler.py
+++ b/passgate/rollout/reconciler.py
@@ -24,10 +24,10 @@
 import msgspec
 
 from passgate.rollout.capacity import ServingCapacity
-from passgate.rollout.due_times import TimerQueue
 from passgate.rollout.model_rollout import ModelRollout
 from passgate.rollout.planned_orders import ORDER_EVENTS, service_order, stage_order
-from passgate.rollout.swap_track import SwapTracker
+from passgate.rollout.swap_tracker import SwapTracker
+from passgate.rollout.timer_queue import TimerQueue
 from passgate.rollout.types import (
     STORE_SOURCE,
     OrderOutcome,
--- a/passgate/routing/context.py
+++ b/passgate/routing/context.py
@@ -8,8 +8,8 @@
 from passgate.errors import NoMatchingPool
 from passgate.interfaces import AppClient, EngineClient
 from passgate.routing.counters import RoutingCounters
-from passgate.routing.gate import ReplicaSlots
 from passgate.routing.policies import RoutingPolicy
+from passgate.routing.replica_slots import ReplicaSlots
 from passgate.routing.retry_budget import RetryBudget
 from passgate.state.specs import PoolSpec, PriorityClassSpec
 
--- a/passgate/routing/dispatcher.py
+++ b/passgate/routing/dispatcher.py
@@ -27,12 +27,12 @@
 from passgate.routing.context import RoutingContext
 from passgate.routing.counters import RoutingCounters
 from passgate.routing.execution import ExecutionHistory
-from passgate.routing.gate import ReplicaSlots
 from passgate.routing.generate_call import ChunkCallback, GenerateCall
 from passgate.routing.hedge_scanner import HedgeScanner
 from passgate.routing.load_poller import LoadPoller
 from passgate.routing.policies import RoutingPolicy
 from passgate.routing.replica_directory import ReplicaDirectory
+from passgate.routing.replica_slots import ReplicaSlots
 from passgate.routing.work_scheduler import WorkScheduler
 from passgate.schema import AppRequest, AppResponse, GenerateRequest, GenerateResult
 
--- a/passgate/routing/replica_chooser.py
+++ b/passgate/routing/replica_chooser.py
@@ -8,9 +8,9 @@
 
 import msgspec
 
-from passgate.routing.home_models import PreferredModels
 from passgate.routing.load_tracker import LoadTracker, ReplicaLoad
 from passgate.routing.policies import RoutingPolicy
+from passgate.routing.preferred_models import PreferredModels
 from passgate.routing.prefix import BLOCK_TOKENS
 from passgate.routing.prefix_index import PrefixIndex
 from passgate.routing.replica_directory import ReplicaDirectory, ReplicaInfo
--- a/passgate/routing/work_scheduler.py
+++ b/passgate/routing/work_scheduler.py
@@ -1,7 +1,7 @@
 """Queues the requests of one daemon and places them on replicas.
 
 Everything here is synchronous and takes the time as a parameter; the coroutines that use it
-are in ``passgate.routing.gate``.
+are in ``passgate.routing.replica_slots``.
 """
 
 from __future__ import annotations
--- a/passgate/server/context.py
+++ b/passgate/server/context.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from passgate.metrics import DaemonMetrics
-from passgate.server.gate import RequestAdmissionController
+from passgate.server.admission import RequestAdmissionController
 from passgate.settings import Settings
 
 if TYPE_CHECKING:
--- a/passgate/server/daemon.py
+++ b/passgate/server/daemon.py
@@ -19,8 +19,7 @@
 from passgate.metrics import DaemonMetrics
 from passgate.schema import MachineRole
 from passgate.server.cluster_status import ClusterStatus, DaemonStatus
-from passgate.server.context import ServerContext, Services
-from passgate.server.parts import (
+from passgate.server.components import (
     DaemonComponents,
     ExternalClients,
     build_components,
@@ -28,6 +27,7 @@
     connect_external_systems,
     make_http_client,
 )
+from passgate.server.context import ServerContext, Services
 from passgate.server.routes import CALLER_ROUTES, OPERATOR_ROUTES, Route, make_application
 from passgate.settings import Settings, parse_address
 from passgate.state.configuration import ConfigurationState
--- a/passgate/state/append_queue.py
+++ b/passgate/state/append_queue.py
@@ -27,7 +27,7 @@
 )
 from passgate.interfaces import LogClient
 from passgate.records import Body, ProposalWithdrawn, Record, encode_record
-from passgate.state.fold import Accepted, Decision, Rejected
+from passgate.state.projection import Accepted, Decision, Rejected
 
 APPEND_TIMEOUT_S = 5.0
 BATCH_LIMIT_RECORDS = 256
--- a/passgate/state/claim_state.py
+++ b/passgate/state/claim_state.py
@@ -13,7 +13,7 @@
 
 from passgate.errors import KeyReused, OutcomeUnknown, RequestInProgress, SupersededEpoch, UnknownRecord
 from passgate.records import ClaimCompleted, ClaimMade, ClaimReleased, ClaimUnresolved, Record
-from passgate.state.fold import Accepted, Decision, Rejected
+from passgate.state.projection import Accepted, Decision, Rejected
 
 
 class ClaimStatus(enum.Enum):
--- a/passgate/state/claims.py
+++ b/passgate/state/claims.py
@@ -34,8 +34,8 @@
 from passgate.interfaces import LogClient
 from passgate.records import Body, ClaimCompleted, ClaimMade, ClaimReleased, ClaimUnresolved, Record
 from passgate.state.claim_state import ClaimProjection, ClaimStatus, StoredOutcome
-from passgate.state.fold import Accepted, Decision
 from passgate.state.log_follower import LogFollower
+from passgate.state.projection import Accepted, Decision
 
 OUTCOME_APPEND_TIMEOUT_S = 600.0
 """How long appending the outcome of a run is retried."""
--- a/passgate/state/configuration.py
+++ b/passgate/state/configuration.py
@@ -23,8 +23,8 @@
 from passgate.records import ObjectDeleted, ObjectPut, ProposalWithdrawn, Record, SnapshotTaken
 from passgate.schema import Labels
 from passgate.state.configuration_state import ConfigObject, ConfigurationState
-from passgate.state.fold import Accepted, Decision, Rejected
 from passgate.state.log_follower import LogFollower
+from passgate.state.projection import Accepted, Decision, Rejected
 from passgate.state.specs import (
     ModelVersionSpec,
     PoolSpec,
--- a/passgate/state/configuration_state.py
+++ b/passgate/state/configuration_state.py
@@ -14,7 +14,7 @@
 from passgate.records import ObjectDeleted, ObjectPut, Record
 from passgate.schema import Labels, MachineRole
 from passgate.selectors import Selector
-from passgate.state.fold import Accepted, Decision, Rejected
+from passgate.state.projection import Accepted, Decision, Rejected
 from passgate.state.specs import (
     DEFAULT_PRIORITY_CLASSES,
     SPEC_TYPES,
--- a/passgate/state/lease_state.py
+++ b/passgate/state/lease_state.py
@@ -11,7 +11,7 @@
 
 from passgate.errors import SupersededEpoch, UnknownRecord
 from passgate.records import LeaseReleased, LeaseTaken, Record
-from passgate.state.fold import Accepted, Decision, Rejected
+from passgate.state.projection import Accepted, Decision, Rejected
 
 
 class LeaseState(msgspec.Struct, frozen=True):
--- a/passgate/state/leases.py
+++ b/passgate/state/leases.py
@@ -22,9 +22,9 @@
 from passgate.errors import SupersededEpoch
 from passgate.interfaces import LogClient
 from passgate.records import LeaseReleased, LeaseTaken, Record
-from passgate.state.fold import Accepted, Decision, Rejected
 from passgate.state.lease_state import NEVER_HELD, LeaseProjection
 from passgate.state.log_follower import LogFollower
+from passgate.state.projection import Accepted, Decision, Rejected
 
 STREAM = "leases"
 RELEASE_TIMEOUT_S = 5.0
--- a/passgate/state/log_follower.py
+++ b/passgate/state/log_follower.py
@@ -26,7 +26,7 @@
 from passgate.records import Body, Record, SnapshotTaken
 from passgate.state import snapshots
 from passgate.state.append_queue import AppendQueue, Backoff
-from passgate.state.fold import Accepted, Decision, Projection, Rejected, StreamState
+from passgate.state.projection import Accepted, Decision, Projection, Rejected, StreamState
 
 __all__ = ["Accepted", "Decision", "Projection", "LogFollower", "Rejected"]
 
--- a/passgate/state/lot_handle.py
+++ b/passgate/state/lot_handle.py
@@ -18,10 +18,10 @@
     SamplesHandedOver,
     SamplesReplaced,
 )
-from passgate.state.fold import Decision
 from passgate.state.log_follower import LogFollower
 from passgate.state.lot_state import LotProjection, SlotStatus
 from passgate.state.lot_types import LotInfo
+from passgate.state.projection import Decision
 
 TRAINER_RECORD_TYPES = (LotOpened, SamplesHandedOver, SamplesAcknowledged, SamplesReplaced)
 
--- a/passgate/state/lot_state.py
+++ b/passgate/state/lot_state.py
@@ -41,7 +41,6 @@
     SamplesReplaced,
     pack_tokens,
 )
-from passgate.state.fold import Accepted, Decision, Rejected
 from passgate.state.lot_values import (
     DeliveryPosition,
     LotChange,
@@ -51,6 +50,7 @@
     SlotStatus,
     StoredSample,
 )
+from passgate.state.projection import Accepted, Decision, Rejected
 
 __all__ = [
     "DeliveryPosition",
--- a/passgate/state/lots.py
+++ b/passgate/state/lots.py
@@ -35,7 +35,6 @@
     SamplesAcknowledged,
     SamplesReplaced,
 )
-from passgate.state.fold import Accepted, Rejected
 from passgate.state.lot_handle import LotHandle
 from passgate.state.lot_keeper import LotKeeper, ProduceSample
 from passgate.state.lot_opening import make_opening_record, validate_request
@@ -50,6 +49,7 @@
     index_of,
     sample_id,
 )
+from passgate.state.projection import Accepted, Rejected
 
 __all__ = [
     "DeliveredSample",
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -174,8 +174,8 @@
 
     async def start(self, name="d1", wait=True, **settings):
         """Start a daemon that joins the running ones; with ``wait``, wait until it is ready."""
+        from passgate.server.components import ExternalClients
         from passgate.server.daemon import Daemon
-        from passgate.server.parts import ExternalClients
         from passgate.settings import Settings, StopSettings
 
         settings.setdefault("stop", StopSettings(notice_s=0.0, leave_timeout_s=0.0))
--- a/tests/crashing_world.py
+++ b/tests/crashing_world.py
@@ -8,7 +8,7 @@
 from passgate.clients.http_call import HttpCall, SendPolicy
 from passgate.errors import PassgateError
 from passgate.jobs.partitions import partition_of
-from tests import platform_stand_ins as fake_platform
+from tests import fake_platform
 from tests.test_platform_daemon import HOST, World, start_daemon_at_free_ports
 
 CRASHING_BODY = b"crash"
--- a/tests/duty_stand_in.py
+++ b/tests/duty_stand_in.py
@@ -8,7 +8,7 @@
 from tornado.httpserver import HTTPServer
 from tornado.web import Application, RequestHandler
 
-from tests.platform_stand_ins import listen_on_loopback
+from tests.fake_platform import listen_on_loopback
 
 
 @dataclass
--- a/tests/rollout_fleet.py
+++ b/tests/rollout_fleet.py
@@ -19,8 +19,8 @@
 from passgate.emulator.engine_events import EngineCounters, EngineEvent, SwapFailure, TransferRequested
 from passgate.emulator.engine_reports import CacheEventLog
 from passgate.emulator.engine_weights import EngineWeights
-from passgate.emulator.ledger import RunRecorder
 from passgate.emulator.parameters import EngineParameters
+from passgate.emulator.run_recorder import RunRecorder
 from passgate.emulator.weight_store import EmulatedWeightStore, RateLimiter
 from passgate.errors import BackendUnreachable, ExecutionStatus, PlatformError
 from passgate.rollout.types import STORE_SOURCE, ReplicaView
--- a/tests/soak/__main__.py
+++ b/tests/soak/__main__.py
@@ -20,7 +20,7 @@
 
 from tests.soak.callers import Callers
 from tests.soak.faults import Faults
-from tests.soak.judge import ResultChecker
+from tests.soak.result_checker import ResultChecker
 from tests.soak.world import World
 
 DAEMONS = 4
--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -8,8 +8,8 @@
 
 from passgate.clients.http_call import HttpCall, SendPolicy
 from passgate.errors import PassgateError
-from tests import platform_stand_ins as fake_platform
-from tests.soak.kept_connection import AnswerCutOff, ReusedConnection
+from tests import fake_platform
+from tests.soak.reused_connection import AnswerCutOff, ReusedConnection
 from tests.soak.world import (
     CRASHING_BODIES,
     CRASHING_ITEM_PREFIX,
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -6,7 +6,7 @@
 import time
 
 from passgate.errors import PassgateError
-from tests import platform_stand_ins as fake_platform
+from tests import fake_platform
 from tests.duty_stand_in import DutyFaults
 from tests.soak.processes import SHUTDOWN_GRACE_S
 from tests.soak.world import KEYS
--- a/tests/soak/processes.py
+++ b/tests/soak/processes.py
@@ -10,7 +10,7 @@
 import sys
 import time
 
-from tests import platform_stand_ins as fake_platform
+from tests import fake_platform
 from tests.fault_proxy import FaultProxy
 
 ROOT = pathlib.Path(__file__).parent.parent.parent
--- a/tests/soak/judge.py
+++ b/tests/soak/result_checker.py
@@ -5,9 +5,9 @@
 import time
 
 from passgate.errors import PassgateError
-from tests import platform_stand_ins as fake_platform
+from tests import fake_platform
 from tests.soak.callers import GUARANTEED_NOT_RUN_STATUSES
-from tests.soak.trouble import RECOVERY_S
+from tests.soak.disturbances import RECOVERY_S
 from tests.soak.world import CRASHING_BODIES, TENANT
 
 RESULTS_TIMEOUT_S = 30.0
--- a/tests/soak/world.py
+++ b/tests/soak/world.py
@@ -9,10 +9,10 @@
 from dataclasses import dataclass
 
 from passgate.daemon.http_client import make_http_client
-from tests import platform_stand_ins as fake_platform
+from tests import fake_platform
 from tests.duty_stand_in import DutyEndpoint
+from tests.soak.disturbances import DisturbanceLog
 from tests.soak.processes import DaemonProcess, PortAllocator
-from tests.soak.trouble import DisturbanceLog
 
 TENANT, OTHER_TENANT = "orchard", "mill"
 KEYS = ("key-o1", "key-o2", "key-o3")
--- a/tests/test_check_judges.py
+++ b/tests/test_check_judges.py
@@ -9,7 +9,7 @@
 
 from passgate.check import events as e
 from passgate.check.history import HistoryRecorder, read_history
-from passgate.check.judgement import check_history
+from passgate.check.history_verdict import check_history
 from passgate.errors import ExecutionStatus
 from passgate.schema import FinishReason, VersionSpan
 
--- a/tests/test_check_socket_run.py
+++ b/tests/test_check_socket_run.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from passgate.check import judges_operations, judges_requests, sample_checks
+from passgate.check import operation_checks, request_checks, sample_checks
 from passgate.check.events import (
     AppInvoked,
     BackendLeaving,
@@ -94,7 +94,7 @@
     calls = [app_call("c-0", 1.0, "a-1", "c"), app_call("c-1", 2.0, "b-1", "c")]
     runs = attribute_runs([run_start("a-1-f", 1.1), run_start("b-1-e", 2.1)], calls, {})
     assert [event.request_id for event in runs] == ["c-0", "c-1"]
-    assert len(judges_requests.check_at_most_once([*calls, *runs])) == 1
+    assert len(request_checks.check_at_most_once([*calls, *runs])) == 1
 
 
 def test_a_run_is_not_attributed_to_an_answered_later_or_other_request():
@@ -111,7 +111,7 @@
 def test_a_refused_request_that_ran_violates_not_run():
     calls = [app_call("c-0"), refused("c-0")]
     runs = attribute_runs([run_start("a-1-f", 3.0)], calls, {"a-1-f": "c-0"})
-    assert find_violations([*calls, *runs])[judges_requests.NOT_RUN]
+    assert find_violations([*calls, *runs])[request_checks.NOT_RUN]
 
 
 def test_a_generate_run_is_attributed_by_its_prompt_and_seed():
@@ -142,19 +142,19 @@
             [lot(), page(), HistoryClosed(time_s=4.0)],
         ),
         (sample_checks.EXACTLY_ONCE, [lot(), page()], [lot(), page(finished=True)]),
-        (judges_requests.NOT_RUN, [refused("c-0")], [refused("c-0"), started("other")]),
+        (request_checks.NOT_RUN, [refused("c-0")], [refused("c-0"), started("other")]),
         (
-            judges_requests.AT_MOST_ONCE,
+            request_checks.AT_MOST_ONCE,
             [app_call("c-0", key="c")],
             [app_call("c-0", key="c"), started("c-0")],
         ),
         (
-            judges_operations.LEAVING,
+            operation_checks.LEAVING,
             [BackendLeaving(time_s=1.0, replica_id="app-0"), started("x", 5.9, "app-1")],
             [BackendLeaving(time_s=1.0, replica_id="app-0"), started("x", 6.1, "app-1")],
         ),
         (
-            judges_operations.GRACEFUL_SHUTDOWN,
+            operation_checks.GRACEFUL_SHUTDOWN,
             [
                 app_call("c-0"),
                 StopRequested(time_s=1.1, daemon="b-1"),
@@ -167,7 +167,7 @@
             ],
         ),
         (
-            judges_operations.GRACEFUL_SHUTDOWN,
+            operation_checks.GRACEFUL_SHUTDOWN,
             [
                 app_call("c-0"),
                 StopRequested(time_s=1.1, daemon="a-1"),
@@ -185,7 +185,7 @@
 
 def test_an_accepted_change_that_no_daemon_reports_is_not_observed():
     change = ConfigurationAccepted(time_s=1.0, name="Pool/p", expected_revision=0, revision=5, value="v")
-    assert observations([change])[judges_operations.CONFIGURATION] == ()
+    assert observations([change])[operation_checks.CONFIGURATION] == ()
 
 
 def test_each_fault_has_a_row_for_its_own_time_with_unobserved_guarantees():
@@ -195,7 +195,7 @@
     first, second = app_call("c-0", 10.5, key="c"), app_call("c-1", 12.5, key="c")
     events = [first, started("c-0", 10.6), second, started("c-1", 12.6)]
     cells = make_cells(events, find_violations(events), records, started_s=10.0)
-    assert [cells[name][judges_requests.AT_MOST_ONCE] for name in cells] == [
+    assert [cells[name][request_checks.AT_MOST_ONCE] for name in cells] == [
         "held (1)",
         "violated (1)",
         NOT_OBSERVED,
@@ -237,7 +237,7 @@
         events = read_history(lines)
     kinds = {type(event) for event in events}
     assert {DaemonKilled, DaemonStarted, BackendRunStarted, PageReceived, HistoryClosed} <= kinds
-    assert observations(events)[judges_requests.COMPLETE_ANSWER]
+    assert observations(events)[request_checks.COMPLETE_ANSWER]
     socket_counts = {guarantee: len(found) for guarantee, found in find_violations(events).items()}
     kill = DaemonKill(at_s=2.0, daemons=("c-1",), restart_after_s=0.5)
     outcome = simulate(Schedule(seed=1, faults=(kill,)), RunLimits(calls_s=7.0, trainer_steps=1))
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -19,8 +19,8 @@
 from passgate.records import ClaimCompleted, ClaimMade, ClaimReleased, ClaimUnresolved, Record
 from passgate.state.claim_state import ClaimState, transition
 from passgate.state.claims import OUTCOME_APPEND_TIMEOUT_S, ClaimOutcome, ClaimService, claim_stream
-from passgate.state.fold import Accepted
 from passgate.state.memory_log import AppendFault, MemoryLog, MemoryLogClient
+from passgate.state.projection import Accepted
 
 OUTCOME = ClaimOutcome(200, "application/json", b'{"cartons": 1}\xff')
 
--- a/tests/test_clients_http_log.py
+++ b/tests/test_clients_http_log.py
@@ -6,7 +6,7 @@
 
 from passgate.clients.curl import HttpClient
 from passgate.clients.http_log import HttpLogClient
-from passgate.emulator.log_model import EmulatedLog, EmulatedLogClient
+from passgate.emulator.emulated_log import EmulatedLog, EmulatedLogClient
 from passgate.emulator.log_server import LogServer
 from passgate.emulator.network import SAME_PROCESS, Network
 from passgate.emulator.parameters import LogParameters, NetworkParameters
--- a/tests/test_crashing_loads.py
+++ b/tests/test_crashing_loads.py
@@ -5,7 +5,7 @@
 
 import asyncio
 
-from tests import platform_stand_ins as fake_platform
+from tests import fake_platform
 from tests.crashing_world import in_crashing_world
 
 MAX_CRASHED = 4
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -8,7 +8,7 @@
 import pytest
 
 from passgate.discovery.view import RETURN_GRACE_S
-from tests import platform_stand_ins as fake_platform
+from tests import fake_platform
 from tests.crashing_world import in_crashing_world
 
 MAX_CRASHED = 3
--- a/tests/test_demo.py
+++ b/tests/test_demo.py
@@ -5,8 +5,8 @@
 from passgate.clients.curl import HttpClient
 from passgate.demo import DEPLOYMENTS, DeploymentResult, DeploymentRun, _staleness_p99, demo_parameters
 from passgate.demo_deployment import ChildProcess, configuration_objects, pool_name_of_model
+from passgate.emulator.caller_outcomes import CallerOutcomes, TrainerOutcomes
 from passgate.emulator.parameters import load_deployment
-from passgate.emulator.tally import CallerOutcomes, TrainerOutcomes
 from passgate.errors import PlatformError
 from passgate.state.specs import decode_spec
 
--- a/tests/test_emulator_callers.py
+++ b/tests/test_emulator_callers.py
@@ -7,7 +7,7 @@
 import pytest
 
 from passgate.check.history import HistoryRecorder
-from passgate.check.judgement import check_history
+from passgate.check.history_verdict import check_history
 from passgate.check.output_oracle import emulated_token
 from passgate.clock import monotonic_s, run_virtual
 from passgate.emulator.arrivals import ArrivalStream
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -26,7 +26,7 @@
 from passgate.sharedlog.log import KeyedRecord
 from passgate.versions.loader import Loader, ReplicaReport, TargetVersions, read_incarnation
 from tests import test_duties_scaling as scaling
-from tests import test_gateway_configuration_peers as peers
+from tests import test_gateway_peer_configuration as peers
 
 EVACUATION_S = 5.0
 """Time after an operator's record by which nothing may reach the zone any more, with default settings."""
--- a/tests/test_evacuation_daemon.py
+++ b/tests/test_evacuation_daemon.py
@@ -6,7 +6,7 @@
 import unittest.mock
 
 from passgate.jobs.item_run import ItemRun
-from tests import platform_stand_ins as fake_platform
+from tests import fake_platform
 from tests.test_platform_daemon import in_world, stream_route
 
 ZONE = "b"
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -8,7 +8,7 @@
 from passgate.decisions import DecisionLog, ForwardEnded, ForwardSent, JobEnded
 from passgate.errors import InvalidRequest
 from passgate.explain import explain
-from tests import platform_stand_ins as fake_platform
+from tests import fake_platform
 from tests.test_platform_daemon import World
 
 
--- a/tests/test_jobs_rewards.py
+++ b/tests/test_jobs_rewards.py
@@ -3,7 +3,7 @@
 import asyncio
 import contextlib
 
-from tests import platform_stand_ins as fake_platform
+from tests import fake_platform
 from tests.test_platform_daemon import in_world
 
 MAX_ATTEMPTS = 3
--- a/tests/test_log_follower.py
+++ b/tests/test_log_follower.py
@@ -11,9 +11,9 @@
 from passgate.interfaces import LogBatch
 from passgate.records import ClaimReleased, Record, SnapshotTaken, encode_record
 from passgate.state import snapshots
-from passgate.state.fold import TRACKED_WRITERS_LIMIT, Accepted, DuplicateFilter, StreamState
 from passgate.state.log_follower import LogFollower
 from passgate.state.memory_log import AppendFault, MemoryLog, MemoryLogClient
+from passgate.state.projection import TRACKED_WRITERS_LIMIT, Accepted, DuplicateFilter, StreamState
 
 
 class KeyListProjection:
--- a/tests/test_lot_state.py
+++ b/tests/test_lot_state.py
@@ -19,8 +19,8 @@
     SamplesReplaced,
 )
 from passgate.schema import FinishReason, VersionSpan
-from passgate.state.fold import Accepted
 from passgate.state.lot_state import LotProjection, LotState, SlotState, SlotStatus, transition
+from passgate.state.projection import Accepted
 
 SLOTS = 3
 BOUND = 1
--- a/tests/test_platform_daemon.py
+++ b/tests/test_platform_daemon.py
@@ -21,7 +21,7 @@
 from passgate.platform.log_client import PlatformLog
 from passgate.platform.program import make_daemon
 from passgate.platform.settings import SettingsWatcher, parse_settings
-from tests import platform_stand_ins as fake_platform
+from tests import fake_platform
 
 HOST = "h.example"
 
--- a/tests/test_platform_tenants.py
+++ b/tests/test_platform_tenants.py
@@ -11,7 +11,7 @@
 from passgate.platform.log_client import PlatformLog
 from passgate.platform.program import make_daemon
 from passgate.platform.settings import parse_settings
-from tests import platform_stand_ins as fake_platform
+from tests import fake_platform
 from tests.test_platform_daemon import World, in_world
 
 KEYS_BY_TENANT = {"orchard": ["key-o1", "key-o2"], "mill": ["key-m1"]}
--- a/tests/test_process_signals.py
+++ b/tests/test_process_signals.py
@@ -8,7 +8,7 @@
 import subprocess
 import sys
 
-from tests import platform_stand_ins as fake_platform
+from tests import fake_platform
 from tests.test_platform_daemon import free_address
 
 ROOT = pathlib.Path(__file__).parent.parent
--- a/tests/test_refusals.py
+++ b/tests/test_refusals.py
@@ -14,7 +14,7 @@
     error_answer,
     error_status,
 )
-from tests import platform_stand_ins as fake_platform
+from tests import fake_platform
 from tests.crashing_world import in_crashing_world as in_world
 
 STREAMING_ROUTE = fake_platform.batch_route(kind="streaming", maxAttempts=2)
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -14,7 +14,7 @@
 from passgate.errors import InvalidConfiguration
 from passgate.gateway.routes import ConfigHolder
 from passgate.platform.documents import decode_config
-from tests import platform_stand_ins as fake_platform
+from tests import fake_platform
 from tests.test_platform_daemon import World, free_address, start_daemon
 
 ZONES = "zones: {a: east, b: west}\n"
--- a/tests/test_server_stop.py
+++ b/tests/test_server_stop.py
@@ -1,6 +1,6 @@
 import asyncio
 
-from passgate.server.gate import RequestAdmissionController
+from passgate.server.admission import RequestAdmissionController
 from passgate.settings import StopSettings
 
 COMPLETIONS = "/v1/completions"
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -4,7 +4,7 @@
 import types
 
 from tests.soak.callers import Callers, SubmittedJob
-from tests.soak.judge import ResultChecker
+from tests.soak.result_checker import ResultChecker
 
 
 class WorldStub:
