--- a/passgate/check/specification/configuration.py
+++ b/passgate/check/specification/configuration.py
@@ -26,7 +26,7 @@
 from passgate.errors import RevisionConflict
 from passgate.records import ObjectPut, ProposalWithdrawn, Record
 from passgate.state.configuration_state import ConfigurationState
-from passgate.state.fold import Accepted, Rejected
+from passgate.state.projection import Accepted, Rejected
 from passgate.state.specs import PriorityClassSpec
 
 OPERATORS = 2
@@ -292,10 +292,12 @@
 
     def _snapshot_equals_replay(self, d: dict) -> bool:
         log = d["transport"].log
-        whole = self.log.view(log).stream.fold.snapshot()
+        whole = self.log.view(log).stream.projection.snapshot()
         if "skip_dedupe" in self.mutants:
             return True
-        return all(self.log.replay(log, cut).stream.fold.snapshot() == whole for cut in range(1, len(log)))
+        return all(
+            self.log.replay(log, cut).stream.projection.snapshot() == whole for cut in range(1, len(log))
+        )
 
 
 def _with_change(state: ConfigurationModelState, number: int, change: Change) -> ConfigurationModelState:
--- a/passgate/state/claim_state.py
+++ b/passgate/state/claim_state.py
@@ -13,7 +13,7 @@
 
 from passgate.errors import KeyReused, OutcomeUnknown, RequestInProgress, SupersededEpoch, UnknownRecord
 from passgate.records import ClaimCompleted, ClaimMade, ClaimReleased, ClaimUnresolved, Record
-from passgate.state.fold import Accepted, Decision, Rejected
+from passgate.state.projection import Accepted, Decision, Rejected
 
 
 class ClaimStatus(enum.Enum):
@@ -93,7 +93,7 @@
     return msgspec.structs.replace(state, status=ClaimStatus.COMPLETED, outcome=outcome)
 
 
-class ClaimFold:
+class ClaimProjection:
     """State of one key, as a projection for a log follower."""
 
     def __init__(self) -> None:
