--- a/passgate/eligibility/__init__.py
+++ b/passgate/eligibility/__init__.py
@@ -1,1 +1,1 @@
-"""Rules that decide to which replicas a request may be sent; they are checked before every send."""
+"""Send rules, which decide to which replicas a request may be sent, and the state that they need."""
--- a/passgate/eligibility/cold_replicas.py
+++ b/passgate/eligibility/cold_replicas.py
@@ -1,9 +1,9 @@
 """Tracks which replicas are cold, or possibly cold, and until when.
 
-A cold replica serves only a limited rate of requests; its discovery entry states for how long.  Between
-entries it may become cold unnoticed, after its zone's evacuation or a restart while it was unreachable.
-It then counts as cold until an entry that was certainly written later is read.  Replicas of services
-without a limit are never cold.
+A cold replica, for example one that has just started, may get only a limited rate of requests; its
+discovery entry states for how long.  A replica is possibly cold if it may have become cold without an entry
+that says so: after the evacuation of its zone, or by a restart while it was unreachable.  A possibly cold
+replica is treated as cold.  Replicas of services without a limit are never cold.
 
 >>> limits = {"s": ColdLimit(max_duration_s=3.0, max_requests_per_s=29)}
 >>> cold = ColdReplicas(limits.get)
@@ -23,9 +23,9 @@
 from passgate.eligibility.replica_info import ReplicaInfo
 
 MAX_ENTRY_DELAY_S = 1.0
-"""Longest time between writing an entry and reading it here while the log is available."""
+"""Assumed upper bound of the time from the writing of an entry to its reading by a daemon."""
 NEVER_S = float("-inf")
-"""Loop time before any other; the end of a period that was never recorded."""
+"""Loop time before any other; used as the end of a period that was never recorded."""
 
 
 class ColdLimit(msgspec.Struct, frozen=True, kw_only=True):
@@ -34,15 +34,15 @@
     max_duration_s: float
     """Longest time for which a replica stays cold."""
     max_requests_per_s: int
-    """Most requests that one replica may get in any second, from all daemons together."""
+    """Maximum number of requests that one replica may get in any second, from all daemons together."""
 
 
 class _PossiblyCold(msgspec.Struct, kw_only=True):
-    """Period in which a replica may be cold without having reported it."""
+    """Period in which a replica may be cold though no discovery entry says so."""
 
     since_s: float
     until_s: float
-    """Infinite while the replica is unreachable."""
+    """Infinite from a failure to reach the replica until its next response."""
 
 
 def no_limit(service: str) -> ColdLimit | None:
@@ -54,21 +54,23 @@
     """Cold and possibly cold replicas as one daemon knows them; all times are loop times."""
 
     def __init__(self, limit_of: Callable[[str], ColdLimit | None] = no_limit) -> None:
-        """Start without cold replicas; ``limit_of`` returns the limit of a service, or None."""
+        """Start without cold replicas; ``limit_of`` returns the limit of a service, None if it has none."""
         self.limit_of = limit_of
         self._cold_until_s_by_id: dict[str, float] = {}
-        """Replica ID to the end of the cold period that was last reported for it."""
+        """End of the reported cold period, by replica ID."""
         self._possibly_cold_by_id: dict[str, _PossiblyCold] = {}
-        """Replica ID to the period in which the replica is possibly cold."""
+        """Period in which a replica is possibly cold, by replica ID."""
 
     def apply_entry(self, info: ReplicaInfo, now_s: float, *, from_full_list: bool = False) -> None:
-        """Apply a discovery entry that was just read.
+        """Apply a discovery entry that was just read: it sets or ends the reported cold period.
+
+        An entry read at least MAX_ENTRY_DELAY_S after the replica became possibly cold also ends that period.
 
         Args:
             info: the entry.
             now_s: loop time.
-            from_full_list: whether the entry is part of a full list.  It may then have been written before
-                the replica became possibly cold, so it does not end that period.
+            from_full_list: whether the entry is part of a full list.  Such an entry may have been written
+                long ago, so it does not end the period in which the replica is possibly cold.
         """
         replica_id = info.replica_id
         possibly_cold = self._possibly_cold_by_id.get(replica_id)
@@ -84,20 +86,23 @@
             self._cold_until_s_by_id.pop(replica_id, None)
 
     def record_reported_cold(self, replica_id: str, remaining_s: float, now_s: float) -> None:
-        """Record that another daemon reported a replica to stay cold; a later known end is kept."""
+        """Record for how long a replica stays cold according to another daemon; a later known end is kept."""
         self._cold_until_s_by_id[replica_id] = max(
             self._cold_until_s_by_id.get(replica_id, NEVER_S), now_s + remaining_s
         )
 
     def mark_unreachable(self, info: ReplicaInfo, now_s: float) -> None:
-        """Mark a replica that could not be reached as possibly cold; it may restart cold at any time."""
+        """Mark an unreachable replica as possibly cold, if its service has a limit.
+
+        The replica may restart cold at any time, so the period has no end until it responds.
+        """
         if self.limit_of(info.service) is not None:
             self._possibly_cold_by_id[info.replica_id] = _PossiblyCold(since_s=now_s, until_s=math.inf)
 
     def record_response(self, info: ReplicaInfo, now_s: float) -> None:
-        """Record a response: a replica that was unreachable has restarted by now if it has at all.
+        """Record a response: a possibly cold replica stays so for at most the longest cold period from now.
 
-        It is possibly cold for at most the service's longest cold period from now on.
+        If it has restarted while it was unreachable, it did so before it responded.
         """
         possibly_cold = self._possibly_cold_by_id.get(info.replica_id)
         limit = self.limit_of(info.service)
@@ -105,7 +110,7 @@
             possibly_cold.until_s = min(possibly_cold.until_s, now_s + limit.max_duration_s)
 
     def mark_possibly_cold(self, infos: Iterable[ReplicaInfo], now_s: float) -> None:
-        """Mark replicas as possibly cold from now on, for the longest cold period or until a later entry."""
+        """Mark replicas whose services have limits as possibly cold, for the longest cold period from now."""
         for info in infos:
             limit = self.limit_of(info.service)
             if limit is not None:
@@ -115,7 +120,7 @@
 
     @property
     def any_may_be_cold(self) -> bool:
-        """Whether any replica is recorded as cold or possibly cold."""
+        """Whether any cold or possibly cold period is recorded, though it may be over; a cheap check."""
         return bool(self._cold_until_s_by_id or self._possibly_cold_by_id)
 
     def is_cold(self, info: ReplicaInfo, now_s: float) -> bool:
@@ -123,7 +128,11 @@
         return self.any_may_be_cold and self.remaining_cold_s(info, now_s) > 0.0
 
     def remaining_cold_s(self, info: ReplicaInfo, now_s: float) -> float:
-        """Return for how long a replica still counts as cold; 0 if it is warm, infinite if unreachable."""
+        """Return for how long a replica still counts as cold.
+
+        0 if the replica is warm or its service has no limit; infinite from a failure to reach the replica
+        until its next response.
+        """
         if self.limit_of(info.service) is None:
             return 0.0
         possibly_cold = self._possibly_cold_by_id.get(info.replica_id)
@@ -135,7 +144,7 @@
         )
 
     def drop_expired(self, listed_ids: set[str], now_s: float) -> None:
-        """Drop periods that are over and those of replicas that discovery no longer lists."""
+        """Drop periods that are over, and the periods of replicas that are not in ``listed_ids``."""
         for replica_id in [
             key
             for key, until_s in self._cold_until_s_by_id.items()
--- a/passgate/eligibility/cold_rule.py
+++ b/passgate/eligibility/cold_rule.py
@@ -1,4 +1,4 @@
-"""Send rule: a request to a cold replica needs a permit.
+"""Send rule: a request to a cold replica needs a permit, which the leader of the control topic grants.
 
 >>> from passgate.eligibility.cold_replicas import ColdLimit
 >>> from passgate.eligibility.rules import ANY_REGION_REQUEST
@@ -36,13 +36,13 @@
         self._permit_pool = permit_pool
 
     def allows(self, replica: ReplicaInfo, context: SendContext, now_s: float) -> bool:
-        """Whether the replica is warm or a permit for it is held."""
+        """Whether the send needs no permit or this daemon holds one for the replica."""
         return not self._needs_permit(replica, context, now_s) or self._permit_pool.has_permit(
             replica.replica_id, now_s
         )
 
     def record_send(self, replica: ReplicaInfo, context: SendContext, now_s: float) -> float | None:
-        """Use up a permit if one is needed; it must be held.
+        """Use up a permit if the send needs one; :meth:`allows` must have returned true at the same time.
 
         Returns:
             Loop time until which the request may leave this daemon; None if it needs no permit.
@@ -52,13 +52,13 @@
         return None
 
     def may_claim_permit(self, replica: ReplicaInfo, context: SendContext, now_s: float) -> bool:
-        """Whether a permit is left that no recently chosen request has claimed; true if none is needed."""
+        """Whether the send needs no permit, or one is held that no recently chosen request has claimed."""
         if not self._needs_permit(replica, context, now_s):
             return True
         return self._permit_pool.has_unclaimed_permit(replica.replica_id, now_s)
 
     def claim_permit(self, replica: ReplicaInfo, context: SendContext, now_s: float) -> None:
-        """Claim a permit for the request for which the replica was chosen, if it needs one."""
+        """Claim a permit, if one is needed, for a request for which this replica was just chosen."""
         if self._needs_permit(replica, context, now_s):
             self._permit_pool.claim_permit(replica.replica_id, now_s)
 
--- a/passgate/eligibility/evacuation.py
+++ b/passgate/eligibility/evacuation.py
@@ -1,7 +1,8 @@
 """Zones that the operator evacuates, and the send rule that excludes their replicas.
 
-A view is the set of evacuated zones as of an offset of the operator's topic.  Of two views the one with
-the higher offset is right as a whole, so a view is replaced and never merged with another one.
+The operator starts and ends evacuations by records on a topic of the log.  A view is the set of evacuated
+zones after the records before some offset.  Of two views, the one with the higher offset replaces the
+other; views are never merged.
 
 >>> zones = EvacuatedZones(DecisionLog("d1", write=len))
 >>> zones.apply_snapshot({"z1"}, next_offset=7)
@@ -28,7 +29,7 @@
     """The evacuated zones as of an offset of the operator's topic."""
 
     offset: int
-    """Offset up to which the topic was read; 0 before the first read."""
+    """Offset of the next record to read; 0 before the first read."""
     zones: frozenset[str] = frozenset()
 
 
@@ -53,17 +54,17 @@
 
 
 class EvacuatedZones:
-    """The zones that are evacuated, as far as this daemon knows; writes a decision line for each change."""
+    """The evacuated zones known to this daemon; writes a decision line for each zone that changes."""
 
     def __init__(self, decisions: DecisionLog) -> None:
         self._decisions = decisions
         self._view = EvacuationView(offset=0)
         self.on_evacuation_ended: list[Callable[[str], None]] = []
-        """Callbacks that get each zone whose evacuation has ended; its replicas may be cold."""
+        """Called with each zone whose evacuation has ended; the zone's replicas may be cold then."""
 
     @property
     def view(self) -> EvacuationView:
-        """The newest known view, to be sent to other daemons."""
+        """The newest known view, which is also sent to other daemons."""
         return self._view
 
     def __contains__(self, zone: object) -> bool:
@@ -75,7 +76,7 @@
         return len(self._view.zones)
 
     def apply_snapshot(self, zones: Iterable[str], next_offset: int) -> None:
-        """Apply a snapshot of the operator's topic, unless a newer view is known.
+        """Replace the view by a snapshot of the operator's topic, unless a newer view is known.
 
         An evacuation that the snapshot lacks has ended.
         """
@@ -85,7 +86,10 @@
             )
 
     def apply_changes(self, changes: Iterable[EvacuationChange], next_offset: int) -> None:
-        """Apply records of the operator's topic; those that the view already contains are skipped."""
+        """Apply records of the operator's topic, except those before the offset of the view.
+
+        ``next_offset`` is the offset after the last of the records.
+        """
         zones = set(self._view.zones)
         for change in changes:
             if change.offset < self._view.offset:
@@ -98,12 +102,12 @@
         self._set_view(EvacuationView(offset=offset, zones=frozenset(zones)), _ViewSource(name=SOURCE_LOG))
 
     def adopt_newer_view(self, view: EvacuationView, *, peer: str, age_s: float) -> None:
-        """Replace the view by another daemon's if that is newer.
+        """Replace the view by that of another daemon, unless the other view is as old or older.
 
         Args:
             view: the other daemon's view.
             peer: address of that daemon.
-            age_s: age of the view.
+            age_s: age of the other daemon's view, written to decision lines only.
         """
         if view.offset > self._view.offset:
             self._set_view(view, _ViewSource(name=SOURCE_PEER, peer=peer, age_s=age_s))
--- a/passgate/eligibility/known_service.py
+++ b/passgate/eligibility/known_service.py
@@ -1,6 +1,6 @@
-"""Send rule: replicas of services that the configuration does not name get nothing.
+"""Send rule: nothing is sent to replicas of services that the active configuration does not name.
 
-Another writer of the discovery topic may list a replica of a service that does not exist.
+The discovery topic may list a replica of a service that does not exist.
 
 >>> replica = ReplicaInfo(replica_id="r", service="unlisted", address="h:1", zone="z", slots=4)
 >>> KnownServiceRule({"app"}.__contains__).allows(replica, SendContext(), now_s=0.0)
@@ -21,10 +21,11 @@
     name = "unknown_service"
 
     def __init__(self, is_known: Callable[[str], bool]) -> None:
+        """Create the rule; ``is_known`` returns whether the active configuration names a service."""
         self._is_known = is_known
 
     def allows(self, replica: ReplicaInfo, context: SendContext, now_s: float) -> bool:
-        """Whether the active configuration names the replica's service."""
+        """Whether the replica's service is known."""
         return self._is_known(replica.service)
 
     def record_send(self, replica: ReplicaInfo, context: SendContext, now_s: float) -> None:
--- a/passgate/eligibility/permit_client.py
+++ b/passgate/eligibility/permit_client.py
@@ -1,8 +1,9 @@
-"""Requests permits to send to cold replicas from the permit issuer, the daemon that leads.
+"""Requests from the leader of the control topic the permits that requests to cold replicas need.
 
-A request goes to the daemon that last responded as leader; without one, to this daemon, a watcher of the
-control partition and others in turn.  A daemon that does not lead names the leader, which is tried next.
-While the view of the log is stale, the request also asks for the list of cold replicas.
+A permit request goes to the daemon that responded as leader to the previous one.  Without such a daemon it
+goes to this daemon, the watcher of the control partition and other daemons in turn.  A daemon that does not
+lead may name the leader, which is tried next.  While this daemon's view of the log is stale, its requests
+also ask for the list of cold replicas.
 """
 
 from __future__ import annotations
@@ -27,29 +28,31 @@
 
 PERMITS_METHOD = "cold.permits"
 RESPONSE_TIMEOUT_S = PERMIT_LIFETIME_S * 0.8
-"""Timeout of a request; permits that arrive later would expire at once."""
+"""Timeout of a request; permits that arrive later could hardly be used before they expire."""
 MIN_REQUEST_INTERVAL_S = 0.05
-"""Pause after a request that brought permits; short against PERMIT_LIFETIME_S, to follow the use."""
+"""Pause after a request that brought permits; much shorter than PERMIT_LIFETIME_S, so that the number of
+permits follows the demand."""
 MAX_REQUEST_INTERVAL_S = 0.4
-"""Upper bound of the pause, which doubles after each request that brought no permits; it limits the load
-that refused requesters put on the leader."""
+"""Upper bound of the pause after a request that brought no permits, which doubles each time."""
 MAX_PERMITS_PER_REQUEST = 64
-"""Most permits in one request, so that one daemon cannot take the rate of many cold replicas."""
+"""Maximum number of permits in one request, so that one daemon can not use up the limits of many replicas
+at once."""
 REQUESTED_PER_USED_PERMIT = 2
-"""Permits to request for each one used since the last request; a small factor lets few expire unused."""
+"""Permits to request for each permit used since the previous request; one more is always requested."""
 CHECK_INTERVAL_S = 0.1
-"""Interval of the checks of the leadership and of the age of the log's view."""
+"""Longest time between checks of the age of the log's view; also the interval at which the daemon updates
+its permit issuer."""
 STALE_LOG_AGE_S = 1.3
-"""Age of the view of the log from which it counts as stale; even without new records it is confirmed every
-second."""
+"""Age from which this daemon's view of the log counts as stale; while the log responds, a long poll confirms
+the view about once a second even without new records."""
 COLD_REQUEST_INTERVAL_S = 0.5
 """Shortest time between two requests for the list of cold replicas if no permits are needed."""
 MAX_REQUESTS_PER_ROUND = 4
-"""Most daemons to which one request is sent, one after the other."""
+"""Maximum number of daemons to which one permit request is sent, one after the other."""
 
 
 class PermitClient:
-    """Requests permits for this daemon as they are needed, and responds to other daemons' requests."""
+    """Requests permits for this daemon while it needs some, and responds to other daemons' requests."""
 
     def __init__(
         self,
@@ -65,11 +68,11 @@
 
         Args:
             transport: sends requests to other daemons.
-            issuer: this daemon's permit issuer, which responds in case it leads.
+            issuer: this daemon's permit issuer, which handles the requests that arrive here.
             permit_pool: the permits that this daemon holds.
-            cold_replicas: the cold replicas as this daemon knows them.
-            find_watcher: returns the name of a daemon that probably knows the leader, or None.
-            list_other_members: returns the names of the other daemons, in any order.
+            cold_replicas: the cold replicas as this daemon knows them; reported cold periods are added.
+            find_watcher: returns the name of the daemon that watches the control partition, None if unknown.
+            list_other_members: returns the names of other daemons that may know the leader, in any order.
             log_age_s: returns the age of this daemon's view of the log.
         """
         self._transport = transport
@@ -80,15 +83,15 @@
         self._list_other_members = list_other_members
         self._log_age_s = log_age_s
         self.leader_address = ""
-        """Address of the daemon that responded as leader last; empty if none did."""
+        """Address of the daemon that responded as leader to the last request; empty if none did."""
         self._used_at_last_request = 0
-        """Value of the counter of used permits at the last request."""
+        """Number of permits used before the last request, by the counter ``used``."""
         self._request_interval_s = MIN_REQUEST_INTERVAL_S
         self._cold_requested_s = float("-inf")
         """Loop time of the last request for the list of cold replicas."""
 
     async def run(self) -> None:
-        """Send requests as permits or the list of cold replicas are needed, until cancelled."""
+        """Send a request whenever permits or the list of cold replicas are needed, until cancelled."""
         while True:
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(CHECK_INTERVAL_S):
@@ -134,7 +137,11 @@
         )
 
     async def _request_from_leader(self, request: PermitRequest) -> PermitResponse | None:
-        """Send a request to one daemon after the other until one responds as leader; None if none does."""
+        """Send a request to daemons in turn until one responds as leader, and return its response.
+
+        At most MAX_REQUESTS_PER_ROUND daemons are tried: the candidates, and each leader that a response
+        names.  Returns None if none of them responds as leader.
+        """
         candidates = deque(await self._leader_candidates())
         tried: set[str] = set()
         while candidates and len(tried) < MAX_REQUESTS_PER_ROUND:
@@ -143,7 +150,7 @@
                 continue
             tried.add(address)
             response = await self._request_from(address, request)
-            if response is not None and response.granted is not None:
+            if response is not None and response.granted is not None:  # only a leader's response has grants
                 self.leader_address = address
                 return response
             if response is not None:
@@ -152,7 +159,10 @@
         return None
 
     async def _leader_candidates(self) -> list[str]:
-        """Return addresses of daemons to try, the most probable leader first."""
+        """Return addresses of daemons to try: the last leader's alone, if there is one.
+
+        Without one, this daemon comes first, as asking it costs no call, then the watcher, then the others.
+        """
         if self.leader_address:
             return [self.leader_address]
         watcher = await self._find_watcher()
@@ -162,7 +172,7 @@
         ]
 
     async def _request_from(self, address: str, request: PermitRequest) -> PermitResponse | None:
-        """Send a request to one daemon and apply its response; None if there is no readable one."""
+        """Send a request to one daemon, apply its response and return it; None if the call fails."""
         requested_s = monotonic_s()
         if address == self._transport.address:
             response = self._issuer.handle_request(address, request)
@@ -186,7 +196,7 @@
         """Return the encoded response to another daemon's request.
 
         Raises:
-            msgspec.DecodeError: the payload is no permit request.
+            msgspec.DecodeError: the payload is not a permit request.
         """
         request = msgspec.json.decode(payload, type=PermitRequest)
         return msgspec.json.encode(self._issuer.handle_request(sender, request))
--- a/passgate/eligibility/permit_issuer.py
+++ b/passgate/eligibility/permit_issuer.py
@@ -1,4 +1,7 @@
-"""The permit issuer: grants permits to send to cold replicas while its daemon leads the control topic."""
+"""The permit issuer: grants permits for requests to cold replicas while its daemon leads the control topic.
+
+The leader's lease is a time for which one daemon at a time is the leader.
+"""
 
 from __future__ import annotations
 
@@ -14,10 +17,10 @@
 
 
 class PermitRequest(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """Requests permits for any of some replicas, or the list of cold replicas, or both."""
+    """Requests permits for any of the named replicas, or the list of cold replicas, or both."""
 
     count: int = 0
-    """Permits requested in total."""
+    """Number of permits requested, over all named replicas; 0 if only the list of cold replicas is wanted."""
     service_by_replica_id: dict[str, str] = msgspec.field(name="replicas", default={})
     include_cold: bool = msgspec.field(name="tell_cold", default=False)
     """Whether the response is to list the cold replicas."""
@@ -27,23 +30,23 @@
     """Response to a permit request."""
 
     granted: dict[str, int] | None = None
-    """Replica ID to its number of permits; None from a daemon that does not lead."""
+    """Number of granted permits by replica ID; None if the responding daemon does not lead."""
     leader: str = ""
-    """Name of the leader if the responding daemon does not lead but knows it; else empty."""
+    """Name of the leader if the responding daemon does not lead but knows the leader; else empty."""
     remaining_cold_ms_by_id: dict[str, int] = msgspec.field(name="cold_ms", default={})
-    """Replica ID to the time for which it stays cold, if the request included it."""
+    """Milliseconds for which a replica stays cold, by replica ID; empty unless a leader was asked for it."""
 
 
 class LeaderLease(Protocol):
-    """The lease of the daemon that leads, which alone may grant permits."""
+    """The leader's lease as this daemon sees it; only the leader may grant permits."""
 
     @property
     def fence(self) -> int:
-        """Fencing token; it increases with each leader."""
+        """Fencing token of the current lease; it increases with each change of the leader."""
         ...
 
     def may_order(self) -> bool:
-        """Whether this daemon leads, and no other daemon can lead at this moment."""
+        """Whether this daemon leads and has confirmed its lease recently."""
         ...
 
 
@@ -63,9 +66,9 @@
 
         Args:
             lease: the leader's lease.
-            find_leader: returns the name of the leader as far as this daemon knows it.
-            limit_of: returns the limit of a service, or None.
-            list_cold_ms: returns the IDs of the cold replicas, each with the time for which it stays cold.
+            find_leader: returns the name of the last known leader; empty if none is known.
+            limit_of: returns the limit of a service, None if it has none.
+            list_cold_ms: returns the milliseconds for which each cold replica stays cold, by replica ID.
             counters: counters of permits.
             decisions: decision log.
         """
@@ -80,9 +83,10 @@
         """Fence for which a `PermitIssuingStarted` line was written last."""
 
     def update(self) -> None:
-        """Update the leadership, drop expired grants, and write a decision line once grants may begin.
+        """Check the leadership, drop expired grants, and write a decision line once grants may begin.
 
-        To be called often: a new leader may grant only some time after the call that finds it leading.
+        Must be called often: a new leader may grant only GRANT_WINDOW_S after the first call of this method,
+        or of :meth:`handle_request`, that finds it leading.
         """
         now_s = monotonic_s()
         self._allocator.drop_expired(now_s)
@@ -95,13 +99,16 @@
             self._decisions.write(PermitIssuingStarted(fence=self._lease.fence))
 
     def _update_leadership(self, now_s: float) -> bool:
-        """Pass on to the allocator whether this daemon leads, and return it."""
+        """Return whether this daemon leads, and report it to the allocator."""
         may_order = self._lease.may_order()
         self._allocator.set_leadership(self._lease.fence if may_order else None, now_s)
         return may_order
 
     def handle_request(self, requester: str, request: PermitRequest) -> PermitResponse:
-        """Return the response to a permit request of the daemon at an address."""
+        """Return the response to a permit request; ``requester`` is the address of the requesting daemon.
+
+        Replicas of services without a limit get no permits, as they need none.
+        """
         if not self._update_leadership(monotonic_s()):
             return PermitResponse(leader=self._find_leader())
         limit_by_replica_id = {}
--- a/passgate/eligibility/permits.py
+++ b/passgate/eligibility/permits.py
@@ -1,8 +1,9 @@
 """Permits, each for one request to a cold replica: their allocation, and the pool of one daemon.
 
-A permit expires PERMIT_LIFETIME_S after its permit request was sent, hence within that time after its
-grant.  A request leaves at most MAX_SEND_DELAY_S after its permit's expiry.  So all requests of one second
-use permits of one GRANT_WINDOW_S, in which no more are granted than the replica's limit.
+A permit expires PERMIT_LIFETIME_S after the permit request was sent, hence within that time after its
+grant.  A request leaves the daemon at most MAX_SEND_DELAY_S after its permit's expiry.  All requests that
+leave in one second therefore use permits granted within GRANT_WINDOW_S, of which there are no more than the
+replica's limit.
 
 >>> allocator = PermitAllocator()
 >>> allocator.set_leadership(1, now_s=0.0)
@@ -23,22 +24,22 @@
 import msgspec
 
 PERMIT_LIFETIME_S = 0.3
-"""Time for which permits are valid after their request was sent.  A longer time widens GRANT_WINDOW_S and
-so lowers the usable rate."""
+"""Time for which permits are valid after the permit request was sent.  A longer time widens GRANT_WINDOW_S
+and so lowers the usable rate."""
 MAX_SEND_DELAY_S = 0.1
 """Longest time after a permit's expiry at which a request that used it may still leave the daemon."""
 RATE_WINDOW_S = 1.0
 """Window to which a cold replica's limit applies."""
 GRANT_WINDOW_S = RATE_WINDOW_S + PERMIT_LIFETIME_S + MAX_SEND_DELAY_S
-"""Window in which no more permits are granted than a replica may get requests in RATE_WINDOW_S."""
+"""Window in which the number of permits granted for a replica is at most its limit for RATE_WINDOW_S."""
 DEMAND_LIFETIME_S = 0.5
-"""Time for which a permit request counts as demand; longer than the interval between two requests."""
+"""Time for which a permit request counts as demand; longer than a requester's pause between two requests."""
 CLAIM_LIFETIME_S = 0.05
-"""Time for which a chosen request claims its permit; it is usually sent in the loop's next iteration."""
+"""Time for which a claim keeps a permit for the request that a replica was chosen for."""
 
 
 class _Grant(msgspec.Struct, frozen=True):
-    """Permits that a requester got at once for one replica."""
+    """Permits granted to a requester for one replica by one response."""
 
     granted_s: float
     requester: str
@@ -46,7 +47,7 @@
 
 
 class _Demand(msgspec.Struct, frozen=True):
-    """Number of permits that a requester has last requested."""
+    """Number of permits in a requester's last request."""
 
     requested_s: float
     count: int
@@ -75,11 +76,12 @@
     def grantable(self, requester: str, limit: int, now_s: float) -> int:
         """Return how many permits one requester may get now within the replica's limit.
 
-        It may get the rest of its fair share, or whatever the unmet fair shares of the others leave.
+        That is the rest of the requester's fair share, or what the unmet fair shares of the other requesters
+        leave if that is more.
         """
         available = limit - sum(grant.count for grant in self.grants)
         if available <= 0:
-            return 0  # the usual case with many requesters; skips the loops over all of them
+            return 0  # the usual case with many requesters; skips the loops below
         self.drop_expired_demands(now_s)
         granted: Counter[str] = Counter()
         for grant in self.grants:
@@ -95,27 +97,30 @@
 
 
 class PermitAllocator:
-    """Grants permits within the limit of each replica; grants none unless this daemon has led for a while.
+    """Decides how many permits each requester gets, within the limit of each replica.
 
-    The caller must ask it for grants only while this daemon holds the leader's lease.
+    Grants nothing in the first GRANT_WINDOW_S as leader.  The caller must check the leader's lease before
+    each call of :meth:`grant`.
     """
 
     def __init__(self, window_s: float = GRANT_WINDOW_S) -> None:
         self._window_s = window_s
         self._fence: int | None = None
         self._leading_since_s = math.inf
-        """Loop time since which this daemon has led under ``_fence``; infinite before it first leads."""
+        """Loop time at which this daemon first led under ``_fence``; infinite if it never led."""
         self._grants_by_replica_id: dict[str, _ReplicaGrants] = {}
 
     def set_leadership(self, fence: int | None, now_s: float) -> None:
-        """Record under which fence this daemon leads now; None, which changes nothing, if it does not."""
+        """Record the fence under which this daemon leads now; does nothing for None, if it does not lead."""
         if fence is not None and fence != self._fence:
             self._fence = fence
             self._leading_since_s = now_s
 
     def may_grant(self, now_s: float) -> bool:
-        """Whether GRANT_WINDOW_S has passed since this daemon became leader, so that no grant of its
-        predecessor counts any more."""
+        """Whether the grant window has passed since this daemon became leader.
+
+        No grant of the previous leader counts any more then.
+        """
         return now_s - self._leading_since_s > self._window_s
 
     def grant(
@@ -125,12 +130,12 @@
 
         Args:
             requester: address of the daemon that gets the permits.
-            limit_by_replica_id: replica ID to the requests that it may get in a second.
+            limit_by_replica_id: maximum number of requests a second, by replica ID.
             count: permits requested in total, for any of the replicas.
             now_s: loop time.
 
         Returns:
-            Replica ID to its number of permits; replicas without any are left out.
+            Number of permits by replica ID; replicas without any are left out.
         """
         if not self.may_grant(now_s) or count <= 0:
             return {}
@@ -161,7 +166,7 @@
         return granted
 
     def drop_expired(self, now_s: float) -> None:
-        """Drop expired grants and demands, and replicas without any."""
+        """Drop expired grants and demands."""
         for replica_id, replica in list(self._grants_by_replica_id.items()):
             replica.drop_expired_grants(now_s, self._window_s)
             replica.drop_expired_demands(now_s)
@@ -170,10 +175,10 @@
 
 
 def fair_share(limit: int, demands: Iterable[int]) -> int:
-    """Return the max-min fair share of a limit: the most that one requester may get.
+    """Return the max-min fair share of a limit among requesters with the given demands.
 
-    Demands below the share are met in full.  The share is rounded down but at least 1; what rounding
-    leaves goes to the next request.
+    Demands below the share are met in full.  The share is rounded down, but is at least 1; it is the limit
+    itself if all demands can be met.
 
     >>> fair_share(29, [40, 40]), fair_share(29, [1, 1, 40]), fair_share(2, [1] * 84)
     (14, 27, 1)
@@ -192,18 +197,18 @@
     """Counters of one daemon's permits and permit requests; each only increases."""
 
     got: int = 0
-    """Permits received, also those that had expired on receipt."""
+    """Permits received, including those that had expired on receipt."""
     used: int = 0
     expired: int = 0
     """Permits that expired unused."""
     wanting: int = 0
-    """Requests for permits that the leader answered without granting any."""
+    """This daemon's requests for permits to which the leader responded without granting any."""
     unanswered: int = 0
-    """Requests that no leader answered."""
+    """This daemon's requests, for permits or the list of cold replicas, to which no leader responded."""
     given: int = 0
     """Permits that this daemon granted as permit issuer."""
     refused: int = 0
-    """Requests for permits that this daemon answered as permit issuer without granting any."""
+    """Requests for permits to which this daemon responded as permit issuer without granting any."""
 
 
 class PermitPool:
@@ -211,11 +216,11 @@
 
     def __init__(self) -> None:
         self._expiry_times_s_by_id: dict[str, deque[float]] = {}
-        """Replica ID to the expiry times of its permits, earliest first."""
+        """Expiry times of the permits by replica ID, in the order of their receipt."""
         self._claim_times_s_by_id: dict[str, deque[float]] = {}
-        """Replica ID to the times at which it was chosen for requests that were not sent yet."""
+        """Times of the claims by replica ID, earliest first."""
         self.requested_services_by_id: dict[str, str] = {}
-        """ID of each replica that lacked a permit since the last permit request, to its service."""
+        """Service, by replica ID, of each replica for which permits are to be requested next."""
         self.permits_requested = asyncio.Event()
         """Set while ``requested_services_by_id`` is not empty."""
         self.counters = PermitCounters()
@@ -224,8 +229,8 @@
         """Add granted permits; those that have already expired are only counted.
 
         Args:
-            granted: replica ID to its number of permits.
-            requested_s: loop time at which the permit request was sent; permits expire by it.
+            granted: number of permits by replica ID.
+            requested_s: loop time at which the permit request was sent, from which the lifetime counts.
             now_s: loop time.
         """
         expires_s = requested_s + PERMIT_LIFETIME_S
@@ -237,15 +242,15 @@
             self._expiry_times_s_by_id.setdefault(replica_id, deque()).extend([expires_s] * count)
 
     def request_permit(self, replica_id: str, service: str) -> None:
-        """Request a permit for a replica to which a request would be sent if there were one."""
+        """Add a replica, to which a request could be sent with a permit, to the next permit request."""
         self.requested_services_by_id[replica_id] = service
         self.permits_requested.set()
 
     def take_requested(self) -> dict[str, str]:
-        """Return the replicas for which permits are to be requested now, and clear them.
+        """Return the replicas for which permits are to be requested, and clear them.
 
         Returns:
-            Replica ID to its service.
+            Service by replica ID.
         """
         requested, self.requested_services_by_id = self.requested_services_by_id, {}
         self.permits_requested.clear()
@@ -256,18 +261,18 @@
         return self._count_valid(replica_id, now_s) > 0
 
     def has_unclaimed_permit(self, replica_id: str, now_s: float) -> bool:
-        """Whether an unexpired permit is held beyond those that recently chosen requests have claimed."""
+        """Whether more unexpired permits for a replica are held than there are unexpired claims."""
         valid = self._count_valid(replica_id, now_s)
         return valid > 0 and valid > self._count_claims(replica_id, now_s)
 
     def claim_permit(self, replica_id: str, now_s: float) -> None:
-        """Claim a permit, for CLAIM_LIFETIME_S, for a request that is about to be sent."""
+        """Claim a permit, for CLAIM_LIFETIME_S, for a request that is about to be sent to a replica."""
         self._claim_times_s_by_id.setdefault(replica_id, deque()).append(now_s)
 
     def use_permit(self, replica_id: str, now_s: float) -> float:
-        """Use up the oldest unexpired permit and one claim; return the permit's expiry time.
+        """Use up the oldest unexpired permit for a replica, and its oldest claim if there is one.
 
-        The replica must have an unexpired permit; see :meth:`has_permit`.
+        Returns the permit's expiry time.  The caller must have checked :meth:`has_permit`.
         """
         self._count_valid(replica_id, now_s)  # drops expired permits
         expires_s = self._expiry_times_s_by_id[replica_id].popleft()
--- a/passgate/eligibility/regions.py
+++ b/passgate/eligibility/regions.py
@@ -18,14 +18,14 @@
 from passgate.eligibility.topology import Topology
 
 SendCounter = Callable[[str, bool], None]
-"""Called with the region that a request was sent to, and whether it differs from this daemon's region."""
+"""Called with the region to which a request is sent, and whether it differs from this daemon's region."""
 
 
 def intersect_regions(*restrictions: frozenset[str]) -> frozenset[str] | None:
     """Return the regions that all restrictions allow.
 
-    An empty restriction allows any region.  The result is None if any region is allowed, and empty if
-    none is.
+    An empty restriction allows any region.  Returns None if any region is allowed, and an empty set if the
+    restrictions have no region in common.
     """
     allowed: frozenset[str] | None = None
     for restriction in restrictions:
@@ -44,17 +44,17 @@
 
 
 class RegionRule:
-    """Allows sends only to replicas in the allowed regions of the request."""
+    """Allows sends only to replicas in the allowed regions of the send's context."""
 
     name = "regions"
 
     def __init__(self, topology: Topology, count_send: SendCounter) -> None:
-        """Create the rule; ``count_send`` is called for each request sent, region-restricted or not."""
+        """Create the rule; ``count_send`` is called when the rules have admitted a request to a replica."""
         self._topology = topology
         self._count_send = count_send
 
     def allows(self, replica: ReplicaInfo, context: SendContext, now_s: float) -> bool:
-        """Whether the replica's region is allowed; the unknown region is allowed only without restriction."""
+        """Whether the replica's region is allowed; an unknown region is allowed only without restriction."""
         return context.allowed_regions is None or is_region_allowed(
             context.allowed_regions, self._topology.region_of(replica.zone)
         )
--- a/passgate/eligibility/replica_info.py
+++ b/passgate/eligibility/replica_info.py
@@ -18,23 +18,26 @@
 class ReplicaIncarnation(msgspec.Struct, frozen=True, cache_hash=True):
     """One run of a replica's process.
 
-    A replica that restarts may keep its replica ID but loses its state, so daemons key what they observe
-    of a replica by its incarnation.
+    A replica that restarts may keep its replica ID but loses its state, so its health and its crash reports
+    are kept by incarnation.
     """
 
     replica_id: str
     started_unix_ms: int = 0
-    """Start time in Unix milliseconds; 0 if not reported, in which case replica IDs are never reused."""
+    """Start time in Unix milliseconds; 0 if not reported, in which case replica IDs must never be reused."""
 
     def to_text(self) -> str:
-        """Return the text form for records; the replica ID alone if no start time is reported."""
+        """Return the text form ``ID@START`` for records.
+
+        Without a reported start time it is the ID alone, unless the ID contains START_TIME_SEPARATOR.
+        """
         if not self.started_unix_ms and START_TIME_SEPARATOR not in self.replica_id:
             return self.replica_id
         return f"{self.replica_id}{START_TIME_SEPARATOR}{self.started_unix_ms}"
 
     @classmethod
     def from_text(cls, text: str) -> ReplicaIncarnation:
-        """Return the incarnation of a text form."""
+        """Parse the text form; a text without a start time is taken as the replica ID."""
         replica_id, separator, started = text.rpartition(START_TIME_SEPARATOR)
         if separator and started.isdecimal():
             return cls(replica_id, int(started))
@@ -47,22 +50,22 @@
     replica_id: str
     service: str
     address: str
-    """``HOST:PORT`` at which it listens."""
+    """``HOST:PORT`` at which the replica listens."""
     zone: str
     slots: int
-    """Requests that it runs at the same time."""
+    """Number of requests that the replica can run at the same time."""
     draining: bool = False
-    """Whether it is shutting down and takes no new requests."""
+    """Whether the replica is shutting down and takes no new requests."""
     spot: bool = False
-    """Whether the platform may preempt it at short notice."""
+    """Whether the platform may preempt the replica at short notice."""
     model_versions: dict[str, int] = {}
-    """Model name to the version of the weights that it holds."""
+    """Version of the loaded weights, by model name."""
     started_unix_ms: int = msgspec.field(name="born_unix_ms", default=0)
-    """Start time in Unix milliseconds; 0 if not reported."""
+    """Start time of the process in Unix milliseconds; 0 if not reported."""
     cold_ms: int = 0
-    """Time for which it stays cold, from the writing of this entry; 0 if it is warm."""
+    """Milliseconds for which the replica stays cold, as of the writing of this entry; 0 if it is warm."""
 
     @property
     def incarnation(self) -> ReplicaIncarnation:
-        """The incarnation that wrote this entry."""
+        """The incarnation that this entry is about."""
         return ReplicaIncarnation(self.replica_id, self.started_unix_ms)
--- a/passgate/eligibility/rules.py
+++ b/passgate/eligibility/rules.py
@@ -1,7 +1,7 @@
 """The check before every send: each rule may forbid sending to a replica.
 
-A replica is chosen only among those that all rules allow.  The rules are checked again when the attempt
-is sent, so that no send bypasses a rule that changed its verdict after the choice.
+The rules are checked when a replica is chosen for a request, and again just before each send, so that no
+send bypasses a rule that changed its verdict after the choice.
 
 >>> replica = ReplicaInfo(replica_id="r", service="s", address="h:1", zone="z", slots=4, draining=True)
 >>> SendRules([DrainingRule()]).allows(replica, SendContext(), now_s=0.0)
@@ -41,7 +41,7 @@
 ANY_REGION_REQUEST = SendContext()
 """Context of a request that any region may serve."""
 CONTROL_MESSAGE = SendContext(kind=SendKind.CONTROL)
-"""Context of a control message; it may be sent to any region."""
+"""Context of a control message, which may be sent to any region."""
 
 
 class SendRule(Protocol):
@@ -55,10 +55,10 @@
         ...
 
     def record_send(self, replica: ReplicaInfo, context: SendContext, now_s: float) -> float | None:
-        """Record a send, after all rules have allowed it.
+        """Record a send that all rules have just allowed.
 
         Returns:
-            Loop time until which the send may still leave this daemon; None without a limit.
+            Loop time until which the message may leave this daemon; None without a limit.
         """
         ...
 
@@ -67,9 +67,9 @@
     """Stage at which a rule excluded a replica."""
 
     CHOICE = "choice"
-    """The replica was not considered in a choice."""
+    """The replica was excluded from a choice."""
     SEND = "send"
-    """The replica had been chosen, but nothing was sent to it."""
+    """A send to the replica was refused just before it happened."""
 
 
 class Exclusion(msgspec.Struct, frozen=True, kw_only=True):
@@ -81,19 +81,19 @@
 
 
 class SendRules:
-    """All active send rules, and counts of the exclusions that they caused."""
+    """The send rules of a daemon, and counts of the exclusions that they caused."""
 
     def __init__(self, rules: Sequence[SendRule] = ()) -> None:
         self._rules = list(rules)
         self.exclusion_counts: Counter[Exclusion] = Counter()
-        """Number of exclusions, of replicas in a choice and of sends, by their labels."""
+        """Number of exclusions by rule, kind of message and stage; counts the first rule that forbids."""
 
     def add(self, rule: SendRule) -> None:
         """Add a rule; rules are checked in the order in which they were added."""
         self._rules.append(rule)
 
     def allows(self, replica: ReplicaInfo, context: SendContext, now_s: float) -> bool:
-        """Whether all rules allow a send, checked while choosing a replica; counts an exclusion if not."""
+        """Whether all rules allow a send, checked when choosing a replica; counts an exclusion if not."""
         rule = self._first_forbidding_rule(replica, context, now_s)
         if rule is None:
             return True
@@ -101,13 +101,13 @@
         return False
 
     def admit(self, replica: ReplicaInfo, context: SendContext, now_s: float) -> float | None:
-        """Check a send just before it happens, and record it with each rule.
+        """Check a send just before it happens, and record it with each rule if all allow it.
 
         Returns:
-            Loop time after which the send must not leave this daemon; None without a limit.
+            Loop time until which the message may leave this daemon; None without a limit.
 
         Raises:
-            SendForbidden: a rule forbids it; nothing is sent, so its execution status is not run.
+            SendForbidden: a rule forbids the send, which must not happen; its execution status is NOT_RUN.
         """
         forbidding = self._first_forbidding_rule(replica, context, now_s)
         if forbidding is not None:
--- a/passgate/eligibility/topology.py
+++ b/passgate/eligibility/topology.py
@@ -19,13 +19,13 @@
     zone: str
     """Zone of this daemon."""
     region_by_zone: dict[str, str] = {}
-    """Zone to region."""
+    """Region of each zone that the settings name."""
 
     @property
     def region(self) -> str:
-        """Region of this daemon."""
+        """Region of this daemon; `UNKNOWN_REGION` if the settings don't name its zone."""
         return self.region_of(self.zone)
 
     def region_of(self, zone: str) -> str:
-        """Return the region of a zone, or `UNKNOWN_REGION`."""
+        """Return the region of a zone; `UNKNOWN_REGION` if the settings don't name the zone."""
         return self.region_by_zone.get(zone, UNKNOWN_REGION)
--- a/passgate/quarantine/__init__.py
+++ b/passgate/quarantine/__init__.py
@@ -1,1 +1,1 @@
-"""Recognizes requests that crash the replicas that run them, and quarantines them."""
+"""Detects requests that crash the replicas that run them, and quarantines these requests for a while."""
--- a/passgate/quarantine/crash_quarantine.py
+++ b/passgate/quarantine/crash_quarantine.py
@@ -1,4 +1,7 @@
-"""Assembles the crash guard of one daemon and its reader and writer of all daemons' crash reports."""
+"""Combines the crash guard of one daemon with the log through which all daemons share crash reports.
+
+The guard detects requests that crash replicas, and stops sending them for a while.
+"""
 
 from __future__ import annotations
 
@@ -14,7 +17,7 @@
 
 
 class CrashQuarantine:
-    """The crash guard of one daemon, which shares reports with the other daemons through the log."""
+    """The crash guard of one daemon, connected to the log of crash reports."""
 
     def __init__(
         self,
@@ -29,10 +32,9 @@
         Args:
             log: shared log with the reports.
             topic: keyed topic of the reports.
-            eject: ejects a crashed incarnation from the choice of replicas, as of a loop time.
+            eject: keeps an incarnation that has crashed from being chosen, from a loop time on.
             decisions: decision log.
-            read_incarnation: queries the replica at an address, known as the given incarnation, for its
-                current one; returns None if it does not state it.
+            read_incarnation: see :attr:`CrashGuardHooks.read_incarnation`.
         """
         reports = CrashReportStore()
         self.report_log = CrashReportLog(log, topic, reports, eject, decisions)
@@ -48,7 +50,7 @@
 
     @property
     def loaded(self) -> bool:
-        """Whether the reports on the log have been read completely once."""
+        """Whether all reports on the log have been read once since the start."""
         return self.report_log.loaded
 
     async def run(self) -> None:
--- a/passgate/quarantine/crash_report_exchange.py
+++ b/passgate/quarantine/crash_report_exchange.py
@@ -1,7 +1,8 @@
-"""Exchanges crash reports between the daemons of a zone while the log is not available to them.
+"""Exchanges crash reports directly between daemons while the log is not available to some of them.
 
-A daemon whose view of the log is stale exchanges its newest reports with a few other daemons at a time, so
-that both know the reports of each other.  A daemon to which the log is available appends what it receives.
+A daemon whose view of the crash-report topic is stale calls a few other daemons.  Each call passes the newest
+reports of both daemons to each other.  A daemon with a current view also appends the reports that are new
+to it to the log.
 """
 
 from __future__ import annotations
@@ -20,25 +21,25 @@
 
 CRASH_REPORTS_METHOD = "crashes.exchange"
 EXCHANGE_INTERVAL_S = 0.5
-"""Interval of exchanges; in a zone of 27 daemons all know a report after four of them."""
+"""Pause between two rounds of calls while the view of the topic is stale."""
 MAX_PEERS = 3
-"""Daemons with which one exchanges at a time, so that it rarely finds all of them cut off."""
+"""Maximum number of daemons called in a round; more than one, as some of them may be cut off as well."""
 RESPONSE_TIMEOUT_S = 0.4
-"""Timeout of an exchange; allows for daemons that are short of processor time."""
+"""Timeout of a call; allows for daemons that are short of processor time."""
 CHECK_INTERVAL_S = 0.1
-"""Interval of the checks whether the view of the log is stale."""
+"""Interval of the checks whether the view of the topic has become stale."""
 
 logger = logging.getLogger("passgate.quarantine")
 
 
 class CrashReportBatch(msgspec.Struct, frozen=True, kw_only=True):
-    """The newest reports that a daemon knows; both the request and the response of an exchange."""
+    """The newest reports that a daemon knows; the content of both the request and the response of a call."""
 
     reports: tuple[CrashReport, ...] = ()
 
 
 class CrashReportExchange:
-    """Exchanges reports with other daemons, and responds to their exchanges."""
+    """Exchanges crash reports with other daemons, and handles their calls."""
 
     def __init__(
         self,
@@ -50,7 +51,7 @@
 
         Args:
             transport: sends requests to other daemons.
-            list_other_members: returns the names of the other daemons, in any order.
+            list_other_members: returns the names of the other daemons in random order; the first are called.
             report_log: this daemon's reader and writer of the crash-report topic.
         """
         self._transport = transport
@@ -58,7 +59,7 @@
         self._report_log = report_log
 
     async def run(self) -> None:
-        """Exchange reports whenever the view of the log is stale, until cancelled."""
+        """Exchange reports while the view of the crash-report topic is stale; run until cancelled."""
         while True:
             if self._report_log.is_current():
                 await asyncio.sleep(CHECK_INTERVAL_S)
@@ -80,10 +81,10 @@
         self._report_log.merge_reports(received.reports)
 
     def handle_request(self, payload: bytes) -> bytes:
-        """Merge another daemon's reports and return those that this daemon knew before.
+        """Merge another daemon's reports, and return the newest ones that this daemon knew before.
 
         Raises:
-            msgspec.DecodeError: the payload is no batch of reports.
+            msgspec.DecodeError: the payload is not a batch of reports.
         """
         known = msgspec.json.encode(self._newest_reports())
         self._report_log.merge_reports(msgspec.json.decode(payload, type=CrashReportBatch).reports)
--- a/passgate/quarantine/crash_report_log.py
+++ b/passgate/quarantine/crash_report_log.py
@@ -1,8 +1,8 @@
 """Publishes and reads crash reports and announcements of isolated runs on a keyed topic of the shared log.
 
-Each record's key names the request and the incarnation, so daemons that report at the same time never
-overwrite each other, and a record that is sent twice counts once.  The topic keeps the newest record of
-each key permanently, so quarantines survive a restart of all daemons.
+An isolated run is an attempt of a request that one more crash would quarantine.  Each record's key names the
+request and the replica's incarnation, so a crash that several daemons report counts once.  The topic keeps
+the newest record of a key until the key is deleted, so quarantines survive a restart of all daemons.
 """
 
 from __future__ import annotations
@@ -25,21 +25,21 @@
 logger = logging.getLogger("passgate.quarantine")
 
 POLL_WAIT_S = 2.0
-"""Longest wait of a long poll for new records; a record ends it at once."""
+"""Longest wait of a long poll for new records."""
 MIN_RETRY_DELAY_S = 0.05
-"""Delay of the first retry of a failed append; it doubles with each failure."""
+"""Delay of the first retry of a failed append; doubles with each further failure."""
 MAX_RETRY_DELAY_S = 1.0
-"""Longest delay of a retry; a log that has recovered gets the pending records within this time."""
+"""Longest delay of a retry; short, so that pending records are appended soon after an outage of the log."""
 TOMBSTONE = b""
 """Value of a record that deletes its key."""
 MAX_CURRENT_AGE_S = 2.5
-"""Age of the view of the topic up to which it is current; longer than POLL_WAIT_S, after which it is
-confirmed even without new records."""
+"""Age below which the view of the topic counts as current; longer than POLL_WAIT_S, as an empty long poll
+confirms the view."""
 MAX_EXCHANGED_REPORTS = 256
-"""Most reports, the newest ones, in an exchange with another daemon; about 40 KB."""
+"""Maximum number of reports, the newest ones, that a daemon passes to another in one call."""
 KEY_SEPARATOR = "/"
 ISOLATED_RUN_PREFIX = "last-chance"
-"""First part of the keys of isolated runs; the keys of reports start with a fingerprint."""
+"""First part of the keys of announcements; the keys of reports start with a fingerprint."""
 
 Record = CrashReport | IsolatedRun
 
@@ -61,7 +61,7 @@
             log: shared log with the records.
             topic: keyed topic of the records.
             reports: store that is kept up to date with the topic.
-            eject: ejects a crashed incarnation from the choice of replicas, as of a loop time.
+            eject: keeps an incarnation that has crashed from being chosen, from a loop time on.
             decisions: decision log.
         """
         self._eject = eject
@@ -74,32 +74,35 @@
             log, settings, on_snapshot=self._apply_snapshot, on_records=self._apply_records
         )
         self._pending_by_key: dict[str, bytes] = {}
-        """Key to the value that is to be appended to the log; `TOMBSTONE` deletes the key."""
+        """Values still to be appended to the topic, by key; `TOMBSTONE` deletes the key."""
         self._has_pending = asyncio.Event()
 
     @property
     def loaded(self) -> bool:
-        """Whether the topic has been read completely once."""
+        """Whether a snapshot of the whole topic has been read."""
         return self._tail.loaded
 
     def publish(self, record: Record) -> None:
-        """Publish a crash report, or the announcement of an isolated run, to all daemons."""
+        """Queue a crash report, or the announcement of an isolated run, to be appended to the topic."""
         self._enqueue(_key_of(record), msgspec.json.encode(record))
 
     def withdraw(self, record: Record) -> None:
-        """Withdraw a record at all daemons."""
+        """Queue the deletion of a record from the topic, so that all daemons drop it."""
         self._enqueue(_key_of(record), TOMBSTONE)
 
     def is_current(self) -> bool:
-        """Whether the view of the topic is current, so that it contains what other daemons reported."""
+        """Whether the topic was read to its end less than MAX_CURRENT_AGE_S ago."""
         return self._tail.freshness.age_s(monotonic_s()) < MAX_CURRENT_AGE_S
 
     def newest_reports(self) -> tuple[CrashReport, ...]:
-        """Return the newest reports in effect, at most MAX_EXCHANGED_REPORTS."""
+        """Return the newest stored reports, at most MAX_EXCHANGED_REPORTS."""
         return self._reports.newest(MAX_EXCHANGED_REPORTS)
 
     def merge_reports(self, reports: Iterable[CrashReport]) -> None:
-        """Add another daemon's reports that are new here; publish them if the log is available."""
+        """Add another daemon's reports that are new here; publish them if the view of the topic is current.
+
+        Reports whose withdrawal by this daemon is still to be appended are ignored.
+        """
         for report in reports:
             if self._is_withdrawn(report) or self._reports.contains(report.fingerprint, report.incarnation):
                 continue
@@ -108,7 +111,7 @@
                 self.publish(report)
 
     def _is_withdrawn(self, report: CrashReport) -> bool:
-        """Whether this daemon has withdrawn a report and the log does not have the withdrawal yet."""
+        """Whether this daemon has withdrawn a report and has still to append the withdrawal."""
         return self._pending_by_key.get(_key_of(report)) == TOMBSTONE
 
     async def run(self) -> None:
@@ -122,7 +125,7 @@
         self._has_pending.set()
 
     async def _append_pending(self) -> None:
-        """Append pending records, and withdraw expired ones, whenever there are pending records."""
+        """Append pending records until cancelled; delete expired records from the topic with each append."""
         retry_delay_s = MIN_RETRY_DELAY_S
         while True:
             await self._has_pending.wait()
@@ -145,7 +148,10 @@
         return expired
 
     async def _append(self, records: dict[str, bytes]) -> None:
-        """Append records; those that did not change meanwhile are no longer pending; raises LogError."""
+        """Append records, and drop them from the pending ones unless a newer value is pending by now.
+
+        Raises LogError if they were not appended or the outcome is unknown.
+        """
         encoded = [
             self._log.encode_keyed(KeyedRecord(key=key, value=value)) for key, value in records.items()
         ]
@@ -156,9 +162,9 @@
                 del self._pending_by_key[key]
 
     def _apply_snapshot(self, records: tuple[KeyedRecord, ...], next_offset: int) -> None:
-        """Apply the newest record of each key, and remove reports and runs that the snapshot lacks.
+        """Apply the newest record of each key, and remove reports and announcements that the snapshot lacks.
 
-        Records that this daemon is about to append are kept.
+        Reports with a pending record of this daemon are left as they are.
         """
         keys_in_effect = {record.key for record in records if record.value}
         for fingerprint, incarnation in self._reports.report_keys():
@@ -177,7 +183,7 @@
 
     def _apply_record(self, record: KeyedRecord, offset: int) -> None:
         if self._pending_by_key.get(record.key, record.value) != record.value:
-            return  # this daemon is about to append a newer value
+            return  # a different value of this daemon is still to be appended
         if not record.value:
             self._remove(record.key)
             return
--- a/passgate/quarantine/crash_reports.py
+++ b/passgate/quarantine/crash_reports.py
@@ -1,8 +1,9 @@
 """Stores crash reports and decides from them which requests are quarantined.
 
-A crash report states that a replica crashed while it ran a request.  Each concurrent request gets one as
-well; its reports are cleared when a replica answers it.  A request is quarantined while as many unexpired
-reports as its crash limit name it, unless other requests explain its crashes.
+A crash report states that an incarnation, that is one run of a replica's process, ended while it ran a
+request.  If several requests were running, each gets a report.  The reports of a request for a service are
+cleared when a replica of that service answers the request completely.  A request with as many unexpired
+reports as its crash limit is quarantined, unless other requests explain its crashes.
 
 >>> store = CrashReportStore()
 >>> for replica_id in ("r1", "r2"):
@@ -30,16 +31,16 @@
 from passgate.quarantine.isolated_runs import IsolatedRuns
 
 REPORT_LIFETIME_S = 600.0
-"""Age at which a report expires, so that a request is retried after a fix of the replicas."""
+"""Age at which a report expires, so that a request is run again after the replicas have been fixed."""
 MAX_REPORTS = 4096
-"""Most reports kept; the oldest are dropped first.  They take about 1 MB."""
+"""Maximum number of stored reports; beyond it, the oldest are dropped."""
 
 
 Outer, Inner = TypeVar("Outer"), TypeVar("Inner")
 
 
 class CrashReport(msgspec.Struct, frozen=True, kw_only=True):
-    """States that a replica crashed while it ran a request."""
+    """States that a replica's process ended, probably by a crash, while it ran a request."""
 
     fingerprint: str
     """Fingerprint of the request."""
@@ -47,11 +48,11 @@
     service: str
     """Service of the replica."""
     crash_limit: int = msgspec.field(name="limit")
-    """Replica crashes after which the request is quarantined."""
+    """Number of reports from which the request is quarantined."""
     reported_unix_s: float = msgspec.field(name="at_unix_s")
-    """Time of day at which the reporting daemon detected the crash."""
+    """Unix time in seconds at which the reporting daemon detected the crash."""
     started_unix_ms: int = msgspec.field(name="born_unix_ms", default=0)
-    """Start time of the replica in Unix milliseconds; 0 if not reported."""
+    """Start time of the replica's process in Unix milliseconds; 0 if unknown."""
 
     @property
     def incarnation(self) -> ReplicaIncarnation:
@@ -66,22 +67,25 @@
 
 
 class CrashReportStore:
-    """All crash reports in effect, at most one for each pair of request and incarnation."""
+    """Crash reports that were not cleared, at most one for each pair of request and incarnation."""
 
     def __init__(self) -> None:
         self._reports_by_fingerprint: dict[str, dict[ReplicaIncarnation, _KnownReport]] = {}
-        """Fingerprint to incarnation to report."""
+        """Reports by fingerprint, then by incarnation."""
         self._reports_by_incarnation: dict[ReplicaIncarnation, dict[str, _KnownReport]] = {}
-        """Incarnation to fingerprint to report; holds the same reports."""
+        """The same reports by incarnation, then by fingerprint."""
         self._count = 0
         self.isolated_runs = IsolatedRuns()
-        """Runs of requests that one more crash would quarantine."""
+        """Isolated runs: attempts of requests that one more crash would quarantine."""
 
     def __len__(self) -> int:
         return self._count
 
     def add(self, report: CrashReport, now_s: float) -> bool:
-        """Add a report at a loop time and return whether it is new; at MAX_REPORTS the oldest is dropped."""
+        """Add a report, known from a loop time on, and return whether it is new.
+
+        With MAX_REPORTS stored, the oldest of them is dropped first.
+        """
         if self.contains(report.fingerprint, report.incarnation):
             return False
         if self._count >= MAX_REPORTS:
@@ -93,11 +97,11 @@
         return True
 
     def contains(self, fingerprint: str, incarnation: ReplicaIncarnation) -> bool:
-        """Whether a report is in effect."""
+        """Whether a report of a request and an incarnation is stored; it may have expired."""
         return incarnation in self._reports_by_fingerprint.get(fingerprint, {})
 
     def remove(self, fingerprint: str, incarnation: ReplicaIncarnation) -> bool:
-        """Remove a report; return whether it was in effect."""
+        """Remove a report; return whether it was stored."""
         if not self.contains(fingerprint, incarnation):
             return False
         _remove_from_index(self._reports_by_fingerprint, fingerprint, incarnation)
@@ -106,15 +110,16 @@
         return True
 
     def clear_request(self, fingerprint: str, service: str) -> list[CrashReport]:
-        """Remove and return the reports of a request that a replica of a service has answered.
+        """Remove and return a request's reports for a service, after one of its replicas has answered it.
 
-        Those of other services stay: one release of a split route may crash where another does not.
+        The reports for other services stay: a route may split requests among services of which only some
+        crash.
         """
         known = self._reports_by_fingerprint.get(fingerprint, {}).values()
         return self._remove_all([each for each in known if each.report.service == service])
 
     def has_report_before(self, incarnation: ReplicaIncarnation, before_s: float) -> bool:
-        """Whether an incarnation has a crash report that was known before a loop time."""
+        """Whether a stored report of an incarnation was known here before a loop time."""
         return any(
             before_s > each.since_s for each in self._reports_by_incarnation.get(incarnation, {}).values()
         )
@@ -122,9 +127,9 @@
     def clear_incarnation(
         self, incarnation: ReplicaIncarnation, attempt_started_s: float
     ) -> list[CrashReport]:
-        """Remove and return the reports of an incarnation that answered an attempt started after them.
+        """Remove and return the reports of an incarnation that were known before an attempt it responded to.
 
-        Such an incarnation has not crashed, as a restarted replica is another incarnation.
+        These reports are wrong: an incarnation that has ended does not respond any more.
         """
         known = self._reports_by_incarnation.get(incarnation, {}).values()
         return self._remove_all([each for each in known if attempt_started_s > each.since_s])
@@ -140,9 +145,10 @@
         return sum(not _is_expired(each.report, unix_s) for each in known)
 
     def quarantined_for_s(self, fingerprint: str, unix_s: float) -> float:
-        """Return for how much longer a request is quarantined; 0 if it is not.
+        """Return the seconds until too few of a request's reports are unexpired to quarantine it.
 
-        It is quarantined until fewer unexpired reports than its crash limit remain.
+        0 if the request is not quarantined.  It may be released earlier, if reports are cleared or other
+        requests explain its crashes.
         """
         known = list(self._reports_by_fingerprint.get(fingerprint, {}).values())
         if not known or len(known) < (limit := known[0].report.crash_limit):
@@ -155,12 +161,13 @@
     def _is_explained_by_others(self, fingerprint: str) -> bool:
         """Whether other requests explain all crashes of a request, so that it is not quarantined.
 
-        They do if each of its replicas also crashed under another request at its crash limit that has
-        crashed some replica alone, that is, with no other request at its limit running there.
+        A request is "at its limit" here if it has as many reports as its crash limit, expired ones included.
+        A crash is explained if another request at its limit has a report of the same incarnation, and that
+        request is the only one at its limit in the reports of some incarnation.
 
-        A request with a limit of at least ITEM_CRASH_LIMIT is also let through once more, at exactly its
-        limit, if each of its replicas also crashed under other requests at their limit.  It then runs
-        isolated, so that a cause crashes one more replica alone and is quarantined after that.
+        A request with a limit of at least ITEM_CRASH_LIMIT, and with exactly as many reports, is also let
+        through if each of its incarnations has a report of another request at its limit.  It then needs an
+        isolated run; if it crashes that replica too, it has more reports than its limit.
         """
         incarnations = self._reports_by_fingerprint[fingerprint]
         if all(self._is_crash_explained(fingerprint, incarnation) for incarnation in incarnations):
@@ -172,19 +179,19 @@
         )
 
     def _is_crash_explained(self, fingerprint: str, incarnation: ReplicaIncarnation) -> bool:
-        """Whether an incarnation also crashed under another request that has crashed a replica alone."""
+        """Whether another request that has crashed a replica alone has a report of an incarnation."""
         others = (other for other in self._fingerprints_at_limit(incarnation) if other != fingerprint)
         return any(self._has_crashed_alone(other) for other in others)
 
     def _has_crashed_alone(self, fingerprint: str) -> bool:
-        """Whether some incarnation crashed under a request at its limit and under no other such request."""
+        """Whether a request is the only one at its limit in the reports of some incarnation."""
         return any(
             self._fingerprints_at_limit(incarnation) == [fingerprint]
             for incarnation in self._reports_by_fingerprint[fingerprint]
         )
 
     def _fingerprints_at_limit(self, incarnation: ReplicaIncarnation) -> list[str]:
-        """Return the requests with as many reports as their limit under which an incarnation crashed."""
+        """Return the fingerprints of the requests at their limit that have a report of an incarnation."""
         known = self._reports_by_incarnation[incarnation].values()
         return [
             each.report.fingerprint
@@ -201,7 +208,7 @@
         }
 
     def newest(self, max_count: int) -> tuple[CrashReport, ...]:
-        """Return the newest reports, newest first, at most ``max_count``."""
+        """Return at most ``max_count`` reports, the newest first."""
         reports = (each.report for known in self._reports_by_fingerprint.values() for each in known.values())
         return tuple(heapq.nlargest(max_count, reports, key=lambda report: report.reported_unix_s))
 
--- a/passgate/quarantine/guard.py
+++ b/passgate/quarantine/guard.py
@@ -1,8 +1,12 @@
 """Quarantines requests that crash replicas; every attempt is checked here before it is sent.
 
-A failed attempt that may be due to a crash makes its request a suspect, and its replica is probed.  If the
-replica has crashed, a crash report is published to all daemons.  A request with as many reports as its
-crash limit is quarantined.  A complete answer clears its request's reports, a response its replica's.
+After a failed attempt that may be due to a crash, the replica is probed.  If its process has exited, a crash
+report of the request is published to all daemons.  A request with as many unexpired reports as its crash
+limit is quarantined, that is, sent to no replica, unless other requests explain its crashes.  A complete
+answer clears the request's reports for that service; a response clears earlier reports of its replica.
+
+An isolated run is an attempt of a job's item or reward call that one more crash would quarantine.  Isolated
+runs are kept at different replicas, where other requests may run beside them.
 """
 
 from __future__ import annotations
@@ -28,27 +32,27 @@
 from passgate.quarantine.isolated_runs import IsolatedRun
 
 QUERY_INTERVAL_S = 1.0
-"""Shortest time between two queries of a replica's incarnation, however many responses it sends."""
+"""Shortest time between two queries of the same replica for its incarnation."""
 MAX_DISCOVERY_DELAY_S = 5.0
-"""Longest time after a crash until discovery lists the replica's next incarnation or drops the replica."""
+"""Assumed upper bound of the time from a crash until this daemon learns from discovery that the replica has
+a new incarnation or is gone."""
 RELEASE_CHECK_INTERVAL_S = 0.5
 """Interval of the checks whether a request is still quarantined."""
 ISOLATED_RUN_DELAY_RANGE_S = (0.5, 1.5)
-"""Bounds of the random delay before an isolated run.  It keeps isolated runs that start after the same
-crash from starting together."""
+"""Bounds of the random delay before an isolated run, which spreads the runs that follow the same crash."""
 ANNOUNCEMENT_TIMEOUT_S = 0.3
-"""Longest wait until an announcement is read back from the log; after that the run starts without it."""
+"""Longest wait until an announcement is read back from the log; the run then starts without it."""
 ANNOUNCEMENT_CHECK_INTERVAL_S = 0.005
 """Interval of the checks whether an announcement was read back."""
 
 
 class ReplicaEndpoint(msgspec.Struct, frozen=True, kw_only=True):
-    """A replica's incarnation, service and address at the time of an attempt."""
+    """The replica to which an attempt was sent."""
 
     incarnation: ReplicaIncarnation
     service: str
     address: str
-    """``IP:PORT`` at which it listened."""
+    """``IP:PORT`` at which the replica listened."""
     has_newer_incarnation: bool = False
     """Whether a newer incarnation of the replica is known, so that this one has exited."""
 
@@ -57,39 +61,40 @@
     """What a guard needs from the rest of the daemon."""
 
     has_exited: Callable[[str], Awaitable[bool]]
-    """Returns whether nothing listens on an address any more."""
+    """Returns whether the machine at an address refuses connections, so that the process has exited; false
+    if nothing answers."""
     publish: Callable[[CrashReport | IsolatedRun], None]
     """Publishes a crash report, or the announcement of an isolated run, to all daemons."""
     withdraw: Callable[[CrashReport | IsolatedRun], None]
-    """Withdraws such a record at all daemons."""
+    """Withdraws a published report or announcement at all daemons."""
     eject: Callable[[ReplicaIncarnation, float], None]
-    """Ejects a crashed incarnation from the choice of replicas, as of a loop time."""
+    """Keeps an incarnation that has crashed from being chosen, from a loop time on."""
     read_incarnation: Callable[[ReplicaIncarnation, str], Awaitable[ReplicaIncarnation | None]]
-    """Queries the replica at an address, known as the given incarnation, for its current one; returns None
-    if it does not state it."""
+    """Asks the replica at an address which incarnation it is now; the first argument is the incarnation last
+    known there.  Returns None if the call fails or the response does not say."""
     is_log_current: Callable[[], bool]
-    """Returns whether the log is available, so that this daemon's view of discovery is current."""
+    """Returns whether the log was read recently, so that this daemon's view of discovery is current too."""
 
 
 class CrashGuard:
-    """Decides for one daemon which requests may be sent, and reports the crashes of replicas."""
+    """Decides for one daemon which requests are quarantined, and reports crashes of replicas."""
 
     def __init__(self, reports: CrashReportStore, hooks: CrashGuardHooks, decisions: DecisionLog) -> None:
         self._reports = reports
         self._hooks = hooks
         self._decisions = decisions
         self._probes_by_fingerprint: dict[str, set[asyncio.Task[None]]] = {}
-        """Fingerprint of a request to the probes in progress of replicas at which its attempts failed."""
+        """Probes in progress, by the fingerprint of the request whose attempts failed."""
         self._isolated_runs = reports.isolated_runs
         self._queried_s_by_incarnation: dict[ReplicaIncarnation, float] = {}
-        """Incarnation to the loop time of the last query for it; only recent ones are kept."""
+        """Loop time of the last query, by incarnation; only recent queries are kept."""
         self._queries: set[asyncio.Task[None]] = set()
 
     def raise_if_quarantined(self, identity: RequestIdentity) -> None:
-        """Return if a request may be sent.
+        """Raise an error if a request is quarantined; otherwise do nothing.
 
         Raises:
-            RequestQuarantined: it is quarantined, as it has crashed too many replicas; it was not run.
+            RequestQuarantined: the request is quarantined, so this attempt must not be sent.
         """
         quarantined_for_s = self._quarantined_for_s(identity)
         if quarantined_for_s > 0.0:
@@ -104,14 +109,14 @@
         return self._quarantined_for_s(identity) > 0.0
 
     async def wait_until_released(self, identity: RequestIdentity) -> None:
-        """Wait until a request is not quarantined; returns at once if it is not."""
+        """Wait while a request is quarantined."""
         while self.is_quarantined(identity):
             await asyncio.sleep(RELEASE_CHECK_INTERVAL_S)
 
     def is_suspect(self, identity: RequestIdentity) -> bool:
-        """Whether a request has a crash report or a probe in progress.
+        """Whether a request has an unexpired crash report or a probe in progress.
 
-        Such a request must be sent to only one replica at a time.
+        Callers must send such a request to only one replica at a time.
         """
         if not len(self._reports) and not self._probes_by_fingerprint:
             return False
@@ -122,9 +127,9 @@
         )
 
     async def wait_for_probes(self, identity: RequestIdentity) -> None:
-        """Wait for the probes in progress if their outcome may quarantine a request.
+        """Wait for the probes in progress for a request, if their results may quarantine it.
 
-        With fewer probes it returns at once: most failed attempts are not crashes.
+        If the request would stay below its crash limit even if all probes found crashes, returns at once.
         """
         if not self._probes_by_fingerprint:
             return
@@ -137,38 +142,39 @@
             await asyncio.wait(list(probes))
 
     def needs_isolated_run(self, identity: RequestIdentity) -> bool:
-        """Whether one more crash would quarantine a request, so that it needs an isolated run."""
+        """Whether a request lacks at most one report to its crash limit, so that its next run is isolated."""
         if not len(self._reports):
             return False
         return self._reports.count_crashes(identity.fingerprint(), unix_s()) >= identity.crash_limit - 1
 
     async def delay_isolated_run(self, identity: RequestIdentity) -> None:
-        """Wait for probes that may quarantine a request, then for a random delay before an isolated run."""
+        """Wait for probes that may quarantine a request, then for a random time before an isolated run.
+
+        The random time is left out for a request that needs no isolated run.
+        """
         await self.wait_for_probes(identity)
         if self.needs_isolated_run(identity):
             await asyncio.sleep(random.uniform(*ISOLATED_RUN_DELAY_RANGE_S))
 
     def excluded_replicas(self, identity: RequestIdentity) -> frozenset[ReplicaIncarnation]:
-        """Return the replicas that a request must not use, as isolated runs of other requests are there.
+        """Return the replicas with isolated runs of other requests, if this request needs an isolated run.
 
-        Empty unless the request itself needs an isolated run.  Requests interrupted by the same crash are
-        retried at the same time; if they shared replicas again, the cause's next crash would count against
-        its concurrent requests too.
+        The request must not use them.  Requests interrupted by the same crash are retried at about the same
+        time; if they ran together again, the next crash would count against all of them again.
         """
         if not self.needs_isolated_run(identity):
             return frozenset()
         return self._isolated_runs.replicas(monotonic_s(), excluding=identity.fingerprint())
 
     def replicas_to_avoid(self) -> frozenset[ReplicaIncarnation]:
-        """Return the replicas that any request should avoid while others have free slots.
+        """Return the replicas with isolated runs, which any item or reward call should avoid if it can.
 
-        They have isolated runs, where a crash interrupts all concurrent requests, and where a second
-        cause would make it unclear which request caused the crash.
+        A crash there is likely; it would interrupt all concurrent requests and be reported for each of them.
         """
         return self._isolated_runs.replicas(monotonic_s()) if len(self._reports) else frozenset()
 
     def announce_run(self, identity: RequestIdentity, incarnation: ReplicaIncarnation) -> None:
-        """Announce to all daemons where a request is about to run, if it needs an isolated run."""
+        """Announce to all daemons at which replica a request is about to run, if it needs an isolated run."""
         if not self.needs_isolated_run(identity):
             return
         run = IsolatedRun(
@@ -182,8 +188,8 @@
     async def confirm_run(self, identity: RequestIdentity) -> bool:
         """Wait until the announcement of a request's run is read back; return whether the run may start.
 
-        It may start if no other isolated run was announced at its replica before.  A request without an
-        announcement may start at once.
+        The run may not start if the log has an earlier announcement of another isolated run at its replica.
+        After ANNOUNCEMENT_TIMEOUT_S it may start unannounced.  A request without an announcement never waits.
         """
         if not len(self._reports) or (run := self._isolated_runs.local_run(identity.fingerprint())) is None:
             return True
@@ -204,7 +210,7 @@
         return is_first
 
     def withdraw_run(self, identity: RequestIdentity) -> None:
-        """Withdraw the announcement of a request's run, which is over or was not started."""
+        """Withdraw the announcement, if any, of a request's run, which is over or was not started."""
         if not self._isolated_runs.has_local:
             return
         run = self._isolated_runs.remove_local(identity.fingerprint())
@@ -219,7 +225,7 @@
             self.start_probe(identity, endpoint)
 
     def start_probe(self, identity: RequestIdentity, endpoint: ReplicaEndpoint) -> None:
-        """Start a probe of a replica that was sent a request; report a crash if it has exited."""
+        """Start a task that probes a replica and reports that a request crashed it if it has exited."""
         fingerprint = identity.fingerprint()
         probe = asyncio.get_running_loop().create_task(self._probe(identity, endpoint))
         probes = self._probes_by_fingerprint.setdefault(fingerprint, set())
@@ -227,12 +233,12 @@
         probe.add_done_callback(lambda done: self._remove_probe(fingerprint, done))
 
     def record_response(self, endpoint: ReplicaEndpoint, attempt_started_s: float) -> None:
-        """Record a response head, which proves that the replica lives and clears its earlier reports.
+        """Clear the earlier reports of a replica that has sent a response head, as it has not exited.
 
-        A restarted replica may respond under the same replica ID before discovery lists its new
-        incarnation.  One with a start time is therefore queried for its incarnation first.  If it does
-        not state it, only reports older than MAX_DISCOVERY_DELAY_S are cleared, and only while the log
-        is available: discovery would list a newer incarnation by now.
+        A replica with a start time may have restarted before discovery lists its new incarnation.  It is
+        first asked for its incarnation, at most once in QUERY_INTERVAL_S.  Without a statement, only reports
+        from MAX_DISCOVERY_DELAY_S before the attempt are cleared, and only while the log is read.  Nothing is
+        cleared if a newer incarnation is known.
 
         Args:
             endpoint: the replica that responded.
@@ -251,13 +257,13 @@
             query.add_done_callback(self._queries.discard)
 
     def record_success(self, identity: RequestIdentity, service: str) -> None:
-        """Record a complete answer: it proves that the request does not crash replicas of a service."""
+        """Clear a request's reports for a service whose replica has answered the request completely."""
         if len(self._reports):
             cleared = self._reports.clear_request(identity.fingerprint(), service)
             self._withdraw(cleared, "the request was answered")
 
     def _start_query_interval(self, incarnation: ReplicaIncarnation, now_s: float) -> bool:
-        """Return whether an incarnation may be queried now, and record the query if so."""
+        """Return whether QUERY_INTERVAL_S has passed since the last query; record a new one if so."""
         self._queried_s_by_incarnation = {
             queried: queried_s
             for queried, queried_s in self._queried_s_by_incarnation.items()
@@ -288,7 +294,7 @@
             self.record_crash(identity, endpoint)
 
     def record_crash(self, identity: RequestIdentity, endpoint: ReplicaEndpoint) -> None:
-        """Eject and report a replica that has certainly crashed while it ran a request."""
+        """Eject a replica that has exited while it ran a request, and report it unless a report is known."""
         fingerprint = identity.fingerprint()
         self._hooks.eject(endpoint.incarnation, monotonic_s())
         report = CrashReport(
@@ -327,6 +333,6 @@
 
 
 def _may_be_crash(error: PassgateError) -> bool:
-    """Whether an attempt may have failed by a crash: its connection broke after the request was sent."""
+    """Whether an attempt may have failed by a crash: without a complete answer, when it may have run."""
     connection_broken = isinstance(error, (BackendUnreachable, IncompleteAnswer))
     return connection_broken and error.execution is ExecutionStatus.UNKNOWN
--- a/passgate/quarantine/identity.py
+++ b/passgate/quarantine/identity.py
@@ -1,7 +1,7 @@
-"""Identity of a request by its content, so that a repeated request is recognized.
+"""Identity of a request by its content, by which a request that its caller repeats is recognized.
 
-Each attempt of a caller has its own request ID, so the ID cannot identify a request.  Headers are left out,
-as some of them, such as the remaining time, differ between attempts.
+A caller gives each repetition a request ID of its own, so the ID does not serve here.  Headers are left out,
+as some of them, such as the remaining time, differ between repetitions.
 
 >>> first = RequestIdentity(host="h", method="POST", path="/a?b=1", tenant="t", body=b"x")
 >>> repeated = RequestIdentity(host="h", method="POST", path="/a?b=1", tenant="t", body=b"x")
@@ -18,18 +18,18 @@
 import msgspec
 
 FINGERPRINT_BYTES = 16
-"""128 bits, so that collisions are infeasible, also for a caller who tries to cause one."""
+"""Size of a fingerprint; large enough to make collisions improbable, also intended ones."""
 CRASH_LIMIT = 2
-"""Replica crashes after which a request is quarantined; a single crash may well have another cause."""
+"""Number of replica crashes that quarantines a request; a single crash may well have another cause."""
 ITEM_CRASH_LIMIT = 3
 """Crash limit of job items and reward calls; higher, as many run concurrently at a replica and a wrong
 quarantine may delay a training step."""
 LENGTH_PREFIX_BYTES = 8
-"""Size of the length that is hashed before each part, so that the parts are unambiguous."""
+"""Size of the length that is hashed before each part, so that different parts never give the same input."""
 
 
 class RequestIdentity(msgspec.Struct, frozen=True, kw_only=True):
-    """The content of a request."""
+    """The content of a request that identifies it, and its crash limit."""
 
     host: str
     method: str
@@ -39,10 +39,10 @@
     """Tenant of the caller; None if the deployment has no tenants."""
     body: bytes
     crash_limit: int = CRASH_LIMIT
-    """Replica crashes after which the request is quarantined; not part of the fingerprint."""
+    """Number of replica crashes that quarantines the request; not part of the fingerprint."""
 
     def fingerprint(self) -> str:
-        """Return a hexadecimal digest of the content; it does not reveal the content."""
+        """Return a hexadecimal digest of the content."""
         digest = hashlib.blake2b(digest_size=FINGERPRINT_BYTES)
         tenant = "" if self.tenant is None else f"tenant {self.tenant}"
         for text in (self.host, self.method, self.path, tenant):
--- a/passgate/quarantine/isolated_runs.py
+++ b/passgate/quarantine/isolated_runs.py
@@ -1,7 +1,7 @@
-"""Isolated runs at all daemons: at most one request that one more crash would quarantine runs per replica.
+"""Isolated runs: attempts of requests that one more crash would quarantine, kept at different replicas.
 
-A daemon announces such a run on the log, and starts it if its announcement is the first in effect for the
-replica.  All daemons read the announcements in the same order, so they agree on the first one.
+A daemon announces an isolated run on the log, and starts it if the announcement is the first unexpired one
+for the replica.  All daemons read the announcements in the same order, so they agree on the first one.
 
 >>> runs = IsolatedRuns()
 >>> first = IsolatedRun(fingerprint="f1", replica_id="r")
@@ -23,22 +23,22 @@
 from passgate.eligibility.replica_info import ReplicaIncarnation
 
 ANNOUNCEMENT_LIFETIME_S = 10.0
-"""Time after which an announcement expires, as its daemon may have crashed; longer than most runs."""
+"""Age at which an announcement expires, also that of a run in progress, as its daemon may have crashed."""
 UNKNOWN_OFFSET = -1
-"""Offset of records read from a snapshot; it sorts before the offsets of all records read later."""
+"""Used as the offset of a record from a snapshot, which is older than all records read after the snapshot."""
 
 
 class IsolatedRun(msgspec.Struct, frozen=True, kw_only=True):
-    """Announces that a request which one more crash would quarantine runs, or soon runs, at a replica."""
+    """An isolated run of a request at a replica, as announced to all daemons just before its start."""
 
     fingerprint: str
     replica_id: str
     started_unix_ms: int = msgspec.field(name="born_unix_ms", default=0)
-    """Start time of the replica in Unix milliseconds; 0 if not reported."""
+    """Start time of the replica's process in Unix milliseconds; 0 if not reported."""
 
     @property
     def incarnation(self) -> ReplicaIncarnation:
-        """The incarnation of the replica."""
+        """The run of the replica's process at which the request runs."""
         return ReplicaIncarnation(self.replica_id, self.started_unix_ms)
 
 
@@ -53,16 +53,16 @@
 
     def __init__(self) -> None:
         self._local_runs_by_fingerprint: dict[str, IsolatedRun] = {}
-        """Fingerprint to isolated run of this daemon."""
+        """This daemon's isolated runs by fingerprint."""
         self._announcements_by_incarnation: dict[ReplicaIncarnation, dict[str, _Announcement]] = {}
-        """Incarnation to fingerprint to the announcement that was read from the log."""
+        """Announcements that were read from the log, by incarnation, then by fingerprint."""
 
     def add_local(self, run: IsolatedRun) -> None:
-        """Add an isolated run of this daemon."""
+        """Add an isolated run of this daemon; replaces an earlier run of the same request."""
         self._local_runs_by_fingerprint[run.fingerprint] = run
 
     def remove_local(self, fingerprint: str) -> IsolatedRun | None:
-        """Remove and return the isolated run of a request of this daemon; None if there is none."""
+        """Remove and return this daemon's isolated run of a request; None if there is none."""
         return self._local_runs_by_fingerprint.pop(fingerprint, None)
 
     @property
@@ -71,17 +71,17 @@
         return bool(self._local_runs_by_fingerprint)
 
     def local_run(self, fingerprint: str) -> IsolatedRun | None:
-        """Return the isolated run of a request of this daemon, or None."""
+        """Return this daemon's isolated run of a request; None if there is none."""
         return self._local_runs_by_fingerprint.get(fingerprint)
 
     def record_announcement(self, run: IsolatedRun, offset: int, now_s: float) -> None:
-        """Record an announcement that was read from the log at an offset."""
+        """Record an announcement that was read from the log; replaces an earlier one of the same run."""
         self._announcements_by_incarnation.setdefault(run.incarnation, {})[run.fingerprint] = _Announcement(
             offset, now_s
         )
 
     def remove_announcement(self, fingerprint: str, incarnation: ReplicaIncarnation) -> None:
-        """Remove an announcement that was withdrawn."""
+        """Remove an announcement, if it is there."""
         announcements = self._announcements_by_incarnation.get(incarnation, {})
         announcements.pop(fingerprint, None)
         if not announcements:
@@ -96,7 +96,7 @@
                     self.remove_announcement(fingerprint, incarnation)
 
     def clear_expired(self, now_s: float) -> list[IsolatedRun]:
-        """Remove and return the runs whose announcements have expired."""
+        """Remove the expired announcements and return their runs."""
         expired = [
             IsolatedRun(
                 fingerprint=fingerprint,
@@ -112,13 +112,14 @@
         return expired
 
     def is_announced(self, fingerprint: str, incarnation: ReplicaIncarnation) -> bool:
-        """Whether the announcement of a run was read from the log."""
+        """Whether the announcement of a run was read from the log and not removed since."""
         return fingerprint in self._announcements_by_incarnation.get(incarnation, {})
 
     def is_first(self, fingerprint: str, incarnation: ReplicaIncarnation, now_s: float) -> bool:
-        """Whether no other request's unexpired announcement at a replica precedes that of this one.
+        """Whether a request's announcement at an incarnation precedes all unexpired ones of other requests.
 
-        True also if this request's announcement was not read.
+        True if the request's own announcement was not read.  Announcements of one snapshot don't precede
+        each other.
         """
         announcements = self._announcements_by_incarnation.get(incarnation, {})
         if fingerprint not in announcements:
@@ -130,7 +131,10 @@
         )
 
     def replicas(self, now_s: float, excluding: str = "") -> frozenset[ReplicaIncarnation]:
-        """Return the incarnations with isolated runs, except those of the request with a fingerprint."""
+        """Return the incarnations with isolated runs: this daemon's, and those with unexpired announcements.
+
+        Runs of the request with the fingerprint ``excluding`` are left out.
+        """
         local = {
             run.incarnation
             for run in self._local_runs_by_fingerprint.values()
--- a/passgate/quarantine/liveness.py
+++ b/passgate/quarantine/liveness.py
@@ -1,7 +1,7 @@
 """Probes whether a replica's process has exited, by connecting to its port.
 
-The machine of an exited process refuses the connection at once, and a live replica accepts it.  A machine
-that is down or unreachable does not respond, which proves nothing.
+A machine on which no process listens at the port refuses the connection.  No response proves nothing: the
+machine may be down, unreachable or overloaded.
 """
 
 from __future__ import annotations
@@ -13,15 +13,15 @@
 logger = logging.getLogger("passgate.quarantine")
 
 SECOND_PROBE_DELAY_S = 0.02
-"""Pause before the second probe; an exiting process may close its listener after its connections."""
+"""Pause before the second probe; an exiting process may close its connections before its listening socket."""
 CONNECT_TIMEOUT_S = 0.2
-"""Timeout of a connection attempt; long against a round trip between zones."""
+"""Timeout of a connection attempt."""
 
 
 async def has_exited(address: str) -> bool:
-    """Return whether the process at ``IP:PORT`` has exited, that is, refuses connections.
+    """Return whether one of two connections to ``IP:PORT`` is refused, so that the process has exited.
 
-    The first probe is made at once, so that its result is known before a caller's retry arrives.
+    The first is made at once, so that a crash is usually known before a caller's retry arrives.
     """
     if await _refuses_connections(address):
         return True
@@ -30,7 +30,7 @@
 
 
 async def _refuses_connections(address: str) -> bool:
-    """Return whether a connection is refused; false also when there is no response."""
+    """Return whether a connection is refused; false if it is accepted or fails in another way."""
     host, _, port = address.rpartition(":")
     try:
         async with asyncio.timeout(CONNECT_TIMEOUT_S):
