--- a/passgate/duties/calls.py
+++ b/passgate/duties/calls.py
@@ -1,4 +1,4 @@
-"""Calls to the platform made by singleton duties: requests, outcomes and their rate limit.
+"""Calls of singleton duties to the platform: their contents, outcomes and rate limit.
 
 >>> limiter = CallRateLimiter(calls_per_s=2.0)
 >>> [limiter.try_acquire(now_s) for now_s in (0.0, 0.9, 0.95, 1.0, 1.5)]
@@ -22,28 +22,33 @@
     REFUSED = "refused"
     """The platform has seen a higher fencing token, or can't do what was requested."""
     UNKNOWN = "unknown"
-    """Throttled, failed or unanswered; the call may still be executed later."""
+    """Throttled, failed or unanswered; the call may have taken effect or may still do so."""
 
 
 class UsageReport(msgspec.Struct, frozen=True, kw_only=True):
-    """Usage report of one window."""
+    """Numbers of runs that the tenants' requests had in one window of time."""
 
     window: int
     counts: Mapping[str, int]
-    """Tenant to the number of its requests that replicas started in the window."""
+    """Number of runs by tenant."""
     holder: str
+    """Name of the daemon that sends the report."""
     fence: int
+    """Fencing token of the sender's leadership."""
 
 
 class ReplicaOrder(msgspec.Struct, frozen=True, kw_only=True):
-    """Requests that a service have a number of replicas of one kind in a zone."""
+    """Requests that a service have ``count`` replicas of one kind in a zone, including those present."""
 
     service: str
     zone: str
     spot: bool
+    """Whether the order is about spot replicas; otherwise it is about on-demand ones."""
     count: int
     holder: str
+    """Name of the daemon that sends the order."""
     fence: int
+    """Fencing token; rises with each decision on the number of replicas."""
 
 
 class DutyClient(Protocol):
@@ -54,19 +59,23 @@
         ...
 
     async def order_replicas(self, order: ReplicaOrder) -> DutyOutcome:
-        """Order replicas; REFUSED also if none is available in the zone now."""
+        """Send an order of replicas; REFUSED also if the platform can't provide them in the zone now."""
         ...
 
 
 class CallRateLimiter:
-    """Sliding-window rate limit shared by all duties: no second, wherever it starts, has more calls."""
+    """Sliding-window rate limit shared by all duties of a daemon.
+
+    Any second has at most ``calls_per_s`` calls, rounded down.  If that is below 1, two calls are at least
+    1 / ``calls_per_s`` seconds apart.
+    """
 
     def __init__(self, calls_per_s: float) -> None:
         self._max_calls = max(int(calls_per_s), 1)
         self._window_s = max(self._max_calls / calls_per_s, 1.0)
         """One second, or longer if the limit is below one call per second."""
         self._call_times_s: deque[float] = deque(maxlen=self._max_calls)
-        """Loop times of the last calls."""
+        """Loop times of the last calls, at most as many as one window may have."""
 
     def try_acquire(self, now_s: float) -> bool:
         """Return whether a call may be made now, and count it if so."""
--- a/passgate/duties/meter.py
+++ b/passgate/duties/meter.py
@@ -1,8 +1,9 @@
-"""Counts the requests that replicas started, by window and tenant, for the control topic.
+"""Counts the runs that replicas may have started, by window and tenant, for the control topic.
 
-A request counts in the window in which it was sent, once the replica has answered or sent the first event
-of a stream.  Refused attempts and items of batch jobs are not counted.  A killed daemon loses at most the
-counts of the last flush interval.
+An attempt of a plain request counts in the window in which it was sent, unless it certainly did not run.  A
+stream counts once, in the window of its first event.  Requests without a tenant and the items of jobs are
+not counted.  A killed daemon loses the counts that are not yet confirmed to be on the log: normally those of
+the last flush interval, but all those of an outage.
 """
 
 from __future__ import annotations
@@ -15,16 +16,16 @@
 from passgate.jobs.records import UsageCounted
 
 FLUSH_INTERVAL_S = 0.3
-"""Interval of flushes, and so the longest time for which counts exist on this daemon only."""
+"""Pause between flushes."""
 MAX_UNSENT_ENTRIES = 2_000
-"""Unsent counts kept while none can be appended; at one per flush they span ten minutes."""
+"""Maximum number of unconfirmed entries; each flush adds one for each window with new counts."""
 
 SendCounts = Callable[[Sequence[UsageCounted]], Awaitable[bool]]
-"""Sends counts; returns whether they are on the log."""
+"""Sends counts to the control topic; returns true if they are confirmed to be on the log."""
 
 
 class UsageMeter:
-    """Usage meter of one daemon."""
+    """Counts one daemon's runs in memory and flushes the counts to the control topic."""
 
     def __init__(
         self, meter_name: str, windows: UsageWindows, wall_clock_s: Callable[[], float], send: SendCounts
@@ -32,7 +33,7 @@
         """Start with no counts.
 
         Args:
-            meter_name: name of this incarnation of the daemon.
+            meter_name: name of this incarnation of the daemon, under which its counts are numbered.
             windows: the usage windows of the wall clock.
             wall_clock_s: returns the time of day.
             send: sends counts to the control topic.
@@ -50,7 +51,7 @@
         return self._wall_clock_s()
 
     def record_started(self, tenant: str | None, at_s: float) -> None:
-        """Count a started request in the window in which it was sent; without a tenant it is ignored."""
+        """Count a run in the window that contains a time of day; does nothing without a tenant."""
         if tenant:
             self._counts_by_window.setdefault(self._windows.window_at(at_s), Counter())[tenant] += 1
 
@@ -61,7 +62,10 @@
             await self.flush()
 
     async def flush(self) -> None:
-        """Send all counts; those that can't be appended keep their numbers and are sent again."""
+        """Send all counts.  Those not confirmed are sent again by the next flush, under the same numbers.
+
+        Beyond MAX_UNSENT_ENTRIES the oldest are dropped.
+        """
         for window, counts in self._counts_by_window.items():
             self._unsent_entries.append(
                 UsageCounted(
--- a/passgate/duties/projections.py
+++ b/passgate/duties/projections.py
@@ -1,4 +1,4 @@
-"""Projections of the control topic that singleton duties use."""
+"""Combines the projections of the control topic, states built from its records, that singleton duties use."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class DutyProjections:
-    """All duty projections of one daemon; its control topic applies the records to them."""
+    """All duty projections of one daemon, to which the reader of its control topic applies the records."""
 
     def __init__(self) -> None:
         self.usage = UsageProjection()
@@ -19,6 +19,6 @@
         self.scaling.set_first_offset(first_offset)
 
     def apply(self, offset: int, writer: str, entry: object, *, by_leader: bool) -> None:
-        """Apply one entry of the record at an offset; ``by_leader``: its writer was the leader there."""
+        """Apply an entry of the record at an offset; ``by_leader`` says whether its writer led then."""
         self.usage.apply(offset, writer, entry, by_leader=by_leader)
         self.scaling.apply(offset, writer, entry, by_leader=by_leader)
--- a/passgate/duties/scaler.py
+++ b/passgate/duties/scaler.py
@@ -1,8 +1,8 @@
-"""Decides the number of replicas per pool and orders them, while this daemon is the leader.
+"""Decides the number of replicas of each pool and orders them, while this daemon is the leader.
 
-A decision is committed to the control topic before its order is sent.  An unanswered order is sent again
-with the same fencing token.  After a refusal, because no replica is available, the pool is decided again
-after a growing pause.
+A decision is committed to the control topic before its order is sent.  An order whose outcome is unknown is
+sent again with the same fencing token.  After a refusal, normally because no replica is available, missing
+replicas are ordered again after a pause that grows with each refusal.
 """
 
 from __future__ import annotations
@@ -25,19 +25,19 @@
 from passgate.versions.leadership import Leadership
 
 DECISION_INTERVAL_S = 0.5
-"""Interval of decisions; short compared with the boot time of a replica."""
+"""Pause between decisions; short compared with the boot time of a replica."""
 FIRST_REFUSAL_PAUSE_S = 2.0
-"""Pause of a pool after the first refusal of its order."""
+"""Pause of a pool after the first refusal of an order; doubles with each further one."""
 MAX_REFUSAL_PAUSE_S = 10.0
-"""Longest pause of a pool after repeated refusals."""
+"""Longest pause of a pool after refusals."""
 BOOT_MARGIN_S = 3.0
 """Time beyond the boot time after which missing replicas are ordered again."""
 RESEND_PAUSE_S = 0.5
-"""Pause before an unanswered order is sent again."""
+"""Pause before an order whose outcome is unknown is sent again."""
 
 
 class _PoolPacing(msgspec.Struct):
-    """Earliest time of a pool's next decision or order, and its current pause."""
+    """Earliest loop time of a pool's next decision or order, and its pause after the next refusal."""
 
     next_action_s: float = 0.0
     refusal_pause_s: float = FIRST_REFUSAL_PAUSE_S
@@ -45,7 +45,7 @@
 
 
 class Scaler:
-    """Scales services while this daemon is the leader."""
+    """Orders spot replicas for services with a scaling rule while this daemon is the leader."""
 
     def __init__(
         self,
@@ -67,14 +67,14 @@
         Args:
             projection: the decided numbers of replicas.
             journal: this daemon's writer of the control topic.
-            leadership: says whether this daemon may send orders.
+            leadership: states whether this daemon may send orders.
             client: client for the platform.
             rate_limiter: rate limit of the calls of all duties.
-            config_holder: the active configuration, which sets the limits.
-            replicas: the replicas that are present.
-            newest_demand_by_model: model to what its newest job requires.
+            config_holder: the active configuration, which contains the scaling rules.
+            replicas: the replicas that discovery lists.
+            newest_demand_by_model: what the newest job of each model requires, by model.
             decisions: decision log.
-            evacuated_zones: zones in which no replica counts and none is ordered.
+            evacuated_zones: zones in which replicas are neither counted nor ordered.
             daemon_id: this daemon's name in calls to the platform.
         """
         self._projection = projection
@@ -118,7 +118,7 @@
             self._decide_pool(pool, replicas.spot, present[zone].spot, rule)
 
     def _decide_pool(self, pool: ReplicaPool, count: int, present: int, rule: ScalingRule) -> None:
-        """Decide a pool's number if it grows, or again if replicas are overdue; it never shrinks."""
+        """Commit a pool's number if it grows, or once more if replicas are overdue; it never shrinks."""
         now_s = monotonic_s()
         pacing = self._pacing_by_pool.setdefault(pool, _PoolPacing())
         decision = self._projection.decision_by_pool.get(pool)
@@ -128,7 +128,7 @@
         if now_s < pacing.next_action_s or not (grows or (overdue and count > 0)):
             return
         pacing.last_decision_s = now_s
-        pacing.next_action_s = now_s + DECISION_INTERVAL_S  # until the decision has been read back
+        pacing.next_action_s = now_s + DECISION_INTERVAL_S  # time to read the decision back
         self._journal.put(
             ReplicasDecided(
                 service=pool.service, zone=pool.zone, spot=pool.spot, count=max(count, decided_count)
@@ -140,7 +140,7 @@
             pacing = self._pacing_by_pool.setdefault(decision.pool, _PoolPacing())
             now_s = monotonic_s()
             if decision.pool.zone in self._evacuated_zones:
-                continue  # sent after the evacuation, unless a newer decision replaces it
+                continue  # the order is sent after the evacuation, unless a newer decision replaces it
             if (
                 now_s < pacing.next_action_s
                 or not self._rate_limiter.try_acquire(now_s)
@@ -202,7 +202,10 @@
     def _count_present_by_zone(
         self, states: Iterable[ReplicaState], zones: Iterable[str]
     ) -> dict[str, ZoneReplicas]:
-        """Return the replicas that are not draining, by kind, of each zone that is not evacuated."""
+        """Count the replicas that are not draining, by kind, in each zone that is not evacuated.
+
+        ``zones`` names zones that are included even without replicas.
+        """
         counts = Counter((state.info.zone, state.info.spot) for state in states if not state.info.draining)
         zone_names = {*zones, *(zone for zone, _ in counts)}
         return {
--- a/passgate/duties/scaling_policy.py
+++ b/passgate/duties/scaling_policy.py
@@ -1,8 +1,8 @@
 """Computes how many replicas of which kind a service needs for the current steps of its trainers.
 
-Trainers wait for the last item of a step, so a service gets as many slots as the newest step of each model
-has items, up to the operator's maximum per zone.  Present on-demand replicas stay; further ones are spread
-evenly, cheapest zone first, as spot replicas if these are cheaper.
+Trainers wait for the last item of a job, so a service needs as many slots as the newest jobs of its models
+have items, up to the operator's maximum of replicas per zone.  Present on-demand replicas stay.  Further
+replicas are spread evenly over the zones, the cheapest zone first, as spot replicas if these are cheaper.
 
 >>> rule = ScalingRule(least=1, most=4, boot_s=4.0, spot_price=0.2, zone_prices={"a": 1.0, "b": 0.8})
 >>> present = {"a": ZoneReplicas(on_demand=2), "b": ZoneReplicas(on_demand=2)}
@@ -36,8 +36,8 @@
     """Return the number of replicas that can run all items at the same time.
 
     Args:
-        items: items of the newest step of each model.
-        slots_per_replica: requests that one replica runs at the same time.
+        items: number of items of the newest job of each model.
+        slots_per_replica: number of requests that one replica runs at the same time.
 
     >>> replicas_needed([112, 120, 112], slots_per_replica=8)
     43
@@ -52,8 +52,9 @@
 
     Args:
         rule: maximum per zone, and prices.
-        present: replicas that are present, by zone; the number of spot replicas is computed afresh.
-        total: replicas needed in all zones together.
+        present: replicas that are present, by zone; their numbers of spot replicas are ignored.
+        total: replicas needed in all zones together.  The result has fewer if all zones reach the maximum,
+            and more if more on-demand replicas are present.
     """
     zones = sorted(present, key=lambda zone: (rule.zone_prices.get(zone, 1.0), zone))
     spot_by_zone = dict.fromkeys(zones, 0)
--- a/passgate/duties/scaling_projection.py
+++ b/passgate/duties/scaling_projection.py
@@ -1,7 +1,8 @@
 """Projection of the control topic that holds the decided numbers of replicas.
 
-The offset of a decision is the fencing token of its order.  Every later decision, by any leader, has a
-higher one, so the platform refuses an older order that arrives late.
+A projection is state built by applying the log's records in order.  The offset of a decision is the fencing
+token of its order.  Every later decision, by any leader, has a higher token, so the platform refuses an
+older order that arrives late.
 
 >>> from passgate.jobs.records import ReplicasDecided, ReplicasOrdered
 >>> projection = ScalingProjection()
@@ -36,21 +37,22 @@
     pool: ReplicaPool
     count: int
     fence: int
+    """Offset of the decision, used as the fencing token of its order."""
 
 
 class ScalingProjection:
-    """The newest decision of each pool, and which of their orders the platform has answered."""
+    """The newest decision of each pool, and the newest order of each pool that the platform has answered."""
 
     def __init__(self) -> None:
         self.decision_by_pool: dict[ReplicaPool, ScalingDecision] = {}
         self._answered_fence_by_pool: dict[ReplicaPool, int] = {}
-        """Pool to the fencing token of the newest order that the platform has answered."""
+        """Fencing token of the newest order that the platform has answered, by pool."""
 
     def set_first_offset(self, first_offset: int) -> None:
-        """Do nothing: a decision that was removed from the log is simply made again."""
+        """Do nothing: a decision that was removed from the log is made again if it is still needed."""
 
     def apply(self, offset: int, writer: str, entry: object, *, by_leader: bool) -> None:
-        """Apply one entry of the record at an offset; ``by_leader``: its writer was the leader there."""
+        """Apply an entry of the record at an offset; ``by_leader`` says whether its writer led then."""
         match entry:
             case ReplicasDecided() if by_leader:
                 pool = _pool_of(entry)
@@ -62,7 +64,7 @@
                 )
 
     def unanswered_decisions(self) -> list[ScalingDecision]:
-        """Return the newest decisions whose orders were not answered, the oldest first."""
+        """Return the newest decision of each pool if its order was not answered, the oldest one first."""
         unanswered = [
             decision
             for pool, decision in self.decision_by_pool.items()
--- a/passgate/duties/service.py
+++ b/passgate/duties/service.py
@@ -1,4 +1,7 @@
-"""Runs the singleton duties of one daemon: usage metering and, as leader, usage reports and scaling."""
+"""Runs one daemon's part in the singleton duties, which one daemon at a time performs for all.
+
+Every daemon adjusts its clock and meters usage.  The leader also reports the usage and scales services.
+"""
 
 from __future__ import annotations
 
@@ -26,12 +29,12 @@
 from passgate.versions.control_topic import ControlTopic
 
 RATE_LIMIT_SHARE = 0.5
-"""Share of the platform's call rate that one leader uses; its predecessor may have used the other half in
-the same second."""
+"""Share of the platform's call rate that one leader uses; in the second of a change, the previous leader may
+have used the other half."""
 
 
 class Duties:
-    """The singleton duties of one daemon."""
+    """Creates and runs the enabled duties of one daemon."""
 
     def __init__(
         self,
@@ -60,8 +63,8 @@
             directory: the daemons that watch partitions in this zone.
             decisions: decision log.
             config_holder: the active configuration.
-            replicas: the replicas that are present.
-            evacuated_zones: zones in which no replica counts and none is ordered.
+            replicas: the replicas that discovery lists.
+            evacuated_zones: zones in which replicas are neither counted nor ordered.
             member: this daemon's name in the directory.
             daemon_id: this daemon's name in calls to the platform.
         """
@@ -104,7 +107,7 @@
             )
 
     async def run(self) -> None:
-        """Run the enabled duties until cancelled."""
+        """Run the enabled duties and the adjustment of the clock until cancelled."""
         async with asyncio.TaskGroup() as group:
             group.create_task(self._clock_sync.run())
             if self._reports_usage:
@@ -114,7 +117,11 @@
                 group.create_task(self._scaler.run())
 
     async def handle_peer_request(self, sender: str, method: str, payload: bytes) -> bytes:
-        """Handle a request of another daemon; raises PeerCallFailed."""
+        """Return the response to a request of another daemon.
+
+        Raises PeerCallFailed if the request fails or its method is unknown, and msgspec.DecodeError for a
+        malformed payload.
+        """
         if method == RECORD_COUNTS_METHOD:
             return await self._usage_forwarder.handle_request(payload)
         if method == CLOCK_METHOD:
--- a/passgate/duties/usage_forwarder.py
+++ b/passgate/duties/usage_forwarder.py
@@ -1,8 +1,8 @@
-"""Puts a daemon's usage counts on the control topic, preferably through the leader's regular appends.
+"""Puts a daemon's usage counts on the control topic, preferably through the leader.
 
-The leader appends several times a second anyway, so counts sent to it cost no further call to the log.  A
-daemon that does not know the leader sends its counts to the watcher of the control partition in its zone.
-If neither confirms, it appends them itself.
+The leader batches the counts of many daemons into few appends, which saves calls to the log.  A daemon that
+does not know the leader, or gets no confirmation from it, sends its counts to the watcher of the control
+partition in its zone.  Without a confirmation from there, it appends them itself.
 """
 
 from __future__ import annotations
@@ -20,13 +20,13 @@
 
 RECORD_COUNTS_METHOD = "duties.count"
 REQUEST_TIMEOUT_S = 1.0
-"""Timeout of a request to append counts, including the append to a slow log."""
+"""Timeout of a request that another daemon append counts; leaves time for a slow append."""
 FORWARD_TIMEOUT_S = 0.8
-"""Timeout of a forwarded request; shorter, so that the original sender still gets its response."""
+"""Timeout of a forwarded request; shorter, so that the original sender can still get its response."""
 APPEND_TIMEOUT_S = 2.0
-"""Time for an own append before it counts as failed and the counts are sent again."""
+"""Time after which an append by this daemon counts as failed, so that the counts are sent again."""
 CONTROL_PARTITION = 0
-"""Partition whose watchers follow the control topic and so know the leader."""
+"""Partition of the jobs topic whose watchers follow the control topic, and so normally know the leader."""
 
 
 class RecordCountsRequest(msgspec.Struct, frozen=True, kw_only=True):
@@ -38,14 +38,14 @@
 
 
 class CountsRecorded(msgspec.Struct, frozen=True, kw_only=True):
-    """Response: the counts are on the log."""
+    """Response that confirms that the counts are on the log."""
 
     leader: str
-    """Writer that the responding daemon knows as leader; empty if it knows none."""
+    """Name of the leader as known to the responding daemon; empty if unknown."""
 
 
 class UsageForwarder:
-    """Sends this daemon's counts and handles requests with those of others."""
+    """Sends this daemon's counts, and handles other daemons' requests to append theirs."""
 
     def __init__(
         self,
@@ -59,18 +59,18 @@
         Args:
             transport: carries requests to other daemons.
             journal: this daemon's writer of the control topic.
-            find_leader: returns the writer that is leader; empty if this daemon does not know it.
-            find_watcher: returns the watcher of a partition in this zone, if one is known.
+            find_leader: returns the name of the leader; empty if this daemon does not know it.
+            find_watcher: returns the watcher of a partition in this zone, None if unknown.
         """
         self._transport = transport
         self._journal = journal
         self._find_leader = find_leader
         self._find_watcher = find_watcher
         self._reported_leader = ""
-        """Leader named in the last response; empty if it did not confirm since."""
+        """Name of the leader by the last response; empty once a request to that leader has failed."""
 
     async def send(self, entries: Sequence[UsageCounted]) -> bool:
-        """Put counts on the log in the cheapest way that works; return whether they are on it."""
+        """Put counts on the log in the cheapest way that works; return whether that is confirmed."""
         request = RecordCountsRequest(entries=tuple(entries))
         leader = self._find_leader() or self._reported_leader
         if leader == self._journal.writer:
@@ -93,19 +93,20 @@
             response = await self._transport.call(address, RECORD_COUNTS_METHOD, payload, timeout_s)
             self._reported_leader = msgspec.json.decode(response, type=CountsRecorded).leader
         except (PeerError, msgspec.DecodeError):
-            return (
-                False  # the caller uses the next way; failures of the last one, the own append, are reported
-            )
+            return False  # the caller then tries the next daemon, or appends the counts itself
         return True
 
     async def _append(self, entries: Sequence[UsageCounted]) -> bool:
-        """Append counts here; one whose append is unconfirmed may be repeated and is added once."""
+        """Append counts from here; return whether all were acknowledged within APPEND_TIMEOUT_S.
+
+        Those that were not may be appended again elsewhere: readers add a count with the same number once.
+        """
         appends = [self._journal.put(entry) for entry in entries]
         done, pending = await asyncio.wait(appends, timeout=APPEND_TIMEOUT_S)
         return not pending and all(future.exception() is None for future in done)
 
     async def handle_request(self, payload: bytes) -> bytes:
-        """Append another daemon's counts, if possible through the leader.
+        """Append another daemon's counts, if possible through the leader; return the encoded confirmation.
 
         Raises PeerCallFailed if the counts may not be on the log, and msgspec.DecodeError for a malformed
         request.
--- a/passgate/duties/usage_projection.py
+++ b/passgate/duties/usage_projection.py
@@ -1,7 +1,7 @@
 """Projection of the control topic that holds usage counts and committed usage reports.
 
-Counts add up until the leader commits their window.  Windows are committed in order and the first commit
-holds, so every later leader sends the same report.
+A projection is state built by applying the log's records in order.  Counts add up until the leader commits
+their window.  The first commit of a window is final, so every later leader sends the same report.
 
 >>> from passgate.jobs.records import UsageCommitted, UsageCounted
 >>> projection = UsageProjection()
@@ -24,13 +24,13 @@
 from passgate.jobs.records import CountByTenant, UsageCommitted, UsageCounted, UsageReported
 
 MAX_OPEN_WINDOWS = 720
-"""Uncommitted windows that are kept; the oldest are dropped first."""
+"""Maximum number of uncommitted windows with counts; beyond it, the oldest are dropped."""
 
 
 class _OpenWindow(msgspec.Struct):
     counts: Counter[str]
     count_ids: set[tuple[str, int]]
-    """Meter and number of each count that was added."""
+    """Meter and number of each entry that was added, to ignore repetitions."""
 
 
 class UsageProjection:
@@ -38,13 +38,13 @@
 
     def __init__(self) -> None:
         self.last_committed_window: int | None = None
-        """Newest committed window; no older window is committed any more."""
+        """Newest committed window; older windows can no longer be committed."""
         self.unreported_counts_by_window: dict[int, CountByTenant] = {}
-        """Window to its committed counts, until the platform is known to have accepted the report."""
+        """Committed counts by window; a window is removed once its report is known to be accepted."""
         self.late_requests = 0
-        """Requests that were counted after their window had been committed."""
+        """Number of runs in counts that were read after the commit of their window, including repetitions."""
         self.is_history_truncated = False
-        """Whether older records of the topic were removed before this daemon read them."""
+        """Whether records of the topic had been removed before this daemon began to read."""
         self._open_windows: dict[int, _OpenWindow] = {}
 
     def set_first_offset(self, first_offset: int) -> None:
@@ -52,7 +52,7 @@
         self.is_history_truncated = first_offset > 0
 
     def apply(self, offset: int, writer: str, entry: object, *, by_leader: bool) -> None:
-        """Apply one entry of the record at an offset; ``by_leader``: its writer was the leader there."""
+        """Apply an entry of the record at an offset; ``by_leader`` says whether its writer led then."""
         match entry:
             case UsageCounted():
                 self._add_counts(entry)
@@ -82,13 +82,13 @@
             del self._open_windows[window]
 
     def counts_of(self, window: int) -> CountByTenant:
-        """Return the counts of a window that is not committed, by tenant."""
+        """Return the counts of an uncommitted window by tenant; empty if it has none or is committed."""
         open_window = self._open_windows.get(window)
         return dict(open_window.counts) if open_window is not None else {}
 
     def first_uncommitted_window(self) -> int | None:
-        """Return the oldest window with counts that is certainly not committed, or None.
+        """Return the oldest uncommitted window with counts, or None.
 
-        If the oldest records were removed, the commit of a counted window may be among them.
+        Also None if the oldest records were removed: the commit of such a window may be among them.
         """
         return None if self.is_history_truncated else min(self._open_windows, default=None)
--- a/passgate/duties/usage_reporter.py
+++ b/passgate/duties/usage_reporter.py
@@ -1,7 +1,7 @@
 """Commits and sends the usage report of each window, while this daemon is the leader.
 
-A report is committed to the control topic before it is first sent, and every leader sends only committed
-reports.  Windows that were not reported are caught up, the oldest first.
+A report is committed to the control topic before it is first sent, and only committed reports are sent.  A
+new leader continues after the last committed window, the oldest window first.
 """
 
 from __future__ import annotations
@@ -19,20 +19,19 @@
 from passgate.versions.leadership import Leadership
 
 CHECK_INTERVAL_S = 0.1
-"""Interval of checks for due reports; short compared with the time in which a report is due."""
+"""Pause between checks for due reports."""
 SEND_RESERVE_S = 6.5
-"""Part of a report's due time reserved for a change of leader and for the commit and sends with a slow log.
-"""
+"""Time reserved before a report's due time for a change of leader, a slow log and repeated sends."""
 MIN_SETTLE_S = 1.0
-"""Shortest wait for late counts after the end of a window."""
+"""Shortest wait for late counts between the end of a window and its commit."""
 FIRST_RETRY_PAUSE_S = 0.2
-"""Pause after the first call without a definite outcome."""
+"""Pause after a call whose outcome is unknown; doubles with each further one."""
 MAX_RETRY_PAUSE_S = 2.0
-"""Longest such pause; three of them fit into the reserve for sends."""
+"""Longest pause after calls whose outcome is unknown."""
 
 
 class UsageReporter:
-    """Reports usage while this daemon is the leader."""
+    """Commits and sends usage reports while this daemon is the leader."""
 
     def __init__(
         self,
@@ -53,14 +52,14 @@
         Args:
             projection: counts and committed reports.
             journal: this daemon's writer of the control topic.
-            leadership: says whether this daemon may make calls, and its fencing token.
+            leadership: states whether this daemon may make calls, and with which fencing token.
             client: client for the platform.
             rate_limiter: rate limit of the calls of all duties.
             windows: the usage windows of the wall clock.
             wall_clock_s: returns the time of day.
             decisions: decision log.
             daemon_id: this daemon's name in calls to the platform.
-            due_s: time after a window's end within which its report is due.
+            due_s: time from a window's end until its report is due.
         """
         self._projection = projection
         self._journal = journal
@@ -74,7 +73,7 @@
         self._settle_s = max(due_s - SEND_RESERVE_S, MIN_SETTLE_S)
         self._pending_commit: asyncio.Future[int] | None = None
         self._first_led_window: int | None = None
-        """Window in which this daemon first led; older windows are reported only if they have counts."""
+        """Window in which this daemon first looked for a due report and no commit was known."""
         self._refused_fence: int | None = None
         self._next_send_s = 0.0
         self._retry_pause_s = FIRST_RETRY_PAUSE_S
@@ -100,7 +99,11 @@
         )
 
     def _oldest_uncommitted_window(self) -> int:
-        """Return the oldest window whose report is not committed."""
+        """Return the window to commit next.
+
+        That is the window after the last committed one.  If no commit is known, it is the oldest window with
+        counts, but no later one than the window in which this was found.
+        """
         if self._projection.last_committed_window is not None:
             return self._projection.last_committed_window + 1
         if self._first_led_window is None:
@@ -109,7 +112,7 @@
         return self._first_led_window if first_counted is None else min(first_counted, self._first_led_window)
 
     async def _send_oldest_report(self) -> None:
-        """Send the oldest report that is not known to be accepted."""
+        """Send the oldest report that is not known to be accepted, unless a pause or a limit forbids it."""
         now_s = monotonic_s()
         fence = self._leadership.fence
         if (
@@ -138,7 +141,7 @@
                 self._journal.put(UsageReported(window=window))
                 self._retry_pause_s = FIRST_RETRY_PAUSE_S
             case DutyOutcome.REFUSED:
-                self._refused_fence = fence  # another leader reports now; sends resume after a new election
+                self._refused_fence = fence  # another daemon has probably become leader; wait for a new fence
             case DutyOutcome.UNKNOWN:
                 self._next_send_s = monotonic_s() + self._retry_pause_s
                 self._retry_pause_s = min(self._retry_pause_s * 2.0, MAX_RETRY_PAUSE_S)
--- a/passgate/duties/wall_clock.py
+++ b/passgate/duties/wall_clock.py
@@ -1,7 +1,7 @@
 """A wall clock that does not follow steps of the machine's clock.
 
-The daemon reads the machine's clock once and then advances by the monotonic clock.  At intervals it moves
-to the median of its own and other daemons' clocks, which corrects a wrong reading at the start.
+The clock reads the machine's time of day once and then advances with the monotonic clock.  It is adjusted to
+the median of its own and other daemons' times, which corrects a wrong first reading.
 
 >>> clock = SynchronizedWallClock(wall_s=lambda: 100.0, monotonic_s=lambda: 7.0)
 >>> clock.now_s()
@@ -17,11 +17,12 @@
 from collections.abc import Callable, Sequence
 
 MIN_RESPONSES = 2
-"""Fewest clocks of other daemons; with the own one, a single wrong clock can't shift the median."""
+"""Minimum number of other daemons' clocks for an adjustment; with this clock, a single wrong one among the
+three can't move the median beyond the other two."""
 
 
 class SynchronizedWallClock:
-    """The time of day as agreed among daemons."""
+    """Time of day that is adjusted to the clocks of other daemons."""
 
     def __init__(self, wall_s: Callable[[], float], monotonic_s: Callable[[], float]) -> None:
         """Read the machine's clock once.
@@ -38,11 +39,11 @@
         return self._offset_s + self._monotonic_s()
 
     def adjust_to_median(self, other_wall_s: Sequence[float], at_monotonic_s: float) -> None:
-        """Move to the median of this clock and others; fewer than MIN_RESPONSES others change nothing.
+        """Adjust to the median of this clock and others; do nothing with fewer than MIN_RESPONSES others.
 
         Args:
             other_wall_s: times of day of other daemons.
-            at_monotonic_s: monotonic time at which they were valid.
+            at_monotonic_s: monotonic time to which these times of day belong.
         """
         if len(other_wall_s) < MIN_RESPONSES:
             return
--- a/passgate/versions/__init__.py
+++ b/passgate/versions/__init__.py
@@ -1,4 +1,4 @@
-"""Keeps replicas on the versions of the model weights that trainers publish.
+"""Loads the versions of model weights that trainers publish on replicas.
 
 ``leadership`` decides which daemon sends load orders, ``load_plan`` chooses the next loads and ``loader``
 sends the orders.
--- a/passgate/versions/control_topic.py
+++ b/passgate/versions/control_topic.py
@@ -1,6 +1,7 @@
-"""Follows and writes the control topic: leadership, demands of new jobs, and records of singleton duties.
+"""Follows and writes the control topic, which decides which daemon is the leader.
 
-Only daemons that may become leader follow the topic.
+The topic also carries what new jobs require of the weights, and the records of singleton duties, which the
+leader performs for all daemons.  Only the leader and daemons that may become leader follow the topic.
 """
 
 from __future__ import annotations
@@ -23,20 +24,20 @@
 from passgate.versions.leadership_projection import LeadershipProjection
 
 LEASE_CHECK_INTERVAL_S = 0.1
-"""Interval of lease checks; a quarter of the renewal interval."""
+"""Pause between lease checks; much shorter than the interval at which the leader renews its lease."""
 READ_PAUSE_S = 0.1
 """Pause between reads of the topic."""
 
 
 class ControlProjection(Protocol):
-    """A further projection of the control topic."""
+    """State that is built by applying the entries of the control topic in order."""
 
     def set_first_offset(self, first_offset: int) -> None:
         """Record the offset of the first record that is read; greater than 0 if older ones were removed."""
         ...
 
     def apply(self, offset: int, writer: str, entry: object, *, by_leader: bool) -> None:
-        """Apply one entry of the record at an offset; ``by_leader``: its writer was the leader there."""
+        """Apply an entry of the record at an offset; ``by_leader`` says whether its writer led then."""
         ...
 
 
@@ -70,7 +71,7 @@
         )
 
     async def run(self) -> None:
-        """Write, follow and campaign for leadership as needed, until cancelled."""
+        """Append this daemon's entries, and follow the topic and claim leadership as needed; never returns."""
         async with asyncio.TaskGroup() as tasks:
             tasks.create_task(self.journal.run())
             try:
@@ -86,7 +87,7 @@
             self.leadership.renew_or_claim()
 
     def release_leadership(self) -> asyncio.Future[int]:
-        """Release leadership and claim it no more; the future completes when the release is on the log."""
+        """Release leadership and never claim it again; the future is done once the log has the release."""
         self.leadership.stopping = True
         return self.journal.put(WriterStopped())
 
--- a/passgate/versions/leadership.py
+++ b/passgate/versions/leadership.py
@@ -1,8 +1,9 @@
-"""Lease-based leadership: at most one daemon at a time sends orders to replicas.
+"""Lease-based leadership: one daemon at a time, the leader, starts orders to replicas.
 
-A claim on the log is accepted if it names the last accepted claim and that leader's last record; its offset
-is the fencing token.  Each batch that the leader appends renews the lease.  It sends orders only for a
-short time after a batch that it has read back; others claim only after a longer silence.
+A claim on the log is accepted if it names the last accepted claim and the leader's last record; its offset
+is the fencing token.  Each batch that the leader appends renews the lease.  The leader starts orders only
+for a part of the lease after sending a batch that it has read back.  Other daemons claim after a longer
+silence, or once the leader's process is known to have been replaced.
 """
 
 from __future__ import annotations
@@ -20,16 +21,16 @@
 TAKEOVER_MARGIN_S = 0.5
 """Silence beyond the lease after which other daemons claim leadership."""
 ORDER_LEASE_SHARE = 0.6
-"""Share of the lease, counted from the sending of a confirmed renewal, in which orders may be sent."""
+"""Share of the lease, counted from the sending of a batch that was read back, in which orders may start."""
 CLAIM_RETRY_S = 0.7
-"""Pause after a claim before the next one; the claim has normally been read back by then."""
+"""Shortest time between two claims; the first has normally been read back by then."""
 PROBE_AFTER_S = 0.55
-"""Silence after which the leader's address is probed; a live leader appends every 0.4 s."""
+"""Silence after which the leader's address is probed; longer than the leader's renewal interval of 0.4 s."""
 NEVER_S = float("-inf")
 
 
 class Leadership:
-    """One daemon's view of the lease: renews it as leader and claims it when it is free."""
+    """One daemon's part in the leadership: renews the lease as leader, and claims it once it has expired."""
 
     def __init__(
         self,
@@ -44,13 +45,13 @@
         """Start without leadership.
 
         Args:
-            projection: the projection that decides who leads.
+            projection: the projection of the control topic that decides which daemon leads.
             journal: this daemon's writer of the control topic.
-            freshness: how current this daemon's view of that topic is.
+            freshness: freshness of this daemon's view of that topic.
             decisions: decision log.
-            lease_s: lease duration; a leader stops sending orders before it ends, others claim after it.
-            status_of: returns the status of a writer as probed at its address since its last contact, or None
-                if no answer is known yet.
+            lease_s: duration of the lease.
+            status_of: returns the status of a writer, given the loop time of its last record, as probed since
+                then; None if no probe has finished yet.
         """
         self._status_of = status_of
         self._projection = projection
@@ -62,31 +63,31 @@
         self._next_claim_s = 0.0
         self._logged_fence: int | None = None
         self._confirmed_sent_s = float("-inf")
-        """When the newest batch was sent that was read back while this daemon was the leader."""
+        """Loop time at which this daemon sent the newest batch that it read back as leader."""
 
     @property
     def leads(self) -> bool:
-        """Whether the log names this incarnation of the daemon as leader."""
+        """Whether this incarnation of the daemon is the leader by the records read so far."""
         return self._projection.leader == self._journal.writer
 
     @property
     def fence(self) -> int:
-        """Fencing token of the current leader's orders."""
+        """Fencing token of the last accepted claim; the leader sends it with its orders."""
         return self._projection.leader_fence
 
     def may_order(self) -> bool:
-        """Return whether this daemon may send an order now."""
+        """Return whether this daemon may start an order now, as it leads and has just confirmed its lease."""
         age_s = monotonic_s() - self._confirmed_sent_s
         return self.leads and age_s < self.lease_s * ORDER_LEASE_SHARE and not self.stopping
 
     def confirm_batch(self, batch: Batch) -> None:
-        """Extend the order period by a batch of this daemon that was read back while it is the leader."""
+        """Extend the time for orders after a batch of this daemon was read back, if this daemon leads."""
         sent_s = self._journal.take_send_time_s(batch)
         if sent_s is not None and self.leads:
             self._confirmed_sent_s = max(self._confirmed_sent_s, sent_s)
 
     def renew_or_claim(self) -> None:
-        """Renew the lease as leader, or claim it when it is free."""
+        """Renew the lease as leader; otherwise claim it if it is free or has expired.  Call often."""
         now_s = monotonic_s()
         self._log_change()
         if self.leads:
@@ -112,10 +113,10 @@
         return silent_s > PROBE_AFTER_S and self._was_replaced(leader)
 
     def _was_replaced(self, leader: str) -> bool:
-        """Whether the leader's process has exited, as a later incarnation of its daemon answers.
+        """Whether another incarnation of the leader's daemon answers, so the leader's process has exited.
 
-        Without this check, daemons that all restart at once wait for a whole lease, since each has only
-        just read the last record of the leader that has gone.
+        Without this check, daemons that all restart together would wait for a whole lease after they read the
+        last record of the former leader.
         """
         last_contact_s = self._projection.last_contact_s_by_writer.get(leader, NEVER_S)
         return self._status_of(leader, last_contact_s) is WriterStatus.REPLACED
--- a/passgate/versions/leadership_projection.py
+++ b/passgate/versions/leadership_projection.py
@@ -1,7 +1,7 @@
 """Projection of the control topic that decides which daemon is the leader.
 
-All followers of the topic apply its records in offset order and therefore agree on the leader.  The
-projection also holds what the newest job of each model requires of its weights.
+A projection is state built by applying the log's records in order, so all daemons that have read up to the
+same offset agree on the leader.  It also holds what the newest job of each model requires of the weights.
 
 >>> projection = LeadershipProjection()
 >>> for offset, writer in enumerate(("d1.a", "d2.a")):
@@ -16,6 +16,7 @@
 from passgate.jobs.records import Batch, LeaderClaimed, WeightDemand, WriterAlive, WriterStopped
 
 NO_CLAIM = -1
+"""Used as the offset of the last accepted claim while there is none."""
 
 
 class LeadershipProjection:
@@ -23,17 +24,18 @@
 
     def __init__(self) -> None:
         self.last_contact_s_by_writer: dict[str, float] = {}
-        """Writer to the loop time at which its last batch was applied here."""
+        """Loop time at which a writer's last batch was applied here, by writer."""
         self.leader = ""
+        """Writer that leads; empty if none has claimed leadership or the last leader has released it."""
         self.leader_fence = NO_CLAIM
-        """Offset of the last accepted claim; rises with each change of leader."""
+        """Offset of the last accepted claim; rises with each accepted claim."""
         self.last_leader_offset = NO_CLAIM
-        """Offset of the leader's last record."""
+        """Offset of the leader's last record, or of the claim if there is none since."""
         self.newest_demand_by_model: dict[str, WeightDemand] = {}
-        """Model to what its newest job requires."""
+        """What the newest job of each model requires, by model."""
 
     def apply(self, offset: int, batch: Batch, now_s: float) -> None:
-        """Apply the next record of the log, read at a loop time."""
+        """Apply the batch of the next record, which was read at a loop time."""
         writer = batch.writer
         self.last_contact_s_by_writer[writer] = now_s
         if writer == self.leader:
@@ -48,7 +50,7 @@
             case WriterStopped():
                 self._remove_writer(writer)
             case WriterAlive(fence=fence) if fence > self.leader_fence:
-                # The accepted claim was removed from the log before this daemon read it.
+                # The claim of this leader was removed from the log before this daemon could read it.
                 self.leader = writer
                 self.leader_fence = fence
                 self.last_leader_offset = offset
--- a/passgate/versions/load_crashes.py
+++ b/passgate/versions/load_crashes.py
@@ -1,7 +1,8 @@
-"""Suspends weight versions that crash the replicas loading them.
+"""Suspends the loading of weight versions that crash the replicas that load them.
 
-The order to load a version is handed to the crash guard as one request, whichever replica gets it.  If any
-replica holds the version, it can be loaded, and crashes during its loads are attributed to other causes.
+The crash guard, which quarantines requests that crash replicas, treats all orders to load the same version as
+the same request.  While any replica holds the version, or a newer one, loads are not suspended: the version
+can be loaded, so its crashes have another cause.
 """
 
 from __future__ import annotations
@@ -12,24 +13,24 @@
 from passgate.quarantine.identity import RequestIdentity
 
 LOAD_CRASH_LIMIT = 3
-"""Crashed replicas after which loads are suspended; two may crash by coincidence, and a suspension may
+"""Number of crashes that suspends the loads of a version; two may be a coincidence, and a suspension may
 delay a whole training step."""
 LOAD_REQUEST_METHOD = "load-weights"
 """Method in the identity of a load order; it keeps the order distinct from callers' requests."""
 
 
 class LoadCrashGuard:
-    """Crash guard for load orders; its reports are shared by all daemons."""
+    """Applies the crash guard to load orders; all daemons share its crash reports."""
 
     def __init__(self, crash_guard: CrashGuard, replicas: ReplicaTable, decisions: DecisionLog) -> None:
         self._crash_guard = crash_guard
         self._replicas = replicas
         self._decisions = decisions
         self._logged_suspensions: set[tuple[str, int]] = set()
-        """Models and versions whose suspension is in the decision log."""
+        """Models and versions that are suspended according to the last lines in the decision log."""
 
     def update_suspension(self, model: str, version: int) -> bool:
-        """Return whether loads of a version are suspended, and log a change of that."""
+        """Return whether loads of a version are suspended; write a decision line if this has changed."""
         is_suspended = self._crash_guard.is_quarantined(
             _load_identity(model, version)
         ) and not self._is_loaded_anywhere(model, version)
@@ -39,18 +40,21 @@
         return is_suspended
 
     def must_load_alone(self, model: str, version: int) -> bool:
-        """Return whether only one replica at a time may load a version, as it may have crashed replicas."""
+        """Return whether only one replica at a time may load a version, as loading it may crash replicas."""
         return self._crash_guard.is_suspect(_load_identity(model, version)) and not self._is_loaded_anywhere(
             model, version
         )
 
     def check_for_crash(self, state: ReplicaState, model: str, version: int) -> None:
-        """Start a check whether a replica crashed under a load order, unless it was draining and may exit."""
+        """Start a check whether a replica crashed while it loaded a version, unless it was draining."""
         if not state.info.draining:
             self._crash_guard.start_probe(_load_identity(model, version), _replica_endpoint(state))
 
     def report_if_replaced(self, state: ReplicaState, model: str, version: int) -> bool:
-        """Return whether another replica uses a replica's address; report a crash unless it was draining."""
+        """Return whether discovery lists another replica, or a new incarnation, at a replica's address.
+
+        If so, the replica is reported as crashed while it loaded a version, unless it was draining.
+        """
         address = state.info.address
         if not any(other.info.address == address for other in self._replicas.all() if other is not state):
             return False
@@ -59,7 +63,7 @@
         return True
 
     def record_loaded(self, state: ReplicaState, model: str, version: int) -> None:
-        """Record that a replica has loaded a version, which clears the version's crash reports."""
+        """Clear the crash reports of a version, in the service of a replica that has loaded the version."""
         self._crash_guard.record_success(_load_identity(model, version), state.info.service)
 
     def _is_loaded_anywhere(self, model: str, version: int) -> bool:
--- a/passgate/versions/load_plan.py
+++ b/passgate/versions/load_plan.py
@@ -1,8 +1,9 @@
-"""Chooses which replica loads which version next; pure functions, used by the leader.
+"""Chooses which replicas load the newest weights next; used by the leader, without side effects.
 
-Each published version is loaded by its model's share of the replicas: a third of them if they serve three
-models.  If the trainer also accepts the previous version, two shares serve the model and load in turn, and
-the other replicas keep what they have.
+A replica may hold weights of several models.  The newest version of a model is loaded by the model's share
+of the replicas that hold the model: a third if each of them holds three models.  If the newest job accepts
+older versions too, twice the share should hold an accepted version.  More replicas load if the job has more
+items than these replicas have slots.  The others keep the versions that they have.
 
 >>> limit = LoadLimit()
 >>> limit.max_loads(5), limit.max_loads(23)
@@ -21,43 +22,43 @@
 from passgate.gateway.replica_table import ReplicaState
 
 MAX_LOADING_SHARE = 0.4
-"""Largest share of a service's replicas that load at the same time."""
+"""Largest share of a service's replicas that may load at the same time."""
 SLOW_LOAD_FACTOR = 1.6
-"""A load this many times as long as the shortest one shows that too many run at the same time."""
+"""A load that takes more than this many times the shortest one counts as slow, as too many run at once."""
 SHARE_DECREASE_FACTOR, SHARE_INCREASE = 0.7, 0.02
 """Factor applied to the share after a slow load, and amount added after any other."""
 SLOW_REPLICA_FACTOR = 2.0
-"""A replica with this many times the median latency loads last."""
+"""Replicas with more than this many times the median latency load last."""
 
 
 class ModelDemand(msgspec.Struct, frozen=True, kw_only=True):
-    """What the jobs of one model require of its weights."""
+    """What the newest job of one model requires of the weights."""
 
     model: str
     version: int
     """Newest published version."""
     lag: int = 0
-    """Number of versions behind the newest that the trainer's jobs accept."""
+    """How many versions behind the newest one the job accepts."""
     items: int = 0
-    """Items of the newest job, all of which should run at the same time."""
+    """Number of items of the job, all of which should run at the same time."""
 
 
 class PlannedLoad(msgspec.Struct, frozen=True, kw_only=True):
-    """A load that should be started."""
+    """A load of the newest version of a model that should be started."""
 
     state: ReplicaState
     model: str
 
 
 class LoadLimit:
-    """Adaptive limit of the concurrent loads in one service, based on the duration of past loads."""
+    """Adaptive limit on the concurrent loads in one service: slow loads lower it, others raise it again."""
 
     def __init__(self) -> None:
         self._share = MAX_LOADING_SHARE
         self._shortest_s = math.inf
 
     def max_loads(self, replica_count: int) -> int:
-        """Return the number of concurrent loads allowed in a service of this many replicas; at least 1."""
+        """Return the number of concurrent loads allowed in a service with this many replicas, at least 1."""
         return max(int(self._share * replica_count), 1)
 
     def record_load_time(self, load_s: float) -> None:
@@ -79,13 +80,13 @@
 ) -> list[PlannedLoad]:
     """Return the loads that should be started, the most urgent first.
 
-    Models take turns: next is the one with the smallest share of its required serving replicas.
+    Each load goes to the model that has the smallest share of its required serving replicas at that point.
 
     Args:
         demands: the required versions.
-        replicas: the replicas that are not about to leave.
-        model_by_loading_replica: replicas that are loading, with the model.
-        excluded: replicas that get no order now.
+        replicas: the replicas that may get orders.
+        model_by_loading_replica: model that is being loaded, by the replica that loads it.
+        excluded: further replicas that get no order now.
         now_s: loop time.
     """
     plans = [_ModelPlan(demand, replicas, model_by_loading_replica, now_s) for demand in demands]
@@ -105,7 +106,7 @@
 
 
 class _ModelPlan:
-    """One model's replicas and targets during planning; ``add_load`` updates its counts."""
+    """One model's replicas and targets during planning."""
 
     def __init__(
         self,
@@ -116,7 +117,7 @@
     ) -> None:
         self.demand = demand
         self.oldest_servable_version = demand.version - demand.lag
-        """Oldest version that may serve new jobs."""
+        """Oldest version that the newest job accepts."""
         self._now_s = now_s
         holders = [state for state in replicas if demand.model in state.info.model_versions]
         loading = [
@@ -126,7 +127,7 @@
             state for state in holders if model_by_loading_replica.get(state.incarnation) != demand.model
         ]
         self.candidates = [state for state in settled if state.weight_version(demand.model) < demand.version]
-        """Replicas that lack the newest version; the last one loads first."""
+        """Replicas that lack the newest version and don't load it; the last one should load first."""
         self.newest_count = len(holders) - len(self.candidates)
         self.serving_count = len(loading) + sum(1 for state in settled if self.serves(state))
         self._set_targets(holders)
@@ -142,33 +143,34 @@
         )
 
     def serves(self, state: ReplicaState) -> bool:
-        """Return whether a replica may serve new jobs of the model."""
+        """Return whether a replica's version may serve the newest job of the model."""
         return state.weight_version(self.demand.model) >= self.oldest_servable_version
 
     @property
     def served_share(self) -> float:
-        """Serving replicas divided by the required number."""
+        """Number of replicas that serve the model or load it, divided by the required number."""
         return self.serving_count / max(self._target_serving_count, 1)
 
     @property
     def needs_load(self) -> bool:
-        """Whether the model is below a target and has a replica to load."""
+        """Whether the model is below a target and a replica is left that could load the newest version."""
         below_target = (
             self.newest_count < self._target_newest_count or self.serving_count < self._target_serving_count
         )
         return below_target and bool(self.candidates)
 
     def add_load(self, state: ReplicaState) -> None:
-        """Count a replica as loading the newest version."""
+        """Count a replica as if it had already loaded the newest version."""
         self.serving_count += not self.serves(state)
         self.newest_count += 1
 
     def sort_candidates(self, plans: Sequence[_ModelPlan]) -> None:
-        """Sort the candidates so that the last one should load first.
+        """Sort the candidates by the order in which they should load, the first to load at the end.
 
-        Slow replicas load last.  Replicas that can't serve new jobs load before those that can.  Among the
-        former the most recently current load first, so that the same replicas take turns; among the latter
-        those with the oldest version.  Then come those that serve few models, then the least loaded.
+        Slow replicas load last.  Otherwise, replicas that can't serve the newest job load first: those with
+        the newest version before others, so that the same replicas take turns.  Replicas that can serve it
+        follow, those with the oldest version first.  Ties are broken by the number of models served, then by
+        load, fewest or least first.
         """
         if not self.needs_load:
             return
--- a/passgate/versions/loader.py
+++ b/passgate/versions/loader.py
@@ -1,8 +1,8 @@
-"""Sends load orders that bring replicas to the target versions of the weights.
+"""Sends load orders that bring replicas to the target versions of the weights, while this daemon leads.
 
 An order names the number of orders that the replica has accepted, as read from its report just before, and
-the replica rejects any other number.  A delayed order is therefore never executed after a newer one.  A
-restart resets the number, so it is used only for the incarnation that reported it.
+the replica rejects any other number.  A delayed order is therefore not executed after a newer one.  As a
+restart resets the number, :mod:`passgate.versions.unconfirmed_orders` guards against delays beyond a restart.
 """
 
 from __future__ import annotations
@@ -30,32 +30,35 @@
 logger = logging.getLogger("passgate.versions")
 
 PLAN_INTERVAL_S = 0.05
-"""Interval of planning; short compared with a load, which takes about a second."""
+"""Pause between two plans; short compared with the duration of a load."""
 LOAD_TIMEOUT_S = 6.0
-"""Time after which an order without visible effect is sent again."""
+"""Time after which a load that is not seen to finish is given up, so that it may be planned again."""
 ACCEPTED_STATUSES = frozenset({200, 202})
 """Statuses that say that the load has started or the version is already present."""
 LOAD_POLL_INTERVAL_S = 0.1
-"""Interval of checks whether a load has finished."""
+"""Pause between checks whether a load has finished; also the pause of a replica for which no order is due."""
 CRASH_CHECK_INTERVAL_S = 1.2
-"""Interval of crash checks during a load; longer than most loads, which need none."""
+"""Interval of crash checks during a load; a shorter load is not checked."""
 REPLACEMENT_TIMEOUT_S = 0.5
-"""Time to wait for the next incarnation of a removed replica to appear in discovery."""
+"""Time for which discovery may list a new replica at the address of a removed one to prove a crash."""
 ORDER_RETRY_PAUSE_S = 0.5
-"""Pause before a replica that refused an order gets another."""
+"""Pause before a replica gets another order after a refused or failed one."""
 
 
 class ReplicaReport(msgspec.Struct, frozen=True, kw_only=True):
     """State that a replica reports about itself."""
 
     orders_taken: int
+    """Number of load orders that the replica has accepted since its start."""
     busy: bool
+    """Whether the replica is loading weights."""
     model_versions: dict[str, int]
+    """Version of the loaded weights, by model name."""
     started_unix_ms: int = 0
     """Start time of the replica's process in Unix milliseconds; 0 if the replica does not report it."""
 
     def is_from(self, incarnation: ReplicaIncarnation) -> bool:
-        """Return whether an incarnation made this report; True if either start time is unknown."""
+        """Return whether this report may be from an incarnation: start times are equal or one is unknown."""
         return self.started_unix_ms == incarnation.started_unix_ms or not (
             self.started_unix_ms and incarnation.started_unix_ms
         )
@@ -69,15 +72,18 @@
     model: str
     version: int
     holder: str
+    """Name of the daemon that sends the order."""
     fence: int
+    """Fencing token of the sender's leadership."""
     expected: int
+    """Number of orders that the replica has accepted before; it rejects the order if the number differs."""
 
 
 class ReplicaControl(Protocol):
     """Client for the control endpoints of replicas."""
 
     async def report(self, replica_id: str, address: str) -> ReplicaReport:
-        """Read a replica's report; raises PassgateError."""
+        """Read a replica's report; raises PassgateError if there is no valid one."""
         ...
 
     async def order(self, order: LoadOrder) -> int:
@@ -88,7 +94,7 @@
 async def read_incarnation(
     control: ReplicaControl, last_known: ReplicaIncarnation, address: str
 ) -> ReplicaIncarnation | None:
-    """Return the incarnation now running at a replica's address; None if the replica does not report it."""
+    """Return the incarnation that runs at a replica's address; None if the call fails or it does not say."""
     try:
         report = await control.report(last_known.replica_id, address)
     except PassgateError as error:
@@ -100,7 +106,7 @@
 
 
 class RunningLoad(msgspec.Struct, frozen=True, kw_only=True):
-    """A load in progress."""
+    """A load in progress, from the reading of the replica's report to the end of the load."""
 
     model: str
     service: str
@@ -108,18 +114,18 @@
 
 
 class TargetVersions:
-    """The target version of each model: the newest one published for it."""
+    """The target version of each model: the highest version published so far."""
 
     def __init__(self, decisions: DecisionLog) -> None:
         self._decisions = decisions
         self.version_by_model: dict[str, int] = {}
 
     def newest(self, model: str) -> int:
-        """Return a model's target version, 0 if there is none."""
+        """Return a model's target version; 0 if none was published."""
         return self.version_by_model.get(model, 0)
 
     def offer(self, model: str, version: int) -> None:
-        """Set a model's target version unless a version as new is known."""
+        """Set a model's target version if the given version is higher than the known one."""
         if version > self.version_by_model.get(model, 0):
             self.version_by_model[model] = version
             self._decisions.write(TargetVersionChanged(model=model, version=version))
@@ -147,9 +153,9 @@
         self._decisions = decisions
         self._crash_guard = LoadCrashGuard(crash_guard, replicas, decisions)
         self._newest_demand_by_model = newest_demand_by_model
-        """Model to what its newest job requires."""
+        """What the newest job of each model requires, by model."""
         self._load_by_replica: dict[ReplicaIncarnation, RunningLoad] = {}
-        """Replica to its load in progress."""
+        """Loads in progress by replica."""
         self._limit_by_service: dict[str, LoadLimit] = {}
         self._retry_at_s_by_replica: dict[ReplicaIncarnation, float] = {}
         self._unconfirmed_orders = UnconfirmedOrders()
@@ -165,7 +171,7 @@
                 load.task.cancel()
 
     def start_due_loads(self) -> None:
-        """Start the planned loads that the concurrency limits of their services allow."""
+        """As leader, start the planned loads that the concurrency limits of their services allow."""
         self._load_by_replica = {
             incarnation: load for incarnation, load in self._load_by_replica.items() if not load.task.done()
         }
@@ -194,7 +200,10 @@
         )
 
     def _plan(self, now_s: float) -> list[PlannedLoad]:
-        """Return the loads that should be started now, the most urgent first."""
+        """Return the loads that should be started now, the most urgent first.
+
+        Suspended versions and replicas that the send rules exclude are left out.
+        """
         rules = self._replicas.send_rules
         return plan_loads(
             [
@@ -241,7 +250,7 @@
             self._retry_at_s_by_replica[incarnation] = monotonic_s() + ORDER_RETRY_PAUSE_S
 
     def _is_order_due(self, state: ReplicaState, model: str, report: ReplicaReport) -> bool:
-        """Return whether a replica needs an order and may get one, by the report that it has just sent."""
+        """Return whether a replica needs an order and may get one, according to its report."""
         if (
             not report.is_from(state.incarnation)
             or self._replicas.find_incarnation(state.incarnation) is not state
@@ -264,7 +273,8 @@
     async def _send_order(self, state: ReplicaState, model: str, report: ReplicaReport) -> bool:
         """Send an order and return whether the replica accepted it or already has the version.
 
-        Raises PassgateError; the order then counts as unconfirmed unless it was certainly not executed.
+        Raises PassgateError without an answer.  The order then counts as unconfirmed, unless it certainly did
+        not run.
         """
         self._replicas.send_rules.admit(state.info, CONTROL_MESSAGE, monotonic_s())
         order = LoadOrder(
@@ -315,9 +325,9 @@
                 next_crash_check_s = now_s + CRASH_CHECK_INTERVAL_S
 
     async def _await_replacement(self, state: ReplicaState, model: str, version: int) -> None:
-        """Check for a crash of a replica that discovery has removed.
+        """Check for a crash of a replica that discovery has removed or replaced by a new incarnation.
 
-        If another replica appears at its address in time, the crash is proven.
+        If another replica is listed at the address within REPLACEMENT_TIMEOUT_S, the crash is reported.
         """
         self._crash_guard.check_for_crash(state, model, version)
         deadline_s = monotonic_s() + REPLACEMENT_TIMEOUT_S
--- a/passgate/versions/unconfirmed_orders.py
+++ b/passgate/versions/unconfirmed_orders.py
@@ -1,8 +1,9 @@
 """Load orders whose outcome is unknown: they may still be executed, even by the replica's next incarnation.
 
-A replica executes an order only if the order names the number of orders that it has accepted.  A restart
-resets that number to 0, so an unconfirmed order fits again later and would load an older version.  The
-order that leads to that number is delayed until the old one can't arrive.
+A replica executes an order only if the order names the number of orders that the replica has accepted.  A
+restart resets that number to 0, so the new incarnation reaches the number of an unconfirmed order again and
+could then execute that order, which may name an older version.  The order by which the incarnation would
+reach that number is therefore delayed until the unconfirmed order has expired.
 
 >>> unconfirmed = UnconfirmedOrders()
 >>> unconfirmed.record(ReplicaIncarnation("r", 1), 2, now_s=0.0)
@@ -18,8 +19,8 @@
 from passgate.eligibility.replica_info import ReplicaIncarnation
 
 UNCONFIRMED_LIFETIME_S = 15.0
-"""Time after which an unconfirmed order is no longer executed: a stalled replica executes queued calls
-seconds late."""
+"""Time after which an unconfirmed order is assumed not to be executed any more; a stalled replica may execute
+queued calls seconds late."""
 
 
 class _UnconfirmedOrder(msgspec.Struct, frozen=True, kw_only=True):
@@ -33,10 +34,10 @@
 
     def __init__(self) -> None:
         self._orders_by_replica_id: dict[str, list[_UnconfirmedOrder]] = {}
-        """Keyed by identifier, not by incarnation, because later incarnations are affected."""
+        """Unconfirmed orders by replica ID; not by incarnation, because they affect later incarnations."""
 
     def record(self, incarnation: ReplicaIncarnation, expected_orders_taken: int, now_s: float) -> None:
-        """Record an order to an incarnation whose outcome is unknown."""
+        """Record an order of unknown outcome, which named ``expected_orders_taken`` accepted orders."""
         self._drop_expired(now_s)
         order = _UnconfirmedOrder(
             incarnation=incarnation,
@@ -46,7 +47,11 @@
         self._orders_by_replica_id.setdefault(incarnation.replica_id, []).append(order)
 
     def allows_next_order(self, incarnation: ReplicaIncarnation, orders_taken: int, now_s: float) -> bool:
-        """Return whether an incarnation that has accepted ``orders_taken`` orders may get the next one."""
+        """Return whether an incarnation that has accepted ``orders_taken`` orders may get the next one.
+
+        False if a replica with one more accepted order could execute an unconfirmed order that was sent to
+        another incarnation.
+        """
         orders = self._orders_by_replica_id.get(incarnation.replica_id, ())
         return not any(
             order.incarnation != incarnation
