--- a/passgate/versions/control_topic.py
+++ b/passgate/versions/control_topic.py
@@ -71,7 +71,7 @@
         )
 
     async def run(self) -> None:
-        """Append this daemon's entries, and follow the topic and claim leadership as needed; never returns."""
+        """Append this daemon's entries, follow the topic and claim leadership as needed, until cancelled."""
         async with asyncio.TaskGroup() as tasks:
             tasks.create_task(self.journal.run())
             try:
