--- a/passgate/discovery/records.py
+++ b/passgate/discovery/records.py
@@ -1,7 +1,7 @@
-"""Records in which relays keep a long list of replicas on the log.
+"""Records in which relays, which read discovery for the other daemons, keep a long list of replicas.
 
-A daemon that starts reads the list in parts, and then the changes since the parts were written.  Both are
-compressed JSON.
+The list is divided into parts, which are records of a keyed topic.  Changes are records of another topic.
+A daemon reads all parts first, and then the changes since they were written.  Both are compressed JSON.
 
 >>> part = ListPart(part=3, at=40, changes_from=7)
 >>> decode_part(encode_part(part)) == part
@@ -23,7 +23,7 @@
 from passgate.sharedlog.log import KeyedRecord
 
 LIST_PARTS = 16
-"""Number of parts of the list; a part of a list of 100,000 replicas still fits into one record."""
+"""Number of parts of the list, which is divided because the log limits the size of a record."""
 COMPRESSION_LEVEL = 6
 """Level of zlib's compression; its default."""
 
@@ -31,23 +31,24 @@
 
 
 class RelayedChanges(msgspec.Struct, frozen=True, kw_only=True):
-    """One record of a relay; without changes it only shows that the relay is alive."""
+    """A relay's record in the topic of changes; without changes it only shows that the relay is alive."""
 
     relay: str
-    """Daemon that appended the record."""
+    """Identifier of the daemon that appended the record."""
     changes: tuple[ReplicaUpdate, ...] = ()
     unreadable: int = 0
     """Number of changes in the record that could not be decoded."""
 
 
 class ListPart(msgspec.Struct, frozen=True, kw_only=True):
-    """All replicas of one part of the list."""
+    """The replicas of one part of the list."""
 
     part: int
     at: int
-    """Offset in discovery up to which the part is complete; a replica missing from it was gone then."""
+    """Offset of the last discovery entry that the part takes into account; a replica of this part that is
+    missing was not listed then."""
     changes_from: int
-    """Offset in the topic of changes of the first change that is not in the part."""
+    """Offset in the topic of changes from which the part has to be continued."""
     replicas: tuple[ReplicaUpdate, ...] = ()
     unreadable: int = 0
     """Number of replicas of the part that could not be decoded."""
@@ -66,17 +67,20 @@
 
 
 def part_of(replica_id: str) -> int:
-    """Return the number of the part that holds a replica."""
+    """Return the number of the part to which a replica belongs."""
     return zlib.crc32(replica_id.encode()) % LIST_PARTS
 
 
 def encode_part(part: ListPart) -> KeyedRecord:
-    """Encode a part as a record."""
+    """Encode a part as a record under the part's number."""
     return KeyedRecord(key=str(part.part), value=_compress(part))
 
 
 def decode_part(record: KeyedRecord) -> ListPart:
-    """Decode a part without its unreadable replicas; raises MalformedRecord."""
+    """Decode a part; unreadable replicas are left out and counted.
+
+    Raises MalformedRecord if the record itself can't be decoded.
+    """
     part = _decompress(record.value, _PartRecord)
     replicas = _decode_readable(part.replicas)
     return ListPart(
@@ -89,12 +93,15 @@
 
 
 def encode_changes(changes: RelayedChanges) -> bytes:
-    """Encode changes as a record."""
+    """Encode changes as a record of the topic of changes."""
     return _compress(changes)
 
 
 def decode_changes(record: bytes) -> RelayedChanges:
-    """Decode changes without unreadable ones; raises MalformedRecord."""
+    """Decode a record of changes; unreadable changes are left out and counted.
+
+    Raises MalformedRecord if the record itself can't be decoded.
+    """
     decoded = _decompress(record, _ChangesRecord)
     changes = _decode_readable(decoded.changes)
     return RelayedChanges(
--- a/passgate/discovery/relay.py
+++ b/passgate/discovery/relay.py
@@ -1,8 +1,9 @@
 """Relays: daemons that read a long list of replicas and append its changes for all other daemons.
 
-Every replica writes to discovery about once a second, so only one daemon per zone reads a long list; the
-log's groups select it.  The primary relay appends each change at once; the others append what it has
-missed.  Duplicates are harmless, as each change names its offset in discovery.
+Replicas write to discovery so often that normally only one daemon per zone reads a long list; the log's
+groups select this daemon.  One of the relays, the primary, appends each change as soon as it has read it; the
+others append changes that the primary has not appended after a delay.  Duplicates are harmless, as each
+change names its offset in discovery.
 """
 
 from __future__ import annotations
@@ -28,30 +29,30 @@
 logger = logging.getLogger("passgate.discovery")
 
 HEARTBEAT_INTERVAL_S = 0.5
-"""Interval of the primary relay's records; a third of the relay timeout."""
+"""Time without a record of any relay after which the primary relay appends one without changes."""
 RELAY_TIMEOUT_S = 1.5
 """Time without a record after which a relay counts as gone."""
 BACKUP_DELAY_S = 0.7
-"""Time that the backup relays give the primary one to append a change, including pauses between reads."""
+"""Time after which the other relays append a change that they have not read from the primary."""
 MAX_CHANGES_PER_RECORD = 1000
-"""Most changes in one record; compressed, they are far below the log's limit of a record."""
+"""Maximum number of changes in one record."""
 PART_REWRITE_INTERVAL_S = 2.0
-"""Interval of rewrites of one part; all parts are rewritten long before the log removes the changes since."""
+"""Interval at which the primary relay rewrites one of the parts, in turn."""
 
 
 class ReadProgress(msgspec.Struct, frozen=True, kw_only=True):
-    """How far a relay has read."""
+    """How far a relay has read discovery and the topic of changes."""
 
     last_entry_offset: int
-    """Offset of the last entry of discovery that the view contains."""
+    """Offset of the last entry of discovery that the relay's view contains."""
     next_change_offset: int
-    """Offset of the first change in the topic of changes that the view may lack."""
+    """Offset of the next record to read in the topic of changes."""
     first_kept_change_offset: int
-    """Offset of the oldest change that the log still keeps."""
+    """Offset of the oldest record that the topic of changes still keeps."""
 
 
 class Relay:
-    """The work of one daemon while it relays; it also tracks the other relays."""
+    """Appends changes and parts of the list while this daemon relays, and tracks what other relays append."""
 
     def __init__(
         self, log: SharedLog, changes_topic: str, list_topic: str, view: DiscoveryView, daemon_id: str
@@ -71,24 +72,24 @@
         self._view = view
         self._daemon_id = daemon_id
         self._last_contact_s_by_relay: dict[str, float] = {}
-        """Other relay to the loop time of its last record."""
+        """Loop time of the last record of each other relay."""
         self._appended_offset_by_replica_id: dict[str, int] = {}
-        """Replica to its newest offset in discovery in the topic of changes."""
+        """Offset in discovery of the newest change in the topic of changes, by replica ID."""
         self._pending_by_replica_id: dict[str, tuple[ReplicaUpdate, float]] = {}
-        """Replica to a change that is to be appended, and the loop time since when."""
+        """Change that is to be appended, and the loop time since which it is known, by replica ID."""
         self._last_record_s = float("-inf")
         self._last_part_rewrite_s = float("-inf")
         self._next_part = 0
         self._changes_offset_by_part: dict[int, int] = {}
-        """Part of the list to ``changes_from`` of its last record by this relay."""
+        """``changes_from`` of the last record that this relay has written, by part of the list."""
 
     def start(self) -> None:
-        """Start relaying; all parts are written again, as no relay may have done so for long."""
+        """Prepare for relaying: forget pending changes, and have this relay write all parts when primary."""
         self._pending_by_replica_id.clear()
         self._changes_offset_by_part.clear()
 
     async def drop_list(self) -> None:
-        """Delete the list from the log, as it has become short; a failure is logged only."""
+        """Delete all parts of the list from the log; a failure is only logged."""
         deletions = [KeyedRecord(key=str(number), value=b"") for number in range(LIST_PARTS)]
         try:
             await self._log.append(
@@ -98,7 +99,7 @@
             logger.info("replica_list_not_dropped", extra={"error": str(error)})
 
     def add_changes(self, changes: list[ReplicaUpdate]) -> None:
-        """Add changes in discovery to those that are to be appended."""
+        """Add changes read from discovery to those that are to be appended."""
         now_s = monotonic_s()
         for update in changes:
             self._pending_by_replica_id[update.replica_id] = (update, now_s)
@@ -107,8 +108,8 @@
         """Record what a relay, this one or another, has appended to the topic of changes.
 
         Args:
-            changes: one record.
-            is_new: whether it was appended just now, so that its relay is alive.
+            changes: the record that was read.
+            is_new: whether the record was appended just now, so that its relay is alive.
         """
         for update in changes.changes:
             self._appended_offset_by_replica_id[update.replica_id] = max(
@@ -122,15 +123,15 @@
 
     @property
     def has_pending_changes(self) -> bool:
-        """Whether this daemon knows changes that are not in the topic of changes."""
+        """Whether any changes wait to be appended by this daemon or to be read from another relay."""
         return bool(self._pending_by_replica_id)
 
     def are_others_alive(self) -> bool:
-        """Return whether another relay is alive."""
+        """Return whether another relay has appended a record within RELAY_TIMEOUT_S."""
         return bool(self._live_relays(monotonic_s()))
 
     async def append_due(self, progress: ReadProgress) -> None:
-        """Append due changes or a heartbeat, and as primary relay due parts; a failure is logged only."""
+        """Append due changes or a heartbeat, and as primary relay due parts; a failure is only logged."""
         now_s = monotonic_s()
         is_primary = self._is_primary(now_s)
         due = self._due_changes(now_s if is_primary else now_s - BACKUP_DELAY_S)
@@ -157,7 +158,7 @@
         return min(names, key=lambda name: zlib.crc32(name.encode())) == self._daemon_id
 
     async def _append_changes(self, due: list[ReplicaUpdate]) -> None:
-        """Append changes in as many records as needed; without changes an empty one as heartbeat."""
+        """Append changes in as many records as needed, or one record without changes as a heartbeat."""
         self._last_record_s = monotonic_s()
         for start in range(0, max(len(due), 1), MAX_CHANGES_PER_RECORD):
             batch = tuple(due[start : start + MAX_CHANGES_PER_RECORD])
@@ -167,7 +168,7 @@
                 self._remove_pending(update)
 
     def _due_changes(self, known_before_s: float) -> list[ReplicaUpdate]:
-        """Return the changes that were known at a loop time and that no relay has appended."""
+        """Return the pending changes known since a loop time or earlier; drop those that a relay appended."""
         for update, _ in list(self._pending_by_replica_id.values()):
             if self._appended_offset_by_replica_id.get(update.replica_id, -1) >= update.at:
                 self._remove_pending(update)
@@ -203,7 +204,10 @@
             self._changes_offset_by_part[part.part] = part.changes_from
 
     def _due_parts(self, now_s: float, first_kept_change_offset: int) -> list[int]:
-        """Return the parts that can't be continued with the changes still kept, and regularly one more."""
+        """Return the parts that this relay has not written, or that need changes that the log has removed.
+
+        At intervals of PART_REWRITE_INTERVAL_S, one more part is added.
+        """
         numbers = {
             number
             for number in range(LIST_PARTS)
@@ -216,7 +220,7 @@
         return sorted(numbers)
 
     def _drop_stale_state(self, now_s: float) -> None:
-        """Drop relays that timed out, and offsets of replicas that are gone."""
+        """Drop relays that timed out, and the offsets of replicas that are gone if there are many."""
         self._last_contact_s_by_relay = {
             relay: last_contact_s
             for relay, last_contact_s in self._last_contact_s_by_relay.items()
--- a/passgate/discovery/relayed_list.py
+++ b/passgate/discovery/relayed_list.py
@@ -1,4 +1,7 @@
-"""Reads a long list of replicas as relays keep it on the log: its parts once, then each change."""
+"""Reads a long list of replicas from the log, where relays keep it: its parts first, then the changes.
+
+A relay is a daemon that reads discovery for the others.  The parts are read again from time to time.
+"""
 
 from __future__ import annotations
 
@@ -24,19 +27,21 @@
 logger = logging.getLogger("passgate.discovery")
 
 CHANGES_READ_PAUSE_S = 0.6
-"""Pause between reads of the changes, which arrive in batches; short enough to learn of a draining replica
-within 2 s."""
+"""Pause between reads of the changes, so that they arrive in batches."""
 RELOAD_INTERVAL_S = 0.5
-"""Interval of attempts to read the list until relays have written it completely."""
+"""Interval of attempts to read the list until it is complete on the log; also the delay of a new read after
+changes were missed."""
 RESYNC_INTERVAL_RANGE_S = (45.0, 75.0)
-"""Bounds of the random time after which the list is read again, which limits the load of all daemons."""
+"""Bounds of the time after which the list is read again; random, so that daemons don't all read together."""
 RELAY_CHANGE_RESYNC_RANGE_S = (1.0, 4.0)
-"""The same after another relay took over, as its predecessor may have lost a change when it stopped."""
+"""Bounds of the random time until the list is read again after records begin to come from another relay: the
+previous one may have lost a change when it stopped."""
 NEVER_S = float("-inf")
+"""Loop time before any other."""
 
 
 class RelayedList:
-    """Keeps the view up to date with the relays' records while it follows them."""
+    """Applies the relays' records to a view while it follows them."""
 
     def __init__(
         self,
@@ -55,9 +60,9 @@
             changes_topic: topic of the changes.
             list_topic: keyed topic of the list's parts.
             view: receives what is read.
-            on_changes: called with each record of a relay and whether it was appended just now.
+            on_changes: called with each record of changes and whether it was appended just now.
             decisions: decision log.
-            rng: draws when the list is read again.
+            rng: draws the times at which the list is read again.
         """
         self._log = log
         self._list_topic = list_topic
@@ -72,36 +77,39 @@
         self._next_load_s = NEVER_S
         """Loop time at which the list is read next."""
         self._last_relay = ""
-        """The relay whose record was read last."""
+        """The relay that appended the last record."""
         self._next_offset = 0
         """Offset at which the next page has to start; if it starts later, changes were removed unread."""
         self._last_contact_s = NEVER_S
-        """Loop time of the last record that a relay appended after the end was reached."""
+        """Loop time at which the last record was read after the end of the changes had been reached once."""
 
     @property
     def next_change_offset(self) -> int:
-        """Offset of the next change to read."""
+        """Offset of the next record of changes to read."""
         return self._tail.tail.next_offset
 
     @property
     def first_kept_change_offset(self) -> int:
-        """Offset of the oldest change that the log still keeps."""
+        """Offset of the oldest record of changes that the log kept at the last read."""
         return self._tail.tail.first_kept_offset
 
     @property
     def loaded(self) -> bool:
-        """Whether the view is complete and a relay is keeping it so."""
+        """Whether the list was read, no change has been missed since, and a relay has appended a record."""
         return self.is_complete and self._last_contact_s > NEVER_S
 
     def silence_s(self) -> float:
-        """Return for how long all relays have certainly been silent while the log could be read."""
+        """Return for how long no record of a relay was read, not counting times when the log wasn't readable.
+
+        0 until the end of the changes was reached once.
+        """
         freshness = self._tail.tail.freshness
         if freshness.recovered_at_s == NEVER_S:
             return 0.0
         return freshness.silence_s(self._last_contact_s, monotonic_s())
 
     async def follow(self) -> None:
-        """Follow the changes and read the list if that is due; to be called repeatedly."""
+        """Follow the changes, and read the list if that is due; must be called repeatedly."""
         now_s = monotonic_s()
         if now_s >= self._next_load_s:
             self._next_load_s = now_s + RELOAD_INTERVAL_S
@@ -115,7 +123,7 @@
         self._next_load_s = self._last_contact_s = NEVER_S
 
     async def exists_on_log(self) -> bool:
-        """Return whether relays have written any part of the list; raises LogError."""
+        """Return whether the log has any part of the list; raises LogError."""
         return bool((await self._log.newest(self._list_topic, 0)).records)
 
     async def _load_parts(self) -> None:
@@ -128,7 +136,7 @@
         for part in parts:
             self._apply_part(part)
         if {part.part for part in parts} != set(range(LIST_PARTS)):
-            return  # missing parts are read at the next attempt, once relays have written them
+            return  # the next attempt is made after RELOAD_INTERVAL_S
         self._next_load_s = monotonic_s() + self._rng.uniform(*RESYNC_INTERVAL_RANGE_S)
         # A part may list a replica that a later change has removed, so the changes are applied again.
         self._tail.set_following(False)
@@ -136,7 +144,7 @@
         self.is_complete = True
 
     def _decode_part(self, record: KeyedRecord) -> ListPart | None:
-        """Return the part of a record, or None if it is malformed."""
+        """Return the part in a record; None, after recording it as unusable, if the record is malformed."""
         try:
             part = decode_part(record)
         except MalformedRecord as error:
@@ -177,7 +185,7 @@
                 self._record_relay_alive(changes.relay)
 
     def _record_relay_alive(self, relay: str) -> None:
-        """Record that a relay is alive; if it is another one than before, read the list again soon."""
+        """Record a contact with a relay; if it isn't the one of the last record, read the list again soon."""
         self._last_contact_s = monotonic_s()
         if relay != self._last_relay:
             self._last_relay = relay
--- a/passgate/discovery/service.py
+++ b/passgate/discovery/service.py
@@ -1,4 +1,7 @@
-"""Follows the list of replicas: directly if it is short, through a few relays if it is long."""
+"""Follows the list of replicas: directly if it is short, through relays if it is long.
+
+A relay is a daemon that reads discovery and appends the changes for the daemons that do not read it.
+"""
 
 from __future__ import annotations
 
@@ -23,22 +26,22 @@
 logger = logging.getLogger("passgate.discovery")
 
 DIRECT_LIMIT = 200
-"""Replicas up to which each daemon reads discovery itself."""
+"""Number of replicas up to which a list is short, so that each daemon reads discovery itself."""
 DIRECT_RETURN_SHARE = 0.75
-"""Share of the limit below which a long list counts as short again."""
+"""Share of the limit up to which a list that was long counts as short again."""
 UPDATE_INTERVAL_S = 0.25
-"""Interval of updates; short compared with the relay timeout."""
+"""Pause between updates of a daemon that does not relay."""
 RELAY_UPDATE_INTERVAL_S = 0.1
-"""Interval of updates of a relay, whose changes all others wait for."""
+"""Pause between updates of a relay; shorter, as other daemons wait for the changes that a relay appends."""
 DIRECT_READ_PAUSE_S = 0.25
-"""Pause between direct reads of discovery, whose entries change every second."""
+"""Pause between direct reads of discovery, so that entries arrive in batches."""
 FALLBACK_SILENCE_RANGE_S = (4.0, 10.0)
-"""Bounds of the random silence of all relays after which a daemon reads discovery itself; longer than the
-selection of a new relay."""
+"""Bounds of the random time without a record of any relay after which a daemon reads discovery itself; leaves
+time for the selection of a new relay."""
 
 
 class ReplicaDecoder:
-    """Decoder of discovery entries, implemented by an adapter."""
+    """Decodes discovery entries; implemented for the format that the replicas write."""
 
     def decode(self, record: KeyedRecord) -> ReplicaInfo:
         """Decode an entry; raises MalformedRecord if it names no usable replica."""
@@ -49,11 +52,11 @@
     """Topics of the log that hold replicas."""
 
     entries: str
-    """Keyed topic to which the replicas write."""
+    """Keyed topic to which the replicas write their entries: discovery."""
     changes: str
-    """Topic to which relays append changes."""
+    """Topic to which relays append changes of the entries."""
     parts: str
-    """Keyed topic in which relays keep the whole list."""
+    """Keyed topic in which relays keep the whole list, divided into parts."""
 
 
 class Source(Enum):
@@ -65,7 +68,7 @@
 
 
 class Discovery:
-    """Keeps a view up to date, directly or through relays, and relays if this daemon is selected for it."""
+    """Keeps a view of the replicas up to date, and relays a long list if this daemon is selected for that."""
 
     def __init__(
         self,
@@ -86,11 +89,11 @@
             log: carries entries, changes and the list.
             topics: names of the topics.
             decoder: decodes entries.
-            view: the replicas as this daemon knows them.
+            view: the replicas as this daemon knows them; kept up to date.
             daemon_id: identifies this daemon to other relays.
             may_relay: returns whether this daemon is selected to relay a long list.
             decisions: decision log.
-            direct_limit: replicas up to which a list is short.
+            direct_limit: number of replicas up to which a list is short.
             seed: seeds the random times of the fallback and of reading the list again; None for a random
                 seed.
         """
@@ -117,7 +120,7 @@
         )
         self._started_at_s: float | None = None
         self.loaded = False
-        """Whether the whole list was read once."""
+        """Whether the whole list has been read once since the start."""
         self.is_relaying = False
         """Whether this daemon is a relay now."""
 
@@ -134,7 +137,7 @@
 
     @property
     def reads_directly(self) -> bool:
-        """Whether this daemon reads the entries that replicas write."""
+        """Whether this daemon reads discovery itself."""
         return self._direct_tail is not None
 
     async def _update(self) -> None:
@@ -152,7 +155,7 @@
     # --- choice of the source ------------------------------------------------------
 
     async def _choose_source(self) -> None:
-        """Choose where to read; raises LogError."""
+        """Choose between reading discovery directly and through relays; raises LogError."""
         if self._source is Source.UNKNOWN:
             await self._find_source()
         elif self._source is Source.DIRECT and len(self._view) > self._direct_limit:
@@ -173,7 +176,7 @@
         return self.loaded and all_appended and len(self._view) <= self._direct_limit * DIRECT_RETURN_SHARE
 
     async def _find_source(self) -> None:
-        """Use relays if they keep a list; else read one page of entries to see whether the list is short.
+        """Use relays if the log has a list of theirs, or if the entries of discovery fill more than one page.
 
         Raises LogError.
         """
@@ -211,7 +214,7 @@
         return self._may_relay() or (self.is_relaying and not self._relay.are_others_alive())
 
     def _must_fall_back(self) -> bool:
-        """Whether to read discovery directly, as no relay is alive."""
+        """Whether no relay has appended a record for so long that this daemon reads discovery itself."""
         return self._relayed_list.silence_s() > self._fallback_silence_s
 
     def _set_relaying(self, relaying: bool) -> None:
@@ -246,8 +249,7 @@
         usable = [info for info in infos.values() if info is not None]
         changes = self._view.apply_list(usable, next_offset - 1, overwritten)
         if self.is_relaying and self._relayed_list.is_complete:
-            # While the log has no complete list, no daemon follows the changes, and the parts will contain
-            # all.
+            # Until the log has a complete list no daemon depends on the changes; the parts will contain them.
             self._relay.add_changes(changes)
 
     def _apply_entries(self, records: tuple[KeyedRecord, ...], start: int) -> None:
@@ -264,7 +266,7 @@
                 self._relay.add_changes([update])
 
     def _decode(self, record: KeyedRecord) -> ReplicaInfo | None:
-        """Return the replica of an entry; an unusable entry is recorded and gives None."""
+        """Return the replica of an entry; None, after recording it, if the entry is unusable."""
         try:
             return self._decoder.decode(record)
         except MalformedRecord as error:
--- a/passgate/discovery/unusable_entries.py
+++ b/passgate/discovery/unusable_entries.py
@@ -1,6 +1,6 @@
 """Counts discovery entries that name no usable replica, and logs them at a limited rate.
 
-Other writers may write such entries repeatedly, and a log line for each would hide all other lines.
+A faulty writer may write such entries repeatedly, and a log line for each would hide all other lines.
 
 >>> lines = []
 >>> unusable = UnusableEntries(DecisionLog("d", write=lines.append))
@@ -15,13 +15,13 @@
 from passgate.decisions import DecisionLog, DiscoveryEntryRejected
 
 KEY_LOG_INTERVAL_S = 60.0
-"""Shortest time between two log lines about one key."""
+"""Shortest time between two log lines about the same key, while the key is remembered."""
 LOG_INTERVAL_S = 1.0
-"""Shortest time between two log lines about any key."""
+"""Shortest time between any two log lines."""
 MAX_REMEMBERED_KEYS = 1024
-"""Keys whose log lines are remembered; bounded, as a writer may invent any number of them."""
+"""Maximum number of keys whose last log lines are remembered; when it is reached, all are forgotten."""
 MAX_LOGGED_CHARACTERS = 120
-"""Logged part of a key or a reason, which a writer may make long."""
+"""Maximum length of a key or a reason in a log line; the rest is cut off."""
 
 
 class UnusableEntries:
@@ -30,14 +30,17 @@
     def __init__(self, decisions: DecisionLog) -> None:
         self._decisions = decisions
         self._logged_at_s_by_key: dict[str, float] = {}
-        """Key to the time of its last log line."""
+        """Loop time of the last log line, by key."""
         self._last_logged_s = float("-inf")
         self._unlogged_count = 0
         self.count = 0
-        """Unusable entries so far."""
+        """Number of unusable entries so far."""
 
     def record(self, key: str, reason: str, now_s: float) -> bool:
-        """Count an entry; return whether a log line was written about all entries since the last line."""
+        """Count an unusable entry; return whether a log line was written.
+
+        The line names this entry, and the number of unusable entries since the previous line.
+        """
         self.count += 1
         self._unlogged_count += 1
         if (
--- a/passgate/discovery/view.py
+++ b/passgate/discovery/view.py
@@ -1,7 +1,7 @@
-"""The replicas as a daemon knows them from discovery; an older update never replaces a newer one.
+"""The replicas as a daemon knows them from discovery, with the order of updates restored.
 
-Discovery has one entry per identifier, so updates are ordered by identifier and offset.  A replica may
-restart under its identifier; late entries of an older incarnation are ignored.
+Discovery has one entry for each replica ID; of two updates of the same ID, the one with the higher offset is
+newer.  A replica may restart under its ID; late entries of its older incarnation are ignored.
 
 >>> ReplicaUpdate(replica_id="r", at=4).gone
 True
@@ -19,30 +19,32 @@
 from passgate.sharedlog.tail import BEHIND_AFTER_S, Freshness
 
 GONE_RETENTION_S = 120.0
-"""Time for which the state of a replica that is gone is kept; longer than usual outages of the log."""
+"""Time for which the offset and the start time of a replica that is gone are remembered."""
 RETURN_GRACE_S = 2.0
-"""Time after an outage of the log within which replicas write entries again that expired meanwhile."""
+"""Time that replicas have after an outage of the log to write entries again that expired meanwhile."""
 
 
 class ReplicaUpdate(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """The entry of one replica in discovery at an offset."""
+    """The entry of one replica in discovery as of an offset."""
 
     replica_id: str
     at: int
+    """Offset of the entry, or the last offset that the list with the entry contains."""
     info: ReplicaInfo | None = None
+    """The replica; None if discovery has no usable entry of it."""
     overwritten: bool = False
     """Whether the entry exists but names no usable replica; another writer may have written it."""
     listed: bool = False
-    """Whether it was read in a whole list, so that it may have been written long before ``at``."""
+    """Whether the entry was read in a whole list, so that it may have been written long before ``at``."""
 
     @property
     def gone(self) -> bool:
-        """Whether the replica is no longer listed."""
+        """Whether discovery has no usable entry of the replica."""
         return self.info is None
 
 
 class _LapsedEntry(msgspec.Struct, frozen=True, kw_only=True):
-    """An entry that was removed during an outage of the log and may return."""
+    """An entry that was removed during or shortly after an outage of the log, and may return."""
 
     gone_offset: int
     """Offset of the removal."""
@@ -51,26 +53,27 @@
 
 
 class DiscoveryView:
-    """The replicas known so far; an update that is older than the known one is ignored."""
+    """Applies updates from discovery to the replica table, except those that are older than known ones."""
 
     def __init__(self, replicas: ReplicaTable, decisions: DecisionLog) -> None:
         self._replicas = replicas
         self._decisions = decisions
         self._known_offset_by_replica_id: dict[str, int] = {}
-        """Identifier to the offset of the newest update."""
+        """Offset of the newest update, by replica ID."""
         self._newest_start_ms_by_replica_id: dict[str, int] = {}
-        """Identifier to the start time of the newest known incarnation, in Unix milliseconds."""
+        """Start time of the newest known incarnation in Unix milliseconds, by replica ID."""
         self._gone_since_s_by_replica_id: dict[str, float] = {}
         self._log_returned_s = float("-inf")
+        """Loop time at which the log was last known to have returned from an outage."""
         self._overwritten_replica_ids: set[str] = set()
-        """Identifiers whose entries are unusable now, after a usable one."""
+        """IDs of replicas whose entries became unusable while the replicas were in use."""
         self.unusable_entries = UnusableEntries(decisions)
-        """Entries that name no usable replica."""
+        """Counter of entries that name no usable replica."""
         self._lapsed_by_replica_id: dict[str, _LapsedEntry] = {}
-        """Replicas whose entries were removed during an outage of the log."""
+        """Entries that were removed during or shortly after an outage of the log, by replica ID."""
 
     def update_freshness(self, freshness: Freshness) -> None:
-        """Record the freshness of the list from which the next updates come."""
+        """Record when the log returned from an outage, by the freshness of the reader of the next updates."""
         now_s = monotonic_s()
         if freshness.age_s(now_s) > BEHIND_AFTER_S:
             self._log_returned_s = now_s
@@ -81,7 +84,7 @@
         return len(self._replicas.all())
 
     def apply(self, update: ReplicaUpdate) -> bool:
-        """Apply an update of one replica; return whether relays have to pass it on."""
+        """Apply an update of one replica; return whether a relay has to append it as a change."""
         if update.at <= self._known_offset_by_replica_id.get(update.replica_id, -1):
             return False
         listed_offset = self._listed_offset(update.replica_id)
@@ -114,23 +117,23 @@
         restarted = known is not None and known.incarnation != info.incarnation
         self._log_change(info.replica_id, info.service, "restarted", restarted)
         if known is None and was_overwritten:
-            return  # logged as unusable entry already; it may be overwritten every second
+            return  # the unusable entry was logged already, and the entry may be overwritten again and again
         if known is None or restarted or known.info.draining != info.draining:
             self._log_change(info.replica_id, info.service, "draining" if info.draining else "ready", True)
 
     def _is_outdated(self, info: ReplicaInfo) -> bool:
-        """Whether an older incarnation wrote an entry, which arrived late."""
+        """Whether an entry is a late one of an incarnation older than the newest known one."""
         return info.started_unix_ms < self._newest_start_ms_by_replica_id.get(info.replica_id, 0)
 
     def _mark_overwritten(self, replica_id: str) -> bool:
-        """Remove a replica whose entry was overwritten; return whether it was in use."""
+        """Remove a replica whose entry was overwritten; return whether it was in the table."""
         was_in_use = self._remove_from_table(replica_id) is not None
         if was_in_use:
             self._overwritten_replica_ids.add(replica_id)
         return was_in_use
 
     def _remove(self, replica_id: str) -> bool:
-        """Remove a replica that is no longer listed; return whether it was present."""
+        """Remove a replica that is no longer listed; return whether it was in the table."""
         known = self._remove_from_table(replica_id)
         self._log_change(replica_id, known.info.service if known else "", "gone", known is not None)
         return known is not None
@@ -142,7 +145,11 @@
         return known
 
     def apply_relayed(self, update: ReplicaUpdate) -> None:
-        """Apply an update from a relay, which has itself waited for a lapsed entry to return."""
+        """Apply an update that a relay has appended.
+
+        A removal takes effect at once, as the relay has waited for an entry that expired in an outage to
+        return.
+        """
         if not update.gone:
             self.apply(update)
         elif update.at > self._listed_offset(update.replica_id):
@@ -158,12 +165,12 @@
     def apply_list(
         self, infos: list[ReplicaInfo], at: int, overwritten: frozenset[str] = frozenset()
     ) -> list[ReplicaUpdate]:
-        """Apply the whole list; return the updates that relays have to pass on.
+        """Apply the whole list; return the updates that a relay has to append as changes.
 
         Args:
             infos: the replicas that are listed.
             at: the last offset that the list contains.
-            overwritten: identifiers whose entries name no usable replica.
+            overwritten: replica IDs whose entries name no usable replica.
         """
         listed = {info.replica_id for info in infos}
         gone = [replica_id for replica_id in self.replica_ids() if replica_id not in listed]
@@ -177,11 +184,11 @@
         return [update for update in updates if self.apply(update)]
 
     def replica_ids(self) -> list[str]:
-        """Return the identifiers of all known replicas."""
+        """Return the IDs of all replicas in the table."""
         return [state.info.replica_id for state in self._replicas.all()]
 
     def updates(self) -> list[ReplicaUpdate]:
-        """Return an update per known replica, with the offset at which it was last known to be listed."""
+        """Return an update for each replica in the table, with the offset at which it was last listed."""
         infos = [state.info for state in self._replicas.all()]
         return [
             ReplicaUpdate(
@@ -196,11 +203,14 @@
         return self._known_offset_by_replica_id.get(replica_id, -1) if lapse is None else lapse.listed_offset
 
     def _may_have_lapsed(self, info: ReplicaInfo) -> bool:
-        """Whether an entry may have been removed only because its replica could not reach the log."""
+        """Whether an entry may have been removed only because an outage kept its replica from renewing it."""
         return not info.draining and monotonic_s() - self._log_returned_s < RETURN_GRACE_S
 
     def remove_lapsed(self) -> list[ReplicaUpdate]:
-        """Remove replicas whose entries did not return in time after an outage; return their updates."""
+        """Remove replicas whose entries did not return within RETURN_GRACE_S after an outage of the log.
+
+        Returns the removals as updates, which a relay has to append as changes.
+        """
         if not self._lapsed_by_replica_id or monotonic_s() - self._log_returned_s < RETURN_GRACE_S:
             return []
         removals = [
@@ -213,7 +223,7 @@
         return removals
 
     def drop_gone(self) -> None:
-        """Drop the state of replicas that have been gone for long."""
+        """Forget replicas that have been gone for GONE_RETENTION_S."""
         cutoff_s = monotonic_s() - GONE_RETENTION_S
         for replica_id in [
             expired_id
--- a/passgate/sharedlog/__init__.py
+++ b/passgate/sharedlog/__init__.py
@@ -1,4 +1,4 @@
-"""Interface of a shared, partitioned log, and readers that follow it.
+"""Interface of a shared, partitioned log, readers that follow it, and membership in its groups.
 
 See :mod:`passgate.sharedlog.log` for the interface and :mod:`passgate.sharedlog.tail` for the readers.
 """
--- a/passgate/sharedlog/group.py
+++ b/passgate/sharedlog/group.py
@@ -1,7 +1,7 @@
-"""Membership of a log group, which assigns partitions to its members.
+"""Membership in a log group, which assigns the partitions of a topic to its members.
 
 The group only distributes work.  If two members briefly hold the same partition, no harm is done, as the
-log's order decides about everything that they append.
+order of the log's records decides between what both append.
 """
 
 from __future__ import annotations
@@ -22,31 +22,32 @@
 logger = logging.getLogger("passgate.sharedlog")
 
 JOIN_INTERVAL_S = 0.35
-"""Interval of joins; a membership of the shortest lifetime survives two lost joins."""
+"""Pause between joins; less than a third of the shortest lifetime of a membership."""
 SETTLING_JOIN_INTERVAL_S = 0.1
-"""Interval of joins while the group settles: a partition moves only once both members know of the change."""
+"""Pause between joins after a change of the group; short, as a partition moves only once both members have
+joined again."""
 SETTLING_S = 0.6
-"""Time after a change within which all members have joined again."""
+"""Time for which a member joins more often after a change of the group."""
 RECENT_ANSWER_S = 0.5
-"""Age up to which the last join proves that the log responds; longer than the interval of joins."""
+"""Age below which the last join shows that the log responds; longer than the pause between joins."""
 MIN_LIFETIME_S = 1.2
-"""Shortest silence after which the log removes a member."""
+"""Shortest lifetime of a membership that is not renewed."""
 LEAVE_TIMEOUT_S = 1.0
-"""Timeout of a leave call; without it the membership expires."""
+"""Timeout of a leave call; if the call fails, the membership expires instead."""
 DIRECTORY_MAX_AGE_S = 2.0
 """Age after which the list of members is read again before use."""
 DIRECTORY_REFRESH_S = 5.0
-"""Interval of background reads, so that the list is known if the log becomes unavailable."""
+"""Pause between background reads, which keep the list known in case the log becomes unavailable."""
 DIRECTORY_RETRY_S = 1.0
 """Time after a failed read of the list before the next."""
 OTHER_ZONE_REFRESH_S = 10.0
-"""Interval of reads of other zones' lists, which are needed only if the own zone is cut off."""
+"""Pause between reads of other zones' lists, which are needed if this daemon is cut off from the log."""
 DIRECTORY_WAIT_S = 0.3
 """Longest time that a caller waits for a fresh list; after it, the last known one is used."""
 
 
 class GroupMember:
-    """This daemon's membership of a group; joins repeatedly while it runs."""
+    """Keeps this daemon a member of a group by repeated joins, while its membership policy allows it."""
 
     def __init__(
         self,
@@ -69,22 +70,22 @@
         self._generation = 0
         self._last_joined_s = float("-inf")
         self._last_changed_s = float("-inf")
-        """When the group's generation changed last, as seen by this member."""
+        """Loop time at which this member last learned of a change of the group."""
         self._assigned_partitions: frozenset[int] = frozenset()
         self._has_left = False
 
     def assigned_partitions(self) -> frozenset[int]:
-        """Return the partitions assigned to this member; none once its membership has expired."""
+        """Return the partitions assigned to this member; none once the membership has ended or expired."""
         if self._has_left or monotonic_s() - self._last_joined_s > self._lifetime_s:
             return frozenset()
         return self._assigned_partitions
 
     def is_log_responding(self) -> bool:
-        """Return whether the log has recently responded to this member."""
+        """Return whether a recent join of this member has succeeded; False if the daemon does not join."""
         return monotonic_s() - self._last_joined_s < RECENT_ANSWER_S
 
     async def run(self) -> None:
-        """Join at regular intervals while the membership policy allows it, until cancelled or left."""
+        """Join at regular intervals while the policy allows it, until cancelled or :meth:`leave` is used."""
         while not self._has_left:
             if self._membership_policy.should_join:
                 await self._try_join()
@@ -100,7 +101,7 @@
             logger.info("join_failed", extra={"group": self._group, "error": str(error)})
 
     async def _withdraw(self) -> None:
-        """Leave the group as enough larger machines are members; running jobs continue."""
+        """Leave the group, as it has enough members on larger machines; running jobs continue."""
         self._assigned_partitions = frozenset()
         self._generation = 0
         self._decisions.write(PartitionsAssigned(generation=0, parts=()))
@@ -130,7 +131,7 @@
         )
 
     async def leave(self) -> None:
-        """Give up all partitions and leave the group; a failure to reach the log is ignored."""
+        """Give up all partitions and leave the group for good; a failure to reach the log is ignored."""
         self._has_left = True
         await self._send_leave()
 
@@ -141,7 +142,7 @@
 
 
 class GroupDirectory:
-    """Cached list of the members of a group and their partitions."""
+    """Cached list of the partitions of a group and the members that hold them."""
 
     def __init__(
         self, log: SharedLog, group: str, topic: str, membership_policy: GroupMembershipPolicy
@@ -152,12 +153,16 @@
         self._membership_policy = membership_policy
         self._member_by_partition: dict[GroupPartition, str] = {}
         self._previous_member_by_partition: dict[GroupPartition, str] = {}
-        """Partition to the member that held it before the current one."""
+        """The last member that lost a partition, by partition."""
         self._last_read_s = float("-inf")
         self._read_task: asyncio.Task[None] | None = None
 
     async def holder_of(self, partition: int) -> str | None:
-        """Return the member that holds a partition; the last known one while the log is unavailable."""
+        """Return the member that holds a partition, None if none is known.
+
+        An outdated list is read again first; if that fails or takes more than DIRECTORY_WAIT_S, the old list
+        is used.
+        """
         is_reading = self._read_task is not None and not self._read_task.done()
         if not is_reading and monotonic_s() - self._last_read_s > DIRECTORY_MAX_AGE_S:
             self._read_task = asyncio.get_running_loop().create_task(self._read())
@@ -167,16 +172,16 @@
         return self._member_by_partition.get(GroupPartition(self._topic, partition))
 
     def previous_holder_of(self, partition: int) -> str | None:
-        """Return the member that held a partition before, if known."""
+        """Return the last member that lost a partition, None if unknown."""
         return self._previous_member_by_partition.get(GroupPartition(self._topic, partition))
 
     def other_members(self, member: str) -> list[str]:
-        """Return the other members, as last known, in random order."""
+        """Return the members that hold partitions by the last known list, except one, in random order."""
         others = sorted({other for other in self._member_by_partition.values() if other != member})
         return random.sample(others, len(others))
 
     async def keep_fresh(self) -> None:
-        """Refresh the list at regular intervals until cancelled."""
+        """Refresh the list at regular intervals until cancelled; more often while the policy is undecided."""
         while True:
             if monotonic_s() - self._last_read_s > DIRECTORY_MAX_AGE_S:
                 await self._read()
@@ -185,7 +190,7 @@
             )
 
     def invalidate(self) -> None:
-        """Mark the list as outdated, as a member did not respond; the next use reads it again."""
+        """Mark the list as outdated, for example after a member did not respond."""
         self._last_read_s = float("-inf")
 
     async def _read(self) -> None:
@@ -219,11 +224,11 @@
 
         Args:
             log: the log.
-            watch_group: prefix of the group names; a zone's group is named ``prefix.zone``.
+            watch_group: prefix of the group names; see :func:`group_of_zone`.
             topic: topic whose partitions the groups assign.
             zones_by_distance: returns the other zones, the nearest first.
-            prefetched_zones: returns the zones whose members are read in advance, in case the log becomes
-                unavailable.
+            prefetched_zones: returns the zones whose members :meth:`keep_fresh` reads in advance, in case the
+                log becomes unavailable.
         """
         self._prefetched_zones = prefetched_zones
         self._log = log
@@ -237,10 +242,7 @@
         return [(zone, self._directory(zone)) for zone in self._zones_by_distance()]
 
     def known_members(self) -> list[tuple[str, str]]:
-        """Return zones and members that are known without a call to the log, the nearest zones first.
-
-        The order of the zones may have changed since their members were read.
-        """
+        """Return pairs of a zone and a member known without a call to the log, the nearest zones first."""
         zones = [
             (zone, self._directory_by_zone[zone])
             for zone in self._zones_by_distance()
@@ -249,7 +251,7 @@
         return [(zone, member) for zone, directory in zones for member in directory.other_members("")]
 
     async def keep_fresh(self) -> None:
-        """Refresh the prefetched zones' directories until cancelled; return at once if there are none."""
+        """Refresh the prefetched zones' directories until cancelled or there are no such zones."""
         while zones := self._prefetched_zones():
             for zone in zones:
                 await self._directory(zone).holder_of(0)
--- a/passgate/sharedlog/hedge.py
+++ b/passgate/sharedlog/hedge.py
@@ -1,8 +1,8 @@
-"""Hedged requests: repeats a call of the log that gets no response, while the first one still waits.
+"""Hedged requests: repeats a call to the log that has got no response yet, while the first still waits.
 
-After a silence the log answers new calls at once, but calls sent before may stay unanswered until they time
-out.  Calls that may be repeated are therefore sent again after a short delay, and the first response is
-used (Dean and Barroso, "The Tail at Scale", 2013).
+When the log recovers from an outage, calls sent before may stay unanswered until they time out, although new
+calls are answered.  Calls that may be repeated are therefore sent again after a short delay, and the first
+result is used (Dean and Barroso, "The Tail at Scale", 2013).
 
 >>> from passgate.clock import run_virtual
 >>> answers = [30.0, 0.01]
@@ -20,17 +20,17 @@
 from typing import Any, TypeVar
 
 HEDGE_DELAY_S = 0.35
-"""Delay before a call is repeated; far longer than a usual response takes."""
+"""Delay before each repetition; far longer than a usual response takes."""
 MAX_CONCURRENT_CALLS = 4
-"""Maximum number of calls that wait at the same time."""
+"""Maximum number of calls, the first and its repetitions."""
 
 T = TypeVar("T")
 
 
 async def call_hedged(call: Callable[[], Coroutine[Any, Any, T]]) -> T:
-    """Return the first response to a call or one of its repetitions; raise the first failure.
+    """Make a call and repeat it until one of the calls finishes; return its result or raise its error.
 
-    A success is preferred if several calls finish at the same moment.  The others are cancelled.
+    If several calls finish at the same moment, a success is preferred.  The remaining calls are cancelled.
     """
     pending: list[asyncio.Task[T]] = []
     try:
--- a/passgate/sharedlog/instrumented_log.py
+++ b/passgate/sharedlog/instrumented_log.py
@@ -1,4 +1,4 @@
-"""Counts a daemon's calls to the log by call, by topic or group, and by outcome.
+"""Counts a daemon's calls to the log by the call's name, by topic or group, and by outcome.
 
 All daemons share the log's limit of calls per second, so operators need to see which calls grow.
 
@@ -29,13 +29,16 @@
 OUTCOME_OK = "ok"
 
 CountCall = Callable[[str, str, str], None]
-"""Receives the name of a call, its topic or group, and its outcome: ``ok`` or the error's code."""
+"""Called with the name of a call, its topic or group, and its outcome: ``ok`` or the code of a LogError."""
 
 T = TypeVar("T")
 
 
 class InstrumentedLog:
-    """A log client that counts its calls; the methods are those of :class:`SharedLog`."""
+    """Wraps a log client and counts its calls; see :class:`SharedLog` for the methods.
+
+    Calls that are cancelled, or fail with an error other than a LogError, are not counted.
+    """
 
     def __init__(self, log: SharedLog, count: CountCall) -> None:
         self._log = log
@@ -53,7 +56,7 @@
         return await self._await_and_count("read", topic, page)
 
     async def newest(self, topic: str, part: int, *, most_pages: int | None = None) -> KeyedSnapshot:
-        """Return the newest record of every key; a call that reads several pages counts once."""
+        """Return the newest records of the keys; a call that reads several pages counts once."""
         snapshot = self._log.newest(topic, part, most_pages=most_pages)
         return await self._await_and_count("newest", topic, snapshot)
 
--- a/passgate/sharedlog/log.py
+++ b/passgate/sharedlog/log.py
@@ -1,7 +1,7 @@
 """Interface of the shared log: partitions, conditional appends, keyed topics and groups.
 
-A topic has partitions.  In each, offsets number the records from 0 without gaps.  A keyed topic also
-retains the newest value of every key.
+A topic has partitions.  In each, offsets number the records from 0 without gaps.  The log may remove old
+records, but a keyed topic retains the newest value of every key until the key is deleted.
 
 >>> page = LogPage(start=5, end=7, records=(b"a", b"b"))
 >>> page.next_offset
@@ -18,7 +18,7 @@
 from passgate.errors import ExecutionStatus, LogError, LogUnavailable
 
 MAX_PAGE_BYTES = 1 << 20
-"""Largest page that the log returns."""
+"""Default of the maximum size of a page of records."""
 
 
 class LogThrottled(LogUnavailable):
@@ -47,7 +47,7 @@
     execution = ExecutionStatus.NOT_RUN
 
     def __init__(self, end: int) -> None:
-        super().__init__(f"not the expected end of the partition, which ends at offset {end}", end=end)
+        super().__init__(f"the append expected another end of the partition than offset {end}", end=end)
         self.end = end
 
 
@@ -55,12 +55,12 @@
     """Records returned by one read; ``records`` may be empty."""
 
     start: int
-    """Offset of the first record."""
+    """Offset of the first record; without records, the offset from which was read."""
     end: int
-    """End of the partition at the time of the read."""
+    """Offset after the last record of the partition at the time of the read."""
     records: tuple[bytes, ...]
     first: int = 0
-    """Offset of the oldest record that the partition still keeps."""
+    """Offset of the oldest record that the partition kept at the time of the read."""
 
     @property
     def next_offset(self) -> int:
@@ -76,12 +76,12 @@
 
 
 class KeyedSnapshot(msgspec.Struct, frozen=True, kw_only=True):
-    """The newest record of every key, and the offset at which to continue reading."""
+    """The newest records of a keyed topic's keys, and the offset at which to continue reading."""
 
     records: tuple[KeyedRecord, ...]
     next_offset: int
     more: bool = False
-    """Whether keys are missing because the number of pages was limited."""
+    """Whether some keys are missing, as the number of pages was limited."""
 
 
 class GroupPartition(msgspec.Struct, frozen=True):
@@ -102,8 +102,9 @@
 class SharedLog(Protocol):
     """Client of the shared log.
 
-    Every call raises ``LogUnavailable`` if it certainly had no effect, and ``LogAppendUnknown`` if an
-    append may have taken effect or may still do so.
+    ``append`` has to raise ``LogAppendUnknown`` if it may have taken effect or may still do so; callers take
+    ``LogUnavailable`` as proof that it had no effect.  ``join`` and ``leave`` may have taken effect although
+    they raise ``LogUnavailable``.
     """
 
     async def append(self, topic: str, part: int, records: Sequence[bytes], *, at: int | None = None) -> int:
@@ -116,32 +117,36 @@
     async def read(
         self, topic: str, part: int, start: int, *, wait_s: float, max_bytes: int = MAX_PAGE_BYTES
     ) -> LogPage:
-        """Return records from ``start``, waiting up to ``wait_s`` for one; raises HistoryGone.
+        """Return records from ``start``, waiting up to ``wait_s`` for one if there is none.
 
-        A page holds about ``max_bytes`` at most, and at least one record if there is any.
+        A page holds about ``max_bytes`` at most, and at least one record if there is any.  Raises HistoryGone
+        if the record at ``start`` was removed.
         """
         ...
 
     async def newest(self, topic: str, part: int, *, most_pages: int | None = None) -> KeyedSnapshot:
-        """Return the newest record of every key of a keyed topic, reading at most ``most_pages`` pages."""
+        """Return the newest record of every key of a keyed topic.
+
+        If ``most_pages`` is given, reads at most that many pages, so that keys may be missing.
+        """
         ...
 
     async def join(
         self, group: str, member: str, topics: Sequence[str], *, lifetime_s: float, generation: int
     ) -> GroupAssignment:
-        """Join a group or renew the membership; its members share the partitions of their topics.
+        """Join a group or renew the membership, and return the partitions assigned to the member.
 
-        A member that does not join again within ``lifetime_s`` is removed.  ``generation`` is the last one
-        that the member has received, 0 at first.
+        The log divides the partitions of the topics among the members.  A member that does not join again
+        within ``lifetime_s`` is removed.  ``generation`` is the last one that it has received, 0 at first.
         """
         ...
 
     async def leave(self, group: str, member: str) -> None:
-        """Leave a group at once."""
+        """Leave a group before the membership expires."""
         ...
 
     async def members(self, group: str) -> dict[GroupPartition, str]:
-        """Return the member of each assigned partition of a group."""
+        """Return the members of a group by the partitions assigned to them."""
         ...
 
     def decode_keyed(self, record: bytes) -> KeyedRecord:
@@ -149,5 +154,5 @@
         ...
 
     def encode_keyed(self, record: KeyedRecord) -> bytes:
-        """Encode a record of a keyed topic."""
+        """Encode a record of a keyed topic as the raw record to append."""
         ...
--- a/passgate/sharedlog/member_names.py
+++ b/passgate/sharedlog/member_names.py
@@ -1,7 +1,7 @@
 """Names of daemons on the log, which contain their peer address and their number of cores.
 
-A daemon has the same member name in all its incarnations, so one that restarts before its membership
-expires keeps its partitions.
+A name does not depend on the run of the daemon's process, so a daemon that restarts before its membership
+expires, with the same address and cores, keeps its partitions.
 
 >>> member_name("front-1", "10.1.0.10:7720", cores=2.1512)
 'front-1~2.15@10.1.0.10:7720'
@@ -14,13 +14,13 @@
 from __future__ import annotations
 
 ADDRESS_SEPARATOR = "@"
-"""Separates the address from what precedes it."""
+"""Separates the peer address from the rest of a name."""
 CORES_SEPARATOR = "~"
 """Separates the number of cores from the daemon's identifier."""
 
 
 def member_name(daemon_id: str, peer_address: str, cores: float) -> str:
-    """Return the name of a daemon in the log's groups."""
+    """Return the name of a daemon in the log's groups; the cores are rounded to two decimals."""
     return f"{daemon_id}{CORES_SEPARATOR}{cores:.2f}{ADDRESS_SEPARATOR}{peer_address}"
 
 
@@ -30,7 +30,7 @@
 
 
 def cores_of(member: str) -> float:
-    """Return the number of cores in a member's name; 0 if there is none."""
+    """Return the number of cores in a member's name; 0 if there is no valid number."""
     cores_text = member.partition(ADDRESS_SEPARATOR)[0].rpartition(CORES_SEPARATOR)[2]
     try:
         return float(cores_text)
--- a/passgate/sharedlog/tail.py
+++ b/passgate/sharedlog/tail.py
@@ -1,7 +1,7 @@
 """Readers that follow the shared log: one for records in order, one for the newest values of keys.
 
-Both use long polls, retry without limit and know how fresh their view is.  A reader that can't reach the
-log keeps what it has read.
+Both use long polls, which wait for new records, retry without limit after a LogError, and record how fresh
+their view of the log is.
 
 >>> freshness = Freshness()
 >>> freshness.confirm_current(10.0)
@@ -33,15 +33,17 @@
 logger = logging.getLogger("passgate.sharedlog")
 
 POLL_WAIT_S = 1.0
-"""Longest wait of a long poll; an unavailable log is noticed soon after it."""
+"""Default of the longest wait of a long poll."""
 FIRST_RETRY_PAUSE_S = 0.05
-"""Pause after the first failed read."""
+"""Pause after the first failed read; doubles with each further failure."""
 MAX_RETRY_PAUSE_S = 0.4
-"""Longest pause after failed reads; short, so that configuration is read soon after an outage."""
+"""Longest pause after failed reads; short, so that reading resumes soon after an outage."""
 MIN_PAGE_BYTES = 32 * 1024
-"""Smallest page size after failed reads, as a large page may not arrive before the timeout."""
+"""Lower bound of the page size, which is halved after each failed read, as a large page may time out."""
 GAP_GROWTH_FACTOR = 2.0
+"""Factor of the pause between reads after a throttled read."""
 GAP_DECAY_FACTOR = 0.995
+"""Factor of the pause between reads after a successful read."""
 MAX_GAP_S = 0.8
 """Longest pause between reads while the log throttles calls."""
 URGENT_RETRY_PAUSE_S = 0.3
@@ -49,34 +51,36 @@
 CATCH_UP_POLL_S = 0.01
 """Interval of checks whether the end of the partition was reached."""
 NEVER_S = float("-inf")
+"""Loop time before any other."""
 EMPTY_PAGE_MAX_AGE_S = 0.1
-"""Assumed age of an empty page when it arrives."""
+"""Assumed upper bound of an empty page's age when it arrives."""
 MAX_RESPONSE_DELAY_S = 1.2
-"""Longest time from the end of a long poll's wait to its response; a page processed later was delayed by
-this machine."""
+"""Longest time from the end of a long poll's wait to its response, as calls then time out; a page that is
+processed later was delayed by this machine."""
 MAX_CURRENT_AGE_S = 1.6
-"""Age up to which a view of the log counts as current: a long poll and its response."""
+"""Age below which a view of the log counts as current; longer than a long poll of POLL_WAIT_S."""
 BEHIND_AFTER_S = 2.5
-"""Time without a confirmed read after which a reader counts as behind."""
+"""Time without a read to the end of the partition after which a reader counts as behind."""
 
 
 class TailSettings(msgspec.Struct, frozen=True, kw_only=True):
-    """Which partition to follow, and how."""
+    """The partition to follow, and the pace of the reads."""
 
     topic: str
     partition: int = 0
     gap_s: float = 0.0
-    """Pause after each read, so that small records arrive in batches."""
+    """Minimum pause after a read that reached the end of the partition; collects small records in batches."""
     wait_s: float = POLL_WAIT_S
+    """Longest wait of a long poll."""
     urgent: bool = False
-    """Whether a throttled read is soon repeated instead of slowing down."""
+    """Whether a throttled read is repeated after URGENT_RETRY_PAUSE_S, without slowing down further reads."""
 
 
 class ReadPace:
     """Adaptive pause between reads: grows while the log throttles calls and shrinks again afterwards.
 
-    All daemons share the log's rate limit without knowing each other's number, so each one backs off fast
-    and recovers slowly, as in congestion control.
+    All daemons share the log's rate limit without knowing how many they are, so each one backs off fast and
+    recovers slowly, as in congestion control.
 
     >>> pace = ReadPace(0.05)
     >>> pace.slow_down(); pace.slow_down()
@@ -106,33 +110,37 @@
 
 
 class Freshness:
-    """Records when a reader last knew that it had read everything."""
+    """Records up to which time a reader has certainly read all records of its partition."""
 
     def __init__(self) -> None:
         self._confirmed_at_s = NEVER_S
         self.recovered_at_s = NEVER_S
-        """When reading succeeded again after the last time that the reader was behind."""
+        """Loop time at which the reader last caught up with the end of the partition after it was behind."""
 
     def confirm_current(self, as_of_s: float, applied_at_s: float | None = None) -> None:
-        """Record that everything appended before ``as_of_s`` was read, and applied at ``applied_at_s``."""
+        """Record that everything appended before ``as_of_s`` was read and applied.
+
+        ``applied_at_s`` is the loop time of the application; it defaults to ``as_of_s``.
+        """
         if as_of_s - self._confirmed_at_s > BEHIND_AFTER_S:
             self.recovered_at_s = as_of_s if applied_at_s is None else applied_at_s
         self._confirmed_at_s = max(self._confirmed_at_s, as_of_s)
 
     def age_s(self, now_s: float) -> float:
-        """Return the time since the last confirmation; infinite before the first."""
+        """Return for how long records may have been appended without having been read; infinite at first."""
         return now_s - self._confirmed_at_s
 
     def silence_s(self, last_contact_s: float | None, now_s: float) -> float:
-        """Return for how long a writer has certainly been silent while the log could be read.
+        """Return for how long no record of a writer was read; time before ``recovered_at_s`` does not count.
 
-        ``last_contact_s`` is when its last record was read, None if there was none.
+        ``last_contact_s`` is the loop time at which the writer's last record was read, None without one.
+        Callers have to check :meth:`age_s`, as the writer may have appended records that are not read yet.
         """
         return now_s - max(self.recovered_at_s, last_contact_s if last_contact_s is not None else NEVER_S)
 
 
 class _Follower:
-    """Base of readers: reads repeatedly, backs off after failures and throttling, and tracks freshness."""
+    """Base class of readers: reads repeatedly, backs off after failures and throttling, tracks freshness."""
 
     def __init__(self, log: SharedLog, settings: TailSettings) -> None:
         self._log = log
@@ -142,7 +150,7 @@
         self._read_pace = ReadPace(settings.gap_s)
         self._max_page_bytes = MAX_PAGE_BYTES
         self.wait_s = settings.wait_s
-        """Longest wait of one long poll."""
+        """Longest wait of a long poll; may be changed at any time."""
         self.freshness = Freshness()
 
     async def run(self) -> None:
@@ -202,7 +210,8 @@
         """
         if page.next_offset < page.end:
             return False
-        # A page with records was complete when the read began, an empty one when its wait ended.
+        # A page with records proves that everything appended before the read began was read.  An empty page
+        # proves it up to the end of its wait, estimated as EMPTY_PAGE_MAX_AGE_S ago.
         now_s = monotonic_s()
         response_deadline_s = started_at_s + wait_s + MAX_RESPONSE_DELAY_S
         as_of_s = (
@@ -215,17 +224,21 @@
 
 
 class RecordTail(_Follower):
-    """Follows one partition from its oldest record; passes each page to ``apply`` in order."""
+    """Follows one partition from its oldest kept record; passes each page with records to ``apply`` in order.
+
+    Records that the log removes before they are read are skipped.
+    """
 
     def __init__(self, log: SharedLog, settings: TailSettings, apply: Callable[[LogPage], None]) -> None:
         super().__init__(log, settings)
         self._apply = apply
         self._advanced = asyncio.Event()
         self.next_offset = 0
+        """Offset of the next record to read."""
         self.first_kept_offset = 0
         """Offset of the oldest record that the log kept at the last read."""
         self.caught_up = False
-        """Whether the end of the partition has been reached since the tail was last started."""
+        """Whether the end of the partition has been reached since the start; see :class:`OnDemandTail`."""
 
     async def _read_once(self) -> bool:
         started_at_s = monotonic_s()
@@ -248,7 +261,7 @@
             self._advanced = asyncio.Event()
 
     async def wait_until_applied(self, offset: int, timeout_s: float) -> bool:
-        """Wait until the record at ``offset`` was applied; return False on timeout."""
+        """Wait until the record at ``offset`` was applied or skipped; return False on timeout."""
         deadline_s = monotonic_s() + timeout_s
         while self.next_offset <= offset:
             remaining_s = deadline_s - monotonic_s()
@@ -261,7 +274,7 @@
         return True
 
     async def wait_caught_up(self, timeout_s: float) -> bool:
-        """Wait until the end of the partition has been reached; return False on timeout."""
+        """Wait until :attr:`caught_up` is true; return False on timeout."""
         deadline_s = monotonic_s() + timeout_s
         while not self.caught_up:
             if monotonic_s() >= deadline_s:
@@ -270,9 +283,10 @@
         return True
 
     async def read_to_current_end(self, timeout_s: float) -> bool:
-        """Read up to the current end of the partition; return False on failure or timeout.
+        """Make a new read and wait until its end of the partition is reached; return False on failure.
 
-        Makes a new read, since a waiting long poll proves nothing about the current end.
+        A long poll that is already waiting proves nothing about the current end.  If the read does not reach
+        the end itself, the rest is left to :meth:`run`, which gets ``timeout_s`` for it.
         """
         try:
             page = await self._read_page(self.next_offset, 0.0)
@@ -285,9 +299,9 @@
 
 
 class OnDemandTail:
-    """Starts and stops a tail as needed; it continues where it stopped.
+    """Starts and stops a tail as needed.
 
-    A restarted tail has to reach the end again before it counts as caught up.
+    A restarted tail continues at the next offset, and has to reach the end again to count as caught up.
     """
 
     def __init__(self, tail: RecordTail) -> None:
@@ -301,7 +315,7 @@
 
     @property
     def current(self) -> bool:
-        """Whether the tail is being read and has reached the end."""
+        """Whether the tail is being read and has reached the end since it was started."""
         return self._task is not None and self.tail.caught_up
 
     def set_following(self, should_follow: bool) -> None:
@@ -315,10 +329,11 @@
 
 
 class KeyedTail(_Follower):
-    """Follows a keyed topic: reads a snapshot of the newest values, then every change.
+    """Follows a keyed topic: reads a snapshot of the newest values, then every further record.
 
-    ``on_snapshot`` receives all records of a snapshot and the offset of the next change; ``on_records``
-    receives further records and the offset of the first.
+    ``on_snapshot`` receives all records of a snapshot and the offset of the next record; ``on_records``
+    receives further records and the offset of the first.  If the log removes records before they are read,
+    another snapshot is read.
     """
 
     def __init__(
@@ -338,7 +353,7 @@
 
     @property
     def loaded(self) -> bool:
-        """Whether a snapshot was read."""
+        """Whether a snapshot was applied."""
         return self._next_offset is not None
 
     @property
@@ -363,7 +378,7 @@
         return self._confirm_if_at_end(page, started_at_s, self.wait_s)
 
     def _decode(self, record: bytes) -> KeyedRecord:
-        """Decode a record; a malformed one becomes an empty record, so that the others are still applied."""
+        """Decode a record; a malformed one becomes a deletion of the empty key, which has no effect."""
         try:
             return self._log.decode_keyed(record)
         except MalformedRecord as error:
