--- a/passgate/discovery/records.py
+++ b/passgate/discovery/records.py
@@ -1,7 +1,8 @@
-"""Records in which relays, which read discovery for the other daemons, keep a long list of replicas.
+"""Records in which relays keep a long list of replicas on the log.
 
-The list is divided into parts, which are records of a keyed topic.  Changes are records of another topic.
-A daemon reads all parts first, and then the changes since they were written.  Both are compressed JSON.
+A relay is a daemon that reads discovery for the other daemons.  The list is divided into parts, which are
+records of a keyed topic.  Changes are records of another topic.  A daemon reads all parts first, and then
+the changes since they were written.  Parts and changes are compressed JSON.
 
 >>> part = ListPart(part=3, at=40, changes_from=7)
 >>> decode_part(encode_part(part)) == part
@@ -48,7 +49,7 @@
     """Offset of the last discovery entry that the part takes into account; a replica of this part that is
     missing was not listed then."""
     changes_from: int
-    """Offset in the topic of changes from which the part has to be continued."""
+    """Offset in the topic of changes from which a reader of the part has to continue."""
     replicas: tuple[ReplicaUpdate, ...] = ()
     unreadable: int = 0
     """Number of replicas of the part that could not be decoded."""
@@ -72,7 +73,7 @@
 
 
 def encode_part(part: ListPart) -> KeyedRecord:
-    """Encode a part as a record under the part's number."""
+    """Encode a part as a record whose key is the part's number."""
     return KeyedRecord(key=str(part.part), value=_compress(part))
 
 
--- a/passgate/discovery/relay.py
+++ b/passgate/discovery/relay.py
@@ -1,9 +1,9 @@
 """Relays: daemons that read a long list of replicas and append its changes for all other daemons.
 
 Replicas write to discovery so often that normally only one daemon per zone reads a long list; the log's
-groups select this daemon.  One of the relays, the primary, appends each change as soon as it has read it; the
-others append changes that the primary has not appended after a delay.  Duplicates are harmless, as each
-change names its offset in discovery.
+groups select this daemon.  One of the relays, the primary, appends each change as soon as it has read the
+change.  The others append, after a delay, changes that no relay has appended yet.  Duplicates are harmless,
+as each change names its offset in discovery.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
 RELAY_TIMEOUT_S = 1.5
 """Time without a record after which a relay counts as gone."""
 BACKUP_DELAY_S = 0.7
-"""Time after which the other relays append a change that they have not read from the primary."""
+"""Time after which a relay that is not the primary appends a change that no relay has appended yet."""
 MAX_CHANGES_PER_RECORD = 1000
 """Maximum number of changes in one record."""
 PART_REWRITE_INTERVAL_S = 2.0
@@ -84,7 +84,7 @@
         """``changes_from`` of the last record that this relay has written, by part of the list."""
 
     def start(self) -> None:
-        """Prepare for relaying: forget pending changes, and have this relay write all parts when primary."""
+        """Prepare for relaying: drop pending changes, and write all parts anew once this relay is primary."""
         self._pending_by_replica_id.clear()
         self._changes_offset_by_part.clear()
 
--- a/passgate/discovery/relayed_list.py
+++ b/passgate/discovery/relayed_list.py
@@ -99,9 +99,9 @@
         return self.is_complete and self._last_contact_s > NEVER_S
 
     def silence_s(self) -> float:
-        """Return for how long no record of a relay was read, not counting times when the log wasn't readable.
+        """Return the time since the last record of a relay, or since the log became readable if that is less.
 
-        0 until the end of the changes was reached once.
+        0 until the changes were first read to their end.
         """
         freshness = self._tail.tail.freshness
         if freshness.recovered_at_s == NEVER_S:
--- a/passgate/discovery/view.py
+++ b/passgate/discovery/view.py
@@ -1,7 +1,8 @@
-"""The replicas as a daemon knows them from discovery, with the order of updates restored.
+"""The replicas as a daemon knows them from discovery, whose updates may arrive late or more than once.
 
 Discovery has one entry for each replica ID; of two updates of the same ID, the one with the higher offset is
-newer.  A replica may restart under its ID; late entries of its older incarnation are ignored.
+newer.  A replica may restart under its ID; late entries of an older incarnation, or run of its process, are
+ignored.
 
 >>> ReplicaUpdate(replica_id="r", at=4).gone
 True
--- a/passgate/duties/calls.py
+++ b/passgate/duties/calls.py
@@ -26,7 +26,7 @@
 
 
 class UsageReport(msgspec.Struct, frozen=True, kw_only=True):
-    """Numbers of runs that the tenants' requests had in one window of time."""
+    """Number of runs of each tenant's requests in one usage window."""
 
     window: int
     counts: Mapping[str, int]
--- a/passgate/duties/meter.py
+++ b/passgate/duties/meter.py
@@ -1,9 +1,9 @@
 """Counts the runs that replicas may have started, by window and tenant, for the control topic.
 
 An attempt of a plain request counts in the window in which it was sent, unless it certainly did not run.  A
-stream counts once, in the window of its first event.  Requests without a tenant and the items of jobs are
-not counted.  A killed daemon loses the counts that are not yet confirmed to be on the log: normally those of
-the last flush interval, but all those of an outage.
+stream counts once, in the window of its first event.  Requests without a tenant and the work of jobs are not
+counted.  A killed daemon loses the counts that are not yet on the log: normally those since the last flush,
+but all those since the start of an outage of the log.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 """Maximum number of unconfirmed entries; each flush adds one for each window with new counts."""
 
 SendCounts = Callable[[Sequence[UsageCounted]], Awaitable[bool]]
-"""Sends counts to the control topic; returns true if they are confirmed to be on the log."""
+"""Sends counts to the control topic; returns whether they are confirmed to be on the log."""
 
 
 class UsageMeter:
--- a/passgate/duties/projections.py
+++ b/passgate/duties/projections.py
@@ -1,4 +1,7 @@
-"""Combines the projections of the control topic, states built from its records, that singleton duties use."""
+"""Combines the projections of the control topic that singleton duties use.
+
+A projection is state built by applying the log's records in order.
+"""
 
 from __future__ import annotations
 
@@ -19,6 +22,6 @@
         self.scaling.set_first_offset(first_offset)
 
     def apply(self, offset: int, writer: str, entry: object, *, by_leader: bool) -> None:
-        """Apply an entry of the record at an offset; ``by_leader`` says whether its writer led then."""
+        """Apply an entry of the record at an offset; ``by_leader`` is whether its writer was leader then."""
         self.usage.apply(offset, writer, entry, by_leader=by_leader)
         self.scaling.apply(offset, writer, entry, by_leader=by_leader)
--- a/passgate/duties/scaling_projection.py
+++ b/passgate/duties/scaling_projection.py
@@ -2,7 +2,7 @@
 
 A projection is state built by applying the log's records in order.  The offset of a decision is the fencing
 token of its order.  Every later decision, by any leader, has a higher token, so the platform refuses an
-older order that arrives late.
+older order that arrives after a newer one.
 
 >>> from passgate.jobs.records import ReplicasDecided, ReplicasOrdered
 >>> projection = ScalingProjection()
@@ -52,7 +52,7 @@
         """Do nothing: a decision that was removed from the log is made again if it is still needed."""
 
     def apply(self, offset: int, writer: str, entry: object, *, by_leader: bool) -> None:
-        """Apply an entry of the record at an offset; ``by_leader`` says whether its writer led then."""
+        """Apply an entry of the record at an offset; ``by_leader`` is whether its writer was leader then."""
         match entry:
             case ReplicasDecided() if by_leader:
                 pool = _pool_of(entry)
--- a/passgate/duties/service.py
+++ b/passgate/duties/service.py
@@ -1,6 +1,7 @@
 """Runs one daemon's part in the singleton duties, which one daemon at a time performs for all.
 
-Every daemon adjusts its clock and meters usage.  The leader also reports the usage and scales services.
+The settings enable the duties.  Every daemon adjusts its clock and meters usage; only the leader reports
+usage and scales services.
 """
 
 from __future__ import annotations
@@ -119,8 +120,8 @@
     async def handle_peer_request(self, sender: str, method: str, payload: bytes) -> bytes:
         """Return the response to a request of another daemon.
 
-        Raises PeerCallFailed if the request fails or its method is unknown, and msgspec.DecodeError for a
-        malformed payload.
+        Raises PeerCallFailed if the request fails or its method is unknown, and msgspec.DecodeError if usage
+        counts can't be decoded.
         """
         if method == RECORD_COUNTS_METHOD:
             return await self._usage_forwarder.handle_request(payload)
--- a/passgate/duties/usage_projection.py
+++ b/passgate/duties/usage_projection.py
@@ -52,7 +52,7 @@
         self.is_history_truncated = first_offset > 0
 
     def apply(self, offset: int, writer: str, entry: object, *, by_leader: bool) -> None:
-        """Apply an entry of the record at an offset; ``by_leader`` says whether its writer led then."""
+        """Apply an entry of the record at an offset; ``by_leader`` is whether its writer was leader then."""
         match entry:
             case UsageCounted():
                 self._add_counts(entry)
--- a/passgate/duties/usage_reporter.py
+++ b/passgate/duties/usage_reporter.py
@@ -73,7 +73,7 @@
         self._settle_s = max(due_s - SEND_RESERVE_S, MIN_SETTLE_S)
         self._pending_commit: asyncio.Future[int] | None = None
         self._first_led_window: int | None = None
-        """Window in which this daemon first looked for a due report and no commit was known."""
+        """Window in which this daemon, as leader, first found that no commit is known."""
         self._refused_fence: int | None = None
         self._next_send_s = 0.0
         self._retry_pause_s = FIRST_RETRY_PAUSE_S
@@ -102,7 +102,7 @@
         """Return the window to commit next.
 
         That is the window after the last committed one.  If no commit is known, it is the oldest window with
-        counts, but no later one than the window in which this was found.
+        counts, or the window in which this daemon first found that as leader, whichever is older.
         """
         if self._projection.last_committed_window is not None:
             return self._projection.last_committed_window + 1
--- a/passgate/duties/wall_clock.py
+++ b/passgate/duties/wall_clock.py
@@ -1,7 +1,7 @@
 """A wall clock that does not follow steps of the machine's clock.
 
 The clock reads the machine's time of day once and then advances with the monotonic clock.  It is adjusted to
-the median of its own and other daemons' times, which corrects a wrong first reading.
+the median of its own and other daemons' times, which corrects a wrong first reading if most are right.
 
 >>> clock = SynchronizedWallClock(wall_s=lambda: 100.0, monotonic_s=lambda: 7.0)
 >>> clock.now_s()
--- a/passgate/eligibility/cold_replicas.py
+++ b/passgate/eligibility/cold_replicas.py
@@ -42,7 +42,7 @@
 
     since_s: float
     until_s: float
-    """Infinite from a failure to reach the replica until its next response."""
+    """Infinite means that the replica could not be reached and has not responded since."""
 
 
 def no_limit(service: str) -> ColdLimit | None:
@@ -64,13 +64,13 @@
     def apply_entry(self, info: ReplicaInfo, now_s: float, *, from_full_list: bool = False) -> None:
         """Apply a discovery entry that was just read: it sets or ends the reported cold period.
 
-        An entry read at least MAX_ENTRY_DELAY_S after the replica became possibly cold also ends that period.
+        It also ends the period in which the replica is possibly cold, if that began MAX_ENTRY_DELAY_S ago or
+        earlier and the entry is not part of a full list.
 
         Args:
             info: the entry.
             now_s: loop time.
-            from_full_list: whether the entry is part of a full list.  Such an entry may have been written
-                long ago, so it does not end the period in which the replica is possibly cold.
+            from_full_list: whether the entry is part of a full list and so may have been written long ago.
         """
         replica_id = info.replica_id
         possibly_cold = self._possibly_cold_by_id.get(replica_id)
@@ -94,7 +94,7 @@
     def mark_unreachable(self, info: ReplicaInfo, now_s: float) -> None:
         """Mark an unreachable replica as possibly cold, if its service has a limit.
 
-        The replica may restart cold at any time, so the period has no end until it responds.
+        The replica may restart cold at any time, so the period has no end yet.
         """
         if self.limit_of(info.service) is not None:
             self._possibly_cold_by_id[info.replica_id] = _PossiblyCold(since_s=now_s, until_s=math.inf)
@@ -130,8 +130,8 @@
     def remaining_cold_s(self, info: ReplicaInfo, now_s: float) -> float:
         """Return for how long a replica still counts as cold.
 
-        0 if the replica is warm or its service has no limit; infinite from a failure to reach the replica
-        until its next response.
+        0 if the replica is warm or its service has no limit; infinite if the replica could not be reached and
+        the end is therefore unknown.
         """
         if self.limit_of(info.service) is None:
             return 0.0
--- a/passgate/eligibility/cold_rule.py
+++ b/passgate/eligibility/cold_rule.py
@@ -42,7 +42,7 @@
         )
 
     def record_send(self, replica: ReplicaInfo, context: SendContext, now_s: float) -> float | None:
-        """Use up a permit if the send needs one; :meth:`allows` must have returned true at the same time.
+        """Use up a permit if the send needs one; :meth:`allows` must have returned true for the same send.
 
         Returns:
             Loop time until which the request may leave this daemon; None if it needs no permit.
--- a/passgate/eligibility/evacuation.py
+++ b/passgate/eligibility/evacuation.py
@@ -60,7 +60,7 @@
         self._decisions = decisions
         self._view = EvacuationView(offset=0)
         self.on_evacuation_ended: list[Callable[[str], None]] = []
-        """Called with each zone whose evacuation has ended; the zone's replicas may be cold then."""
+        """Callbacks that get each zone whose evacuation has ended; the zone's replicas may be cold then."""
 
     @property
     def view(self) -> EvacuationView:
--- a/passgate/eligibility/permit_client.py
+++ b/passgate/eligibility/permit_client.py
@@ -1,9 +1,9 @@
 """Requests from the leader of the control topic the permits that requests to cold replicas need.
 
 A permit request goes to the daemon that responded as leader to the previous one.  Without such a daemon it
-goes to this daemon, the watcher of the control partition and other daemons in turn.  A daemon that does not
-lead may name the leader, which is tried next.  While this daemon's view of the log is stale, its requests
-also ask for the list of cold replicas.
+goes to this daemon, then to the watcher of the control partition, which normally knows the leader, and then
+to other daemons.  A daemon that does not lead may name the leader, which is tried next.  While this daemon's
+view of the log is stale, its requests also ask for the list of cold replicas.
 """
 
 from __future__ import annotations
@@ -33,15 +33,15 @@
 """Pause after a request that brought permits; much shorter than PERMIT_LIFETIME_S, so that the number of
 permits follows the demand."""
 MAX_REQUEST_INTERVAL_S = 0.4
-"""Upper bound of the pause after a request that brought no permits, which doubles each time."""
+"""Upper bound of the pause, which doubles after each request that brought no permits."""
 MAX_PERMITS_PER_REQUEST = 64
 """Maximum number of permits in one request, so that one daemon can not use up the limits of many replicas
 at once."""
 REQUESTED_PER_USED_PERMIT = 2
-"""Permits to request for each permit used since the previous request; one more is always requested."""
+"""Number of permits to request for each one used since the previous request; one more is added."""
 CHECK_INTERVAL_S = 0.1
-"""Longest time between checks of the age of the log's view; also the interval at which the daemon updates
-its permit issuer."""
+"""Interval of the checks whether the view of the log is stale, while no permits are needed; also the pause
+between the daemon's updates of its permit issuer."""
 STALE_LOG_AGE_S = 1.3
 """Age from which this daemon's view of the log counts as stale; while the log responds, a long poll confirms
 the view about once a second even without new records."""
--- a/passgate/eligibility/permit_issuer.py
+++ b/passgate/eligibility/permit_issuer.py
@@ -1,6 +1,6 @@
 """The permit issuer: grants permits for requests to cold replicas while its daemon leads the control topic.
 
-The leader's lease is a time for which one daemon at a time is the leader.
+One daemon at a time leads the control topic; it holds a lease, which it renews by records on the topic.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
     leader: str = ""
     """Name of the leader if the responding daemon does not lead but knows the leader; else empty."""
     remaining_cold_ms_by_id: dict[str, int] = msgspec.field(name="cold_ms", default={})
-    """Milliseconds for which a replica stays cold, by replica ID; empty unless a leader was asked for it."""
+    """Milliseconds for which a replica stays cold, by replica ID; empty unless requested from the leader."""
 
 
 class LeaderLease(Protocol):
--- a/passgate/eligibility/permits.py
+++ b/passgate/eligibility/permits.py
@@ -35,7 +35,7 @@
 DEMAND_LIFETIME_S = 0.5
 """Time for which a permit request counts as demand; longer than a requester's pause between two requests."""
 CLAIM_LIFETIME_S = 0.05
-"""Time for which a claim keeps a permit for the request that a replica was chosen for."""
+"""Lifetime of a claim, by which the choice of a replica for a request keeps a permit from other choices."""
 
 
 class _Grant(msgspec.Struct, frozen=True):
@@ -111,7 +111,7 @@
         self._grants_by_replica_id: dict[str, _ReplicaGrants] = {}
 
     def set_leadership(self, fence: int | None, now_s: float) -> None:
-        """Record the fence under which this daemon leads now; does nothing for None, if it does not lead."""
+        """Record the fence under which this daemon leads; None, if it does not lead, changes nothing."""
         if fence is not None and fence != self._fence:
             self._fence = fence
             self._leading_since_s = now_s
@@ -177,8 +177,8 @@
 def fair_share(limit: int, demands: Iterable[int]) -> int:
     """Return the max-min fair share of a limit among requesters with the given demands.
 
-    Demands below the share are met in full.  The share is rounded down, but is at least 1; it is the limit
-    itself if all demands can be met.
+    Demands below the share are met in full.  The share is rounded down, but is at least 1.  If the demands
+    together are below the limit, the share is the limit itself.
 
     >>> fair_share(29, [40, 40]), fair_share(29, [1, 1, 40]), fair_share(2, [1] * 84)
     (14, 27, 1)
--- a/passgate/eligibility/rules.py
+++ b/passgate/eligibility/rules.py
@@ -107,7 +107,7 @@
             Loop time until which the message may leave this daemon; None without a limit.
 
         Raises:
-            SendForbidden: a rule forbids the send, which must not happen; its execution status is NOT_RUN.
+            SendForbidden: a rule forbids the send; the error's execution status is NOT_RUN.
         """
         forbidding = self._first_forbidding_rule(replica, context, now_s)
         if forbidding is not None:
--- a/passgate/quarantine/crash_report_exchange.py
+++ b/passgate/quarantine/crash_report_exchange.py
@@ -1,8 +1,8 @@
 """Exchanges crash reports directly between daemons while the log is not available to some of them.
 
 A daemon whose view of the crash-report topic is stale calls a few other daemons.  Each call passes the newest
-reports of both daemons to each other.  A daemon with a current view also appends the reports that are new
-to it to the log.
+reports of both daemons to each other.  A daemon with a current view appends to the topic those reports that
+it did not know.
 """
 
 from __future__ import annotations
--- a/passgate/quarantine/crash_reports.py
+++ b/passgate/quarantine/crash_reports.py
@@ -1,8 +1,8 @@
 """Stores crash reports and decides from them which requests are quarantined.
 
 A crash report states that an incarnation, that is one run of a replica's process, ended while it ran a
-request.  If several requests were running, each gets a report.  The reports of a request for a service are
-cleared when a replica of that service answers the request completely.  A request with as many unexpired
+request.  If several requests were running there, each may get a report.  A complete answer, other than a
+server error, clears the request's reports for the service that answered.  A request with as many unexpired
 reports as its crash limit is quarantined, unless other requests explain its crashes.
 
 >>> store = CrashReportStore()
@@ -167,7 +167,7 @@
 
         A request with a limit of at least ITEM_CRASH_LIMIT, and with exactly as many reports, is also let
         through if each of its incarnations has a report of another request at its limit.  It then needs an
-        isolated run; if it crashes that replica too, it has more reports than its limit.
+        isolated run; one more report ends this exception.
         """
         incarnations = self._reports_by_fingerprint[fingerprint]
         if all(self._is_crash_explained(fingerprint, incarnation) for incarnation in incarnations):
--- a/passgate/quarantine/guard.py
+++ b/passgate/quarantine/guard.py
@@ -3,10 +3,11 @@
 After a failed attempt that may be due to a crash, the replica is probed.  If its process has exited, a crash
 report of the request is published to all daemons.  A request with as many unexpired reports as its crash
 limit is quarantined, that is, sent to no replica, unless other requests explain its crashes.  A complete
-answer clears the request's reports for that service; a response clears earlier reports of its replica.
+answer, other than a server error, clears the request's reports for that service.  A response clears the
+earlier reports of its replica.
 
-An isolated run is an attempt of a job's item or reward call that one more crash would quarantine.  Isolated
-runs are kept at different replicas, where other requests may run beside them.
+An isolated run is an attempt of a job's item, or of a reward call, whose next crash would quarantine it.
+Isolated runs are kept at different replicas if possible; other requests may run beside them.
 """
 
 from __future__ import annotations
@@ -73,7 +74,7 @@
     """Asks the replica at an address which incarnation it is now; the first argument is the incarnation last
     known there.  Returns None if the call fails or the response does not say."""
     is_log_current: Callable[[], bool]
-    """Returns whether the log was read recently, so that this daemon's view of discovery is current too."""
+    """Returns whether the log was read recently, so that the view of discovery should be current as well."""
 
 
 class CrashGuard:
@@ -142,7 +143,7 @@
             await asyncio.wait(list(probes))
 
     def needs_isolated_run(self, identity: RequestIdentity) -> bool:
-        """Whether a request lacks at most one report to its crash limit, so that its next run is isolated."""
+        """Whether one more crash, or none, would quarantine a request, so that its next run is isolated."""
         if not len(self._reports):
             return False
         return self._reports.count_crashes(identity.fingerprint(), unix_s()) >= identity.crash_limit - 1
@@ -188,8 +189,9 @@
     async def confirm_run(self, identity: RequestIdentity) -> bool:
         """Wait until the announcement of a request's run is read back; return whether the run may start.
 
-        The run may not start if the log has an earlier announcement of another isolated run at its replica.
-        After ANNOUNCEMENT_TIMEOUT_S it may start unannounced.  A request without an announcement never waits.
+        The run may not start if an earlier announcement of another isolated run at its replica is in effect.
+        After ANNOUNCEMENT_TIMEOUT_S it may start unannounced.  A request without an announcement may start at
+        once.
         """
         if not len(self._reports) or (run := self._isolated_runs.local_run(identity.fingerprint())) is None:
             return True
@@ -236,9 +238,9 @@
         """Clear the earlier reports of a replica that has sent a response head, as it has not exited.
 
         A replica with a start time may have restarted before discovery lists its new incarnation.  It is
-        first asked for its incarnation, at most once in QUERY_INTERVAL_S.  Without a statement, only reports
-        from MAX_DISCOVERY_DELAY_S before the attempt are cleared, and only while the log is read.  Nothing is
-        cleared if a newer incarnation is known.
+        first asked for its incarnation, at most once in QUERY_INTERVAL_S.  If it does not state it, only
+        reports known MAX_DISCOVERY_DELAY_S before the attempt are cleared, and only while the view of the log
+        is current.  Nothing is cleared if a newer incarnation is known.
 
         Args:
             endpoint: the replica that responded.
@@ -294,7 +296,7 @@
             self.record_crash(identity, endpoint)
 
     def record_crash(self, identity: RequestIdentity, endpoint: ReplicaEndpoint) -> None:
-        """Eject a replica that has exited while it ran a request, and report it unless a report is known."""
+        """Eject a replica that has exited while it ran a request, and report it unless already reported."""
         fingerprint = identity.fingerprint()
         self._hooks.eject(endpoint.incarnation, monotonic_s())
         report = CrashReport(
@@ -333,6 +335,6 @@
 
 
 def _may_be_crash(error: PassgateError) -> bool:
-    """Whether an attempt may have failed by a crash: without a complete answer, when it may have run."""
+    """Whether an error may be due to a crash: there is no complete answer, and the request may have run."""
     connection_broken = isinstance(error, (BackendUnreachable, IncompleteAnswer))
     return connection_broken and error.execution is ExecutionStatus.UNKNOWN
--- a/passgate/quarantine/isolated_runs.py
+++ b/passgate/quarantine/isolated_runs.py
@@ -1,7 +1,8 @@
 """Isolated runs: attempts of requests that one more crash would quarantine, kept at different replicas.
 
 A daemon announces an isolated run on the log, and starts it if the announcement is the first unexpired one
-for the replica.  All daemons read the announcements in the same order, so they agree on the first one.
+for the replica or is not read back in time.  All daemons read the announcements in the same order, so they
+normally agree on the first one.
 
 >>> runs = IsolatedRuns()
 >>> first = IsolatedRun(fingerprint="f1", replica_id="r")
--- a/passgate/sharedlog/group.py
+++ b/passgate/sharedlog/group.py
@@ -153,7 +153,7 @@
         self._membership_policy = membership_policy
         self._member_by_partition: dict[GroupPartition, str] = {}
         self._previous_member_by_partition: dict[GroupPartition, str] = {}
-        """The last member that lost a partition, by partition."""
+        """Member that last lost a partition, by partition."""
         self._last_read_s = float("-inf")
         self._read_task: asyncio.Task[None] | None = None
 
@@ -172,7 +172,7 @@
         return self._member_by_partition.get(GroupPartition(self._topic, partition))
 
     def previous_holder_of(self, partition: int) -> str | None:
-        """Return the last member that lost a partition, None if unknown."""
+        """Return the member that last lost a partition, None if unknown."""
         return self._previous_member_by_partition.get(GroupPartition(self._topic, partition))
 
     def other_members(self, member: str) -> list[str]:
--- a/passgate/sharedlog/log.py
+++ b/passgate/sharedlog/log.py
@@ -55,7 +55,7 @@
     """Records returned by one read; ``records`` may be empty."""
 
     start: int
-    """Offset of the first record; without records, the offset from which was read."""
+    """Offset of the first record; without records, the requested offset."""
     end: int
     """Offset after the last record of the partition at the time of the read."""
     records: tuple[bytes, ...]
@@ -142,7 +142,7 @@
         ...
 
     async def leave(self, group: str, member: str) -> None:
-        """Leave a group before the membership expires."""
+        """Leave a group at once, instead of letting the membership expire."""
         ...
 
     async def members(self, group: str) -> dict[GroupPartition, str]:
--- a/passgate/sharedlog/tail.py
+++ b/passgate/sharedlog/tail.py
@@ -41,9 +41,9 @@
 MIN_PAGE_BYTES = 32 * 1024
 """Lower bound of the page size, which is halved after each failed read, as a large page may time out."""
 GAP_GROWTH_FACTOR = 2.0
-"""Factor of the pause between reads after a throttled read."""
+"""Factor by which a throttled read lengthens the pause between reads."""
 GAP_DECAY_FACTOR = 0.995
-"""Factor of the pause between reads after a successful read."""
+"""Factor by which a successful read shortens the pause between reads, down to the configured one."""
 MAX_GAP_S = 0.8
 """Longest pause between reads while the log throttles calls."""
 URGENT_RETRY_PAUSE_S = 0.3
@@ -115,7 +115,7 @@
     def __init__(self) -> None:
         self._confirmed_at_s = NEVER_S
         self.recovered_at_s = NEVER_S
-        """Loop time at which the reader last caught up with the end of the partition after it was behind."""
+        """Loop time at which the reader first reached the end, or last did so after it was behind."""
 
     def confirm_current(self, as_of_s: float, applied_at_s: float | None = None) -> None:
         """Record that everything appended before ``as_of_s`` was read and applied.
@@ -283,10 +283,10 @@
         return True
 
     async def read_to_current_end(self, timeout_s: float) -> bool:
-        """Make a new read and wait until its end of the partition is reached; return False on failure.
+        """Read up to the current end of the partition; return False on failure or timeout.
 
-        A long poll that is already waiting proves nothing about the current end.  If the read does not reach
-        the end itself, the rest is left to :meth:`run`, which gets ``timeout_s`` for it.
+        Makes one new read, as a long poll that is already waiting proves nothing about the current end.  If
+        that does not reach the end, waits up to ``timeout_s`` until :meth:`run`, which must be active, does.
         """
         try:
             page = await self._read_page(self.next_offset, 0.0)
--- a/passgate/versions/control_topic.py
+++ b/passgate/versions/control_topic.py
@@ -1,4 +1,4 @@
-"""Follows and writes the control topic, which decides which daemon is the leader.
+"""Follows and writes the control topic, whose records decide which daemon is the leader.
 
 The topic also carries what new jobs require of the weights, and the records of singleton duties, which the
 leader performs for all daemons.  Only the leader and daemons that may become leader follow the topic.
@@ -37,7 +37,7 @@
         ...
 
     def apply(self, offset: int, writer: str, entry: object, *, by_leader: bool) -> None:
-        """Apply an entry of the record at an offset; ``by_leader`` says whether its writer led then."""
+        """Apply an entry of the record at an offset; ``by_leader`` is whether its writer was leader then."""
         ...
 
 
--- a/passgate/versions/leadership.py
+++ b/passgate/versions/leadership.py
@@ -76,7 +76,7 @@
         return self._projection.leader_fence
 
     def may_order(self) -> bool:
-        """Return whether this daemon may start an order now, as it leads and has just confirmed its lease."""
+        """Return whether this daemon may start an order now: it leads and confirmed its lease recently."""
         age_s = monotonic_s() - self._confirmed_sent_s
         return self.leads and age_s < self.lease_s * ORDER_LEASE_SHARE and not self.stopping
 
@@ -87,7 +87,10 @@
             self._confirmed_sent_s = max(self._confirmed_sent_s, sent_s)
 
     def renew_or_claim(self) -> None:
-        """Renew the lease as leader; otherwise claim it if it is free or has expired.  Call often."""
+        """Renew the lease as leader; otherwise claim it if it is free or has expired.
+
+        Must be called at intervals much shorter than the lease.
+        """
         now_s = monotonic_s()
         self._log_change()
         if self.leads:
--- a/passgate/versions/load_crashes.py
+++ b/passgate/versions/load_crashes.py
@@ -1,8 +1,8 @@
 """Suspends the loading of weight versions that crash the replicas that load them.
 
 The crash guard, which quarantines requests that crash replicas, treats all orders to load the same version as
-the same request.  While any replica holds the version, or a newer one, loads are not suspended: the version
-can be loaded, so its crashes have another cause.
+the same request.  While any listed replica holds the version, or a newer one, loads are not suspended, as
+crashes are then taken to have another cause.
 """
 
 from __future__ import annotations
@@ -63,7 +63,7 @@
         return True
 
     def record_loaded(self, state: ReplicaState, model: str, version: int) -> None:
-        """Clear the crash reports of a version, in the service of a replica that has loaded the version."""
+        """Clear a version's crash reports for the service of a replica that has loaded the version."""
         self._crash_guard.record_success(_load_identity(model, version), state.info.service)
 
     def _is_loaded_anywhere(self, model: str, version: int) -> bool:
--- a/passgate/versions/load_plan.py
+++ b/passgate/versions/load_plan.py
@@ -32,7 +32,7 @@
 
 
 class ModelDemand(msgspec.Struct, frozen=True, kw_only=True):
-    """What the newest job of one model requires of the weights."""
+    """The newest version of a model's weights, and what the newest job requires of the replicas."""
 
     model: str
     version: int
--- a/passgate/versions/loader.py
+++ b/passgate/versions/loader.py
@@ -40,7 +40,7 @@
 CRASH_CHECK_INTERVAL_S = 1.2
 """Interval of crash checks during a load; a shorter load is not checked."""
 REPLACEMENT_TIMEOUT_S = 0.5
-"""Time for which discovery may list a new replica at the address of a removed one to prove a crash."""
+"""Time to wait for a new replica at the address of a removed one; it proves that the old one has exited."""
 ORDER_RETRY_PAUSE_S = 0.5
 """Pause before a replica gets another order after a refused or failed one."""
 
@@ -273,8 +273,8 @@
     async def _send_order(self, state: ReplicaState, model: str, report: ReplicaReport) -> bool:
         """Send an order and return whether the replica accepted it or already has the version.
 
-        Raises PassgateError without an answer.  The order then counts as unconfirmed, unless it certainly did
-        not run.
+        Raises PassgateError if there is no answer.  The order then counts as unconfirmed, unless it certainly
+        did not run.
         """
         self._replicas.send_rules.admit(state.info, CONTROL_MESSAGE, monotonic_s())
         order = LoadOrder(
