--- a/passgate/discovery/relay.py
+++ b/passgate/discovery/relay.py
@@ -81,7 +81,7 @@
         self._last_part_rewrite_s = float("-inf")
         self._next_part = 0
         self._changes_offset_by_part: dict[int, int] = {}
-        """``changes_from`` of the last record that this relay has written, by part of the list."""
+        """``changes_from`` of each part of the list, as last written by this relay."""
 
     def start(self) -> None:
         """Prepare for relaying: drop pending changes, and write all parts anew once this relay is primary."""
@@ -123,7 +123,7 @@
 
     @property
     def has_pending_changes(self) -> bool:
-        """Whether any changes wait to be appended by this daemon or to be read from another relay."""
+        """Whether any changes are known here that no relay has appended, as far as this daemon knows."""
         return bool(self._pending_by_replica_id)
 
     def are_others_alive(self) -> bool:
--- a/passgate/discovery/view.py
+++ b/passgate/discovery/view.py
@@ -74,7 +74,7 @@
         """Entries that were removed during or shortly after an outage of the log, by replica ID."""
 
     def update_freshness(self, freshness: Freshness) -> None:
-        """Record when the log returned from an outage, by the freshness of the reader of the next updates."""
+        """Record when the log returned from an outage, given the freshness of the reader that was used."""
         now_s = monotonic_s()
         if freshness.age_s(now_s) > BEHIND_AFTER_S:
             self._log_returned_s = now_s
@@ -148,8 +148,7 @@
     def apply_relayed(self, update: ReplicaUpdate) -> None:
         """Apply an update that a relay has appended.
 
-        A removal takes effect at once, as the relay has waited for an entry that expired in an outage to
-        return.
+        A removal takes effect at once, as the relay has already waited for the replica to renew its entry.
         """
         if not update.gone:
             self.apply(update)
--- a/passgate/duties/meter.py
+++ b/passgate/duties/meter.py
@@ -1,9 +1,9 @@
 """Counts the runs that replicas may have started, by window and tenant, for the control topic.
 
-An attempt of a plain request counts in the window in which it was sent, unless it certainly did not run.  A
-stream counts once, in the window of its first event.  Requests without a tenant and the work of jobs are not
-counted.  A killed daemon loses the counts that are not yet on the log: normally those since the last flush,
-but all those since the start of an outage of the log.
+An attempt of a plain request counts in the window in which it was sent, if it was answered, may have run or
+was abandoned.  A stream counts once, in the window of its first event.  Requests without a tenant and the
+work of jobs are not counted.  A killed daemon loses the counts that are not yet on the log: normally those
+since the last flush, but all those since the start of an outage of the log.
 """
 
 from __future__ import annotations
--- a/passgate/duties/scaling_policy.py
+++ b/passgate/duties/scaling_policy.py
@@ -1,4 +1,4 @@
-"""Computes how many replicas of which kind a service needs for the current steps of its trainers.
+"""Computes how many replicas of which kind a service needs for the newest jobs of its models.
 
 Trainers wait for the last item of a job, so a service needs as many slots as the newest jobs of its models
 have items, up to the operator's maximum of replicas per zone.  Present on-demand replicas stay.  Further
--- a/passgate/duties/usage_forwarder.py
+++ b/passgate/duties/usage_forwarder.py
@@ -67,7 +67,7 @@
         self._find_leader = find_leader
         self._find_watcher = find_watcher
         self._reported_leader = ""
-        """Name of the leader by the last response; empty once a request to that leader has failed."""
+        """Name of the leader as of the last response; empty once a request to the leader has failed."""
 
     async def send(self, entries: Sequence[UsageCounted]) -> bool:
         """Put counts on the log in the cheapest way that works; return whether that is confirmed."""
--- a/passgate/eligibility/cold_rule.py
+++ b/passgate/eligibility/cold_rule.py
@@ -27,7 +27,7 @@
 
 
 class ColdRule:
-    """Allows a request to a cold replica only against a permit; control messages need none."""
+    """Allows a request to a cold replica only with a permit; control messages need none."""
 
     name = "cold"
 
--- a/passgate/eligibility/evacuation.py
+++ b/passgate/eligibility/evacuation.py
@@ -37,7 +37,6 @@
     """One record of the operator's topic that starts or ends the evacuation of a zone."""
 
     offset: int
-    """Offset of the record."""
     zone: str
     evacuated: bool
 
@@ -136,7 +135,7 @@
 
 
 class EvacuationRule:
-    """Forbids every send to a replica in an evacuated zone, control messages included."""
+    """Forbids requests and control messages to replicas in evacuated zones."""
 
     name = "evacuation"
 
--- a/passgate/eligibility/known_service.py
+++ b/passgate/eligibility/known_service.py
@@ -1,4 +1,4 @@
-"""Send rule: nothing is sent to replicas of services that the active configuration does not name.
+"""Send rule: replicas of services that the active configuration does not name get no requests or orders.
 
 The discovery topic may list a replica of a service that does not exist.
 
@@ -16,7 +16,7 @@
 
 
 class KnownServiceRule:
-    """Forbids every send to a replica of an unknown service, control messages included."""
+    """Forbids requests and control messages to replicas of services that the configuration does not name."""
 
     name = "unknown_service"
 
@@ -25,7 +25,7 @@
         self._is_known = is_known
 
     def allows(self, replica: ReplicaInfo, context: SendContext, now_s: float) -> bool:
-        """Whether the replica's service is known."""
+        """Whether the active configuration names the replica's service."""
         return self._is_known(replica.service)
 
     def record_send(self, replica: ReplicaInfo, context: SendContext, now_s: float) -> None:
--- a/passgate/eligibility/permit_client.py
+++ b/passgate/eligibility/permit_client.py
@@ -85,7 +85,7 @@
         self.leader_address = ""
         """Address of the daemon that responded as leader to the last request; empty if none did."""
         self._used_at_last_request = 0
-        """Number of permits used before the last request, by the counter ``used``."""
+        """Value of the counter ``used`` at the last request."""
         self._request_interval_s = MIN_REQUEST_INTERVAL_S
         self._cold_requested_s = float("-inf")
         """Loop time of the last request for the list of cold replicas."""
--- a/passgate/eligibility/rules.py
+++ b/passgate/eligibility/rules.py
@@ -1,7 +1,8 @@
-"""The check before every send: each rule may forbid sending to a replica.
+"""Send rules, each of which may forbid sending to a replica.
 
-The rules are checked when a replica is chosen for a request, and again just before each send, so that no
-send bypasses a rule that changed its verdict after the choice.
+The rules are checked when a replica is chosen for a request, and again just before the request is sent, so
+that no request bypasses a rule that changed its verdict after the choice.  They are also checked before load
+orders.
 
 >>> replica = ReplicaInfo(replica_id="r", service="s", address="h:1", zone="z", slots=4, draining=True)
 >>> SendRules([DrainingRule()]).allows(replica, SendContext(), now_s=0.0)
@@ -129,7 +130,7 @@
 
 
 class DrainingRule:
-    """Forbids every send to a draining replica, control messages such as load orders included."""
+    """Forbids requests and control messages, such as load orders, to draining replicas."""
 
     name = "draining"
 
--- a/passgate/quarantine/crash_reports.py
+++ b/passgate/quarantine/crash_reports.py
@@ -43,10 +43,9 @@
     """States that a replica's process ended, probably by a crash, while it ran a request."""
 
     fingerprint: str
-    """Fingerprint of the request."""
+    """Fingerprint of the request; see :class:`passgate.quarantine.identity.RequestIdentity`."""
     replica_id: str
     service: str
-    """Service of the replica."""
     crash_limit: int = msgspec.field(name="limit")
     """Number of reports from which the request is quarantined."""
     reported_unix_s: float = msgspec.field(name="at_unix_s")
@@ -110,7 +109,7 @@
         return True
 
     def clear_request(self, fingerprint: str, service: str) -> list[CrashReport]:
-        """Remove and return a request's reports for a service, after one of its replicas has answered it.
+        """Remove and return a request's reports for a service, a replica of which has answered the request.
 
         The reports for other services stay: a route may split requests among services of which only some
         crash.
@@ -179,7 +178,7 @@
         )
 
     def _is_crash_explained(self, fingerprint: str, incarnation: ReplicaIncarnation) -> bool:
-        """Whether another request that has crashed a replica alone has a report of an incarnation."""
+        """Whether an incarnation has a report of another request that has crashed a replica alone."""
         others = (other for other in self._fingerprints_at_limit(incarnation) if other != fingerprint)
         return any(self._has_crashed_alone(other) for other in others)
 
@@ -191,7 +190,10 @@
         )
 
     def _fingerprints_at_limit(self, incarnation: ReplicaIncarnation) -> list[str]:
-        """Return the fingerprints of the requests at their limit that have a report of an incarnation."""
+        """Return the fingerprints in the reports of an incarnation whose requests are at their limit.
+
+        See :meth:`_is_explained_by_others` for the meaning of "at its limit".
+        """
         known = self._reports_by_incarnation[incarnation].values()
         return [
             each.report.fingerprint
--- a/passgate/quarantine/guard.py
+++ b/passgate/quarantine/guard.py
@@ -4,7 +4,7 @@
 report of the request is published to all daemons.  A request with as many unexpired reports as its crash
 limit is quarantined, that is, sent to no replica, unless other requests explain its crashes.  A complete
 answer, other than a server error, clears the request's reports for that service.  A response clears the
-earlier reports of its replica.
+earlier reports of its replica, unless the replica may have restarted since.
 
 An isolated run is an attempt of a job's item, or of a reward call, whose next crash would quarantine it.
 Isolated runs are kept at different replicas if possible; other requests may run beside them.
@@ -227,7 +227,7 @@
             self.start_probe(identity, endpoint)
 
     def start_probe(self, identity: RequestIdentity, endpoint: ReplicaEndpoint) -> None:
-        """Start a task that probes a replica and reports that a request crashed it if it has exited."""
+        """Start a task that probes a replica, and reports a crash under a request if it has exited."""
         fingerprint = identity.fingerprint()
         probe = asyncio.get_running_loop().create_task(self._probe(identity, endpoint))
         probes = self._probes_by_fingerprint.setdefault(fingerprint, set())
--- a/passgate/sharedlog/hedge.py
+++ b/passgate/sharedlog/hedge.py
@@ -22,7 +22,7 @@
 HEDGE_DELAY_S = 0.35
 """Delay before each repetition; far longer than a usual response takes."""
 MAX_CONCURRENT_CALLS = 4
-"""Maximum number of calls, the first and its repetitions."""
+"""Maximum number of calls in all, the first one included."""
 
 T = TypeVar("T")
 
@@ -30,7 +30,8 @@
 async def call_hedged(call: Callable[[], Coroutine[Any, Any, T]]) -> T:
     """Make a call and repeat it until one of the calls finishes; return its result or raise its error.
 
-    If several calls finish at the same moment, a success is preferred.  The remaining calls are cancelled.
+    Makes at most MAX_CONCURRENT_CALLS calls.  If several finish at the same moment, a success is preferred.
+    The remaining calls are cancelled.
     """
     pending: list[asyncio.Task[T]] = []
     try:
--- a/passgate/sharedlog/tail.py
+++ b/passgate/sharedlog/tail.py
@@ -110,7 +110,7 @@
 
 
 class Freshness:
-    """Records up to which time a reader has certainly read all records of its partition."""
+    """Records up to which time a reader has read all records of its partition, as far as its reads show."""
 
     def __init__(self) -> None:
         self._confirmed_at_s = NEVER_S
--- a/passgate/versions/leadership.py
+++ b/passgate/versions/leadership.py
@@ -2,8 +2,8 @@
 
 A claim on the log is accepted if it names the last accepted claim and the leader's last record; its offset
 is the fencing token.  Each batch that the leader appends renews the lease.  The leader starts orders only
-for a part of the lease after sending a batch that it has read back.  Other daemons claim after a longer
-silence, or once the leader's process is known to have been replaced.
+for a part of the lease after sending a batch that it has read back.  Other daemons claim if the leadership
+was released, after a longer silence, or once the leader's process is known to have been replaced.
 """
 
 from __future__ import annotations
--- a/passgate/versions/loader.py
+++ b/passgate/versions/loader.py
@@ -94,7 +94,10 @@
 async def read_incarnation(
     control: ReplicaControl, last_known: ReplicaIncarnation, address: str
 ) -> ReplicaIncarnation | None:
-    """Return the incarnation that runs at a replica's address; None if the call fails or it does not say."""
+    """Return the incarnation that runs at a replica's address; None if the call fails or it does not say.
+
+    The send rules are not checked.
+    """
     try:
         report = await control.report(last_known.replica_id, address)
     except PassgateError as error:
--- a/passgate/versions/unconfirmed_orders.py
+++ b/passgate/versions/unconfirmed_orders.py
@@ -37,7 +37,7 @@
         """Unconfirmed orders by replica ID; not by incarnation, because they affect later incarnations."""
 
     def record(self, incarnation: ReplicaIncarnation, expected_orders_taken: int, now_s: float) -> None:
-        """Record an order of unknown outcome, which named ``expected_orders_taken`` accepted orders."""
+        """Record an order of unknown outcome that named ``expected_orders_taken`` as the number of orders."""
         self._drop_expired(now_s)
         order = _UnconfirmedOrder(
             incarnation=incarnation,
