--- a/passgate/eligibility/known_service.py
+++ b/passgate/eligibility/known_service.py
@@ -1,6 +1,6 @@
-"""Send rule: replicas of services that the configuration does not name get nothing.
+"""Send rule: replicas of services that the active configuration does not name get no requests or orders.
 
-Another writer of the discovery topic may list a replica of a service that does not exist.
+The discovery topic may list a replica of a service that does not exist.
 
 >>> replica = ReplicaInfo(replica_id="r", service="unlisted", address="h:1", zone="z", slots=4)
 >>> KnownServiceRule({"app"}.__contains__).allows(replica, SendContext(), now_s=0.0)
@@ -16,11 +16,12 @@
 
 
 class KnownServiceRule:
-    """Forbids every send to a replica of an unknown service, control messages included."""
+    """Forbids requests and control messages to replicas of services that the configuration does not name."""
 
     name = "unknown_service"
 
     def __init__(self, is_known: Callable[[str], bool]) -> None:
+        """Create the rule; ``is_known`` returns whether the active configuration names a service."""
         self._is_known = is_known
 
     def allows(self, replica: ReplicaInfo, context: SendContext, now_s: float) -> bool:
