--- a/passgate/check/specification/__init__.py
+++ b/passgate/check/specification/__init__.py
@@ -1,1 +1,1 @@
-"""Small specifications of the core protocol, checked exhaustively by ``minicheck``."""
+"""Specifications of the core protocol: small models of it that ``minicheck`` explores exhaustively."""
--- a/passgate/check/specification/catalogue.py
+++ b/passgate/check/specification/catalogue.py
@@ -1,4 +1,4 @@
-"""All specifications, by name.
+"""All specifications by name, and their selection for the command line.
 
 >>> first, *others = sorted(SPECIFICATIONS)
 >>> first, len(others)
@@ -15,15 +15,15 @@
 from passgate.check.specification.leases import LEASES
 from passgate.check.specification.lots import LOTS
 from passgate.check.specification.permits import PERMITS
-from passgate.check.specification.planned_stop import PLANNED_STOP
-from passgate.check.specification.replica_lives import REPLICA_LIVES
+from passgate.check.specification.planned_stop import GRACEFUL_SHUTDOWN
+from passgate.check.specification.replica_lives import REPLICA_INCARNATIONS
 from passgate.check.specification.usage_reports import USAGE_REPORTS
 from passgate.errors import NotFound
 
 SPECIFICATIONS: dict[str, Specification] = {
     specification.name: specification
     for specification in (
-        PLANNED_STOP,
+        GRACEFUL_SHUTDOWN,
         LEASES,
         LEADERSHIP,
         CLAIMS,
@@ -32,13 +32,17 @@
         LOTS,
         USAGE_REPORTS,
         PERMITS,
-        REPLICA_LIVES,
+        REPLICA_INCARNATIONS,
     )
 }
 
 
 def select(name: str = "") -> list[Specification]:
-    """Return the named specification, or all of them; raises NotFound."""
+    """Return the named specification, or all of them for an empty name.
+
+    Raises:
+        NotFound: there is no specification of that name.
+    """
     if not name:
         return list(SPECIFICATIONS.values())
     if name not in SPECIFICATIONS:
--- a/passgate/check/specification/claims.py
+++ b/passgate/check/specification/claims.py
@@ -1,13 +1,18 @@
-"""Specification of claims for not-repeatable requests, on the running code's fold.
+"""Specification of the claims for requests that must not run twice; see :mod:`passgate.state.claim_state`.
 
-Three attempts under one key come through different daemons.  Appends are late,
-lost and repeated, an attempt may give up while its claim is in doubt, the back
-end may refuse, fail or answer, and a process may die between any two steps.
+Two attempts with the same idempotency key go through different daemons.  Appends are late, lost or
+duplicated.  An attempt may give up while the outcome of its claim is unknown; the back end may refuse,
+complete or fail the request; a daemon may crash at any point.
 
-Properties: ``at_most_once``, ``not_run_is_true`` (an attempt that was answered
-"not run" never ran), ``own_outcome`` (a replayed outcome is the one of the only
-run), ``accepted_once`` (no claim takes effect twice) and ``durable_before_run``
-(whatever runs holds the claim on the log).
+Invariants:
+
+- ``at_most_once``: the request runs at most once;
+- ``not_run_is_true``: an attempt that was answered "not run" did not run the request;
+- ``own_outcome``: a replayed outcome is that of an attempt that ran;
+- ``accepted_once``: no record is accepted twice;
+- ``durable_before_run``: an attempt that ran has an accepted claim on the log.
+
+Liveness: from every state, each attempt can still be answered or its daemon crashes.
 """
 
 from __future__ import annotations
@@ -16,8 +21,8 @@
 
 from minicheck import Protocol
 
-from passgate.check.specification.kernel import Mutant, Specification, Step
-from passgate.check.specification.shared_log import SharedLog, Transport, arrivals, send
+from passgate.check.specification.kernel import Action, Mutant, Specification
+from passgate.check.specification.shared_log import LogReplayer, LogState, append_actions, start_append
 from passgate.records import (
     Body,
     ClaimCompleted,
@@ -30,154 +35,165 @@
 from passgate.state.claim_state import ClaimFold, ClaimState, ClaimStatus
 from passgate.state.fold import Accepted
 
-ATTEMPTS = 2
-COPIES = (2, 1)
-"""How often the claim of each attempt stands on the log at most."""
+ATTEMPT_COUNT = 2
+MAX_COPIES_BY_ATTEMPT = (2, 1)
+"""Most copies on the log of each attempt's claim."""
 
 KEY, DIGEST = "k", "d"
 
-IDLE, CLAIMING, GRANTED, DONE, DEAD = "idle", "claiming", "granted", "done", "dead"
+IDLE, CLAIMING, GRANTED, DONE, CRASHED = "idle", "claiming", "granted", "done", "crashed"
 NO_ANSWER, NOT_RUN, RAN, UNKNOWN, REPLAYED, IN_PROGRESS = "", "not_run", "ran", "unknown", "replayed", "busy"
 
 
 class Attempt(NamedTuple):
-    """One call under the key."""
+    """One call with the key, and the daemon that handles it."""
 
     phase: str = IDLE
     answer: str = NO_ANSWER
-    replayed: int = -1
-    """Attempt whose outcome was given."""
+    """What the caller was told; "not run" once the attempt gives up."""
+    replayed_attempt: int = -1
+    """Attempt whose outcome was replayed; -1 if none."""
     ran: bool = False
-    applied: int = 0
-    claim: int = -1
-    ending: int = -1
-    """Record that ends or gives back the claim; sent until it is on the log."""
+    applied_count: int = 0
+    """Number of records of the log that were read."""
+    claim_id: int = -1
+    ending_id: int = -1
+    """Record that ends or releases the claim and was not sent yet; -1 if none."""
 
 
 class ClaimModelState(NamedTuple):
-    """State of the specification."""
+    """State of the model."""
 
-    transport: Transport = Transport()
-    attempts: tuple[Attempt, ...] = (Attempt(),) * ATTEMPTS
-    runs: int = 0
+    log: LogState = LogState()
+    attempts: tuple[Attempt, ...] = (Attempt(),) * ATTEMPT_COUNT
+    run_count: int = 0
 
 
 class _Model:
-    """Transitions and properties, with mutants built in."""
+    """Transitions and invariants, with mutants applied."""
 
     def __init__(self, mutants: frozenset[str]) -> None:
         self.mutants = mutants
-        self.log = SharedLog(ClaimFold, skip_dedupe="skip_dedupe" in mutants)
+        self.replayer = LogReplayer(ClaimFold, skip_dedupe="skip_dedupe" in mutants)
 
     # --- transitions -----------------------------------------------------------------
 
-    def transitions(self, state: ClaimModelState) -> list[Step]:
-        steps: list[Step] = [
-            (label, state._replace(transport=transport))
-            for label, transport in arrivals(state.transport, self._copies)
+    def transitions(self, state: ClaimModelState) -> list[Action]:
+        actions: list[Action] = [
+            (label, state._replace(log=log)) for label, log in append_actions(state.log, self._max_copies)
         ]
-        for number, attempt in enumerate(state.attempts):
+        for index, attempt in enumerate(state.attempts):
             if attempt.phase == IDLE:
-                steps.append((f"claim({number})", self._claim(state, number)))
-            elif attempt.phase != DEAD:
-                steps += self._active_steps(state, number, attempt)
-                steps.append((f"die({number})", _with(state, number, _silent(attempt, DEAD))))
-        return steps
-
-    def _copies(self, record: int) -> int:
-        made = self.log.record(record)
-        return COPIES[int(made.writer[1:])] if isinstance(made.body, ClaimMade) else 1
-
-    def _active_steps(self, state: ClaimModelState, number: int, attempt: Attempt) -> list[Step]:
-        steps: list[Step] = []
-        waits = attempt.phase == CLAIMING
-        if waits and attempt.applied < len(state.transport.log):
-            steps.append((f"read({number})", self._read(state, number)))
-        if waits and attempt.answer == NO_ANSWER:
-            steps.append((f"give_up({number})", self._given_up(state, number, attempt)))
-        if attempt.phase == DONE and attempt.ending >= 0:
-            transport = send(state.transport, attempt.ending)
-            recorded = _with(state, number, attempt._replace(ending=-1))
-            steps.append((f"record({number})", recorded._replace(transport=transport)))
-        if attempt.phase == GRANTED or (waits and "run_before_confirmed" in self.mutants):
-            steps += self._run_steps(state, number, attempt)
-        return steps
-
-    def _claim(self, state: ClaimModelState, number: int) -> ClaimModelState:
-        record = self._number(number, 1, ClaimMade(key=KEY, request_digest=DIGEST, holder=f"d{number}"))
-        attempt = Attempt(phase=CLAIMING, claim=record)
-        return _with(state, number, attempt)._replace(transport=send(state.transport, record))
-
-    def _given_up(self, state: ClaimModelState, number: int, attempt: Attempt) -> ClaimModelState:
-        """The caller is told "not run"; the claim is withdrawn, or released when it lands first."""
-        withdrawal = self._number(number, 1, ProposalWithdrawn())
+                actions.append((f"claim({index})", self._start_claim(state, index)))
+            elif attempt.phase != CRASHED:
+                actions += self._attempt_actions(state, index, attempt)
+                actions.append(
+                    (f"die({index})", _with_attempt(state, index, _stop_reading(attempt, CRASHED)))
+                )
+        return actions
+
+    def _max_copies(self, record_id: int) -> int:
+        record = self.replayer.record(record_id)
+        return MAX_COPIES_BY_ATTEMPT[int(record.writer[1:])] if isinstance(record.body, ClaimMade) else 1
+
+    def _attempt_actions(self, state: ClaimModelState, index: int, attempt: Attempt) -> list[Action]:
+        actions: list[Action] = []
+        is_claiming = attempt.phase == CLAIMING
+        if is_claiming and attempt.applied_count < len(state.log.records):
+            actions.append((f"read({index})", self._read_next(state, index)))
+        if is_claiming and attempt.answer == NO_ANSWER:
+            actions.append((f"give_up({index})", self._give_up(state, index, attempt)))
+        if attempt.phase == DONE and attempt.ending_id >= 0:
+            log = start_append(state.log, attempt.ending_id)
+            without_ending = _with_attempt(state, index, attempt._replace(ending_id=-1))
+            actions.append((f"record({index})", without_ending._replace(log=log)))
+        if attempt.phase == GRANTED or (is_claiming and "run_before_confirmed" in self.mutants):
+            actions += self._run_actions(state, index, attempt)
+        return actions
+
+    def _start_claim(self, state: ClaimModelState, index: int) -> ClaimModelState:
+        claim_id = self._record_id(index, 1, ClaimMade(key=KEY, request_digest=DIGEST, holder=f"d{index}"))
+        attempt = Attempt(phase=CLAIMING, claim_id=claim_id)
+        return _with_attempt(state, index, attempt)._replace(log=start_append(state.log, claim_id))
+
+    def _give_up(self, state: ClaimModelState, index: int, attempt: Attempt) -> ClaimModelState:
+        """Answer "not run" and withdraw the claim.
+
+        The withdrawal has the claim's sequence, so of the two only the first on the log takes effect.  If
+        that is the claim, it is released when it is read.
+        """
+        withdrawal_id = self._record_id(index, 1, ProposalWithdrawn())
         given_up = attempt._replace(answer=NOT_RUN)
-        return _with(state, number, given_up)._replace(transport=send(state.transport, withdrawal))
+        return _with_attempt(state, index, given_up)._replace(log=start_append(state.log, withdrawal_id))
 
-    def _run_steps(self, state: ClaimModelState, number: int, attempt: Attempt) -> list[Step]:
-        attempt = _silent(attempt, DONE)
+    def _run_actions(self, state: ClaimModelState, index: int, attempt: Attempt) -> list[Action]:
+        attempt = _stop_reading(attempt, DONE)
         refused = attempt._replace(
-            answer=attempt.answer or NOT_RUN, ending=self._number(number, 2, ClaimReleased(key=KEY))
+            answer=attempt.answer or NOT_RUN, ending_id=self._record_id(index, 2, ClaimReleased(key=KEY))
         )
         completed = attempt._replace(
-            answer=attempt.answer or RAN, ran=True, ending=self._number(number, 2, _completed(number))
+            answer=attempt.answer or RAN, ran=True, ending_id=self._record_id(index, 2, _make_outcome(index))
         )
         failure: Body = ClaimUnresolved(key=KEY, code="incomplete_answer")
         if "release_claim_that_ran" in self.mutants:
             failure = ClaimReleased(key=KEY)
         failed = attempt._replace(
-            answer=attempt.answer or UNKNOWN, ran=True, ending=self._number(number, 2, failure)
+            answer=attempt.answer or UNKNOWN, ran=True, ending_id=self._record_id(index, 2, failure)
         )
-        ran = state._replace(runs=state.runs + 1)
+        run_state = state._replace(run_count=state.run_count + 1)
         return [
-            (f"refused({number})", _with(state, number, refused)),
-            (f"ran({number})", _with(ran, number, completed)),
-            (f"ran_and_failed({number})", _with(ran, number, failed)),
+            (f"refused({index})", _with_attempt(state, index, refused)),
+            (f"ran({index})", _with_attempt(run_state, index, completed)),
+            (f"ran_and_failed({index})", _with_attempt(run_state, index, failed)),
         ]
 
-    def _read(self, state: ClaimModelState, number: int) -> ClaimModelState:
-        attempt = state.attempts[number]
-        attempt = attempt._replace(applied=attempt.applied + 1)
-        prefix = state.transport.log[: attempt.applied]
-        record = self.log.record(prefix[-1])
-        is_own = record.writer == f"d{number}" and record.sequence == 1
+    def _read_next(self, state: ClaimModelState, index: int) -> ClaimModelState:
+        attempt = state.attempts[index]
+        attempt = attempt._replace(applied_count=attempt.applied_count + 1)
+        prefix = state.log.records[: attempt.applied_count]
+        record = self.replayer.record(prefix[-1])
+        is_own = record.writer == f"d{index}" and record.sequence == 1
         if not is_own or attempt.phase != CLAIMING:
-            return _with(state, number, attempt)
-        return _with(state, number, self._decided(number, attempt, prefix, record))
+            return _with_attempt(state, index, attempt)
+        return _with_attempt(state, index, self._apply_decision(index, attempt, prefix, record))
 
-    def _decided(self, number: int, attempt: Attempt, prefix: tuple[int, ...], record: Record) -> Attempt:
-        view = self.log.view(prefix)
+    def _apply_decision(
+        self, index: int, attempt: Attempt, prefix: tuple[int, ...], record: Record
+    ) -> Attempt:
+        view = self.replayer.view(prefix)
         granted = isinstance(view.decisions[-1], Accepted) and isinstance(record.body, ClaimMade)
         if granted and attempt.answer == NO_ANSWER:
             return attempt._replace(phase=GRANTED)
         if granted and "run_after_not_run" in self.mutants:
             return attempt._replace(phase=GRANTED)
         if granted:
-            release = self._number(number, 2, ClaimReleased(key=KEY))
-            return _silent(attempt, DONE)._replace(ending=release)
+            release_id = self._record_id(index, 2, ClaimReleased(key=KEY))
+            return _stop_reading(attempt, DONE)._replace(ending_id=release_id)
         if attempt.answer != NO_ANSWER:
-            return _silent(attempt, DONE)
-        if "take_over_from_dead" in self.mutants and view.fold.state.status is ClaimStatus.CLAIMED:
+            return _stop_reading(attempt, DONE)
+        if "take_over_from_dead" in self.mutants and view.projection.state.status is ClaimStatus.CLAIMED:
             return attempt._replace(phase=GRANTED)
-        return self._earlier(attempt, view.fold.state)
+        return self._answer_from_earlier_claim(attempt, view.projection.state)
 
-    def _earlier(self, attempt: Attempt, claim: ClaimState) -> Attempt:
-        done = _silent(attempt, DONE)
+    def _answer_from_earlier_claim(self, attempt: Attempt, claim: ClaimState) -> Attempt:
+        done = _stop_reading(attempt, DONE)
         if claim.status is ClaimStatus.COMPLETED:
-            return done._replace(answer=REPLAYED, replayed=claim.outcome.status)
+            return done._replace(answer=REPLAYED, replayed_attempt=claim.outcome.status)
         if claim.status is ClaimStatus.UNRESOLVED:
             return done._replace(answer=UNKNOWN)
         return done._replace(answer=IN_PROGRESS)
 
-    def _number(self, number: int, sequence: int, body: Body) -> int:
-        return self.log.number(Record(writer=f"d{number}", sequence=sequence, epoch=0, body=body))
+    def _record_id(self, index: int, sequence: int, body: Body) -> int:
+        return self.replayer.record_id(Record(writer=f"d{index}", sequence=sequence, epoch=0, body=body))
 
     # --- properties ------------------------------------------------------------------
 
     def invariants(self) -> dict:
         return {
-            "at_most_once": lambda d: d["runs"] <= 1,
-            "not_run_is_true": lambda d: not any(a.answer == NOT_RUN and a.ran for a in d["attempts"]),
+            "at_most_once": lambda d: d["run_count"] <= 1,
+            "not_run_is_true": lambda d: (
+                not any(attempt.answer == NOT_RUN and attempt.ran for attempt in d["attempts"])
+            ),
             "own_outcome": self._own_outcome,
             "accepted_once": self._accepted_once,
             "durable_before_run": self._durable_before_run,
@@ -185,40 +201,47 @@
 
     def _own_outcome(self, d: dict) -> bool:
         return all(
-            d["attempts"][attempt.replayed].ran for attempt in d["attempts"] if attempt.answer == REPLAYED
+            d["attempts"][attempt.replayed_attempt].ran
+            for attempt in d["attempts"]
+            if attempt.answer == REPLAYED
         )
 
     def _accepted_once(self, d: dict) -> bool:
-        accepted = self._accepted(d["transport"].log)
+        accepted = self._accepted_ids(d["log"].records)
         return len(accepted) == len(set(accepted))
 
-    def _accepted(self, log: tuple[int, ...]) -> list[int]:
-        decisions = self.log.view(log).decisions
+    def _accepted_ids(self, records: tuple[int, ...]) -> list[int]:
+        decisions = self.replayer.view(records).decisions
         return [
-            number for number, decision in zip(log, decisions, strict=True) if isinstance(decision, Accepted)
+            record_id
+            for record_id, decision in zip(records, decisions, strict=True)
+            if isinstance(decision, Accepted)
         ]
 
     def _durable_before_run(self, d: dict) -> bool:
-        accepted = self._accepted(d["transport"].log)
-        return all(attempt.claim in accepted for attempt in d["attempts"] if attempt.ran)
+        accepted = self._accepted_ids(d["log"].records)
+        return all(attempt.claim_id in accepted for attempt in d["attempts"] if attempt.ran)
 
 
-def _completed(number: int) -> ClaimCompleted:
-    return ClaimCompleted(key=KEY, status=number, content_type="", body="")
+def _make_outcome(index: int) -> ClaimCompleted:
+    # The status names the attempt, so that a replay shows whose outcome it is.
+    return ClaimCompleted(key=KEY, status=index, content_type="", body="")
 
 
-def _silent(attempt: Attempt, phase: str) -> Attempt:
-    """Return an attempt that reads no more; its position is dropped to keep the states few."""
-    return attempt._replace(phase=phase, applied=0, ending=-1 if phase == DEAD else attempt.ending)
+def _stop_reading(attempt: Attempt, phase: str) -> Attempt:
+    """Return an attempt that no longer reads; its position is cleared to reduce the number of states."""
+    return attempt._replace(
+        phase=phase, applied_count=0, ending_id=-1 if phase == CRASHED else attempt.ending_id
+    )
 
 
-def _with(state: ClaimModelState, number: int, attempt: Attempt) -> ClaimModelState:
-    attempts = tuple(attempt if i == number else old for i, old in enumerate(state.attempts))
+def _with_attempt(state: ClaimModelState, index: int, attempt: Attempt) -> ClaimModelState:
+    attempts = tuple(attempt if i == index else old for i, old in enumerate(state.attempts))
     return state._replace(attempts=attempts)
 
 
 def build(mutants: frozenset[str]) -> Protocol:
-    """Return the model."""
+    """Return the model with the named mutants applied."""
     model = _Model(mutants)
     return Protocol(
         name="claims",
@@ -227,7 +250,7 @@
         initial=ClaimModelState(),
         transitions=model.transitions,
         invariants=model.invariants(),
-        goal=lambda d: all(attempt.answer or attempt.phase == DEAD for attempt in d["attempts"]),
+        goal=lambda d: all(attempt.answer or attempt.phase == CRASHED for attempt in d["attempts"]),
     )
 
 
--- a/passgate/check/specification/configuration.py
+++ b/passgate/check/specification/configuration.py
@@ -1,17 +1,22 @@
-"""Specification of configuration adoption, on the running code's fold.
-
-Two daemons follow the configuration stream and two operators race for one
-object, one with the revision that it read and one without a condition.  Appends
-are late, lost and repeated; an operator may give up; daemons restart from any
-snapshot and read replicas that are behind.  A restarted daemon serves only after
-a record of its own came back to it, which no replica that is behind can show.
-
-Properties: ``monotonic`` (what a daemon serves never goes back, also not over a
-restart), ``acknowledged_on_log`` (an acknowledged change is on the log and
-accepted there), ``accepted_once`` (a change takes effect once), ``no_lost_update``
-(a conditional change replaces only what its operator read), ``true_conflict`` (a
-refusal names the revision that stands), ``withdrawn_is_void`` (an abandoned change
-takes no effect after its withdrawal) and ``snapshot_equals_replay``.
+"""Specification of how daemons follow the configuration stream; see :mod:`passgate.state.configuration`.
+
+Two operators change the same object, each through its own daemon: operator 0 unconditionally, operator 1 on
+condition that the object still has the revision that it read.  Appends are late, lost or duplicated, and
+operator 0 may give up.  A daemon may restart from any snapshot.  After a restart it serves only once it has
+read back a record of its own, because the log's replicas may be behind.
+
+Invariants:
+
+- ``monotonic``: the revision that a daemon serves never decreases, also over a restart;
+- ``acknowledged_on_log``: an acknowledged change is on the log at its revision, and accepted;
+- ``accepted_once``: no record is accepted twice;
+- ``no_lost_update``: a conditional change replaces only the revision that its operator read;
+- ``true_conflict``: the revision that a refusal names is not the expected one and, unless 0, was set by
+  another record;
+- ``withdrawn_is_void``: a change is not accepted after its withdrawal;
+- ``snapshot_equals_replay``: a replay through any snapshot ends in the same state as one without.
+
+Liveness: from every state, all daemons can reach one in which they serve the whole log.
 """
 
 from __future__ import annotations
@@ -21,19 +26,26 @@
 import msgspec
 from minicheck import Protocol
 
-from passgate.check.specification.kernel import Mutant, Specification, Step
-from passgate.check.specification.shared_log import SharedLog, Transport, View, arrivals, send
+from passgate.check.specification.kernel import Action, Mutant, Specification
+from passgate.check.specification.shared_log import (
+    LogReplayer,
+    LogState,
+    PrefixView,
+    append_actions,
+    start_append,
+)
 from passgate.errors import RevisionConflict
 from passgate.records import ObjectPut, ProposalWithdrawn, Record
 from passgate.state.configuration_state import ConfigurationState
 from passgate.state.fold import Accepted, Rejected
 from passgate.state.specs import PriorityClassSpec
 
-OPERATORS = 2
-"""Operator and daemon share their number: each operator talks to one daemon."""
-COPIES = (2, 1)
-"""How often the change of each operator stands on the log at most."""
-RESTARTS = 1
+OPERATOR_COUNT = 2
+"""Number of operators and of daemons; operator and daemon of the same index belong together."""
+MAX_COPIES_BY_OPERATOR = (2, 1)
+"""Most copies on the log of each operator's change."""
+MAX_RESTARTS = 1
+"""Restarts of all daemons together."""
 
 KIND, NAME = "PriorityClass", "line"
 _SPEC_JSON = msgspec.Raw(msgspec.json.encode(PriorityClassSpec()))
@@ -45,125 +57,129 @@
     """One operator's change."""
 
     phase: str = IDLE
-    record: int = -1
-    withdrawal: int = -1
+    record_id: int = -1
+    """The proposed change; -1 before."""
+    withdrawal_id: int = -1
+    """Its withdrawal; -1 if the operator has not given up."""
     revision: int = 0
-    """Acknowledged revision, or the one that it lost to."""
+    """Revision that the change got, or, if it was refused, the conflicting one."""
 
 
 class Daemon(NamedTuple):
-    """One reader of the stream."""
+    """One daemon that follows the stream and serves the configuration."""
 
     serving: bool = True
-    applied: int = 0
-    served: int = 0
-    """Highest revision that this daemon ever served with."""
+    applied_count: int = 0
+    """Number of records of the log that were applied."""
+    max_served_revision: int = 0
+    """Highest revision that this daemon has ever served."""
     reverted: bool = False
-    barrier: int = -1
-    """Own record that must be applied before a restarted daemon serves."""
+    """Whether it has served a lower revision after that one."""
+    barrier_id: int = -1
+    """Own record that a restarted daemon must apply before it serves; -1 while it serves."""
 
 
 class ConfigurationModelState(NamedTuple):
-    """State of the specification."""
+    """State of the model."""
 
-    transport: Transport = Transport()
-    changes: tuple[Change, ...] = (Change(),) * OPERATORS
-    daemons: tuple[Daemon, ...] = (Daemon(),) * OPERATORS
-    restarts_left: int = RESTARTS
+    log: LogState = LogState()
+    changes: tuple[Change, ...] = (Change(),) * OPERATOR_COUNT
+    daemons: tuple[Daemon, ...] = (Daemon(),) * OPERATOR_COUNT
+    restarts_left: int = MAX_RESTARTS
 
 
 class _Model:
-    """Transitions and properties, with mutants built in."""
+    """Transitions and invariants, with mutants applied."""
 
     def __init__(self, mutants: frozenset[str]) -> None:
         self.mutants = mutants
-        self.log = SharedLog(ConfigurationState, skip_dedupe="skip_dedupe" in mutants)
+        self.replayer = LogReplayer(ConfigurationState, skip_dedupe="skip_dedupe" in mutants)
         self.snapshot_verdicts: dict[tuple[int, ...], bool] = {}
 
     # --- transitions -----------------------------------------------------------------
 
-    def transitions(self, state: ConfigurationModelState) -> list[Step]:
-        steps: list[Step] = []
-        for label, transport in arrivals(state.transport, self._copies):
-            steps.append((label, state._replace(transport=transport)))
-        for number in range(OPERATORS):
-            steps += self._operator_steps(state, number)
-            steps += self._daemon_steps(state, number)
-        return steps
-
-    def _operator_steps(self, state: ConfigurationModelState, number: int) -> list[Step]:
-        change = state.changes[number]
-        if change.phase == IDLE and state.daemons[number].serving:
-            record = self.log.number(self._put(state, number))
-            sent = Change(phase=SENT, record=record)
-            return [(f"propose({number})", self._sent(state, number, sent, record))]
-        steps: list[Step] = []
-        if change.phase == SENT and number == 0:
-            steps.append((f"give_up({number})", self._given_up(state, number)))
+    def transitions(self, state: ConfigurationModelState) -> list[Action]:
+        actions: list[Action] = []
+        for label, log in append_actions(state.log, self._max_copies):
+            actions.append((label, state._replace(log=log)))
+        for index in range(OPERATOR_COUNT):
+            actions += self._operator_actions(state, index)
+            actions += self._daemon_actions(state, index)
+        return actions
+
+    def _operator_actions(self, state: ConfigurationModelState, index: int) -> list[Action]:
+        change = state.changes[index]
+        if change.phase == IDLE and state.daemons[index].serving:
+            record_id = self.replayer.record_id(self._make_change(state, index))
+            sent = Change(phase=SENT, record_id=record_id)
+            return [(f"propose({index})", self._send(state, index, sent, record_id))]
+        actions: list[Action] = []
+        if change.phase == SENT and index == 0:
+            actions.append((f"give_up({index})", self._give_up(state, index)))
         if change.phase == SENT and "acknowledge_on_send" in self.mutants:
-            accepted = change._replace(phase=ACCEPTED, revision=len(state.transport.log) + 1)
-            steps.append((f"acknowledge({number})", _with_change(state, number, accepted)))
-        return steps
-
-    def _copies(self, record: int) -> int:
-        made = self.log.record(record)
-        return COPIES[int(made.writer[1])] if isinstance(made.body, ObjectPut) else 1
-
-    def _put(self, state: ConfigurationModelState, number: int) -> Record:
-        view = self._view(state, state.daemons[number])
-        current = view.fold.get(KIND, NAME)
-        expected = (current.revision if current else 0) if number == 1 else None
+            accepted = change._replace(phase=ACCEPTED, revision=len(state.log.records) + 1)
+            actions.append((f"acknowledge({index})", _with_change(state, index, accepted)))
+        return actions
+
+    def _max_copies(self, record_id: int) -> int:
+        record = self.replayer.record(record_id)
+        return MAX_COPIES_BY_OPERATOR[int(record.writer[1])] if isinstance(record.body, ObjectPut) else 1
+
+    def _make_change(self, state: ConfigurationModelState, index: int) -> Record:
+        view = self._view(state, state.daemons[index])
+        current = view.projection.get(KIND, NAME)
+        expected = (current.revision if current else 0) if index == 1 else None
         if "forget_expected" in self.mutants:
             expected = None
         body = ObjectPut(
             object_kind=KIND,
             name=NAME,
             expected_revision=expected,
-            labels={"by": str(number)},
+            labels={"by": str(index)},
             spec=_SPEC_JSON,
         )
-        return Record(writer=f"d{number}", sequence=1, epoch=0, body=body)
+        return Record(writer=f"d{index}", sequence=1, epoch=0, body=body)
 
-    def _given_up(self, state: ConfigurationModelState, number: int) -> ConfigurationModelState:
-        change = state.changes[number]
+    def _give_up(self, state: ConfigurationModelState, index: int) -> ConfigurationModelState:
+        change = state.changes[index]
         sequence = 0 if "withdraw_without_sequence" in self.mutants else 1
-        record = Record(writer=f"d{number}", sequence=sequence, epoch=0, body=ProposalWithdrawn())
-        withdrawal = self.log.number(record)
-        abandoned = change._replace(phase=ABANDONED, withdrawal=withdrawal)
-        return self._sent(state, number, abandoned, withdrawal)
+        record = Record(writer=f"d{index}", sequence=sequence, epoch=0, body=ProposalWithdrawn())
+        withdrawal_id = self.replayer.record_id(record)
+        abandoned = change._replace(phase=ABANDONED, withdrawal_id=withdrawal_id)
+        return self._send(state, index, abandoned, withdrawal_id)
 
-    def _sent(
-        self, state: ConfigurationModelState, number: int, change: Change, record: int
+    def _send(
+        self, state: ConfigurationModelState, index: int, change: Change, record_id: int
     ) -> ConfigurationModelState:
-        state = state._replace(transport=send(state.transport, record))
-        return _with_change(state, number, change)
-
-    def _daemon_steps(self, state: ConfigurationModelState, number: int) -> list[Step]:
-        daemon = state.daemons[number]
-        steps: list[Step] = []
-        if daemon.applied < len(state.transport.log):
-            steps.append((f"read({number})", self._read(state, number)))
+        state = state._replace(log=start_append(state.log, record_id))
+        return _with_change(state, index, change)
+
+    def _daemon_actions(self, state: ConfigurationModelState, index: int) -> list[Action]:
+        daemon = state.daemons[index]
+        actions: list[Action] = []
+        if daemon.applied_count < len(state.log.records):
+            actions.append((f"read({index})", self._read_next(state, index)))
         if not daemon.serving and self._may_serve(state, daemon):
-            steps.append((f"serve({number})", self._serving(state, number, daemon)))
+            actions.append((f"serve({index})", self._serve(state, index, daemon)))
         if state.restarts_left:
-            for applied in range(len(state.transport.log) + 1):
-                steps.append((f"restart({number}, {applied})", self._restarted(state, number, applied)))
-        if daemon.serving and "adopt_old_snapshot" in self.mutants and daemon.applied:
-            behind = daemon._replace(applied=daemon.applied - 1)
-            steps.append((f"old_snapshot({number})", self._serving(state, number, behind)))
-        return steps
-
-    def _read(self, state: ConfigurationModelState, number: int) -> ConfigurationModelState:
-        daemon = state.daemons[number]._replace(applied=state.daemons[number].applied + 1)
-        state = _with_daemon(state, number, daemon)
+            for snapshot_at in range(len(state.log.records) + 1):
+                actions.append((f"restart({index}, {snapshot_at})", self._restart(state, index, snapshot_at)))
+        if daemon.serving and "adopt_old_snapshot" in self.mutants and daemon.applied_count:
+            behind = daemon._replace(applied_count=daemon.applied_count - 1)
+            actions.append((f"old_snapshot({index})", self._serve(state, index, behind)))
+        return actions
+
+    def _read_next(self, state: ConfigurationModelState, index: int) -> ConfigurationModelState:
+        daemon = state.daemons[index]._replace(applied_count=state.daemons[index].applied_count + 1)
+        state = _with_daemon(state, index, daemon)
         if daemon.serving:
-            state = self._serving(state, number, daemon)
-        change = state.changes[number]
-        if change.phase == SENT and state.transport.log[daemon.applied - 1] == change.record:
-            state = _with_change(state, number, self._decided(change, self._view(state, daemon)))
+            state = self._serve(state, index, daemon)
+        change = state.changes[index]
+        if change.phase == SENT and state.log.records[daemon.applied_count - 1] == change.record_id:
+            state = _with_change(state, index, self._apply_decision(change, self._view(state, daemon)))
         return state
 
-    def _decided(self, change: Change, view: View) -> Change:
+    def _apply_decision(self, change: Change, view: PrefixView) -> Change:
         decision = view.decisions[-1]
         if isinstance(decision, Accepted):
             return change._replace(phase=ACCEPTED, revision=decision.value)
@@ -171,43 +187,43 @@
             return change._replace(phase=REFUSED, revision=int(decision.error.details["revision"]))
         return change
 
-    def _restarted(
-        self, state: ConfigurationModelState, number: int, applied: int
+    def _restart(
+        self, state: ConfigurationModelState, index: int, snapshot_at: int
     ) -> ConfigurationModelState:
-        life = RESTARTS - state.restarts_left
-        record = Record(writer=f"d{number}/{life}", sequence=1, epoch=0, body=ProposalWithdrawn())
-        barrier = self.log.number(record)
-        daemon = state.daemons[number]._replace(serving=False, applied=applied, barrier=barrier)
-        change = state.changes[number]
-        if change.phase in (SENT, ABANDONED):
-            state = _with_change(state, number, change._replace(phase=LOST))
-        transport = send(state.transport, barrier)
-        return _with_daemon(
-            state._replace(transport=transport, restarts_left=state.restarts_left - 1), number, daemon
+        incarnation = MAX_RESTARTS - state.restarts_left
+        record = Record(writer=f"d{index}/{incarnation}", sequence=1, epoch=0, body=ProposalWithdrawn())
+        barrier_id = self.replayer.record_id(record)
+        daemon = state.daemons[index]._replace(
+            serving=False, applied_count=snapshot_at, barrier_id=barrier_id
         )
+        change = state.changes[index]
+        if change.phase in (SENT, ABANDONED):
+            state = _with_change(state, index, change._replace(phase=LOST))
+        log = start_append(state.log, barrier_id)
+        return _with_daemon(state._replace(log=log, restarts_left=state.restarts_left - 1), index, daemon)
 
     def _may_serve(self, state: ConfigurationModelState, daemon: Daemon) -> bool:
         if "serve_at_replica_end" in self.mutants:
             return True
         if "serve_at_peers_revision" in self.mutants:
-            in_force = max((peer.applied for peer in state.daemons if peer.serving), default=0)
-            return daemon.applied >= in_force
-        return daemon.barrier in state.transport.log[: daemon.applied]
-
-    def _serving(
-        self, state: ConfigurationModelState, number: int, daemon: Daemon
-    ) -> ConfigurationModelState:
-        revision = self._view(state, daemon).fold.revision
+            peers_applied_count = max(
+                (peer.applied_count for peer in state.daemons if peer.serving), default=0
+            )
+            return daemon.applied_count >= peers_applied_count
+        return daemon.barrier_id in state.log.records[: daemon.applied_count]
+
+    def _serve(self, state: ConfigurationModelState, index: int, daemon: Daemon) -> ConfigurationModelState:
+        revision = self._view(state, daemon).projection.revision
         serving = daemon._replace(
             serving=True,
-            served=max(daemon.served, revision),
-            reverted=daemon.reverted or revision < daemon.served,
-            barrier=-1,
+            max_served_revision=max(daemon.max_served_revision, revision),
+            reverted=daemon.reverted or revision < daemon.max_served_revision,
+            barrier_id=-1,
         )
-        return _with_daemon(state, number, serving)
+        return _with_daemon(state, index, serving)
 
-    def _view(self, state: ConfigurationModelState, daemon: Daemon) -> View:
-        return self.log.view(state.transport.log[: daemon.applied])
+    def _view(self, state: ConfigurationModelState, daemon: Daemon) -> PrefixView:
+        return self.replayer.view(state.log.records[: daemon.applied_count])
 
     # --- properties ------------------------------------------------------------------
 
@@ -223,93 +239,102 @@
         }
 
     def _acknowledged_on_log(self, d: dict) -> bool:
-        log = d["transport"].log
-        decisions = self.log.view(log).decisions
+        records = d["log"].records
+        decisions = self.replayer.view(records).decisions
         for change in d["changes"]:
             if change.phase != ACCEPTED:
                 continue
             offset = change.revision - 1
-            if offset >= len(log) or log[offset] != change.record:
+            if offset >= len(records) or records[offset] != change.record_id:
                 return False
             if not isinstance(decisions[offset], Accepted):
                 return False
         return True
 
     def _accepted_once(self, d: dict) -> bool:
-        log = d["transport"].log
-        decisions = self.log.view(log).decisions
-        accepted = [n for n, decision in zip(log, decisions, strict=True) if isinstance(decision, Accepted)]
+        records = d["log"].records
+        decisions = self.replayer.view(records).decisions
+        accepted = [
+            record_id
+            for record_id, decision in zip(records, decisions, strict=True)
+            if isinstance(decision, Accepted)
+        ]
         return len(accepted) == len(set(accepted))
 
     def _no_lost_update(self, d: dict) -> bool:
-        """The change of operator 1 replaces what its daemon had when it proposed."""
-        log = d["transport"].log
-        standing = 0
-        for offset, decision in enumerate(self.log.view(log).decisions):
-            body = self.log.record(log[offset]).body
+        """Whether each accepted change of operator 1 replaces the revision that its daemon had read."""
+        records = d["log"].records
+        current_revision = 0
+        for offset, decision in enumerate(self.replayer.view(records).decisions):
+            body = self.replayer.record(records[offset]).body
             if not isinstance(body, ObjectPut) or isinstance(decision, Rejected):
                 continue
-            read = self._read_revision(log[offset])
-            if read is not None and read != standing:
+            expected = self._expected_revision(records[offset])
+            if expected is not None and expected != current_revision:
                 return False
-            standing = offset + 1
+            current_revision = offset + 1
         return True
 
-    def _read_revision(self, number: int) -> int | None:
-        record = self.log.record(number)
+    def _expected_revision(self, record_id: int) -> int | None:
+        record = self.replayer.record(record_id)
         if record.writer != "d1":
             return None
         return record.body.expected_revision if record.body.expected_revision is not None else 0
 
     def _true_conflict(self, d: dict) -> bool:
-        log = d["transport"].log
+        records = d["log"].records
         for change in d["changes"]:
             if change.phase != REFUSED:
                 continue
-            expected = self.log.record(change.record).body.expected_revision
+            expected = self.replayer.record(change.record_id).body.expected_revision
             if change.revision == expected:
                 return False
-            if change.revision and not self._is_accepted_put(log, change.revision - 1, change.record):
+            if change.revision and not self._is_accepted_by_other(
+                records, change.revision - 1, change.record_id
+            ):
                 return False
         return True
 
-    def _is_accepted_put(self, log: tuple[int, ...], offset: int, own: int) -> bool:
-        if offset >= len(log) or log[offset] == own:
+    def _is_accepted_by_other(self, records: tuple[int, ...], offset: int, own_id: int) -> bool:
+        if offset >= len(records) or records[offset] == own_id:
             return False
-        return isinstance(self.log.view(log).decisions[offset], Accepted)
+        return isinstance(self.replayer.view(records).decisions[offset], Accepted)
 
     def _withdrawn_is_void(self, d: dict) -> bool:
-        log = d["transport"].log
+        records = d["log"].records
         for change in d["changes"]:
-            if change.withdrawal not in log:
+            if change.withdrawal_id not in records:
                 continue
-            decisions = self.log.view(log).decisions
-            after = log.index(change.withdrawal)
-            for offset in range(after + 1, len(log)):
-                if log[offset] == change.record and isinstance(decisions[offset], Accepted):
+            decisions = self.replayer.view(records).decisions
+            withdrawn_at = records.index(change.withdrawal_id)
+            for offset in range(withdrawn_at + 1, len(records)):
+                if records[offset] == change.record_id and isinstance(decisions[offset], Accepted):
                     return False
         return True
 
     def _snapshot_equals_replay(self, d: dict) -> bool:
-        log = d["transport"].log
-        whole = self.log.view(log).stream.fold.snapshot()
+        records = d["log"].records
+        full_replay = self.replayer.view(records).stream.fold.snapshot()
         if "skip_dedupe" in self.mutants:
             return True
-        return all(self.log.replay(log, cut).stream.fold.snapshot() == whole for cut in range(1, len(log)))
+        return all(
+            self.replayer.replay(records, snapshot_at).stream.fold.snapshot() == full_replay
+            for snapshot_at in range(1, len(records))
+        )
 
 
-def _with_change(state: ConfigurationModelState, number: int, change: Change) -> ConfigurationModelState:
-    changes = tuple(change if i == number else old for i, old in enumerate(state.changes))
+def _with_change(state: ConfigurationModelState, index: int, change: Change) -> ConfigurationModelState:
+    changes = tuple(change if i == index else old for i, old in enumerate(state.changes))
     return state._replace(changes=changes)
 
 
-def _with_daemon(state: ConfigurationModelState, number: int, daemon: Daemon) -> ConfigurationModelState:
-    daemons = tuple(daemon if i == number else old for i, old in enumerate(state.daemons))
+def _with_daemon(state: ConfigurationModelState, index: int, daemon: Daemon) -> ConfigurationModelState:
+    daemons = tuple(daemon if i == index else old for i, old in enumerate(state.daemons))
     return state._replace(daemons=daemons)
 
 
 def build(mutants: frozenset[str]) -> Protocol:
-    """Return the model."""
+    """Return the model with the named mutants applied."""
     model = _Model(mutants)
     return Protocol(
         name="configuration",
@@ -319,7 +344,7 @@
         transitions=model.transitions,
         invariants=model.invariants(),
         goal=lambda d: all(
-            daemon.serving and daemon.applied == len(d["transport"].log) for daemon in d["daemons"]
+            daemon.serving and daemon.applied_count == len(d["log"].records) for daemon in d["daemons"]
         ),
     )
 
--- a/passgate/check/specification/evacuation.py
+++ b/passgate/check/specification/evacuation.py
@@ -1,12 +1,15 @@
-"""Specification of how daemons learn which zones are evacuated, on the running code's view.
+"""Specification of how daemons learn which zones are evacuated; see :mod:`passgate.eligibility.evacuation`.
 
-The operator begins and ends evacuations; two daemons each follow the log and tell each other what
-they know.  A snapshot may be behind the log and what was read of it, and an answer of the other daemon
-may be read at any later time, when newer records are known already; a daemon that the log turns
-away lives on what the other one tells.
+The operator starts and ends evacuations by records on a log.  Two daemons each read the log and receive each
+other's views; a daemon that is cut off from the log has only those.  A snapshot may be older than what a
+daemon knows, and a received view may be applied at any later time.
 
-Properties: ``monotonic`` (no daemon takes an older view over a newer one) and ``true_view`` (what a
-daemon knows as of an offset is what the operator's records up to that offset say).
+Invariants:
+
+- ``monotonic``: no daemon replaces its view by an older one;
+- ``view_matches_log``: the view of a daemon as of an offset holds what the records before it say.
+
+Liveness: from every state, all daemons can reach one in which they know all records.
 """
 
 from __future__ import annotations
@@ -16,52 +19,53 @@
 
 from minicheck import Protocol
 
-from passgate.check.specification.kernel import Mutant, Specification, Step
+from passgate.check.specification.kernel import Action, Mutant, Specification
 from passgate.decisions import DecisionLog
 from passgate.eligibility.evacuation import EvacuatedZones, EvacuationChange, EvacuationView
 
-DAEMONS = 2
+DAEMON_COUNT = 2
 ZONES = ("a", "b")
 MAX_RECORDS = 3
 
-Zones = tuple[str, ...]
-"""Evacuated zones, sorted."""
+ZoneNames = tuple[str, ...]
+"""Names of evacuated zones, sorted."""
 
 
-class Entry(NamedTuple):
-    """One record of the operator."""
+class EvacuationRecord(NamedTuple):
+    """Record by which the operator starts or ends the evacuation of a zone."""
 
     zone: str
     evacuated: bool
 
 
-class View(NamedTuple):
-    """Evacuated zones as of an offset."""
+class ZoneView(NamedTuple):
+    """The evacuated zones as of an offset of the log."""
 
     offset: int = 0
-    zones: Zones = ()
+    zones: ZoneNames = ()
 
 
 class Daemon(NamedTuple):
-    """One daemon."""
+    """What one daemon knows."""
 
-    tail: int = 0
-    """Offset up to which it has read the log itself."""
-    view: View = View()
-    told: View | None = None
-    """What the other daemon told, not yet read."""
-    went_back: bool = False
+    next_offset: int = 0
+    """Offset of the record that it reads next."""
+    view: ZoneView = ZoneView()
+    received_view: ZoneView | None = None
+    """View of the other daemon that it has received and not applied yet."""
+    view_reverted: bool = False
+    """Whether a view was replaced by an older one."""
 
 
 class EvacuationModelState(NamedTuple):
-    """State of the specification."""
+    """State of the model."""
 
-    log: tuple[Entry, ...] = ()
-    daemons: tuple[Daemon, ...] = (Daemon(),) * DAEMONS
+    log: tuple[EvacuationRecord, ...] = ()
+    daemons: tuple[Daemon, ...] = (Daemon(),) * DAEMON_COUNT
 
 
-class _MergingZones(EvacuatedZones):
-    """Mutant: what another daemon tells is added instead of taken as a whole."""
+class _ZonesMergingPeerViews(EvacuatedZones):
+    """Mutant: another daemon's view is merged into the own one instead of replacing it."""
 
     def adopt_newer_view(self, view: EvacuationView, *, peer: str, age_s: float) -> None:
         offset = max(view.offset, self.view.offset)
@@ -70,130 +74,144 @@
         )
 
 
-class _AnyPeerZones(EvacuatedZones):
-    """Mutant: a view of another daemon counts also when it is older."""
+class _ZonesAdoptingAnyPeerView(EvacuatedZones):
+    """Mutant: another daemon's view replaces the own one also when it is older."""
 
     def adopt_newer_view(self, view: EvacuationView, *, peer: str, age_s: float) -> None:
         self._view = view
 
 
-class _AnySnapshotZones(EvacuatedZones):
-    """Mutant: a snapshot counts also when it is older than what a daemon has told."""
+class _ZonesApplyingAnySnapshot(EvacuatedZones):
+    """Mutant: a snapshot replaces the view also when it is older."""
 
     def apply_snapshot(self, zones: Iterable[str], next_offset: int) -> None:
         self._view = EvacuationView(offset=next_offset, zones=frozenset(zones))
 
 
-class _KeepingZones(EvacuatedZones):
-    """Mutant: a snapshot that lacks a record ends nothing."""
+class _ZonesKeepingEvacuations(EvacuatedZones):
+    """Mutant: a snapshot ends no evacuation."""
 
     def apply_snapshot(self, zones: Iterable[str], next_offset: int) -> None:
         super().apply_snapshot({*zones, *self.view.zones}, next_offset)
 
 
-class _ReplayingZones(EvacuatedZones):
-    """Mutant: records that a newer view already contains are applied once more."""
+class _ZonesReplayingRecords(EvacuatedZones):
+    """Mutant: records that the view already contains are applied again."""
 
     def apply_changes(self, changes: Iterable[EvacuationChange], next_offset: int) -> None:
-        later = (
+        reapplied = (
             EvacuationChange(offset=self.view.offset, zone=change.zone, evacuated=change.evacuated)
             for change in changes
         )
-        super().apply_changes(later, next_offset)
+        super().apply_changes(reapplied, next_offset)
 
 
-_MUTANT_TYPES: dict[str, type[EvacuatedZones]] = {
-    "merge_peers_view": _MergingZones,
-    "take_older_peer": _AnyPeerZones,
-    "take_older_snapshot": _AnySnapshotZones,
-    "keep_over_snapshot": _KeepingZones,
-    "replay_known_records": _ReplayingZones,
+_ZONES_TYPE_BY_MUTANT: dict[str, type[EvacuatedZones]] = {
+    "merge_peers_view": _ZonesMergingPeerViews,
+    "adopt_older_peer_view": _ZonesAdoptingAnyPeerView,
+    "apply_older_snapshot": _ZonesApplyingAnySnapshot,
+    "keep_despite_snapshot": _ZonesKeepingEvacuations,
+    "replay_known_records": _ZonesReplayingRecords,
 }
 
 
 class _Model:
-    """Transitions and properties, with mutants built in."""
+    """Transitions and invariants, with a mutant applied."""
 
     def __init__(self, mutants: frozenset[str]) -> None:
-        self._zones_type = next((_MUTANT_TYPES[name] for name in mutants), EvacuatedZones)
+        self._zones_type = next((_ZONES_TYPE_BY_MUTANT[name] for name in mutants), EvacuatedZones)
         self._decisions = DecisionLog("d", write=len)
 
-    def transitions(self, state: EvacuationModelState) -> list[Step]:
-        steps: list[Step] = []
+    def transitions(self, state: EvacuationModelState) -> list[Action]:
+        actions: list[Action] = []
         if len(state.log) < MAX_RECORDS:
-            standing = _standing(state.log)
-            for entry in (Entry(zone, evacuated=zone not in standing) for zone in ZONES):
-                steps.append((f"write({entry})", state._replace(log=(*state.log, entry))))
-        for number in range(DAEMONS):
-            steps += self._steps_of(state, number)
-        return steps
-
-    def _steps_of(self, state: EvacuationModelState, number: int) -> list[Step]:
-        daemon = state.daemons[number]
-        steps: list[Step] = []
-        if daemon.tail < len(state.log):
-            steps.append((f"read({number})", _with(state, number, self._read(state, daemon))))
-        for end in range(len(state.log) + 1):
-            taken = self._with_snapshot(state, daemon, end)
-            steps.append((f"snapshot({number}, {end})", _with(state, number, taken)))
-        if daemon.told is not None:
-            steps.append((f"learn({number})", _with(state, number, self._learned(daemon, daemon.told))))
+            evacuated_zones = _evacuated_zones(state.log)
+            for record in (EvacuationRecord(zone, evacuated=zone not in evacuated_zones) for zone in ZONES):
+                actions.append((f"write({record})", state._replace(log=(*state.log, record))))
+        for index in range(DAEMON_COUNT):
+            actions += self._daemon_actions(state, index)
+        return actions
+
+    def _daemon_actions(self, state: EvacuationModelState, index: int) -> list[Action]:
+        daemon = state.daemons[index]
+        actions: list[Action] = []
+        if daemon.next_offset < len(state.log):
+            actions.append((f"read({index})", _with_daemon(state, index, self._read_next(state, daemon))))
+        for snapshot_end in range(len(state.log) + 1):
+            after_snapshot = self._apply_snapshot(state, daemon, snapshot_end)
+            actions.append((f"snapshot({index}, {snapshot_end})", _with_daemon(state, index, after_snapshot)))
+        if daemon.received_view is not None:
+            actions.append(
+                (
+                    f"adopt({index})",
+                    _with_daemon(state, index, self._adopt_received_view(daemon, daemon.received_view)),
+                )
+            )
         else:
-            other = state.daemons[1 - number]
-            steps.append((f"tell({number})", _with(state, number, daemon._replace(told=other.view))))
-        return steps
-
-    def _read(self, state: EvacuationModelState, daemon: Daemon) -> Daemon:
-        zones, entry = self._zones(daemon), state.log[daemon.tail]
-        change = EvacuationChange(offset=daemon.tail, zone=entry.zone, evacuated=entry.evacuated)
-        zones.apply_changes([change], daemon.tail + 1)
-        return _moved(daemon._replace(tail=daemon.tail + 1), zones)
-
-    def _with_snapshot(self, state: EvacuationModelState, daemon: Daemon, end: int) -> Daemon:
-        zones = self._zones(daemon)
-        zones.apply_snapshot(_standing(state.log[:end]), end)
-        return _moved(daemon._replace(tail=end), zones)
-
-    def _learned(self, daemon: Daemon, told: View) -> Daemon:
-        zones = self._zones(daemon)
+            other_daemon = state.daemons[1 - index]
+            actions.append(
+                (
+                    f"receive({index})",
+                    _with_daemon(state, index, daemon._replace(received_view=other_daemon.view)),
+                )
+            )
+        return actions
+
+    def _read_next(self, state: EvacuationModelState, daemon: Daemon) -> Daemon:
+        zones, record = self._make_zones(daemon), state.log[daemon.next_offset]
+        change = EvacuationChange(offset=daemon.next_offset, zone=record.zone, evacuated=record.evacuated)
+        zones.apply_changes([change], daemon.next_offset + 1)
+        return _with_view_of(daemon._replace(next_offset=daemon.next_offset + 1), zones)
+
+    def _apply_snapshot(self, state: EvacuationModelState, daemon: Daemon, snapshot_end: int) -> Daemon:
+        zones = self._make_zones(daemon)
+        zones.apply_snapshot(_evacuated_zones(state.log[:snapshot_end]), snapshot_end)
+        return _with_view_of(daemon._replace(next_offset=snapshot_end), zones)
+
+    def _adopt_received_view(self, daemon: Daemon, received_view: ZoneView) -> Daemon:
+        zones = self._make_zones(daemon)
         zones.adopt_newer_view(
-            EvacuationView(offset=told.offset, zones=frozenset(told.zones)), peer="h:1", age_s=0.0
+            EvacuationView(offset=received_view.offset, zones=frozenset(received_view.zones)),
+            peer="h:1",
+            age_s=0.0,
         )
-        return _moved(daemon._replace(told=None), zones)
+        return _with_view_of(daemon._replace(received_view=None), zones)
 
-    def _zones(self, daemon: Daemon) -> EvacuatedZones:
-        """Return the running code's view of a daemon, which knows what this one knows."""
+    def _make_zones(self, daemon: Daemon) -> EvacuatedZones:
+        """Return an instance of the running code's class that holds a daemon's view."""
         zones = self._zones_type(self._decisions)
         EvacuatedZones.apply_snapshot(zones, daemon.view.zones, daemon.view.offset)
         return zones
 
     def invariants(self) -> dict:
         return {
-            "monotonic": lambda d: not any(daemon.went_back for daemon in d["daemons"]),
-            "true_view": lambda d: all(
-                daemon.view.zones == _standing(d["log"][: daemon.view.offset]) for daemon in d["daemons"]
+            "monotonic": lambda d: not any(daemon.view_reverted for daemon in d["daemons"]),
+            "view_matches_log": lambda d: all(
+                daemon.view.zones == _evacuated_zones(d["log"][: daemon.view.offset])
+                for daemon in d["daemons"]
             ),
         }
 
 
-def _standing(log: tuple[Entry, ...]) -> Zones:
-    """Return the zones that are evacuated after some records."""
-    last = dict(log)
-    return tuple(sorted(zone for zone, evacuated in last.items() if evacuated))
+def _evacuated_zones(log: tuple[EvacuationRecord, ...]) -> ZoneNames:
+    """Return the zones that are evacuated after the given records."""
+    evacuated_by_zone = dict(log)
+    return tuple(sorted(zone for zone, evacuated in evacuated_by_zone.items() if evacuated))
 
 
-def _moved(daemon: Daemon, zones: EvacuatedZones) -> Daemon:
-    view = View(offset=zones.view.offset, zones=tuple(sorted(zones.view.zones)))
-    return daemon._replace(view=view, went_back=daemon.went_back or view.offset < daemon.view.offset)
+def _with_view_of(daemon: Daemon, zones: EvacuatedZones) -> Daemon:
+    """Return the daemon with the view that the running code holds now."""
+    view = ZoneView(offset=zones.view.offset, zones=tuple(sorted(zones.view.zones)))
+    return daemon._replace(view=view, view_reverted=daemon.view_reverted or view.offset < daemon.view.offset)
 
 
-def _with(state: EvacuationModelState, number: int, daemon: Daemon) -> EvacuationModelState:
-    daemons = tuple(daemon if i == number else old for i, old in enumerate(state.daemons))
+def _with_daemon(state: EvacuationModelState, index: int, daemon: Daemon) -> EvacuationModelState:
+    daemons = tuple(daemon if i == index else old for i, old in enumerate(state.daemons))
     return state._replace(daemons=daemons)
 
 
 def build(mutants: frozenset[str]) -> Protocol:
-    """Return the model."""
+    """Return the model with the named mutant applied."""
     model = _Model(mutants)
     return Protocol(
         name="evacuation",
@@ -208,33 +226,33 @@
 
 EVACUATION = Specification(
     name="evacuation",
-    bounds="2 daemons, 2 zones, 3 records, any snapshot behind the log, 1 late answer at each daemon",
+    bounds="2 daemons, 2 zones, 3 records, any snapshot behind the log, 1 late view at each daemon",
     build=build,
     mutants=(
         Mutant(
             name="merge_peers_view",
-            mistake="zones that another daemon tells are added to the own ones",
-            caught_by="true_view",
+            mistake="another daemon's view is merged into the own one",
+            caught_by="view_matches_log",
         ),
         Mutant(
-            name="take_older_peer",
-            mistake="a view of another daemon counts also when it is older",
+            name="adopt_older_peer_view",
+            mistake="an older view of another daemon replaces the own one",
             caught_by="monotonic",
         ),
         Mutant(
-            name="take_older_snapshot",
-            mistake="a snapshot counts also when a newer view was learned meanwhile",
+            name="apply_older_snapshot",
+            mistake="a snapshot replaces a newer view",
             caught_by="monotonic",
         ),
         Mutant(
-            name="keep_over_snapshot",
-            mistake="a snapshot that lacks a record ends no evacuation",
-            caught_by="true_view",
+            name="keep_despite_snapshot",
+            mistake="a snapshot ends no evacuation",
+            caught_by="view_matches_log",
         ),
         Mutant(
             name="replay_known_records",
-            mistake="records that a learned view contains are applied to it again",
-            caught_by="true_view",
+            mistake="records that the view already contains are applied again",
+            caught_by="view_matches_log",
         ),
     ),
 )
--- a/passgate/check/specification/leases.py
+++ b/passgate/check/specification/leases.py
@@ -1,12 +1,18 @@
-"""Specification of leases and fencing, on the running code's fold.
+"""Specification of leases and fenced orders; see :mod:`passgate.state.leases`.
 
-Two daemons take one role; each may wrongly believe the other dead, and each may
-be paused between its check of the lease and the order that follows.  Orders reach
-the engine late and out of order, or are lost.
+Two daemons take and release one role.  Either may take it while the other holds it, because membership can
+not tell a crashed daemon from a slow one, and either may pause between the check of its lease and the order
+that follows.  Orders are late, reordered or lost on their way to the engine.
 
-Properties: ``fence_order`` (the engine never obeys an older epoch after a newer
-one), ``one_holder_per_epoch``, ``epochs_grow`` (accepted takes grow by one) and
-``own_release`` (a role is freed only under the epoch in force).
+Invariants:
+
+- ``fence_order``: the engine never obeys an order with a lower fence after one with a higher fence;
+- ``one_holder_per_epoch``: no two daemons believe that they hold the role under the same epoch;
+- ``epochs_grow``: the epochs of accepted takes are 1, 2, 3 and so on;
+- ``own_release``: the role is released only by the writer of the latest accepted take, under its epoch.
+
+Liveness: from every state, a daemon can still come to hold the role while it has applied the whole log, or a
+record of the highest epoch is on the log.
 """
 
 from __future__ import annotations
@@ -16,55 +22,59 @@
 import msgspec
 from minicheck import Protocol
 
-from passgate.check.specification.kernel import Mutant, Specification, Step
-from passgate.check.specification.shared_log import SharedLog, Transport, arrivals, send
+from passgate.check.specification.kernel import Action, Mutant, Specification
+from passgate.check.specification.shared_log import LogReplayer, LogState, append_actions, start_append
 from passgate.records import LeaseReleased, LeaseTaken, Record
 from passgate.state.fold import Accepted, Decision
 from passgate.state.lease_state import NEVER_HELD, LeaseFold, LeaseState
 
-DAEMONS = 2
-COPIES = (1, 1)
-"""How often a record of each daemon stands on the log at most."""
-EPOCHS = 2
-"""Highest epoch explored."""
+DAEMON_COUNT = 2
+MAX_COPIES_BY_DAEMON = (1, 1)
+"""Most copies on the log of each record of a daemon."""
+MAX_EPOCH = 2
+"""Highest epoch that is explored."""
 
 ROLE = "pool/p"
 
 
-class Holder(NamedTuple):
-    """One daemon."""
+class Daemon(NamedTuple):
+    """One daemon that takes and releases the role and sends orders."""
 
-    applied: int = 0
-    proposed: int = -1
-    believes: int = 0
-    """Epoch under which it believes to hold the role; 0 when it does not."""
-    armed: int = 0
-    """Epoch that was checked for an order not sent yet."""
+    applied_count: int = 0
+    """Number of records of the log that were applied."""
+    proposed_id: int = -1
+    """Own record that it has sent and not read back; -1 if none."""
+    believed_epoch: int = 0
+    """Epoch under which it believes that it holds the role; 0 if it does not."""
+    checked_epoch: int = 0
+    """Epoch that was checked for an order that is not sent yet; 0 if none."""
 
 
 class Engine(NamedTuple):
-    """The engine's side of the fence."""
+    """The engine that receives orders."""
 
     fence: int = 0
-    last_obeyed: int = 0
-    obeyed_older: bool = False
+    """Highest fence of an order that it has received."""
+    last_obeyed_fence: int = 0
+    obeyed_older_fence: bool = False
+    """Whether it has obeyed an order with a lower fence than the order before."""
 
 
 class LeaseModelState(NamedTuple):
-    """State of the specification."""
+    """State of the model."""
 
-    transport: Transport = Transport()
-    holders: tuple[Holder, ...] = (Holder(),) * DAEMONS
-    orders: frozenset[int] = frozenset()
-    """Fences of orders on their way."""
+    log: LogState = LogState()
+    daemons: tuple[Daemon, ...] = (Daemon(),) * DAEMON_COUNT
+    fences_in_flight: frozenset[int] = frozenset()
+    """Fences of orders in flight to the engine."""
     engine: Engine = Engine()
 
 
-class UnfencedTakeFold(LeaseFold):
+class UnfencedTakeProjection(LeaseFold):
     """Mutant: a take under an old epoch is accepted."""
 
     def apply(self, offset: int, record: Record) -> Decision:
-        """Apply a take as if its epoch were the next one."""
+        """Accept a take whose epoch is not the next one."""
         current = self.roles.get(ROLE, NEVER_HELD).epoch
         if isinstance(record.body, LeaseTaken) and record.epoch <= current:
             self.roles[ROLE] = LeaseState(record.epoch, record.body.holder)
@@ -72,11 +82,11 @@
         return super().apply(offset, record)
 
 
-class UnfencedReleaseFold(LeaseFold):
+class UnfencedReleaseProjection(LeaseFold):
     """Mutant: a release under an old epoch frees the role."""
 
     def apply(self, offset: int, record: Record) -> Decision:
-        """Apply a release as if it came from the holder."""
+        """Apply a release as if the holder had written it under the current epoch."""
         current = self.roles.get(ROLE, NEVER_HELD)
         if isinstance(record.body, LeaseReleased):
             body = LeaseReleased(role=ROLE, holder=current.holder)
@@ -84,137 +94,160 @@
         return super().apply(offset, record)
 
 
-_FOLDS = {"drop_epoch_check": UnfencedTakeFold, "release_any_epoch": UnfencedReleaseFold}
+_PROJECTION_BY_MUTANT = {
+    "drop_epoch_check": UnfencedTakeProjection,
+    "release_any_epoch": UnfencedReleaseProjection,
+}
 
 
 class _Model:
-    """Transitions and properties, with mutants built in."""
+    """Transitions and invariants, with mutants applied."""
 
     def __init__(self, mutants: frozenset[str]) -> None:
         self.mutants = mutants
-        self.log = SharedLog(next((_FOLDS[name] for name in mutants if name in _FOLDS), LeaseFold))
+        self.replayer = LogReplayer(
+            next(
+                (_PROJECTION_BY_MUTANT[name] for name in mutants if name in _PROJECTION_BY_MUTANT), LeaseFold
+            )
+        )
 
     # --- transitions -----------------------------------------------------------------
 
-    def transitions(self, state: LeaseModelState) -> list[Step]:
-        steps: list[Step] = [
-            (label, state._replace(transport=transport))
-            for label, transport in arrivals(state.transport, self._copies)
+    def transitions(self, state: LeaseModelState) -> list[Action]:
+        actions: list[Action] = [
+            (label, state._replace(log=log)) for label, log in append_actions(state.log, self._max_copies)
         ]
-        for number, holder in enumerate(state.holders):
-            steps += self._log_steps(state, number, holder)
-            steps += self._order_steps(state, number, holder)
-        for fence in sorted(state.orders):
-            remaining = state._replace(orders=state.orders - {fence})
-            steps.append((f"deliver({fence})", remaining._replace(engine=self._deliver(state.engine, fence))))
-        return steps
-
-    def _copies(self, record: int) -> int:
-        return COPIES[int(self.log.record(record).writer[1:])]
-
-    def _log_steps(self, state: LeaseModelState, number: int, holder: Holder) -> list[Step]:
-        steps: list[Step] = []
-        if holder.applied < len(state.transport.log):
-            steps.append((f"read({number})", self._read(state, number)))
-        if holder.proposed >= 0:
-            return steps
-        current = self._role(state, holder)
-        if holder.believes == EPOCHS:
-            return steps
-        if holder.believes:
-            release = self._record(number, holder.believes, LeaseReleased(role=ROLE, holder=f"d{number}"))
-            steps.append((f"release({number})", self._propose(state, number, release)))
-        elif current.epoch < EPOCHS:
-            # The other may be dead, paused or only silent: membership can not tell.
-            take = self._record(number, current.epoch + 1, LeaseTaken(role=ROLE, holder=f"d{number}"))
-            taking = self._propose(state, number, take)
+        for index, daemon in enumerate(state.daemons):
+            actions += self._log_actions(state, index, daemon)
+            actions += self._order_actions(state, index, daemon)
+        for fence in sorted(state.fences_in_flight):
+            remaining = state._replace(fences_in_flight=state.fences_in_flight - {fence})
+            actions.append(
+                (f"deliver({fence})", remaining._replace(engine=self._deliver(state.engine, fence)))
+            )
+        return actions
+
+    def _max_copies(self, record_id: int) -> int:
+        return MAX_COPIES_BY_DAEMON[int(self.replayer.record(record_id).writer[1:])]
+
+    def _log_actions(self, state: LeaseModelState, index: int, daemon: Daemon) -> list[Action]:
+        actions: list[Action] = []
+        if daemon.applied_count < len(state.log.records):
+            actions.append((f"read({index})", self._read_next(state, index)))
+        if daemon.proposed_id >= 0:
+            return actions
+        current = self._lease_seen_by(state, daemon)
+        if daemon.believed_epoch == MAX_EPOCH:
+            return actions
+        if daemon.believed_epoch:
+            release_id = self._record_id(
+                index, daemon.believed_epoch, LeaseReleased(role=ROLE, holder=f"d{index}")
+            )
+            actions.append((f"release({index})", self._propose(state, index, release_id)))
+        elif current.epoch < MAX_EPOCH:
+            # The holder may have crashed or may only be slow, so the role can be taken at any time.
+            take_id = self._record_id(index, current.epoch + 1, LeaseTaken(role=ROLE, holder=f"d{index}"))
+            next_state = self._propose(state, index, take_id)
             if "act_before_decided" in self.mutants:
-                taking = _with(taking, number, taking.holders[number]._replace(believes=current.epoch + 1))
-            steps.append((f"take({number})", taking))
-        return steps
+                next_state = _with_daemon(
+                    next_state, index, next_state.daemons[index]._replace(believed_epoch=current.epoch + 1)
+                )
+            actions.append((f"take({index})", next_state))
+        return actions
 
-    def _record(self, number: int, epoch: int, body: LeaseTaken | LeaseReleased) -> int:
+    def _record_id(self, index: int, epoch: int, body: LeaseTaken | LeaseReleased) -> int:
         sequence = 2 * epoch + isinstance(body, LeaseReleased)
-        return self.log.number(Record(writer=f"d{number}", sequence=sequence, epoch=epoch, body=body))
-
-    def _propose(self, state: LeaseModelState, number: int, record: int) -> LeaseModelState:
-        holder = state.holders[number]._replace(proposed=record)
-        return _with(state, number, holder)._replace(transport=send(state.transport, record))
-
-    def _read(self, state: LeaseModelState, number: int) -> LeaseModelState:
-        holder = state.holders[number]
-        holder = holder._replace(applied=holder.applied + 1)
-        if state.transport.log[holder.applied - 1] == holder.proposed:
-            holder = holder._replace(proposed=-1)
-        role = self._role(state, holder)
-        believes = role.epoch if role.holder == f"d{number}" else 0
-        return _with(state, number, holder._replace(believes=believes))
-
-    def _role(self, state: LeaseModelState, holder: Holder) -> LeaseState:
-        fold = self.log.view(state.transport.log[: holder.applied]).fold
-        return fold.roles.get(ROLE, NEVER_HELD)
-
-    def _order_steps(self, state: LeaseModelState, number: int, holder: Holder) -> list[Step]:
-        steps: list[Step] = []
-        if holder.believes and holder.armed != holder.believes:
-            checked = holder._replace(armed=holder.believes)
-            steps.append((f"check({number})", _with(state, number, checked)))
-        if holder.armed:
-            sent = _with(state, number, holder._replace(armed=0))
-            steps.append((f"order({number})", sent._replace(orders=state.orders | {holder.armed})))
-        return steps
+        return self.replayer.record_id(Record(writer=f"d{index}", sequence=sequence, epoch=epoch, body=body))
+
+    def _propose(self, state: LeaseModelState, index: int, record_id: int) -> LeaseModelState:
+        daemon = state.daemons[index]._replace(proposed_id=record_id)
+        return _with_daemon(state, index, daemon)._replace(log=start_append(state.log, record_id))
+
+    def _read_next(self, state: LeaseModelState, index: int) -> LeaseModelState:
+        daemon = state.daemons[index]
+        daemon = daemon._replace(applied_count=daemon.applied_count + 1)
+        if state.log.records[daemon.applied_count - 1] == daemon.proposed_id:
+            daemon = daemon._replace(proposed_id=-1)
+        lease = self._lease_seen_by(state, daemon)
+        believed_epoch = lease.epoch if lease.holder == f"d{index}" else 0
+        return _with_daemon(state, index, daemon._replace(believed_epoch=believed_epoch))
+
+    def _lease_seen_by(self, state: LeaseModelState, daemon: Daemon) -> LeaseState:
+        projection = self.replayer.view(state.log.records[: daemon.applied_count]).projection
+        return projection.roles.get(ROLE, NEVER_HELD)
+
+    def _order_actions(self, state: LeaseModelState, index: int, daemon: Daemon) -> list[Action]:
+        actions: list[Action] = []
+        if daemon.believed_epoch and daemon.checked_epoch != daemon.believed_epoch:
+            checked = daemon._replace(checked_epoch=daemon.believed_epoch)
+            actions.append((f"check({index})", _with_daemon(state, index, checked)))
+        if daemon.checked_epoch:
+            sent = _with_daemon(state, index, daemon._replace(checked_epoch=0))
+            actions.append(
+                (
+                    f"order({index})",
+                    sent._replace(fences_in_flight=state.fences_in_flight | {daemon.checked_epoch}),
+                )
+            )
+        return actions
 
     def _deliver(self, engine: Engine, fence: int) -> Engine:
         if fence < engine.fence and "engine_ignores_fence" not in self.mutants:
             return engine
         return Engine(
             fence=max(fence, engine.fence),
-            last_obeyed=fence,
-            obeyed_older=engine.obeyed_older or fence < engine.last_obeyed,
+            last_obeyed_fence=fence,
+            obeyed_older_fence=engine.obeyed_older_fence or fence < engine.last_obeyed_fence,
         )
 
     # --- properties ------------------------------------------------------------------
 
     def invariants(self) -> dict:
         return {
-            "fence_order": lambda d: not d["engine"].obeyed_older,
+            "fence_order": lambda d: not d["engine"].obeyed_older_fence,
             "one_holder_per_epoch": self._one_holder_per_epoch,
             "epochs_grow": self._epochs_grow,
             "own_release": self._own_release,
         }
 
     def _one_holder_per_epoch(self, d: dict) -> bool:
-        believed = [holder.believes for holder in d["holders"] if holder.believes]
-        return len(believed) == len(set(believed))
+        believed_epochs = [daemon.believed_epoch for daemon in d["daemons"] if daemon.believed_epoch]
+        return len(believed_epochs) == len(set(believed_epochs))
 
-    def _accepted(self, d: dict) -> list[Record]:
-        log = d["transport"].log
-        decisions = self.log.view(log).decisions
+    def _accepted_records(self, d: dict) -> list[Record]:
+        records = d["log"].records
+        decisions = self.replayer.view(records).decisions
         return [
-            self.log.record(n) for n, made in zip(log, decisions, strict=True) if isinstance(made, Accepted)
+            self.replayer.record(record_id)
+            for record_id, decision in zip(records, decisions, strict=True)
+            if isinstance(decision, Accepted)
         ]
 
     def _epochs_grow(self, d: dict) -> bool:
-        epochs = [record.epoch for record in self._accepted(d) if isinstance(record.body, LeaseTaken)]
+        epochs = [record.epoch for record in self._accepted_records(d) if isinstance(record.body, LeaseTaken)]
         return epochs == list(range(1, len(epochs) + 1))
 
     def _own_release(self, d: dict) -> bool:
-        in_force = None
-        for record in self._accepted(d):
+        current_take = None
+        for record in self._accepted_records(d):
             if isinstance(record.body, LeaseTaken):
-                in_force = record
-            elif in_force is None or record.epoch != in_force.epoch or record.writer != in_force.writer:
+                current_take = record
+            elif (
+                current_take is None
+                or record.epoch != current_take.epoch
+                or record.writer != current_take.writer
+            ):
                 return False
         return True
 
 
-def _with(state: LeaseModelState, number: int, holder: Holder) -> LeaseModelState:
-    holders = tuple(holder if i == number else old for i, old in enumerate(state.holders))
-    return state._replace(holders=holders)
+def _with_daemon(state: LeaseModelState, index: int, daemon: Daemon) -> LeaseModelState:
+    daemons = tuple(daemon if i == index else old for i, old in enumerate(state.daemons))
+    return state._replace(daemons=daemons)
 
 
 def build(mutants: frozenset[str]) -> Protocol:
-    """Return the model."""
+    """Return the model with the named mutants applied."""
     model = _Model(mutants)
     return Protocol(
         name="leases",
@@ -224,8 +257,11 @@
         transitions=model.transitions,
         invariants=model.invariants(),
         goal=lambda d: (
-            any(holder.believes and holder.applied == len(d["transport"].log) for holder in d["holders"])
-            or any(model.log.record(n).epoch == EPOCHS for n in d["transport"].log)
+            any(
+                daemon.believed_epoch and daemon.applied_count == len(d["log"].records)
+                for daemon in d["daemons"]
+            )
+            or any(model.replayer.record(record_id).epoch == MAX_EPOCH for record_id in d["log"].records)
         ),
     )
 
--- a/passgate/check/specification/lots.py
+++ b/passgate/check/specification/lots.py
@@ -1,16 +1,20 @@
-"""Specification of a lot's slot, on the running code's fold.
-
-Two daemons keep one lot of one slot, the second one takes over from a first one
-that is dead or only slow.  The trainer reads through either, its pages are lost,
-its version moves on, it has a withdrawn sample replaced and acknowledges what it
-has.  The staleness bound is zero versions.
-
-Properties: ``same_bytes`` (whatever reaches the trainer for the slot is one
-sample), ``not_doubled`` (no second copy after the cursor moved past the first),
-``within_bound`` (nothing over the bound is received), ``delivered_is_durable``
-(a received sample is handed over on the log) and ``epoch_in_force`` (accepted
-records of keepers carry the epoch in force).  Liveness: the trainer can always
-still come to have the sample, also without the first daemon.
+"""Specification of a lot's keeper, samples and delivery; see :mod:`passgate.state.lots`.
+
+A lot has one slot, and its staleness bound is zero versions.  Daemon 0 keeps the lot (produces its sample)
+until daemon 1 takes it over, whether daemon 0 has crashed or is only slow.  Records are late or never reach
+the log.  The trainer reads pages from either daemon, and a page may be lost.  Its weight version may
+increase.  It acknowledges a sample that it has received, and requests a replacement for one that was handed
+over, was not received and has become stale.
+
+Invariants:
+
+- ``same_bytes``: all copies that the trainer receives are of the same sample;
+- ``not_doubled``: the trainer receives one copy at most, as its cursor moves past it;
+- ``within_bound``: the trainer receives no sample that exceeds the staleness bound;
+- ``delivered_is_durable``: the hand-over of a received sample is on the log;
+- ``epoch_in_force``: accepted commits and expiries carry the epoch of the keeper that was accepted last.
+
+Liveness: from every state, the trainer can still receive the sample, also after daemon 0 has crashed.
 """
 
 from __future__ import annotations
@@ -20,8 +24,8 @@
 import msgspec
 from minicheck import Protocol
 
-from passgate.check.specification.kernel import Mutant, Specification, Step
-from passgate.check.specification.shared_log import SharedLog, Transport, arrivals, send
+from passgate.check.specification.kernel import Action, Mutant, Specification
+from passgate.check.specification.shared_log import LogReplayer, LogState, append_actions, start_append
 from passgate.records import (
     Body,
     KeeperTaken,
@@ -38,237 +42,259 @@
 from passgate.state.fold import Accepted, Decision
 from passgate.state.lot_state import HandOver, LotChange, LotFold, SlotState, SlotStatus
 
-DAEMONS = 2
-VERSIONS = 2
-BOUND = 0
+DAEMON_COUNT = 2
+MAX_VERSION = 2
+"""Highest weight version of the trainer and of samples."""
+STALENESS_BOUND = 0
 SERVING_DAEMON = 1
-"""Takes replacements and acknowledgements, and hands over what others keep; both give pages."""
+"""Index of the daemon that serves the trainer's calls to replace and to acknowledge, and that also hands over
+samples as a daemon that is not the keeper.  Both daemons serve pages."""
 
-OPENED = LotOpened(
+LOT_OPENED = LotOpened(
     lot_id="l",
     caller="t",
     pool="p",
     model="m",
     priority_class="training",
-    staleness_bound=BOUND,
+    staleness_bound=STALENESS_BOUND,
     trainer_version=1,
     deadline_unix_s=None,
     prompts=(PromptSpec(prompt=(1,), max_tokens=1),),
 )
 
 
-class Keeper(NamedTuple):
-    """One daemon."""
+class Daemon(NamedTuple):
+    """A daemon that serves pages and may keep the lot."""
 
-    applied: int = 1
-    proposed: int = -1
-    dead: bool = False
+    applied_count: int = 1
+    """Number of records of the log that were applied; the first opens the lot."""
+    proposed_id: int = -1
+    """Own record that it has sent and not read back; -1 if none."""
+    crashed: bool = False
 
 
 class Trainer(NamedTuple):
-    """The trainer."""
+    """The trainer that reads the lot."""
 
     version: int = 1
+    """Its weight version."""
     cursor: int = 0
-    received: tuple[int, ...] = ()
-    """First token of each copy received; it names keeper, attempt and version."""
+    """Position in the delivery order from which it reads next."""
+    received_tokens: tuple[int, ...] = ()
+    """First token of each copy received; it encodes daemon, attempt and version."""
     received_stale: bool = False
-    received_undurable: bool = False
+    """Whether it has received a sample that exceeds the staleness bound."""
+    received_before_hand_over: bool = False
+    """Whether it has received a sample whose hand-over was not on the log."""
 
 
 class LotModelState(NamedTuple):
-    """State of the specification."""
+    """State of the model."""
 
-    transport: Transport
-    keepers: tuple[Keeper, ...] = (Keeper(),) * DAEMONS
+    log: LogState
+    daemons: tuple[Daemon, ...] = (Daemon(),) * DAEMON_COUNT
     trainer: Trainer = Trainer()
 
 
-class _LaxLotFold(LotFold):
-    """Base of mutants that let a record through which the running fold rejects."""
+class _MutantLotProjection(LotFold):
+    """Base of mutants that accept records which the running code rejects."""
 
-    def _put(self, index: int, slot: SlotState, *positions: HandOver) -> None:
+    def _replace_slot(self, index: int, slot: SlotState, *positions: HandOver) -> None:
+        """Set a slot and append to the delivery order, as ``LotFold.apply`` does with a change."""
         change = LotChange(self.header, ((index, slot),), positions)
         self.slots[index] = slot
         self.order.extend(change.positions)
         self._count(index, slot)
 
 
-class ExpireAfterHandOverFold(_LaxLotFold):
+class ExpireAfterHandOverProjection(_MutantLotProjection):
     """Mutant: a sample that was handed over can still expire."""
 
     def apply(self, offset: int, record: Record) -> Decision:
-        """Expire without regard to the hand-over."""
+        """Apply a record; an expiry opens a handed-over slot again."""
         decision = super().apply(offset, record)
         if isinstance(record.body, SampleExpired) and not isinstance(decision, Accepted):
             slot = self.slots[record.body.index]
             if slot.status is SlotStatus.HANDED_OVER:
-                self._put(record.body.index, SlotState(SlotStatus.OPEN, slot.attempt + 1))
+                self._replace_slot(record.body.index, SlotState(SlotStatus.OPEN, slot.attempt + 1))
                 return Accepted(offset)
         return decision
 
 
-class LastCommitFold(_LaxLotFold):
+class LastCommitProjection(_MutantLotProjection):
     """Mutant: the last commit of a slot wins, not the first."""
 
     def apply(self, offset: int, record: Record) -> Decision:
-        """Overwrite a committed or handed-over sample."""
+        """Apply a record; a commit overwrites a committed or handed-over sample of its attempt."""
         body = record.body
-        before = self.slots[0] if self.slots else SlotState()
+        slot_before = self.slots[0] if self.slots else SlotState()
         decision = super().apply(offset, record)
-        replaceable = before.status in (SlotStatus.COMMITTED, SlotStatus.HANDED_OVER)
-        if isinstance(body, SampleCommitted) and replaceable and body.attempt == before.attempt:
-            other = LotFold()
-            other.header, other.slots = self.header, [SlotState(SlotStatus.OPEN, body.attempt)]
-            other.apply(offset, msgspec.structs.replace(record, epoch=self.header.epoch))
-            self._put(0, msgspec.structs.replace(before, sample=other.slots[0].sample))
+        replaceable = slot_before.status in (SlotStatus.COMMITTED, SlotStatus.HANDED_OVER)
+        if isinstance(body, SampleCommitted) and replaceable and body.attempt == slot_before.attempt:
+            scratch = LotFold()
+            scratch.header, scratch.slots = self.header, [SlotState(SlotStatus.OPEN, body.attempt)]
+            scratch.apply(offset, msgspec.structs.replace(record, epoch=self.header.epoch))
+            self._replace_slot(0, msgspec.structs.replace(slot_before, sample=scratch.slots[0].sample))
             return Accepted(offset)
         return decision
 
 
-class UnfencedLotFold(LotFold):
+class UnfencedLotProjection(LotFold):
     """Mutant: records of superseded keepers are accepted."""
 
     def apply(self, offset: int, record: Record) -> Decision:
-        """Apply a keeper's record as if its epoch were the one in force."""
+        """Apply a commit or an expiry as if it carried the current epoch."""
         if isinstance(record.body, SampleCommitted | SampleExpired):
             record = msgspec.structs.replace(record, epoch=self.header.epoch)
         return super().apply(offset, record)
 
 
-_FOLDS = {
-    "expire_after_hand_over": ExpireAfterHandOverFold,
-    "last_commit_wins": LastCommitFold,
-    "drop_epoch_check": UnfencedLotFold,
+_PROJECTION_BY_MUTANT = {
+    "expire_after_hand_over": ExpireAfterHandOverProjection,
+    "last_commit_wins": LastCommitProjection,
+    "drop_epoch_check": UnfencedLotProjection,
 }
 
 
 class _Model:
-    """Transitions and properties, with mutants built in."""
+    """Transitions and invariants, with mutants applied."""
 
     def __init__(self, mutants: frozenset[str]) -> None:
         self.mutants = mutants
-        fold = next((_FOLDS[name] for name in mutants if name in _FOLDS), LotFold)
-        self.log = SharedLog(fold)
-        opened = self.log.number(Record(writer="t", sequence=1, epoch=0, body=OPENED))
-        self.initial = LotModelState(Transport(log=(opened,)))
+        projection_type = next(
+            (_PROJECTION_BY_MUTANT[name] for name in mutants if name in _PROJECTION_BY_MUTANT), LotFold
+        )
+        self.replayer = LogReplayer(projection_type)
+        opened_id = self.replayer.record_id(Record(writer="t", sequence=1, epoch=0, body=LOT_OPENED))
+        self.initial = LotModelState(LogState(records=(opened_id,)))
 
     # --- transitions -----------------------------------------------------------------
 
-    def transitions(self, state: LotModelState) -> list[Step]:
-        steps: list[Step] = [
-            (label, state._replace(transport=transport))
-            for label, transport in arrivals(state.transport, lambda record: 1)
+    def transitions(self, state: LotModelState) -> list[Action]:
+        actions: list[Action] = [
+            (label, state._replace(log=log)) for label, log in append_actions(state.log, lambda record_id: 1)
         ]
-        for number, keeper in enumerate(state.keepers):
-            if keeper.dead:
+        for index, daemon in enumerate(state.daemons):
+            if daemon.crashed:
                 continue
-            if keeper.applied < len(state.transport.log):
-                steps.append((f"read({number})", self._read(state, number)))
-            if keeper.proposed < 0:
-                steps += self._proposals(state, number)
-            steps += self._page_steps(state, number)
-        if not state.keepers[0].dead:
-            steps.append(("die(0)", _with(state, 0, Keeper(applied=0, dead=True))))
-        if state.trainer.version < VERSIONS:
-            newer = state.trainer._replace(version=state.trainer.version + 1)
-            steps.append(("new_weights", state._replace(trainer=newer)))
-        return steps
-
-    def _read(self, state: LotModelState, number: int) -> LotModelState:
-        keeper = state.keepers[number]
-        keeper = keeper._replace(applied=keeper.applied + 1)
-        if state.transport.log[keeper.applied - 1] == keeper.proposed:
-            keeper = keeper._replace(proposed=-1)
-        return _with(state, number, keeper)
-
-    def _fold(self, state: LotModelState, number: int) -> LotFold:
-        return self.log.view(state.transport.log[: state.keepers[number].applied]).fold
-
-    def _proposals(self, state: LotModelState, number: int) -> list[Step]:
-        fold = self._fold(state, number)
-        slot = fold.slots[0]
-        steps: list[Step] = []
-        takes_over = number == 1 and state.keepers[0].dead and fold.header.keeper != "d1"
-        if fold.header.epoch == number or takes_over:
-            # The second daemon takes over from a first one that it believes dead, rightly or not.
-            taken = KeeperTaken(holder=f"d{number}")
-            epoch = fold.header.epoch + 1
-            steps.append((f"take({number})", self._propose(state, number, epoch, taken)))
-        if slot.status is SlotStatus.OPEN and fold.header.keeper == f"d{number}":
-            steps += self._commits(state, number, fold)
+            if daemon.applied_count < len(state.log.records):
+                actions.append((f"read({index})", self._read_next(state, index)))
+            if daemon.proposed_id < 0:
+                actions += self._proposal_actions(state, index)
+            actions += self._page_actions(state, index)
+        if not state.daemons[0].crashed:
+            actions.append(("die(0)", _with_daemon(state, 0, Daemon(applied_count=0, crashed=True))))
+        if state.trainer.version < MAX_VERSION:
+            newer_trainer = state.trainer._replace(version=state.trainer.version + 1)
+            actions.append(("new_weights", state._replace(trainer=newer_trainer)))
+        return actions
+
+    def _read_next(self, state: LotModelState, index: int) -> LotModelState:
+        daemon = state.daemons[index]
+        daemon = daemon._replace(applied_count=daemon.applied_count + 1)
+        if state.log.records[daemon.applied_count - 1] == daemon.proposed_id:
+            daemon = daemon._replace(proposed_id=-1)
+        return _with_daemon(state, index, daemon)
+
+    def _projection_of(self, state: LotModelState, index: int) -> LotFold:
+        return self.replayer.view(state.log.records[: state.daemons[index].applied_count]).projection
+
+    def _proposal_actions(self, state: LotModelState, index: int) -> list[Action]:
+        projection = self._projection_of(state, index)
+        slot = projection.slots[0]
+        actions: list[Action] = []
+        takes_over = index == 1 and state.daemons[0].crashed and projection.header.keeper != "d1"
+        if projection.header.epoch == index or takes_over:
+            # Daemon 1 takes the lot over from daemon 0 whether that has crashed or not.
+            take = KeeperTaken(holder=f"d{index}")
+            epoch = projection.header.epoch + 1
+            actions.append((f"take({index})", self._propose(state, index, epoch, take)))
+        if slot.status is SlotStatus.OPEN and projection.header.keeper == f"d{index}":
+            actions += self._commit_actions(state, index, projection)
         if slot.status is SlotStatus.COMMITTED:
-            steps += self._committed_steps(state, number, fold)
-        if slot.status is SlotStatus.HANDED_OVER and number == SERVING_DAEMON:
-            steps += self._trainer_calls(state, number, fold)
-        return steps
-
-    def _commits(self, state: LotModelState, number: int, fold: LotFold) -> list[Step]:
-        steps: list[Step] = []
-        attempt = fold.slots[0].attempt
+            actions += self._expire_or_hand_over_actions(state, index, projection)
+        if slot.status is SlotStatus.HANDED_OVER and index == SERVING_DAEMON:
+            actions += self._trainer_call_actions(state, index, projection)
+        return actions
+
+    def _commit_actions(self, state: LotModelState, index: int, projection: LotFold) -> list[Action]:
+        actions: list[Action] = []
+        attempt = projection.slots[0].attempt
         for version in range(1, state.trainer.version + 1):
-            if fold.header.trainer_version - version > BOUND:
+            if projection.header.trainer_version - version > STALENESS_BOUND:
                 continue
-            body = _sample(number, attempt, version)
-            proposed = self._propose(state, number, fold.header.epoch, body)
-            steps.append((f"commit({number}, v{version})", proposed))
-        return steps
-
-    def _committed_steps(self, state: LotModelState, number: int, fold: LotFold) -> list[Step]:
-        slot, version = fold.slots[0], state.trainer.version
-        if number != SERVING_DAEMON and fold.header.keeper != f"d{number}":
+            body = _make_commit(index, attempt, version)
+            next_state = self._propose(state, index, projection.header.epoch, body)
+            actions.append((f"commit({index}, v{version})", next_state))
+        return actions
+
+    def _expire_or_hand_over_actions(
+        self, state: LotModelState, index: int, projection: LotFold
+    ) -> list[Action]:
+        slot, version = projection.slots[0], state.trainer.version
+        if index != SERVING_DAEMON and projection.header.keeper != f"d{index}":
             return []
-        if fold.header.is_stale(slot.sample, version) and "check_only_at_generation" not in self.mutants:
+        if (
+            projection.header.is_stale(slot.sample, version)
+            and "check_only_at_generation" not in self.mutants
+        ):
             expired = SampleExpired(index=0, attempt=slot.attempt, trainer_version=version)
-            proposed = self._propose(state, number, fold.header.epoch, expired)
-            return [(f"expire({number})", proposed)]
-        told = 0 if "check_only_at_generation" in self.mutants else version
-        handed_over = SamplesHandedOver(indexes=(0,), trainer_version=told)
-        return [(f"hand_over({number})", self._propose(state, number, 0, handed_over))]
-
-    def _trainer_calls(self, state: LotModelState, number: int, fold: LotFold) -> list[Step]:
-        slot, trainer = fold.slots[0], state.trainer
-        if trainer.received:
+            next_state = self._propose(state, index, projection.header.epoch, expired)
+            return [(f"expire({index})", next_state)]
+        reported_version = 0 if "check_only_at_generation" in self.mutants else version
+        handed_over = SamplesHandedOver(indexes=(0,), trainer_version=reported_version)
+        return [(f"hand_over({index})", self._propose(state, index, 0, handed_over))]
+
+    def _trainer_call_actions(self, state: LotModelState, index: int, projection: LotFold) -> list[Action]:
+        slot, trainer = projection.slots[0], state.trainer
+        if trainer.received_tokens:
             body = SamplesAcknowledged(indexes=(0,))
-            return [(f"acknowledge({number})", self._propose(state, number, 0, body))]
-        if fold.header.is_stale(slot.sample, trainer.version):
+            return [(f"acknowledge({index})", self._propose(state, index, 0, body))]
+        if projection.header.is_stale(slot.sample, trainer.version):
             body = SamplesReplaced(indexes=(0,), attempts=(slot.attempt,))
-            return [(f"replace({number})", self._propose(state, number, 0, body))]
+            return [(f"replace({index})", self._propose(state, index, 0, body))]
         return []
 
-    def _propose(self, state: LotModelState, number: int, epoch: int, body: Body) -> LotModelState:
-        count = sum(self.log.record(n).writer == f"d{number}" for n in state.transport.log)
-        record = self.log.number(Record(writer=f"d{number}", sequence=count + 1, epoch=epoch, body=body))
-        keeper = state.keepers[number]._replace(proposed=record)
-        return _with(state, number, keeper)._replace(transport=send(state.transport, record))
-
-    def _page_steps(self, state: LotModelState, number: int) -> list[Step]:
-        """The trainer reads from its cursor and receives the page; a lost page changes nothing."""
-        fold, trainer = self._fold(state, number), state.trainer
-        steps: list[Step] = []
-        if "deliver_before_hand_over" in self.mutants and fold.slots[0].status is SlotStatus.COMMITTED:
-            steps.append((f"page({number})", self._received(state, fold, trainer.cursor)))
-        for position, handed_over in enumerate(fold.order[trainer.cursor :], start=trainer.cursor):
-            slot = fold.slots[0]
-            if slot.attempt != handed_over.attempt or slot.status is not SlotStatus.HANDED_OVER:
+    def _propose(self, state: LotModelState, index: int, epoch: int, body: Body) -> LotModelState:
+        own_count = sum(
+            self.replayer.record(record_id).writer == f"d{index}" for record_id in state.log.records
+        )
+        record_id = self.replayer.record_id(
+            Record(writer=f"d{index}", sequence=own_count + 1, epoch=epoch, body=body)
+        )
+        daemon = state.daemons[index]._replace(proposed_id=record_id)
+        return _with_daemon(state, index, daemon)._replace(log=start_append(state.log, record_id))
+
+    def _page_actions(self, state: LotModelState, index: int) -> list[Action]:
+        """Return the actions by which the trainer receives a page; a lost page changes no state."""
+        projection, trainer = self._projection_of(state, index), state.trainer
+        actions: list[Action] = []
+        if "deliver_before_hand_over" in self.mutants and projection.slots[0].status is SlotStatus.COMMITTED:
+            actions.append((f"page({index})", self._receive_page(state, projection, trainer.cursor)))
+        for position, entry in enumerate(projection.order[trainer.cursor :], start=trainer.cursor):
+            slot = projection.slots[0]
+            if slot.attempt != entry.attempt or slot.status is not SlotStatus.HANDED_OVER:
                 continue
-            is_stale = fold.header.is_stale(slot.sample, trainer.version)
+            is_stale = projection.header.is_stale(slot.sample, trainer.version)
             if not is_stale or "check_only_at_generation" in self.mutants:
-                steps.append((f"page({number})", self._received(state, fold, position + 1)))
-        return steps
+                actions.append((f"page({index})", self._receive_page(state, projection, position + 1)))
+        return actions
 
-    def _received(self, state: LotModelState, fold: LotFold, cursor: int) -> LotModelState:
-        sample, trainer = fold.slots[0].sample, state.trainer
+    def _receive_page(self, state: LotModelState, projection: LotFold, cursor: int) -> LotModelState:
+        sample, trainer = projection.slots[0].sample, state.trainer
         trainer = trainer._replace(
             cursor=cursor,
-            received=(*trainer.received, sample.tokens[0]),
-            received_stale=trainer.received_stale or trainer.version - sample.oldest_version > BOUND,
-            received_undurable=trainer.received_undurable or not self._is_handed_over(state, sample),
+            received_tokens=(*trainer.received_tokens, sample.tokens[0]),
+            received_stale=trainer.received_stale
+            or trainer.version - sample.oldest_version > STALENESS_BOUND,
+            received_before_hand_over=trainer.received_before_hand_over
+            or not self._is_handed_over(state, sample),
         )
         return state._replace(trainer=trainer)
 
     def _is_handed_over(self, state: LotModelState, sample) -> bool:
-        slot = self.log.view(state.transport.log).fold.slots[0]
+        """Whether the sample's hand-over is on the log; an acknowledged slot no longer holds its sample."""
+        slot = self.replayer.view(state.log.records).projection.slots[0]
         if slot.status is SlotStatus.ACKNOWLEDGED:
             return True
         return slot.status is SlotStatus.HANDED_OVER and slot.sample == sample
@@ -277,18 +303,18 @@
 
     def invariants(self) -> dict:
         return {
-            "same_bytes": lambda d: len(set(d["trainer"].received)) <= 1,
-            "not_doubled": lambda d: len(d["trainer"].received) <= 1,
+            "same_bytes": lambda d: len(set(d["trainer"].received_tokens)) <= 1,
+            "not_doubled": lambda d: len(d["trainer"].received_tokens) <= 1,
             "within_bound": lambda d: not d["trainer"].received_stale,
-            "delivered_is_durable": lambda d: not d["trainer"].received_undurable,
+            "delivered_is_durable": lambda d: not d["trainer"].received_before_hand_over,
             "epoch_in_force": self._epoch_in_force,
         }
 
     def _epoch_in_force(self, d: dict) -> bool:
-        log = d["transport"].log
+        records = d["log"].records
         epoch = 0
-        for number, decision in zip(log, self.log.view(log).decisions, strict=True):
-            record = self.log.record(number)
+        for record_id, decision in zip(records, self.replayer.view(records).decisions, strict=True):
+            record = self.replayer.record(record_id)
             if not isinstance(decision, Accepted):
                 continue
             if isinstance(record.body, KeeperTaken):
@@ -298,24 +324,24 @@
         return True
 
 
-def _sample(number: int, attempt: int, version: int) -> SampleCommitted:
+def _make_commit(index: int, attempt: int, version: int) -> SampleCommitted:
     return SampleCommitted(
         index=0,
         attempt=attempt,
-        tokens=(100 * number + 10 * attempt + version,),
+        tokens=(100 * index + 10 * attempt + version,),
         spans=(VersionSpan(0, 1, version),),
         finish_reason=FinishReason.LENGTH,
-        replica_id=f"e{number}",
+        replica_id=f"e{index}",
     )
 
 
-def _with(state: LotModelState, number: int, keeper: Keeper) -> LotModelState:
-    keepers = tuple(keeper if i == number else old for i, old in enumerate(state.keepers))
-    return state._replace(keepers=keepers)
+def _with_daemon(state: LotModelState, index: int, daemon: Daemon) -> LotModelState:
+    daemons = tuple(daemon if i == index else old for i, old in enumerate(state.daemons))
+    return state._replace(daemons=daemons)
 
 
 def build(mutants: frozenset[str]) -> Protocol:
-    """Return the model."""
+    """Return the model with the named mutants applied."""
     model = _Model(mutants)
     return Protocol(
         name="lots",
@@ -324,7 +350,7 @@
         initial=model.initial,
         transitions=model.transitions,
         invariants=model.invariants(),
-        goal=lambda d: bool(d["trainer"].received),
+        goal=lambda d: bool(d["trainer"].received_tokens),
     )
 
 
--- a/passgate/check/specification/permits.py
+++ b/passgate/check/specification/permits.py
@@ -1,11 +1,13 @@
-"""Specification of permits to send to one cold replica, on the running code's books of grants.
+"""Specification of permits to send to one cold replica; see :mod:`passgate.eligibility.permits`.
 
-Daemons ask for permits, each question and each answer is on its way for any time, permits are used
-at any moment until they end, and the lead passes on at any moment, with whatever its holder has
-granted still out.  That no two lead at once is the lead's own specification.  Time is counted
-in ticks, of which the replica's window and a permit's life each take one.
+A daemon requests permits, and the leader grants them.  Requests and responses arrive at any later time, and a
+permit is used at any time before it expires.  The leader may change at any time, while permits that it has
+granted are still valid; that no two daemons lead at once is checked by the specification of leadership.
+Time is counted in ticks.  A send leaves the daemon in the tick in which its permit is used.
 
-Property: ``within_bound`` (no window of a tick holds more sends than the replica may get).
+Invariant: ``within_bound`` (no window holds more sends than the replica may get).
+
+Liveness: from every state, the last tick can be reached.
 """
 
 from __future__ import annotations
@@ -15,111 +17,137 @@
 
 from minicheck import Protocol
 
-from passgate.check.specification.kernel import Mutant, Specification, Step
+from passgate.check.specification.kernel import Action, Mutant, Specification
 from passgate.eligibility.permits import PermitAllocator
 
-BOUND = 1
+MAX_SENDS_PER_WINDOW = 1
 WINDOW_TICKS = 1
-LIFE_TICKS = 1
+"""Window to which the replica's limit applies; both its first and its last tick belong to it."""
+PERMIT_LIFETIME_TICKS = 1
+"""Time for which a permit is valid after its request was sent."""
 MAX_TICKS = 6
-MAX_QUESTIONS = 2
-"""Questions and answers that are on their way at once."""
+MAX_MESSAGES_IN_FLIGHT = 2
+"""Most requests and responses in flight at once."""
 MAX_LEADERS = 3
 LONG_AGO = -99
+"""Tick since which the first leader has led."""
 REPLICA = "r"
 
 
 class PermitModelState(NamedTuple):
-    """State of the specification; at first one daemon has led for long and nothing is granted."""
+    """State of the model; initially one daemon has led for long and has granted nothing."""
 
     now: int = 0
-    leader: int = 0
-    led: int = LONG_AGO
-    """Tick at which the leader took the lead."""
-    grants: tuple[int, ...] = ()
-    """Ticks at which the present leader has granted a permit."""
-    questions: tuple[int, ...] = ()
-    """Ticks at which the questions on their way were sent."""
-    answers: tuple[int, ...] = ()
-    """The same of the answers that bring a permit."""
-    stock: tuple[int, ...] = ()
-    """Last ticks at which the permits that are held may be used."""
-    sends: tuple[int, ...] = ()
-    """Ticks of sends, as far as they can be in one window with a later one."""
+    """The current tick."""
+    leader_number: int = 0
+    """Number of changes of leader so far."""
+    leading_since_tick: int = LONG_AGO
+    """Tick at which the current leader became leader."""
+    grant_ticks: tuple[int, ...] = ()
+    """Ticks at which the current leader has granted a permit; old ones are dropped."""
+    requests_in_flight: tuple[int, ...] = ()
+    """Ticks at which the permit requests in flight were sent."""
+    responses_in_flight: tuple[int, ...] = ()
+    """For each response in flight that grants a permit, the tick at which its request was sent."""
+    permit_expiry_ticks: tuple[int, ...] = ()
+    """For each held permit, the last tick at which it may be used."""
+    send_ticks: tuple[int, ...] = ()
+    """Ticks of the sends that can be in one window with a later send."""
 
 
 class _Model:
-    """Transitions and properties, with mutants built in."""
+    """Transitions and invariants, with mutants applied."""
 
     def __init__(self, mutants: frozenset[str]) -> None:
         self.mutants = mutants
-        life = 0 if "forget_life" in mutants else LIFE_TICKS
-        self._span = WINDOW_TICKS + life
-        self.grants = functools.cache(self._grants)
-
-    def _grants(self, led: int, grants: tuple[int, ...], now: int) -> bool:
-        """Whether the running code grants a permit, after what it has granted."""
-        books = PermitAllocator(window_s=self._span)
-        books.set_leadership(0, LONG_AGO if "no_wait" in self.mutants else led)
-        for at in (*grants, now):
-            granted = books.grant("d", {REPLICA: BOUND}, count=1, now_s=at)
+        lifetime_ticks = 0 if "ignore_permit_lifetime" in mutants else PERMIT_LIFETIME_TICKS
+        self._grant_window_ticks = WINDOW_TICKS + lifetime_ticks
+        self.may_grant = functools.cache(self._may_grant)
+
+    def _may_grant(self, leading_since_tick: int, grant_ticks: tuple[int, ...], now: int) -> bool:
+        """Whether a leader that has granted permits at ``grant_ticks`` grants another one now."""
+        allocator = PermitAllocator(window_s=self._grant_window_ticks)
+        allocator.set_leadership(
+            0, LONG_AGO if "grant_without_waiting" in self.mutants else leading_since_tick
+        )
+        for tick in (*grant_ticks, now):
+            granted = allocator.grant("d", {REPLICA: MAX_SENDS_PER_WINDOW}, count=1, now_s=tick)
         return bool(granted)
 
-    def transitions(self, state: PermitModelState) -> list[Step]:
-        steps: list[Step] = []
+    def transitions(self, state: PermitModelState) -> list[Action]:
+        actions: list[Action] = []
         if state.now < MAX_TICKS:
-            steps.append(("tick", self._ticked(state)))
-        if state.leader + 1 < MAX_LEADERS:
-            passed = state._replace(leader=state.leader + 1, led=state.now, grants=())
-            steps.append((f"lead({passed.leader})", passed))
-        if len(state.questions) + len(state.answers) < MAX_QUESTIONS:
-            steps.append(("ask", state._replace(questions=_with(state.questions, state.now))))
-        for sent in set(state.questions):
-            steps.append((f"answer({sent})", self._answered(state, sent)))
-        for sent in set(state.answers):
-            steps.append((f"receive({sent})", self._received(state, sent)))
-        for end in set(state.stock):
-            used = state._replace(stock=_without(state.stock, end), sends=_with(state.sends, state.now))
-            steps.append((f"send({end})", used))
-        return steps
-
-    def _ticked(self, state: PermitModelState) -> PermitModelState:
-        """Let a tick pass, and forget what is too old to matter, so that equal states are seen to be."""
+            actions.append(("tick", self._advance_clock(state)))
+        if state.leader_number + 1 < MAX_LEADERS:
+            new_leader = state._replace(
+                leader_number=state.leader_number + 1, leading_since_tick=state.now, grant_ticks=()
+            )
+            actions.append((f"change_leader({new_leader.leader_number})", new_leader))
+        if len(state.requests_in_flight) + len(state.responses_in_flight) < MAX_MESSAGES_IN_FLIGHT:
+            actions.append(
+                ("request", state._replace(requests_in_flight=_add(state.requests_in_flight, state.now)))
+            )
+        for requested_tick in set(state.requests_in_flight):
+            actions.append((f"respond({requested_tick})", self._respond(state, requested_tick)))
+        for requested_tick in set(state.responses_in_flight):
+            actions.append((f"receive({requested_tick})", self._receive(state, requested_tick)))
+        for expiry_tick in set(state.permit_expiry_ticks):
+            after_send = state._replace(
+                permit_expiry_ticks=_remove(state.permit_expiry_ticks, expiry_tick),
+                send_ticks=_add(state.send_ticks, state.now),
+            )
+            actions.append((f"send({expiry_tick})", after_send))
+        return actions
+
+    def _advance_clock(self, state: PermitModelState) -> PermitModelState:
+        """Return the state one tick later; drops entries that no longer matter, to keep the states few."""
         now = state.now + 1
         return state._replace(
             now=now,
-            grants=tuple(at for at in state.grants if now - at <= self._span),
-            stock=tuple(end for end in state.stock if now <= end),
-            sends=tuple(at for at in state.sends if now - at <= WINDOW_TICKS),
+            grant_ticks=tuple(tick for tick in state.grant_ticks if now - tick <= self._grant_window_ticks),
+            permit_expiry_ticks=tuple(
+                expiry_tick for expiry_tick in state.permit_expiry_ticks if now <= expiry_tick
+            ),
+            send_ticks=tuple(tick for tick in state.send_ticks if now - tick <= WINDOW_TICKS),
         )
 
-    def _answered(self, state: PermitModelState, sent: int) -> PermitModelState:
-        left = state._replace(questions=_without(state.questions, sent))
-        if not self.grants(state.led, state.grants, state.now):
-            return left
-        return left._replace(grants=_with(state.grants, state.now), answers=_with(state.answers, sent))
+    def _respond(self, state: PermitModelState, requested_tick: int) -> PermitModelState:
+        next_state = state._replace(requests_in_flight=_remove(state.requests_in_flight, requested_tick))
+        if not self.may_grant(state.leading_since_tick, state.grant_ticks, state.now):
+            return next_state
+        return next_state._replace(
+            grant_ticks=_add(state.grant_ticks, state.now),
+            responses_in_flight=_add(state.responses_in_flight, requested_tick),
+        )
 
-    def _received(self, state: PermitModelState, sent: int) -> PermitModelState:
-        counted_from = state.now if "count_from_receipt" in self.mutants else sent
-        end = counted_from + LIFE_TICKS
-        stock = _with(state.stock, end) if state.now <= end else state.stock
-        return state._replace(answers=_without(state.answers, sent), stock=stock)
+    def _receive(self, state: PermitModelState, requested_tick: int) -> PermitModelState:
+        lifetime_start_tick = state.now if "count_from_receipt" in self.mutants else requested_tick
+        expiry_tick = lifetime_start_tick + PERMIT_LIFETIME_TICKS
+        permit_expiry_ticks = (
+            _add(state.permit_expiry_ticks, expiry_tick)
+            if state.now <= expiry_tick
+            else state.permit_expiry_ticks
+        )
+        return state._replace(
+            responses_in_flight=_remove(state.responses_in_flight, requested_tick),
+            permit_expiry_ticks=permit_expiry_ticks,
+        )
 
     def invariants(self) -> dict:
-        return {"within_bound": lambda d: len(d["sends"]) <= BOUND}
+        return {"within_bound": lambda d: len(d["send_ticks"]) <= MAX_SENDS_PER_WINDOW}
 
 
-def _with(values: tuple[int, ...], value: int) -> tuple[int, ...]:
+def _add(values: tuple[int, ...], value: int) -> tuple[int, ...]:
     return tuple(sorted((*values, value)))
 
 
-def _without(values: tuple[int, ...], value: int) -> tuple[int, ...]:
-    place = values.index(value)
-    return (*values[:place], *values[place + 1 :])
+def _remove(values: tuple[int, ...], value: int) -> tuple[int, ...]:
+    position = values.index(value)
+    return (*values[:position], *values[position + 1 :])
 
 
 def build(mutants: frozenset[str]) -> Protocol:
-    """Return the model."""
+    """Return the model with the named mutants applied."""
     model = _Model(mutants)
     return Protocol(
         name="permits",
@@ -134,22 +162,22 @@
 
 PERMITS = Specification(
     name="permits",
-    bounds="1 replica, 1 send in a window, 3 leaders, 2 questions at once, 6 ticks, any message late",
+    bounds="1 replica, 1 send in a window, 3 leaders, 2 messages at once, 6 ticks, any message late",
     build=build,
     mutants=(
         Mutant(
-            name="no_wait",
-            mistake="a new leader grants at once, beside the permits that its predecessor granted",
+            name="grant_without_waiting",
+            mistake="a new leader grants permits while those of its predecessor are still valid",
             caught_by="within_bound",
         ),
         Mutant(
             name="count_from_receipt",
-            mistake="a permit's life is counted from its receipt, not from its question",
+            mistake="a permit's lifetime is counted from its receipt, not from its request",
             caught_by="within_bound",
         ),
         Mutant(
-            name="forget_life",
-            mistake="grants are counted over the window alone, not over a permit's life as well",
+            name="ignore_permit_lifetime",
+            mistake="grants are limited per window, not per window plus lifetime of a permit",
             caught_by="within_bound",
         ),
     ),
--- a/passgate/check/specification/replica_lives.py
+++ b/passgate/check/specification/replica_lives.py
@@ -1,14 +1,21 @@
-"""Specification of orders to a replica that starts again under its identifier.
+"""Specification of load orders to a replica that restarts under the same replica ID.
 
-One daemon reads the replica's report, gives one order at a time and may get no answer; an order
-without an answer, and a report, may arrive at any later time.  The replica may start again: it keeps
-its weights and counts orders from 0.  Discovery tells the daemon later, if at all.  The decisions are
-the running code's: :class:`ReplicaReport` and :class:`UnconfirmedOrders`.
+See :mod:`passgate.versions.loader`.  One daemon reads the replica's report and sends one order at a time.  An
+order whose answer it no longer awaits may still be executed, and a report may arrive at any later time.  A
+restarted replica keeps its weights and counts orders from 0; the daemon learns of the restart from discovery,
+later or never.  The decisions are those of :class:`ReplicaReport` and :class:`UnconfirmedOrders`.
 
-Properties: ``versions_rise`` (no life goes back behind a version that it was ordered to) and
-``own_version`` (the daemon believes of a life only what that life has told).  An order of the last life
-that arrives before the new one has taken any can't be refused by anybody, as orders name no life: the
-report shows it, and the version is ordered again.
+Invariants:
+
+- ``versions_never_decrease``: an incarnation that has executed an order loads no older version afterwards;
+- ``believed_version_was_reported``: once the daemon knows the current incarnation, the version that it
+  believes loaded is one that this incarnation has reported.
+
+Orders do not name an incarnation, so an order to the previous incarnation that is the first to arrive at the
+new one is executed, even if its version is older.  The next report shows that, and the daemon orders the
+target version again.
+
+Liveness: from every state, the replica can still load the last version.
 """
 
 from __future__ import annotations
@@ -17,22 +24,23 @@
 
 from minicheck import Protocol
 
-from passgate.check.specification.kernel import Mutant, Specification, Step
+from passgate.check.specification.kernel import Action, Mutant, Specification
 from passgate.eligibility.replica_info import ReplicaIncarnation
 from passgate.versions.loader import ReplicaReport
 from passgate.versions.unconfirmed_orders import UnconfirmedOrders
 
-LIVES = 2
+INCARNATION_COUNT = 2
 LAST_VERSION = 4
-MOST_WAITING = 2
-"""Orders without an answer that may still arrive."""
+"""Highest target version."""
+MAX_UNCONFIRMED_ORDERS = 2
+"""Most unconfirmed orders that may still be executed."""
 MODEL = "m"
 
 
 class Report(NamedTuple):
-    """What a life tells of itself."""
+    """What an incarnation reports about itself."""
 
-    life: int
+    incarnation: int
     orders_taken: int
     version: int
 
@@ -40,162 +48,202 @@
 class Order(NamedTuple):
     """An order as it was sent."""
 
-    life: int
-    """Life that the daemon meant."""
-    expected: int
+    incarnation: int
+    """Incarnation for which the daemon meant it."""
+    expected_orders_taken: int
+    """It is executed only if the replica has executed this number of orders."""
     version: int
 
 
-class LivesModelState(NamedTuple):
-    """State of the specification."""
+class ReplicaModelState(NamedTuple):
+    """State of the model."""
 
-    life: int = 1
+    incarnation: int = 1
+    """Number of the replica's current incarnation."""
     orders_taken: int = 0
+    """Number of orders that it has executed."""
     version: int = 1
-    went_back: bool = False
-    wanted: int = 2
-    listed: int = 1
-    """Life that discovery has told the daemon of."""
-    believed: int = 0
-    """Version that the daemon has read of the life that it knows."""
-    told: tuple[int, ...] = ()
-    """Versions that this life has told, to judge what is believed."""
-    report: Report | None = None
-    """A report on its way to the daemon."""
-    basis: Report | None = None
-    """The report from which the daemon gives its next order."""
-    order: Order | None = None
-    """The order whose answer the daemon awaits."""
-    waiting: tuple[Order, ...] = ()
-    """Orders that the daemon awaits no more, and that may still arrive."""
-
-
-def _life(number: int) -> ReplicaIncarnation:
+    """Version of its weights."""
+    version_reverted: bool = False
+    """Whether an order other than an incarnation's first has loaded an older version."""
+    target_version: int = 2
+    """Version that the replica is to load."""
+    discovered_incarnation: int = 1
+    """Newest incarnation that the daemon knows from discovery."""
+    believed_version: int = 0
+    """Version that the daemon has read for the incarnation that it knows; 0 if none."""
+    reported_versions: tuple[int, ...] = ()
+    """Versions that the current incarnation has reported."""
+    report_in_flight: Report | None = None
+    """Report in flight to the daemon."""
+    basis_report: Report | None = None
+    """Report on which the daemon bases its next order."""
+    pending_order: Order | None = None
+    """Order whose answer the daemon awaits."""
+    unconfirmed_orders: tuple[Order, ...] = ()
+    """Orders whose answers the daemon no longer awaits and that may still be executed."""
+
+
+def _make_incarnation(number: int) -> ReplicaIncarnation:
     return ReplicaIncarnation("r", number)
 
 
 class _Model:
-    """Transitions and properties, with mutants built in."""
+    """Transitions and invariants, with mutants applied."""
 
     def __init__(self, mutants: frozenset[str]) -> None:
         self._mutants = mutants
 
-    def transitions(self, state: LivesModelState) -> list[Step]:
-        steps: list[Step] = []
-        if state.wanted < LAST_VERSION:
-            steps.append(("name", state._replace(wanted=state.wanted + 1)))
-        if state.life < LIVES:
-            steps.append(("restart", state._replace(life=state.life + 1, orders_taken=0, told=())))
-        if state.listed != state.life:
-            steps.append(("list", self._list(state)))
-        return steps + self._report_steps(state) + self._order_steps(state)
-
-    def _list(self, state: LivesModelState) -> LivesModelState:
-        basis = state.basis if "order_by_old_count" in self._mutants else None
-        return state._replace(listed=state.life, believed=0, basis=basis)
-
-    def _report_steps(self, state: LivesModelState) -> list[Step]:
-        steps: list[Step] = []
-        if state.report is None and state.order is None and state.basis is None:
-            report = Report(state.life, state.orders_taken, state.version)
-            told = tuple(sorted({*state.told, state.version}))
-            steps.append(("tell", state._replace(report=report, told=told)))
-        if state.report is not None:
-            steps.append(("read", self._read(state, state.report)))
-        return steps
-
-    def _read(self, state: LivesModelState, report: Report) -> LivesModelState:
-        state = state._replace(report=None)
-        told = ReplicaReport(
+    def transitions(self, state: ReplicaModelState) -> list[Action]:
+        actions: list[Action] = []
+        if state.target_version < LAST_VERSION:
+            actions.append(("set_target", state._replace(target_version=state.target_version + 1)))
+        if state.incarnation < INCARNATION_COUNT:
+            actions.append(
+                (
+                    "restart",
+                    state._replace(incarnation=state.incarnation + 1, orders_taken=0, reported_versions=()),
+                )
+            )
+        if state.discovered_incarnation != state.incarnation:
+            actions.append(("discover", self._discover(state)))
+        return actions + self._report_actions(state) + self._order_actions(state)
+
+    def _discover(self, state: ReplicaModelState) -> ReplicaModelState:
+        basis = state.basis_report if "order_with_old_count" in self._mutants else None
+        return state._replace(
+            discovered_incarnation=state.incarnation, believed_version=0, basis_report=basis
+        )
+
+    def _report_actions(self, state: ReplicaModelState) -> list[Action]:
+        actions: list[Action] = []
+        if state.report_in_flight is None and state.pending_order is None and state.basis_report is None:
+            report = Report(state.incarnation, state.orders_taken, state.version)
+            reported_versions = tuple(sorted({*state.reported_versions, state.version}))
+            actions.append(
+                ("report", state._replace(report_in_flight=report, reported_versions=reported_versions))
+            )
+        if state.report_in_flight is not None:
+            actions.append(("read", self._read_report(state, state.report_in_flight)))
+        return actions
+
+    def _read_report(self, state: ReplicaModelState, report: Report) -> ReplicaModelState:
+        state = state._replace(report_in_flight=None)
+        replica_report = ReplicaReport(
             orders_taken=report.orders_taken,
             busy=False,
             model_versions={MODEL: report.version},
-            started_unix_ms=report.life,
+            started_unix_ms=report.incarnation,
         )
-        if not told.is_from(_life(state.listed)) and "take_old_report" not in self._mutants:
+        if (
+            not replica_report.is_from(_make_incarnation(state.discovered_incarnation))
+            and "accept_old_report" not in self._mutants
+        ):
             return state
-        return state._replace(basis=report, believed=report.version)
-
-    def _order_steps(self, state: LivesModelState) -> list[Step]:
-        steps: list[Step] = []
-        if state.basis is not None and state.order is None:
-            steps.append(("order", self._order(state, state.basis)))
-        if state.order is not None:
-            arrived = self._carry_out(state, state.order)._replace(order=None)
-            steps.append(("answered", arrived))
-            if len(state.waiting) < MOST_WAITING:
-                given_up = state._replace(order=None, waiting=tuple(sorted((*state.waiting, state.order))))
-                steps.append(("give up", given_up))
-        for index, order in enumerate(state.waiting):
-            left = state.waiting[:index] + state.waiting[index + 1 :]
-            steps.append((f"late({order.version})", self._carry_out(state._replace(waiting=left), order)))
-        return steps
-
-    def _order(self, state: LivesModelState, basis: Report) -> LivesModelState:
-        state = state._replace(basis=None)
-        missing = basis.version < state.wanted
-        if not missing or not self._may_follow(state, basis):
+        return state._replace(basis_report=report, believed_version=report.version)
+
+    def _order_actions(self, state: ReplicaModelState) -> list[Action]:
+        actions: list[Action] = []
+        if state.basis_report is not None and state.pending_order is None:
+            actions.append(("order", self._send_order(state, state.basis_report)))
+        if state.pending_order is not None:
+            after_answer = self._execute(state, state.pending_order)._replace(pending_order=None)
+            actions.append(("answer", after_answer))
+            if len(state.unconfirmed_orders) < MAX_UNCONFIRMED_ORDERS:
+                after_timeout = state._replace(
+                    pending_order=None,
+                    unconfirmed_orders=tuple(sorted((*state.unconfirmed_orders, state.pending_order))),
+                )
+                actions.append(("give_up", after_timeout))
+        for index, order in enumerate(state.unconfirmed_orders):
+            remaining = state.unconfirmed_orders[:index] + state.unconfirmed_orders[index + 1 :]
+            actions.append(
+                (
+                    f"execute_late({order.version})",
+                    self._execute(state._replace(unconfirmed_orders=remaining), order),
+                )
+            )
+        return actions
+
+    def _send_order(self, state: ReplicaModelState, basis: Report) -> ReplicaModelState:
+        """Order the target version if the report lacks it and no unconfirmed order forbids that.
+
+        The report is used up in any case, so the next order needs a new one.
+        """
+        state = state._replace(basis_report=None)
+        missing = basis.version < state.target_version
+        if not missing or not self._may_order(state, basis):
             return state
-        return state._replace(order=Order(state.listed, basis.orders_taken, state.wanted))
+        return state._replace(
+            pending_order=Order(state.discovered_incarnation, basis.orders_taken, state.target_version)
+        )
 
-    def _may_follow(self, state: LivesModelState, basis: Report) -> bool:
-        doubtful = UnconfirmedOrders()
-        if "forget_doubtful_orders" not in self._mutants:
-            for order in state.waiting:
-                doubtful.record(_life(order.life), order.expected, now_s=0.0)
-        return doubtful.allows_next_order(_life(state.listed), basis.orders_taken, now_s=0.0)
+    def _may_order(self, state: ReplicaModelState, basis: Report) -> bool:
+        unconfirmed = UnconfirmedOrders()
+        if "forget_unconfirmed_orders" not in self._mutants:
+            for order in state.unconfirmed_orders:
+                unconfirmed.record(
+                    _make_incarnation(order.incarnation), order.expected_orders_taken, now_s=0.0
+                )
+        return unconfirmed.allows_next_order(
+            _make_incarnation(state.discovered_incarnation), basis.orders_taken, now_s=0.0
+        )
 
-    def _carry_out(self, state: LivesModelState, order: Order) -> LivesModelState:
-        if order.expected != state.orders_taken:
+    def _execute(self, state: ReplicaModelState, order: Order) -> ReplicaModelState:
+        """Return the state after an order has reached the replica; a wrong order count is refused."""
+        if order.expected_orders_taken != state.orders_taken:
             return state
         return state._replace(
             orders_taken=state.orders_taken + 1,
             version=order.version,
-            went_back=state.went_back or (state.orders_taken > 0 and order.version < state.version),
+            version_reverted=state.version_reverted
+            or (state.orders_taken > 0 and order.version < state.version),
         )
 
     def invariants(self) -> dict:
         return {
-            "versions_rise": lambda d: not d["went_back"],
-            "own_version": lambda d: (
-                d["listed"] != d["life"] or not d["believed"] or d["believed"] in d["told"]
+            "versions_never_decrease": lambda d: not d["version_reverted"],
+            "believed_version_was_reported": lambda d: (
+                d["discovered_incarnation"] != d["incarnation"]
+                or not d["believed_version"]
+                or d["believed_version"] in d["reported_versions"]
             ),
         }
 
 
 def build(mutants: frozenset[str]) -> Protocol:
-    """Return the model."""
+    """Return the model with the named mutants applied."""
     model = _Model(mutants)
     return Protocol(
         name="replica_lives",
         candidate=False,
-        fields=LivesModelState._fields,
-        initial=LivesModelState(),
+        fields=ReplicaModelState._fields,
+        initial=ReplicaModelState(),
         transitions=model.transitions,
         invariants=model.invariants(),
         goal=lambda d: d["version"] == LAST_VERSION,
     )
 
 
-REPLICA_LIVES = Specification(
+REPLICA_INCARNATIONS = Specification(
     name="replica_lives",
-    bounds="1 replica of 2 lives, 3 versions named, 2 orders late, any report late",
+    bounds="1 replica with 2 incarnations, 3 target versions, 2 unconfirmed orders, any report late",
     build=build,
     mutants=(
         Mutant(
-            name="take_old_report",
-            mistake="an old life's report is taken for the new one's",
-            caught_by="own_version",
+            name="accept_old_report",
+            mistake="a report of the previous incarnation is taken for one of the new incarnation",
+            caught_by="believed_version_was_reported",
         ),
         Mutant(
-            name="order_by_old_count",
-            mistake="an order to the new life names the count of the old one",
-            caught_by="versions_rise",
+            name="order_with_old_count",
+            mistake="an order to the new incarnation names the order count of the previous one",
+            caught_by="versions_never_decrease",
         ),
         Mutant(
-            name="forget_doubtful_orders",
-            mistake="an order that the old life left without an answer is forgotten",
-            caught_by="versions_rise",
+            name="forget_unconfirmed_orders",
+            mistake="the unconfirmed orders to the previous incarnation are forgotten",
+            caught_by="versions_never_decrease",
         ),
     ),
 )
--- a/passgate/check/specification/shared_log.py
+++ b/passgate/check/specification/shared_log.py
@@ -1,9 +1,8 @@
-"""The log and the running code's folds inside a specification.
+"""Model of one log stream for specifications, and what the running code makes of its prefixes.
 
-A record on its way to the log may arrive late, never, or twice; the sender learns
-the outcome from its own fold only.  States hold record numbers, so
-that they stay small; what a reader knows after a prefix of the log is computed by
-the running code's :class:`~passgate.state.fold.StreamState`.
+A record that is sent may reach the log at any later time, never, or several times.  Its sender learns the
+outcome only by reading the log.  Model states refer to records by small identifiers, which keeps states
+small; a :class:`~passgate.state.fold.StreamState` applies the records.
 """
 
 from __future__ import annotations
@@ -17,93 +16,103 @@
 from passgate.state.fold import Decision, Fold, StreamState
 
 Prefix = tuple[int, ...]
+"""Identifiers of the first records of the log, in the order of their offsets."""
 
 
-class Transport(NamedTuple):
-    """Records on the log and on their way to it."""
+class LogState(NamedTuple):
+    """Identifiers of the records on the log and of those in flight to it."""
 
-    log: Prefix = ()
-    flying: frozenset[int] = frozenset()
+    records: Prefix = ()
+    in_flight: frozenset[int] = frozenset()
 
 
-def send(transport: Transport, number: int) -> Transport:
-    """Return the transport with a record on its way; it may never arrive."""
-    return transport._replace(flying=transport.flying | {number})
+def start_append(log: LogState, record_id: int) -> LogState:
+    """Return the log with a record in flight; it may never arrive."""
+    return log._replace(in_flight=log.in_flight | {record_id})
 
 
-def arrivals(transport: Transport, copies: Callable[[int], int]) -> Iterator[tuple[str, Transport]]:
-    """Yield each way in which one flying record reaches the log.
+def append_actions(log: LogState, max_copies: Callable[[int], int]) -> Iterator[tuple[str, LogState]]:
+    """Yield label and next state of each append of a record in flight.
 
-    A record whose answer was lost is sent again, so it may arrive as often as
-    ``copies`` allows for its number, at any times.
+    An append whose answer was lost is retried, so a record stays in flight until the log holds
+    ``max_copies(record_id)`` copies of it.
     """
-    for number in sorted(transport.flying):
-        is_last = transport.log.count(number) + 1 >= copies(number)
-        flying = transport.flying - {number} if is_last else transport.flying
-        yield f"append(#{number})", Transport((*transport.log, number), flying)
+    for record_id in sorted(log.in_flight):
+        is_last = log.records.count(record_id) + 1 >= max_copies(record_id)
+        in_flight = log.in_flight - {record_id} if is_last else log.in_flight
+        yield f"append(#{record_id})", LogState((*log.records, record_id), in_flight)
 
 
-class UndedupedState(StreamState):
-    """Mutant: repeated records are applied again."""
+class UnfilteredStreamState(StreamState):
+    """Mutant: duplicates of records are applied."""
 
     def _decide(self, offset: int, record: Record) -> Decision:
         return self.fold.apply(offset, record)
 
 
-class View(msgspec.Struct, frozen=True):
-    """A reader's knowledge after a prefix of the log; never changed."""
+class PrefixView(msgspec.Struct, frozen=True):
+    """State of a reader that has applied a prefix of the log, and its decisions; must not be changed."""
 
     stream: StreamState
     decisions: tuple[Decision, ...]
 
     @property
-    def fold(self) -> Any:
-        """Return the running code's fold."""
+    def projection(self) -> Any:
+        """Return the running code's projection."""
         return self.stream.fold
 
 
-class SharedLog:
-    """Record numbers for states, and cached folds of log prefixes."""
+class LogReplayer:
+    """Assigns identifiers to records, and replays prefixes of the log; caches the results."""
 
-    def __init__(self, new_fold: Callable[[], Fold], *, skip_dedupe: bool = False) -> None:
-        self._new_fold = new_fold
-        self._state_type = UndedupedState if skip_dedupe else StreamState
-        self._records: list[Record] = []
-        self._numbers: dict[bytes, int] = {}
-        self._views: dict[Prefix, View] = {}
+    def __init__(self, new_projection: Callable[[], Fold], *, skip_dedupe: bool = False) -> None:
+        """Create a replayer for one stream.
 
-    def number(self, record: Record) -> int:
-        """Return the number that stands for a record in states."""
+        Args:
+            new_projection: returns an empty projection of the stream.
+            skip_dedupe: apply duplicates of records, as a mutant.
+        """
+        self._new_projection = new_projection
+        self._state_type = UnfilteredStreamState if skip_dedupe else StreamState
+        self._records_by_id: list[Record] = []
+        self._id_by_payload: dict[bytes, int] = {}
+        self._view_by_prefix: dict[Prefix, PrefixView] = {}
+
+    def record_id(self, record: Record) -> int:
+        """Return the identifier of a record; equal records have the same one."""
         payload = encode_record(record)
-        if payload not in self._numbers:
-            self._numbers[payload] = len(self._records)
-            self._records.append(record)
-        return self._numbers[payload]
-
-    def record(self, number: int) -> Record:
-        """Return the record of a number."""
-        return self._records[number]
-
-    def view(self, prefix: Prefix) -> View:
-        """Return what a reader knows after a prefix of the log."""
-        view = self._views.get(prefix)
+        if payload not in self._id_by_payload:
+            self._id_by_payload[payload] = len(self._records_by_id)
+            self._records_by_id.append(record)
+        return self._id_by_payload[payload]
+
+    def record(self, record_id: int) -> Record:
+        """Return the record with an identifier."""
+        return self._records_by_id[record_id]
+
+    def view(self, prefix: Prefix) -> PrefixView:
+        """Return the cached state and decisions of a reader that has applied a prefix of the log."""
+        view = self._view_by_prefix.get(prefix)
         if view is None:
-            view = self._views[prefix] = self.replay(prefix)
+            view = self._view_by_prefix[prefix] = self.replay(prefix)
         return view
 
-    def replay(self, prefix: Prefix, snapshot_at: int = 0) -> View:
-        """Fold a prefix anew, through a snapshot after its first ``snapshot_at`` records."""
-        stream = self._state_type(self._new_fold())
+    def replay(self, prefix: Prefix, snapshot_at: int = 0) -> PrefixView:
+        """Apply a prefix from the start.
+
+        After ``snapshot_at`` records, the state is replaced by one restored from its snapshot; 0: it is not.
+        """
+        stream = self._state_type(self._new_projection())
         decisions = []
-        for offset, number in enumerate(prefix):
+        for offset, record_id in enumerate(prefix):
             if snapshot_at and offset == snapshot_at:
-                stream = self._restored(stream)
-            decisions.append(stream.apply(offset, encode_record(self._records[number]))[1])
-        return View(stream, tuple(decisions))
+                stream = self._restore_from_snapshot(stream)
+            decisions.append(stream.apply(offset, encode_record(self._records_by_id[record_id]))[1])
+        return PrefixView(stream, tuple(decisions))
 
-    def _restored(self, stream: StreamState) -> StreamState:
+    def _restore_from_snapshot(self, stream: StreamState) -> StreamState:
         snapshot = stream.snapshot()
         assert snapshot is not None
-        restored = self._state_type(self._new_fold())
+        restored = self._state_type(self._new_projection())
         assert restored.restore(snapshot)
         return restored
--- a/passgate/check/specification/usage_reports.py
+++ b/passgate/check/specification/usage_reports.py
@@ -1,12 +1,17 @@
-"""Specification of usage reports, on the running code's folds.
+"""Specification of usage reports; see :mod:`passgate.duties.usage_reporter`.
 
-Two daemons claim the lead, count, commit the report of one window and send it.  Each record
-is on its way for any time, each daemon reads at its own pace, and each call to the platform
-may be carried out at any later time, after newer ones.  No lease is modelled: whoever reads
-itself as leader may send, so the property holds by fences and commits alone.
+Two daemons claim leadership, count requests, and commit and send the report of one window.  Claims and
+commits reach the log at any later time; counts reach it at once, because only their order relative to commits
+matters.  Each daemon reads the log at its own pace, and the platform executes calls at any later time and in
+any order.
 
-Property: ``one_report`` (the platform never accepts two reports of the window that
-differ).  A count is on the log at once, as only the order of counts and commits matters.
+Leases are not modelled: a daemon may send whenever it reads itself as leader.  A claim is accepted only while
+the leader has appended nothing since its own claim, so the leader no longer changes once a report is
+committed.
+
+Invariant: ``one_report`` (the platform never accepts two different reports of the window).
+
+Liveness: from every state, the log can reach its largest length.
 """
 
 from __future__ import annotations
@@ -16,61 +21,66 @@
 
 from minicheck import Protocol
 
-from passgate.check.specification.kernel import Mutant, Specification, Step
+from passgate.check.specification.kernel import Action, Mutant, Specification
 from passgate.duties.usage_projection import UsageProjection
 from passgate.jobs.records import Batch, LeaderClaimed, UsageCommitted, UsageCounted
 from passgate.versions.leadership_projection import LeadershipProjection
 
-DAEMONS = 2
+DAEMON_COUNT = 2
 MAX_RECORDS = 5
-MAX_CALLS = 2
-"""Calls that are on their way at once."""
+"""Most records on the log."""
+MAX_CALLS_IN_FLIGHT = 2
+"""Most calls in flight at once."""
 WINDOW = 1
 TENANT = "t"
 CLAIM, COUNT, COMMIT = "claim", "count", "commit"
 
 
-class Entry(NamedTuple):
-    """One record, on its way or on the log."""
+class ModelRecord(NamedTuple):
+    """One record, in flight or on the log."""
 
     writer: int
+    """Index of the daemon that wrote it."""
     kind: str
+    """``CLAIM``, ``COUNT`` or ``COMMIT``."""
     value: int = 0
-    """Fence that a claim names, or requests that a commit reports."""
+    """Fence that a claim names, or number of requests that a commit reports; not used in a count."""
 
 
-class Call(NamedTuple):
-    """A report on its way to the platform."""
+class ReportCall(NamedTuple):
+    """A call with a report, in flight to the platform."""
 
     fence: int
-    requests: int
+    request_count: int
 
 
 class Daemon(NamedTuple):
     """What one daemon knows."""
 
-    applied: int = 0
-    pending: Entry | None = None
+    applied_count: int = 0
+    """Number of records of the log that were read."""
+    in_flight: ModelRecord | None = None
+    """Record that it has sent and that has not reached the log."""
 
 
 class Platform(NamedTuple):
-    """What the platform has seen."""
+    """What the platform has received."""
 
-    fence: int = -1
-    accepted: tuple[int, ...] = ()
-    """Different numbers of requests that it has accepted for the window."""
+    highest_fence: int = -1
+    accepted_request_counts: tuple[int, ...] = ()
+    """The different numbers of requests in reports of the window that it has accepted."""
 
 
-class ReportModelState(NamedTuple):
-    """State of the specification; at first daemon 0 leads and all know it."""
+class UsageReportModelState(NamedTuple):
+    """State of the model; initially daemon 0 is the leader and both daemons know it."""
 
-    log: tuple[Entry, ...] = (Entry(writer=0, kind=CLAIM, value=-1),)
-    daemons: tuple[Daemon, ...] = (Daemon(applied=1), Daemon(applied=1))
-    calls: tuple[Call, ...] = ()
+    log: tuple[ModelRecord, ...] = (ModelRecord(writer=0, kind=CLAIM, value=-1),)
+    daemons: tuple[Daemon, ...] = (Daemon(applied_count=1), Daemon(applied_count=1))
+    calls_in_flight: tuple[ReportCall, ...] = ()
     platform: Platform = Platform()
 
 
-class _LastCommitFold(UsageProjection):
+class _LastCommitProjection(UsageProjection):
     """Mutant: a later commit of a window replaces the first."""
 
     def _commit(self, entry: UsageCommitted) -> None:
@@ -78,129 +88,136 @@
         super()._commit(entry)
 
 
-class _View(NamedTuple):
-    """The folds of a prefix of the log."""
+class _PrefixView(NamedTuple):
+    """The projections of a prefix of the log."""
 
-    lead: LeadershipProjection
+    leadership: LeadershipProjection
     usage: UsageProjection
-    counted: int
-    """Requests of the window that were counted, late ones too."""
+    counted_requests: int
+    """Requests of the window that were counted, including late ones."""
 
 
 class _Model:
-    """Transitions and properties, with mutants built in."""
+    """Transitions and invariants, with mutants applied."""
 
     def __init__(self, mutants: frozenset[str]) -> None:
         self.mutants = mutants
-        self._usage_type: type[UsageProjection] = UsageProjection
-        if "last_commit_counts" in mutants:
-            self._usage_type = _LastCommitFold
-        self.view = functools.cache(self._view)
-
-    def _view(self, log: tuple[Entry, ...]) -> _View:
-        lead, usage = LeadershipProjection(), self._usage_type()
-        for offset, entry in enumerate(log):
-            writer = f"d{entry.writer}"
-            body = _body(offset, entry)
-            lead.apply(offset, Batch(writer=writer, entries=(body,)), now_s=0.0)
-            usage.apply(offset, writer, body, by_leader=lead.leader == writer)
-        return _View(lead, usage, sum(entry.kind == COUNT for entry in log))
-
-    def transitions(self, state: ReportModelState) -> list[Step]:
-        steps: list[Step] = []
-        for number, daemon in enumerate(state.daemons):
-            steps += self._steps_of(state, number, daemon)
-        for index, call in enumerate(state.calls):
-            left = (*state.calls[:index], *state.calls[index + 1 :])
-            steps.append(
-                (f"carry_out({call})", state._replace(calls=left, platform=_take(state.platform, call)))
+        self._usage_projection_type: type[UsageProjection] = UsageProjection
+        if "last_commit_wins" in mutants:
+            self._usage_projection_type = _LastCommitProjection
+        self.replay = functools.cache(self._replay)
+
+    def _replay(self, log: tuple[ModelRecord, ...]) -> _PrefixView:
+        leadership, usage = LeadershipProjection(), self._usage_projection_type()
+        for offset, record in enumerate(log):
+            writer = f"d{record.writer}"
+            body = _to_log_entry(offset, record)
+            leadership.apply(offset, Batch(writer=writer, entries=(body,)), now_s=0.0)
+            usage.apply(offset, writer, body, by_leader=leadership.leader == writer)
+        return _PrefixView(leadership, usage, sum(record.kind == COUNT for record in log))
+
+    def transitions(self, state: UsageReportModelState) -> list[Action]:
+        actions: list[Action] = []
+        for index, daemon in enumerate(state.daemons):
+            actions += self._daemon_actions(state, index, daemon)
+        for index, call in enumerate(state.calls_in_flight):
+            remaining = (*state.calls_in_flight[:index], *state.calls_in_flight[index + 1 :])
+            actions.append(
+                (
+                    f"execute({call})",
+                    state._replace(calls_in_flight=remaining, platform=_execute_call(state.platform, call)),
+                )
             )
-        return steps
-
-    def _steps_of(self, state: ReportModelState, number: int, daemon: Daemon) -> list[Step]:
-        steps: list[Step] = []
-        view = self.view(state.log[: daemon.applied])
-        if daemon.applied < len(state.log):
-            read = daemon._replace(applied=daemon.applied + 1)
-            steps.append((f"read({number})", _with(state, number, read)))
-        if daemon.pending is not None:
+        return actions
+
+    def _daemon_actions(self, state: UsageReportModelState, index: int, daemon: Daemon) -> list[Action]:
+        actions: list[Action] = []
+        view = self.replay(state.log[: daemon.applied_count])
+        if daemon.applied_count < len(state.log):
+            reader = daemon._replace(applied_count=daemon.applied_count + 1)
+            actions.append((f"read({index})", _with_daemon(state, index, reader)))
+        if daemon.in_flight is not None:
             if len(state.log) < MAX_RECORDS:
-                arrived = state._replace(log=(*state.log, daemon.pending))
-                steps.append((f"arrive({number})", _with(arrived, number, daemon._replace(pending=None))))
+                appended = state._replace(log=(*state.log, daemon.in_flight))
+                actions.append(
+                    (f"arrive({index})", _with_daemon(appended, index, daemon._replace(in_flight=None)))
+                )
         elif len(state.log) < MAX_RECORDS:
-            steps.append((f"count({number})", _counted(state, number)))
-            for entry in self._entries(view, number):
-                sent = daemon._replace(pending=entry)
-                steps.append((f"{entry.kind}({number})", _with(state, number, sent)))
-        steps += self._sends(state, view, number)
-        return steps
-
-    def _entries(self, view: _View, number: int) -> list[Entry]:
-        """Return what a daemon may send to the log besides counts."""
-        if view.lead.leader != f"d{number}":
-            return [Entry(writer=number, kind=CLAIM, value=view.lead.leader_fence)]
+            actions.append((f"count({index})", _append_count(state, index)))
+            for record in self._next_records(view, index):
+                sender = daemon._replace(in_flight=record)
+                actions.append((f"{record.kind}({index})", _with_daemon(state, index, sender)))
+        actions += self._send_actions(state, view, index)
+        return actions
+
+    def _next_records(self, view: _PrefixView, index: int) -> list[ModelRecord]:
+        """Return the records that a daemon may send next, apart from counts."""
+        if view.leadership.leader != f"d{index}":
+            return [ModelRecord(writer=index, kind=CLAIM, value=view.leadership.leader_fence)]
         if view.usage.last_committed_window is None:
-            requests = view.usage.counts_of(WINDOW).get(TENANT, 0)
-            return [Entry(writer=number, kind=COMMIT, value=requests)]
+            request_count = view.usage.counts_of(WINDOW).get(TENANT, 0)
+            return [ModelRecord(writer=index, kind=COMMIT, value=request_count)]
         return []
 
-    def _sends(self, state: ReportModelState, view: _View, number: int) -> list[Step]:
-        if view.lead.leader != f"d{number}" or len(state.calls) >= MAX_CALLS:
+    def _send_actions(self, state: UsageReportModelState, view: _PrefixView, index: int) -> list[Action]:
+        if view.leadership.leader != f"d{index}" or len(state.calls_in_flight) >= MAX_CALLS_IN_FLIGHT:
             return []
         committed = view.usage.unreported_counts_by_window.get(WINDOW)
-        pending = state.daemons[number].pending
-        if "trust_own_commit" in self.mutants and committed is None and pending is not None:
-            committed = {TENANT: pending.value}
+        in_flight = state.daemons[index].in_flight
+        if "send_unconfirmed_commit" in self.mutants and committed is None and in_flight is not None:
+            committed = {TENANT: in_flight.value}
         if committed is None and "send_uncommitted" not in self.mutants:
             return []
-        recounts = bool(self.mutants & {"count_again", "send_uncommitted"})
-        requests = view.counted if recounts or committed is None else committed.get(TENANT, 0)
-        call = Call(fence=view.lead.leader_fence, requests=requests)
-        if call in state.calls:
+        uses_current_counts = bool(self.mutants & {"send_current_counts", "send_uncommitted"})
+        request_count = (
+            view.counted_requests if uses_current_counts or committed is None else committed.get(TENANT, 0)
+        )
+        call = ReportCall(fence=view.leadership.leader_fence, request_count=request_count)
+        if call in state.calls_in_flight:
             return []
-        calls = tuple(sorted((*state.calls, call)))
-        return [(f"send({number})", state._replace(calls=calls))]
+        calls_in_flight = tuple(sorted((*state.calls_in_flight, call)))
+        return [(f"send({index})", state._replace(calls_in_flight=calls_in_flight))]
 
     def invariants(self) -> dict:
         return {
-            "one_report": lambda d: len(d["platform"].accepted) <= 1,
+            "one_report": lambda d: len(d["platform"].accepted_request_counts) <= 1,
         }
 
 
-def _body(offset: int, entry: Entry) -> LeaderClaimed | UsageCounted | UsageCommitted:
-    if entry.kind == CLAIM:
-        # No lease is modelled, so a claim always names the leader's last record.
-        return LeaderClaimed(leader=f"d{entry.writer}", after=entry.value, seen=entry.value)
-    if entry.kind == COUNT:
-        return UsageCounted(meter=f"d{entry.writer}", number=offset, window=WINDOW, counts={TENANT: 1})
-    return UsageCommitted(window=WINDOW, counts={TENANT: entry.value})
+def _to_log_entry(offset: int, record: ModelRecord) -> LeaderClaimed | UsageCounted | UsageCommitted:
+    if record.kind == CLAIM:
+        # ``seen`` names the leader's claim, so a later record of the leader makes this claim fail.
+        return LeaderClaimed(leader=f"d{record.writer}", after=record.value, seen=record.value)
+    if record.kind == COUNT:
+        return UsageCounted(meter=f"d{record.writer}", number=offset, window=WINDOW, counts={TENANT: 1})
+    return UsageCommitted(window=WINDOW, counts={TENANT: record.value})
 
 
-def _counted(state: ReportModelState, number: int) -> ReportModelState:
-    return state._replace(log=(*state.log, Entry(writer=number, kind=COUNT)))
+def _append_count(state: UsageReportModelState, index: int) -> UsageReportModelState:
+    return state._replace(log=(*state.log, ModelRecord(writer=index, kind=COUNT)))
 
 
-def _take(platform: Platform, call: Call) -> Platform:
-    """Return the platform after a call: a lower fence than it has seen is refused."""
-    if call.fence < platform.fence:
+def _execute_call(platform: Platform, call: ReportCall) -> Platform:
+    """Return the platform after a call; it refuses a fence that is lower than one it has received."""
+    if call.fence < platform.highest_fence:
         return platform
-    accepted = tuple(sorted({*platform.accepted, call.requests}))
-    return Platform(fence=call.fence, accepted=accepted)
+    accepted = tuple(sorted({*platform.accepted_request_counts, call.request_count}))
+    return Platform(highest_fence=call.fence, accepted_request_counts=accepted)
 
 
-def _with(state: ReportModelState, number: int, daemon: Daemon) -> ReportModelState:
-    daemons = tuple(daemon if i == number else old for i, old in enumerate(state.daemons))
+def _with_daemon(state: UsageReportModelState, index: int, daemon: Daemon) -> UsageReportModelState:
+    daemons = tuple(daemon if i == index else old for i, old in enumerate(state.daemons))
     return state._replace(daemons=daemons)
 
 
 def build(mutants: frozenset[str]) -> Protocol:
-    """Return the model."""
+    """Return the model with the named mutants applied."""
     model = _Model(mutants)
     return Protocol(
         name="usage_reports",
         candidate=False,
-        fields=ReportModelState._fields,
-        initial=ReportModelState(),
+        fields=UsageReportModelState._fields,
+        initial=UsageReportModelState(),
         transitions=model.transitions,
         invariants=model.invariants(),
         goal=lambda d: len(d["log"]) == MAX_RECORDS,
@@ -213,23 +230,23 @@
     build=build,
     mutants=(
         Mutant(
-            name="count_again",
-            mistake="the next holder builds the report again from the counts it has",
+            name="send_current_counts",
+            mistake="a leader sends the counts that it has now instead of the committed ones",
             caught_by="one_report",
         ),
         Mutant(
             name="send_uncommitted",
-            mistake="a holder sends the counts before they are committed",
+            mistake="a leader sends counts before they are committed",
             caught_by="one_report",
         ),
         Mutant(
-            name="last_commit_counts",
+            name="last_commit_wins",
             mistake="a later commit of a window replaces the first",
             caught_by="one_report",
         ),
         Mutant(
-            name="trust_own_commit",
-            mistake="a holder sends its commit before it has read it back",
+            name="send_unconfirmed_commit",
+            mistake="a leader sends its committed counts before it has read the commit back",
             caught_by="one_report",
         ),
     ),
--- a/tests/test_check_model.py
+++ b/tests/test_check_model.py
@@ -1,4 +1,4 @@
-"""Every seeded mistake is caught by its property, and the small specifications hold."""
+"""Each mutant violates its property, and the specifications with few states hold."""
 
 from __future__ import annotations
 
@@ -10,61 +10,65 @@
 from passgate.check.specification.kernel import Mutant, Specification, check, check_mutant
 from passgate.errors import NotFound, VerificationFailed
 
-MUTANTS = [(spec.name, mutant.name) for spec in SPECIFICATIONS.values() for mutant in spec.mutants]
+MUTANT_NAMES = [
+    (specification.name, mutant.name)
+    for specification in SPECIFICATIONS.values()
+    for mutant in specification.mutants
+]
 
-EXHAUSTIVE_IN_TESTS = ["planned_stop", "leases", "leadership", "permits", "evacuation", "replica_lives"]
-"""The others take longer; ``passgate check model`` checks them all."""
+CHECKED_SPECIFICATIONS = ["planned_stop", "leases", "leadership", "permits", "evacuation", "replica_lives"]
+"""The specifications that are quick to check; ``passgate check model`` checks all."""
 
 
-@pytest.mark.parametrize(("specification", "mutant"), MUTANTS)
-def test_mutant_is_caught(specification, mutant):
-    chosen = SPECIFICATIONS[specification]
-    seeded = next(entry for entry in chosen.mutants if entry.name == mutant)
-    result = check_mutant(chosen, seeded)
-    assert result.failed() == [seeded.caught_by]
+@pytest.mark.parametrize(("specification_name", "mutant_name"), MUTANT_NAMES)
+def test_mutant_is_caught(specification_name, mutant_name):
+    specification = SPECIFICATIONS[specification_name]
+    mutant = next(mutant for mutant in specification.mutants if mutant.name == mutant_name)
+    result = check_mutant(specification, mutant)
+    assert result.violated_properties() == [mutant.caught_by]
     assert result.properties[0].trace
 
 
-@pytest.mark.parametrize("name", EXHAUSTIVE_IN_TESTS)
+@pytest.mark.parametrize("name", CHECKED_SPECIFICATIONS)
 def test_specification_holds(name):
     result = check(SPECIFICATIONS[name])
-    assert result.failed() == []
+    assert result.violated_properties() == []
     assert result.exhaustive
 
 
 def test_uncaught_mutant_is_an_error():
-    spec = SPECIFICATIONS["planned_stop"]
+    specification = SPECIFICATIONS["planned_stop"]
     harmless = Mutant(name="nothing", mistake="none", caught_by="nothing_cut")
     with pytest.raises(VerificationFailed):
-        check_mutant(spec, harmless)
+        check_mutant(specification, harmless)
 
 
-def test_truncated_search_proves_nothing(monkeypatch):
+def test_truncated_search_is_an_error(monkeypatch):
     monkeypatch.setattr(kernel, "MAX_STATES", 50)
     with pytest.raises(kernel.SearchTruncated):
         check(SPECIFICATIONS["planned_stop"])
 
 
-def test_command_fails_on_a_broken_property(monkeypatch, capsys):
-    good = SPECIFICATIONS["planned_stop"]
-    broken = Specification(
-        name=good.name,
-        bounds=good.bounds,
-        build=lambda mutants: good.build(frozenset(["finish_without_waiting"])),
+def test_command_fails_on_a_violated_property(monkeypatch, capsys):
+    specification = SPECIFICATIONS["planned_stop"]
+    violating = Specification(
+        name=specification.name,
+        bounds=specification.bounds,
+        build=lambda mutants: specification.build(frozenset(["finish_without_waiting"])),
         mutants=(),
     )
-    monkeypatch.setitem(SPECIFICATIONS, good.name, broken)
+    monkeypatch.setitem(SPECIFICATIONS, specification.name, violating)
     with pytest.raises(ModelBroken):
         CheckCommands().model("planned_stop")
     assert "nothing_cut: stop" in capsys.readouterr().out
 
 
-def test_unknown_specification_is_named():
+def test_unknown_specification_is_not_found():
     with pytest.raises(NotFound):
         select("nothing")
 
 
-def test_history_command_fails_with_the_excerpt(tmp_path, capsys):
+def test_history_command_prints_the_excerpt_and_fails(tmp_path, capsys):
     file = tmp_path / "history.jsonl"
     file.write_text(
         '{"type":"backend_leaving","time_s":1.0,"replica_id":"e"}\n'
--- a/tests/test_check_tables.py
+++ b/tests/test_check_tables.py
@@ -1,4 +1,4 @@
-"""The proof's page shows what the measurement files hold."""
+"""The page on the proof is generated from the committed measurement files."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 ROOT = pathlib.Path(__file__).parent.parent
 
 
-def test_page_is_made_from_the_measurements():
+def test_page_matches_the_measurements():
     assert tables.write_page(str(ROOT)) == (ROOT / tables.PAGE).read_text()
 
 
 @pytest.mark.parametrize("name", tables.table_names())
-def test_every_table_has_its_place(name):
+def test_page_without_a_place_for_a_table_is_an_error(name):
     with pytest.raises(tables.TableMissing):
         tables.replace_table("no place", name, "table")
