--- a/passgate/check/specification/catalogue.py
+++ b/passgate/check/specification/catalogue.py
@@ -10,13 +10,13 @@
 from passgate.check.specification.claims import CLAIMS
 from passgate.check.specification.configuration import CONFIGURATION
 from passgate.check.specification.evacuation import EVACUATION
+from passgate.check.specification.graceful_shutdown import GRACEFUL_SHUTDOWN
 from passgate.check.specification.kernel import Specification
 from passgate.check.specification.leadership import LEADERSHIP
 from passgate.check.specification.leases import LEASES
 from passgate.check.specification.lots import LOTS
 from passgate.check.specification.permits import PERMITS
-from passgate.check.specification.planned_stop import GRACEFUL_SHUTDOWN
-from passgate.check.specification.replica_lives import REPLICA_INCARNATIONS
+from passgate.check.specification.replica_incarnations import REPLICA_INCARNATIONS
 from passgate.check.specification.usage_reports import USAGE_REPORTS
 from passgate.errors import NotFound
 
--- a/passgate/check/specification/configuration.py
+++ b/passgate/check/specification/configuration.py
@@ -27,7 +27,7 @@
 from minicheck import Protocol
 
 from passgate.check.specification.kernel import Action, Mutant, Specification
-from passgate.check.specification.shared_log import (
+from passgate.check.specification.log_model import (
     LogReplayer,
     LogState,
     PrefixView,
--- a/passgate/check/specification/kernel.py
+++ b/passgate/check/specification/kernel.py
@@ -4,7 +4,7 @@
 code, so a change of that code changes what is checked.  A mutant is a seeded mistake: the model built
 with it must violate a named property, which shows that the property can fail.
 
->>> from passgate.check.specification.planned_stop import GRACEFUL_SHUTDOWN
+>>> from passgate.check.specification.graceful_shutdown import GRACEFUL_SHUTDOWN
 >>> check(GRACEFUL_SHUTDOWN).holds()
 True
 """
--- a/passgate/check/specification/lots.py
+++ b/passgate/check/specification/lots.py
@@ -25,7 +25,7 @@
 from minicheck import Protocol
 
 from passgate.check.specification.kernel import Action, Mutant, Specification
-from passgate.check.specification.shared_log import LogReplayer, LogState, append_actions, start_append
+from passgate.check.specification.log_model import LogReplayer, LogState, append_actions, start_append
 from passgate.records import (
     Body,
     KeeperTaken,
