--- a/passgate/check/specification/claims.py
+++ b/passgate/check/specification/claims.py
@@ -50,7 +50,7 @@
 
     phase: str = IDLE
     answer: str = NO_ANSWER
-    """What the caller was told; "not run" once the attempt gives up."""
+    """Answer that the caller got; "not run" once the attempt gives up."""
     replayed_attempt: int = -1
     """Attempt whose outcome was replayed; -1 if none."""
     ran: bool = False
@@ -62,7 +62,7 @@
 
 
 class ClaimModelState(NamedTuple):
-    """State of the model."""
+    """State of the model: the log of the key, the attempts, and how often the request has run."""
 
     log: LogState = LogState()
     attempts: tuple[Attempt, ...] = (Attempt(),) * ATTEMPT_COUNT
@@ -190,24 +190,24 @@
 
     def invariants(self) -> dict:
         return {
-            "at_most_once": lambda d: d["run_count"] <= 1,
-            "not_run_is_true": lambda d: (
-                not any(attempt.answer == NOT_RUN and attempt.ran for attempt in d["attempts"])
+            "at_most_once": lambda fields: fields["run_count"] <= 1,
+            "not_run_is_true": lambda fields: (
+                not any(attempt.answer == NOT_RUN and attempt.ran for attempt in fields["attempts"])
             ),
             "own_outcome": self._own_outcome,
             "accepted_once": self._accepted_once,
             "durable_before_run": self._durable_before_run,
         }
 
-    def _own_outcome(self, d: dict) -> bool:
+    def _own_outcome(self, fields: dict) -> bool:
         return all(
-            d["attempts"][attempt.replayed_attempt].ran
-            for attempt in d["attempts"]
+            fields["attempts"][attempt.replayed_attempt].ran
+            for attempt in fields["attempts"]
             if attempt.answer == REPLAYED
         )
 
-    def _accepted_once(self, d: dict) -> bool:
-        accepted = self._accepted_ids(d["log"].records)
+    def _accepted_once(self, fields: dict) -> bool:
+        accepted = self._accepted_ids(fields["log"].records)
         return len(accepted) == len(set(accepted))
 
     def _accepted_ids(self, records: tuple[int, ...]) -> list[int]:
@@ -218,9 +218,9 @@
             if isinstance(decision, Accepted)
         ]
 
-    def _durable_before_run(self, d: dict) -> bool:
-        accepted = self._accepted_ids(d["log"].records)
-        return all(attempt.claim_id in accepted for attempt in d["attempts"] if attempt.ran)
+    def _durable_before_run(self, fields: dict) -> bool:
+        accepted = self._accepted_ids(fields["log"].records)
+        return all(attempt.claim_id in accepted for attempt in fields["attempts"] if attempt.ran)
 
 
 def _make_outcome(index: int) -> ClaimCompleted:
@@ -250,7 +250,7 @@
         initial=ClaimModelState(),
         transitions=model.transitions,
         invariants=model.invariants(),
-        goal=lambda d: all(attempt.answer or attempt.phase == CRASHED for attempt in d["attempts"]),
+        goal=lambda fields: all(attempt.answer or attempt.phase == CRASHED for attempt in fields["attempts"]),
     )
 
 
--- a/passgate/check/specification/configuration.py
+++ b/passgate/check/specification/configuration.py
@@ -80,7 +80,7 @@
 
 
 class ConfigurationModelState(NamedTuple):
-    """State of the model."""
+    """State of the model: the stream, each operator's change, the daemons, and the remaining restarts."""
 
     log: LogState = LogState()
     changes: tuple[Change, ...] = (Change(),) * OPERATOR_COUNT
@@ -229,7 +229,7 @@
 
     def invariants(self) -> dict:
         return {
-            "monotonic": lambda d: not any(daemon.reverted for daemon in d["daemons"]),
+            "monotonic": lambda fields: not any(daemon.reverted for daemon in fields["daemons"]),
             "acknowledged_on_log": self._acknowledged_on_log,
             "accepted_once": self._accepted_once,
             "no_lost_update": self._no_lost_update,
@@ -238,10 +238,10 @@
             "snapshot_equals_replay": self._snapshot_equals_replay,
         }
 
-    def _acknowledged_on_log(self, d: dict) -> bool:
-        records = d["log"].records
+    def _acknowledged_on_log(self, fields: dict) -> bool:
+        records = fields["log"].records
         decisions = self.replayer.view(records).decisions
-        for change in d["changes"]:
+        for change in fields["changes"]:
             if change.phase != ACCEPTED:
                 continue
             offset = change.revision - 1
@@ -251,8 +251,8 @@
                 return False
         return True
 
-    def _accepted_once(self, d: dict) -> bool:
-        records = d["log"].records
+    def _accepted_once(self, fields: dict) -> bool:
+        records = fields["log"].records
         decisions = self.replayer.view(records).decisions
         accepted = [
             record_id
@@ -261,9 +261,9 @@
         ]
         return len(accepted) == len(set(accepted))
 
-    def _no_lost_update(self, d: dict) -> bool:
+    def _no_lost_update(self, fields: dict) -> bool:
         """Whether each accepted change of operator 1 replaces the revision that its daemon had read."""
-        records = d["log"].records
+        records = fields["log"].records
         current_revision = 0
         for offset, decision in enumerate(self.replayer.view(records).decisions):
             body = self.replayer.record(records[offset]).body
@@ -281,9 +281,9 @@
             return None
         return record.body.expected_revision if record.body.expected_revision is not None else 0
 
-    def _true_conflict(self, d: dict) -> bool:
-        records = d["log"].records
-        for change in d["changes"]:
+    def _true_conflict(self, fields: dict) -> bool:
+        records = fields["log"].records
+        for change in fields["changes"]:
             if change.phase != REFUSED:
                 continue
             expected = self.replayer.record(change.record_id).body.expected_revision
@@ -300,9 +300,9 @@
             return False
         return isinstance(self.replayer.view(records).decisions[offset], Accepted)
 
-    def _withdrawn_is_void(self, d: dict) -> bool:
-        records = d["log"].records
-        for change in d["changes"]:
+    def _withdrawn_is_void(self, fields: dict) -> bool:
+        records = fields["log"].records
+        for change in fields["changes"]:
             if change.withdrawal_id not in records:
                 continue
             decisions = self.replayer.view(records).decisions
@@ -312,8 +312,8 @@
                     return False
         return True
 
-    def _snapshot_equals_replay(self, d: dict) -> bool:
-        records = d["log"].records
+    def _snapshot_equals_replay(self, fields: dict) -> bool:
+        records = fields["log"].records
         full_replay = self.replayer.view(records).stream.fold.snapshot()
         if "skip_dedupe" in self.mutants:
             return True
@@ -343,8 +343,9 @@
         initial=ConfigurationModelState(),
         transitions=model.transitions,
         invariants=model.invariants(),
-        goal=lambda d: all(
-            daemon.serving and daemon.applied_count == len(d["log"].records) for daemon in d["daemons"]
+        goal=lambda fields: all(
+            daemon.serving and daemon.applied_count == len(fields["log"].records)
+            for daemon in fields["daemons"]
         ),
     )
 
--- a/passgate/check/specification/evacuation.py
+++ b/passgate/check/specification/evacuation.py
@@ -58,7 +58,7 @@
 
 
 class EvacuationModelState(NamedTuple):
-    """State of the model."""
+    """State of the model: the operator's log and what the daemons know."""
 
     log: tuple[EvacuationRecord, ...] = ()
     daemons: tuple[Daemon, ...] = (Daemon(),) * DAEMON_COUNT
@@ -185,10 +185,10 @@
 
     def invariants(self) -> dict:
         return {
-            "monotonic": lambda d: not any(daemon.view_reverted for daemon in d["daemons"]),
-            "view_matches_log": lambda d: all(
-                daemon.view.zones == _evacuated_zones(d["log"][: daemon.view.offset])
-                for daemon in d["daemons"]
+            "monotonic": lambda fields: not any(daemon.view_reverted for daemon in fields["daemons"]),
+            "view_matches_log": lambda fields: all(
+                daemon.view.zones == _evacuated_zones(fields["log"][: daemon.view.offset])
+                for daemon in fields["daemons"]
             ),
         }
 
@@ -220,7 +220,7 @@
         initial=EvacuationModelState(),
         transitions=model.transitions,
         invariants=model.invariants(),
-        goal=lambda d: all(daemon.view.offset == MAX_RECORDS for daemon in d["daemons"]),
+        goal=lambda fields: all(daemon.view.offset == MAX_RECORDS for daemon in fields["daemons"]),
     )
 
 
--- a/passgate/check/specification/graceful_shutdown.py
+++ b/passgate/check/specification/graceful_shutdown.py
@@ -57,12 +57,14 @@
         initial=ShutdownModelState(),
         transitions=transitions,
         invariants={
-            "nothing_cut": lambda d: d["chart_state"] != "stopped" or RUNNING not in d["requests"],
-            "no_new_work": lambda d: not d["started_late"],
-            "no_early_refusal": lambda d: not d["refused_early"],
-            "roles_released": lambda d: d["chart_state"] != "stopped" or not d["role_held"],
+            "nothing_cut": lambda fields: (
+                fields["chart_state"] != "stopped" or RUNNING not in fields["requests"]
+            ),
+            "no_new_work": lambda fields: not fields["started_late"],
+            "no_early_refusal": lambda fields: not fields["refused_early"],
+            "roles_released": lambda fields: fields["chart_state"] != "stopped" or not fields["role_held"],
         },
-        goal=lambda d: d["chart_state"] == "stopped",
+        goal=lambda fields: fields["chart_state"] == "stopped",
     )
 
 
--- a/passgate/check/specification/kernel.py
+++ b/passgate/check/specification/kernel.py
@@ -1,8 +1,9 @@
 """Runs specifications: explores all states of a model and checks its invariants and liveness.
 
-A model's state is a tuple of small values; its actions lead to further states.  Models apply the running
-code, so a change of that code changes what is checked.  A mutant is a seeded mistake: the model built
-with it must violate a named property, which shows that the property can fail.
+A model's state is a tuple of small values.  Its actions lead to further states, and its invariants get a
+state as a mapping of field names to values.  Models apply the running code, so a change of that code changes
+what is checked.  A mutant is a seeded mistake: the model built with it must violate a named property, which
+shows that the property can fail.
 
 >>> from passgate.check.specification.graceful_shutdown import GRACEFUL_SHUTDOWN
 >>> check(GRACEFUL_SHUTDOWN).holds()
--- a/passgate/check/specification/leadership.py
+++ b/passgate/check/specification/leadership.py
@@ -175,12 +175,12 @@
             "fences_never_decrease": self._fences_never_decrease,
         }
 
-    def _single_active_leader(self, d: dict) -> bool:
-        state = LeadershipModelState(d["now"], d["log"], d["daemons"])
+    def _single_active_leader(self, fields: dict) -> bool:
+        state = LeadershipModelState(fields["now"], fields["log"], fields["daemons"])
         return sum(self.may_order(state, index) for index in range(DAEMON_COUNT)) <= 1
 
-    def _fences_never_decrease(self, d: dict) -> bool:
-        fences = [self.replay(d["log"][:end]).leader_fence for end in range(len(d["log"]) + 1)]
+    def _fences_never_decrease(self, fields: dict) -> bool:
+        fences = [self.replay(fields["log"][:end]).leader_fence for end in range(len(fields["log"]) + 1)]
         return fences == sorted(fences)
 
 
@@ -213,7 +213,7 @@
         initial=LeadershipModelState(),
         transitions=model.transitions,
         invariants=model.invariants(),
-        goal=lambda d: d["now"] == MAX_TICKS,
+        goal=lambda fields: fields["now"] == MAX_TICKS,
     )
 
 
--- a/passgate/check/specification/leases.py
+++ b/passgate/check/specification/leases.py
@@ -57,11 +57,11 @@
     """Highest fence of an order that it has received."""
     last_obeyed_fence: int = 0
     obeyed_older_fence: bool = False
-    """Whether it has obeyed an order with a lower fence than the order before."""
+    """Whether it has obeyed an order with a lower fence than the order that it obeyed before."""
 
 
 class LeaseModelState(NamedTuple):
-    """State of the model."""
+    """State of the model: the stream, the daemons, and the engine with the orders in flight to it."""
 
     log: LogState = LogState()
     daemons: tuple[Daemon, ...] = (Daemon(),) * DAEMON_COUNT
@@ -74,7 +74,7 @@
     """Mutant: a take under an old epoch is accepted."""
 
     def apply(self, offset: int, record: Record) -> Decision:
-        """Accept a take whose epoch is not the next one."""
+        """Apply a record; a take is accepted also if its epoch is not higher than the current one."""
         current = self.roles.get(ROLE, NEVER_HELD).epoch
         if isinstance(record.body, LeaseTaken) and record.epoch <= current:
             self.roles[ROLE] = LeaseState(record.epoch, record.body.holder)
@@ -204,18 +204,18 @@
 
     def invariants(self) -> dict:
         return {
-            "fence_order": lambda d: not d["engine"].obeyed_older_fence,
+            "fence_order": lambda fields: not fields["engine"].obeyed_older_fence,
             "one_holder_per_epoch": self._one_holder_per_epoch,
             "epochs_grow": self._epochs_grow,
             "own_release": self._own_release,
         }
 
-    def _one_holder_per_epoch(self, d: dict) -> bool:
-        believed_epochs = [daemon.believed_epoch for daemon in d["daemons"] if daemon.believed_epoch]
+    def _one_holder_per_epoch(self, fields: dict) -> bool:
+        believed_epochs = [daemon.believed_epoch for daemon in fields["daemons"] if daemon.believed_epoch]
         return len(believed_epochs) == len(set(believed_epochs))
 
-    def _accepted_records(self, d: dict) -> list[Record]:
-        records = d["log"].records
+    def _accepted_records(self, fields: dict) -> list[Record]:
+        records = fields["log"].records
         decisions = self.replayer.view(records).decisions
         return [
             self.replayer.record(record_id)
@@ -223,13 +223,15 @@
             if isinstance(decision, Accepted)
         ]
 
-    def _epochs_grow(self, d: dict) -> bool:
-        epochs = [record.epoch for record in self._accepted_records(d) if isinstance(record.body, LeaseTaken)]
+    def _epochs_grow(self, fields: dict) -> bool:
+        epochs = [
+            record.epoch for record in self._accepted_records(fields) if isinstance(record.body, LeaseTaken)
+        ]
         return epochs == list(range(1, len(epochs) + 1))
 
-    def _own_release(self, d: dict) -> bool:
+    def _own_release(self, fields: dict) -> bool:
         current_take = None
-        for record in self._accepted_records(d):
+        for record in self._accepted_records(fields):
             if isinstance(record.body, LeaseTaken):
                 current_take = record
             elif (
@@ -256,12 +258,12 @@
         initial=LeaseModelState(),
         transitions=model.transitions,
         invariants=model.invariants(),
-        goal=lambda d: (
+        goal=lambda fields: (
             any(
-                daemon.believed_epoch and daemon.applied_count == len(d["log"].records)
-                for daemon in d["daemons"]
+                daemon.believed_epoch and daemon.applied_count == len(fields["log"].records)
+                for daemon in fields["daemons"]
             )
-            or any(model.replayer.record(record_id).epoch == MAX_EPOCH for record_id in d["log"].records)
+            or any(model.replayer.record(record_id).epoch == MAX_EPOCH for record_id in fields["log"].records)
         ),
     )
 
--- a/passgate/check/specification/log_model.py
+++ b/passgate/check/specification/log_model.py
@@ -1,4 +1,4 @@
-"""Model of one log stream for specifications, and what the running code makes of its prefixes.
+"""Model of one log stream for specifications, and the replay of its prefixes by the running code.
 
 A record that is sent may reach the log at any later time, never, or several times.  Its sender learns the
 outcome only by reading the log.  Model states refer to records by small identifiers, which keeps states
--- a/passgate/check/specification/lots.py
+++ b/passgate/check/specification/lots.py
@@ -89,7 +89,7 @@
 
 
 class LotModelState(NamedTuple):
-    """State of the model."""
+    """State of the model: the stream of the lot, the daemons and the trainer."""
 
     log: LogState
     daemons: tuple[Daemon, ...] = (Daemon(),) * DAEMON_COUNT
@@ -303,15 +303,15 @@
 
     def invariants(self) -> dict:
         return {
-            "same_bytes": lambda d: len(set(d["trainer"].received_tokens)) <= 1,
-            "not_doubled": lambda d: len(d["trainer"].received_tokens) <= 1,
-            "within_bound": lambda d: not d["trainer"].received_stale,
-            "delivered_is_durable": lambda d: not d["trainer"].received_before_hand_over,
+            "same_bytes": lambda fields: len(set(fields["trainer"].received_tokens)) <= 1,
+            "not_doubled": lambda fields: len(fields["trainer"].received_tokens) <= 1,
+            "within_bound": lambda fields: not fields["trainer"].received_stale,
+            "delivered_is_durable": lambda fields: not fields["trainer"].received_before_hand_over,
             "epoch_in_force": self._epoch_in_force,
         }
 
-    def _epoch_in_force(self, d: dict) -> bool:
-        records = d["log"].records
+    def _epoch_in_force(self, fields: dict) -> bool:
+        records = fields["log"].records
         epoch = 0
         for record_id, decision in zip(records, self.replayer.view(records).decisions, strict=True):
             record = self.replayer.record(record_id)
@@ -350,7 +350,7 @@
         initial=model.initial,
         transitions=model.transitions,
         invariants=model.invariants(),
-        goal=lambda d: bool(d["trainer"].received_tokens),
+        goal=lambda fields: bool(fields["trainer"].received_tokens),
     )
 
 
--- a/passgate/check/specification/permits.py
+++ b/passgate/check/specification/permits.py
@@ -134,7 +134,7 @@
         )
 
     def invariants(self) -> dict:
-        return {"within_bound": lambda d: len(d["send_ticks"]) <= MAX_SENDS_PER_WINDOW}
+        return {"within_bound": lambda fields: len(fields["send_ticks"]) <= MAX_SENDS_PER_WINDOW}
 
 
 def _add(values: tuple[int, ...], value: int) -> tuple[int, ...]:
@@ -156,7 +156,7 @@
         initial=PermitModelState(),
         transitions=model.transitions,
         invariants=model.invariants(),
-        goal=lambda d: d["now"] == MAX_TICKS,
+        goal=lambda fields: fields["now"] == MAX_TICKS,
     )
 
 
--- a/passgate/check/specification/replica_incarnations.py
+++ b/passgate/check/specification/replica_incarnations.py
@@ -56,7 +56,7 @@
 
 
 class ReplicaModelState(NamedTuple):
-    """State of the model."""
+    """State of the model: the replica, what the daemon knows of it, and the messages between them."""
 
     incarnation: int = 1
     """Number of the replica's current incarnation."""
@@ -202,11 +202,11 @@
 
     def invariants(self) -> dict:
         return {
-            "versions_never_decrease": lambda d: not d["version_reverted"],
-            "believed_version_was_reported": lambda d: (
-                d["discovered_incarnation"] != d["incarnation"]
-                or not d["believed_version"]
-                or d["believed_version"] in d["reported_versions"]
+            "versions_never_decrease": lambda fields: not fields["version_reverted"],
+            "believed_version_was_reported": lambda fields: (
+                fields["discovered_incarnation"] != fields["incarnation"]
+                or not fields["believed_version"]
+                or fields["believed_version"] in fields["reported_versions"]
             ),
         }
 
@@ -221,7 +221,7 @@
         initial=ReplicaModelState(),
         transitions=model.transitions,
         invariants=model.invariants(),
-        goal=lambda d: d["version"] == LAST_VERSION,
+        goal=lambda fields: fields["version"] == LAST_VERSION,
     )
 
 
--- a/passgate/check/specification/usage_reports.py
+++ b/passgate/check/specification/usage_reports.py
@@ -180,7 +180,7 @@
 
     def invariants(self) -> dict:
         return {
-            "one_report": lambda d: len(d["platform"].accepted_request_counts) <= 1,
+            "one_report": lambda fields: len(fields["platform"].accepted_request_counts) <= 1,
         }
 
 
@@ -220,7 +220,7 @@
         initial=UsageReportModelState(),
         transitions=model.transitions,
         invariants=model.invariants(),
-        goal=lambda d: len(d["log"]) == MAX_RECORDS,
+        goal=lambda fields: len(fields["log"]) == MAX_RECORDS,
     )
 
 
