--- a/passgate/check/cli.py
+++ b/passgate/check/cli.py
@@ -64,15 +64,15 @@
             mutants: check the seeded mistakes instead of the specifications.
             json: print one JSON line per check.
         """
-        from passgate.check.specification.catalogue import select
-        from passgate.check.specification.kernel import check
+        from passgate.check.specification.catalogue import select_specifications
+        from passgate.check.specification.model_checker import check_specification
 
         failed = []
-        for chosen in select(specification):
+        for chosen in select_specifications(specification):
             if mutants:
                 failed += _check_mutants(chosen, json)
                 continue
-            result = check(chosen)
+            result = check_specification(chosen)
             _print_result(json, result, _format_model_result(result))
             for verdict in result.properties:
                 if not verdict.holds:
@@ -245,7 +245,7 @@
 
 
 def _check_mutants(specification, json: bool) -> list[str]:
-    from passgate.check.specification.kernel import check_mutant
+    from passgate.check.specification.model_checker import check_mutant
 
     missed = []
     for mutant in specification.mutants:
--- a/passgate/check/tables.py
+++ b/passgate/check/tables.py
@@ -20,7 +20,7 @@
 from passgate.check.simulation.recovery import RecoveryResult
 from passgate.check.simulation.seeded_mistakes import MISTAKES, MistakeResult
 from passgate.check.specification.catalogue import SPECIFICATIONS
-from passgate.check.specification.kernel import CheckResult
+from passgate.check.specification.model_checker import CheckResult
 from passgate.errors import VerificationFailed
 
 PAGE = "docs/design/proof.md"
