--- a/passgate/gateway/access.py
+++ b/passgate/gateway/access.py
@@ -43,13 +43,13 @@
     name: str
     api_keys: tuple[str, ...] = ()
     priority: int | None = None
-    """Priority of its batch jobs, 0 the most urgent; overrides the route's priority unless None."""
+    """Priority of its batch jobs, 0 the most urgent; None means the route's priority."""
     allowed_regions: frozenset[str] = frozenset()
     """Regions that may serve its requests and store their bodies; empty if any may."""
 
 
 class Caller(msgspec.Struct, frozen=True, kw_only=True):
-    """Sender of a request, as authentication found it."""
+    """Result of authenticating a request: the tenant that sent it, if any."""
 
     tenant: str | None = None
     """Name of the tenant; ANONYMOUS_TENANT without a valid key on a public route; None if no tenants
@@ -89,8 +89,9 @@
     def authenticate(self, headers: Headers, *, public: bool) -> Caller:
         """Return the caller that the ``Authorization`` header identifies.
 
-        Without configured tenants, nothing is checked.  If ``public``, a missing or wrong credential
-        yields ANONYMOUS_TENANT; otherwise it raises MissingCredential, MalformedCredential or UnknownKey.
+        Without configured tenants, nothing is checked and the caller's tenant is None.  For a missing or
+        wrong credential, the tenant is ANONYMOUS_TENANT if ``public``; otherwise MissingCredential,
+        MalformedCredential or UnknownKey is raised.
         """
         if not self._keys_required:
             return Caller()
@@ -134,7 +135,7 @@
 
 
 def tenant_scoped_id(tenant: str | None, identifier: str) -> str:
-    """Return an identifier that is unique among tenants: the tenant's name is put before it.
+    """Return an identifier with the tenant's name before it, or unchanged without a tenant's name.
 
     Callers choose the identifiers of their jobs and items, so two tenants may choose the same one.
 
@@ -145,10 +146,10 @@
 
 
 def replica_headers(headers: Headers, tenant: str | None, tenant_header: str) -> list[tuple[str, str]]:
-    """Return a caller's headers as they are sent to a replica.
+    """Return a caller's headers with the tenant as the replica is to see it.
 
-    If tenants are configured, the credential and any tenant header of the caller are removed, and the
-    authenticated tenant is added unless the caller is anonymous.  ``tenant`` is None without tenants.
+    The credential and any tenant header of the caller are removed, and ``tenant`` is added unless it is
+    ANONYMOUS_TENANT.  If ``tenant`` is None (no tenants are configured), nothing is changed.
 
     >>> sent = [("Authorization", "Bearer k"), ("x-tenant", "forged"), ("A", "1")]
     >>> replica_headers(sent, "orchard", "X-Tenant")
--- a/passgate/gateway/access_bench.py
+++ b/passgate/gateway/access_bench.py
@@ -17,7 +17,7 @@
 
 
 def measure_lookups(key_count: int) -> tuple[float, float]:
-    """Return the time per look-up in nanoseconds and the index's bytes per key."""
+    """Return the mean time of a look-up in nanoseconds and the memory of the index per key in bytes."""
     api_keys = [secrets.token_urlsafe(15) for _ in range(key_count)]
     tenants = tuple(
         Tenant(name=f"t{start}", api_keys=tuple(api_keys[start : start + KEYS_PER_TENANT]))
--- a/passgate/gateway/event_interval.py
+++ b/passgate/gateway/event_interval.py
@@ -1,7 +1,7 @@
 """Estimates the time that a replica takes for one event of a stream.
 
-The estimate is an exponentially weighted average over all streams of the replica.  Without new
-observations it decays towards a default, so that a replica that was slow is chosen again.
+The estimate is an exponentially weighted average of the recorded intervals.  Without new ones it decays
+towards a default, so that a replica that was slow is chosen again.
 
 >>> estimate = EventIntervalEstimate()
 >>> for _ in range(200):
@@ -23,7 +23,7 @@
 
 
 class EventIntervalEstimate:
-    """Estimate of one replica's time per event."""
+    """Average time per event of one replica; all times are loop times."""
 
     def __init__(self) -> None:
         self._interval_s = 0.0
@@ -31,11 +31,11 @@
 
     @property
     def has_observation(self) -> bool:
-        """Whether any interval was recorded."""
+        """Whether an interval above 0 was recorded."""
         return self._interval_s > 0.0
 
     def record(self, event_s: float, now_s: float) -> None:
-        """Record the time that an event took, or that has passed so far without one."""
+        """Record the time between two events, or the time since the last event if none has followed yet."""
         if not self.has_observation:
             self._interval_s = event_s
         else:
@@ -45,7 +45,7 @@
         self._recorded_at_s = now_s
 
     def expected_s(self, now_s: float, default_s: float) -> float:
-        """Return the expected time per event; ``default_s`` is returned before any observation."""
+        """Return the expected time per event; ``default_s`` if no interval was recorded."""
         if not self.has_observation:
             return default_s
         weight = 0.5 ** (max(now_s - self._recorded_at_s, 0.0) / HALF_LIFE_S)
--- a/passgate/gateway/forwarder.py
+++ b/passgate/gateway/forwarder.py
@@ -1,8 +1,8 @@
 """Forwards plain (not streamed) requests to replicas, with retries and hedging.
 
 A repeatable request may be sent to several replicas, one after another or, when an answer is slow, at
-the same time (hedging); the first complete answer is returned and the other attempts are cancelled.
-Any other request is sent to a further replica only if the previous one certainly did not run it.
+the same time (hedging); the first final answer is returned and the other attempts are cancelled.  Any
+other request is sent to a further replica only if the previous one certainly did not run it.
 """
 
 from __future__ import annotations
@@ -28,21 +28,22 @@
 from passgate.gateway.routes import Route
 
 HEDGE_DELAY_SHARE = 0.4
-"""Share of the route's target latency after which each further replica is tried in parallel."""
+"""Share of the route's target latency after which a repeatable request is sent to one more replica."""
 REPLICA_WAIT_SHARE = 0.2
-"""Share of the route's target latency for which a request waits for a usable replica."""
+"""Share of the route's target latency for which an attempt waits at most for a usable replica."""
 REPLICA_POLL_INTERVAL_S = 0.02
-"""Time between two choices of a replica while none is usable."""
+"""Interval at which a replica is looked for again while none is usable."""
 FIRST_REDIRECT_STATUS = 300
 FIRST_SERVER_ERROR_STATUS = 500
 
 
 class _AttemptResults(msgspec.Struct, kw_only=True):
-    """Unsuccessful results of one request's finished attempts."""
+    """Results of one request's finished attempts that were not final answers."""
 
     last_error: PassgateError | None = None
     fallback_answer: ReplicaAnswer | None = None
-    """Last complete answer that was not accepted; returned if no attempt succeeds and it is an error."""
+    """Last complete answer that was not final; returned if its status is 300 or more and the attempts end
+    before the time limit without a final answer."""
 
 
 class _RunningAttempt(msgspec.Struct, frozen=True, kw_only=True):
@@ -50,13 +51,13 @@
 
     incarnation: ReplicaIncarnation
     sent_loop_s: float
-    """Loop time at which it was sent."""
+    """Loop time at which the attempt was started."""
     sent_wall_s: float
-    """Wall-clock time at which it was sent, for the usage report."""
+    """Wall-clock time at which the attempt was started, for the usage report."""
 
 
 RunningAttempts = dict[asyncio.Task[ReplicaAnswer], _RunningAttempt]
-"""Task of an attempt to the attempt's data."""
+"""Running attempts by their tasks."""
 
 
 class Forwarder(ForwarderBase):
@@ -65,8 +66,8 @@
     async def forward(self, request: IncomingRequest, route: Route, caller: Caller) -> GatewayAnswer:
         """Return a replica's answer, which may be an error answer.
 
-        Raises PassgateError if no replica answered; its ``execution`` says whether the request may have
-        run.  When the caller disconnects, this coroutine is cancelled, and with it all attempts.
+        Raises PassgateError if there is no answer that may be returned; its ``execution`` says whether the
+        request may have run.  Cancelling this coroutine cancels all attempts.
         """
         forwarding = self._begin_forwarding(request, route, caller)
         try:
@@ -99,10 +100,10 @@
             await cancel_and_wait(running)
 
     async def _send_to_next_replica(self, forwarding: ForwardedRequest, running: RunningAttempts) -> bool:
-        """Start an attempt at a further replica, after a short wait if none is usable.
+        """Start the first or a further attempt, after a short wait if no replica is usable.
 
-        Returns False if the request must not or can not be sent again.  Raises NoRegionAllowed,
-        RequestQuarantined or Unauthorized if it has not run and must not be sent.
+        Returns False if no attempt is permitted any more or no replica became usable.  Raises
+        NoRegionAllowed, RequestQuarantined or Unauthorized only for a request that has not run.
         """
         self._check_regions(forwarding)
         if not forwarding.may_be_sent_again or not await self._passes_quarantine(forwarding):
@@ -157,7 +158,7 @@
         for task in [task for task in running if task.done()]:
             attempt = running.pop(task)
             error = task.exception()
-            if _may_have_started(error):
+            if _may_have_run(error):
                 self._count_run(forwarding, attempt.sent_wall_s)
             if error is None:
                 answer = task.result()
@@ -173,15 +174,15 @@
         return None
 
     def _count_abandoned(self, forwarding: ForwardedRequest, running: RunningAttempts) -> None:
-        """Count the runs of attempts that are about to be cancelled."""
+        """Count the attempts whose results were not collected as runs, though some may not have run."""
         for attempt in running.values():
             self._count_run(forwarding, attempt.sent_wall_s)
 
     def _is_final(self, forwarding: ForwardedRequest, answer: ReplicaAnswer) -> bool:
         """Whether an answer is returned to the caller at once instead of trying another replica.
 
-        A 5xx answer is final only if no further attempt is possible, and a 2xx answer only if it carries
-        the replica's stamp.
+        A 5xx answer is final only if no further attempt is permitted.  An answer below 300 is final only
+        with the header ``replica_stamp``, which shows that a replica made the answer.
         """
         if answer.status >= FIRST_SERVER_ERROR_STATUS:
             return not (forwarding.repeatable and forwarding.has_attempts_left)
@@ -191,24 +192,24 @@
     def _answer_without_success(
         self, forwarding: ForwardedRequest, results: _AttemptResults
     ) -> ReplicaAnswer:
-        """Return the fallback answer if it is an error answer; raises PassgateError without one."""
+        """Return the fallback answer if its status is 300 or more; raises PassgateError otherwise."""
         fallback = results.fallback_answer
         if fallback is not None and fallback.status >= FIRST_REDIRECT_STATUS:
             return fallback
         if forwarding.may_have_run:
             raise BackendUnreachable(
-                "no replica returned a complete answer", execution=ExecutionStatus.UNKNOWN
+                "no replica returned an acceptable answer", execution=ExecutionStatus.UNKNOWN
             )
         if isinstance(results.last_error, BackendRefused):
             raise no_replica_error("replicas refused the request")
-        raise self._no_replica_error(forwarding, "no replica is available")
+        raise self._no_replica_error(forwarding, "no replica is available, or all attempts are used up")
 
     def _time_limit_error(self, forwarding: ForwardedRequest, running: bool) -> PassgateError:
         if running or forwarding.may_have_run:
             return DeadlineExceeded("no answer within the time limit", execution=ExecutionStatus.UNKNOWN)
-        return no_replica_error("no replica was available within the time limit")
+        return no_replica_error("the request was not run within the time limit")
 
 
-def _may_have_started(error: BaseException | None) -> bool:
-    """Whether an attempt with this result, None for a complete answer, may have run the request."""
+def _may_have_run(error: BaseException | None) -> bool:
+    """Whether the request may have run in an attempt that raised ``error``; None if it returned an answer."""
     return not isinstance(error, PassgateError) or error.execution is not ExecutionStatus.NOT_RUN
--- a/passgate/gateway/forwarder_base.py
+++ b/passgate/gateway/forwarder_base.py
@@ -32,7 +32,7 @@
 
 
 UNREACHED_ERRORS = (BackendUnreachable, ReplicaReplaced)
-"""Errors that, if the attempt did not run, mean that it never reached the chosen replica."""
+"""Errors that, with the execution status NOT_RUN, mean that the request never reached the replica."""
 
 
 class ForwardedRequest(msgspec.Struct, kw_only=True):
@@ -47,19 +47,19 @@
     """Service of the route that was picked for the request; all attempts go to its replicas."""
     request_id: str
     answer_by_s: float
-    """Loop time at which the gateway answers at the latest: the route's timeout or the caller's deadline."""
+    """Loop time limit of the answer: the end of the route's timeout or, if earlier, the caller's deadline."""
     caller_deadline_s: float
-    """Loop time until which the caller waits."""
+    """Loop time until which the caller waits, by its deadline header or else DEFAULT_DEADLINE_S."""
     tried_replicas: list[ReplicaIncarnation] = []
     """Replicas of all attempts, in order; they are not chosen again."""
     unreached_count: int = 0
-    """Attempts that never reached their replica; see UNREACHED_ERRORS."""
+    """Number of attempts that never reached their replica; see UNREACHED_ERRORS."""
     may_have_run: bool = False
-    """Whether an attempt failed in a way that does not rule out that the request ran."""
+    """Whether the request may have run in an attempt that is over."""
     usage_counted: bool = False
     """Whether a stream's run is already counted for the usage report."""
     last_event_id: str = ""
-    """Identifier of the last event sent to the caller, or the one that the caller resumes from."""
+    """Last event identifier sent to the caller; at first the one in the caller's ``last_event_id`` header."""
 
     @property
     def identity(self) -> RequestIdentity:
@@ -75,21 +75,21 @@
 
     @property
     def repeatable(self) -> bool:
-        """Whether the request may run more than once, at different replicas too."""
+        """Whether the request may run more than once, even at two replicas at the same time."""
         return self.route.kind is RouteKind.SAFE or self.route.resumable
 
     @property
     def has_attempts_left(self) -> bool:
-        """Whether the route's maximum of attempts permits another one.
+        """Whether the route's maximum of attempts permits another attempt.
 
-        Attempts that never reached their replica don't count: otherwise a request would be refused
-        after meeting a few replicas that have just ended, although another one is available.
+        Attempts that never reached their replica don't count: otherwise a few replicas that have just
+        exited would make a request fail although others are available.
         """
         return len(self.tried_replicas) - self.unreached_count < self.route.max_attempts
 
     @property
     def may_be_sent_again(self) -> bool:
-        """Whether another attempt is permitted, considering that a request may have to run at most once."""
+        """Whether another attempt is permitted; a request that may have run also has to be repeatable."""
         return self.has_attempts_left and (self.repeatable or not self.may_have_run)
 
 
@@ -97,11 +97,11 @@
     """Counts the runs of requests by tenant, for the usage report."""
 
     def now_s(self) -> float:
-        """Return the wall-clock time; it is taken when a request is sent, for :meth:`record_started`."""
+        """Return the wall-clock time, to be passed to :meth:`record_started`."""
         ...
 
     def record_started(self, tenant: str | None, at_s: float) -> None:
-        """Count a request that a replica started to run, at the wall-clock time at which it was sent."""
+        """Count a run that a replica started or may have started, in the window of a wall-clock time."""
         ...
 
 
@@ -142,7 +142,7 @@
     def _recheck_api_key(self, forwarding: ForwardedRequest) -> None:
         """Authenticate the caller again if the configuration has changed; raises Unauthorized.
 
-        Called before each attempt, as a key that is revoked while its request waits must not start a run.
+        Called before each attempt, so that no run starts with a key that was revoked meanwhile.
         """
         table = self._config_holder.table
         if table is None or table.config.version == forwarding.configuration_version:
@@ -151,9 +151,10 @@
         forwarding.configuration_version = table.config.version
 
     async def _passes_quarantine(self, forwarding: ForwardedRequest) -> bool:
-        """Wait for crash checks that may quarantine the request; return whether it may be sent afterwards.
+        """Wait for probes that may quarantine the request; return whether the request is not quarantined.
 
-        For a quarantined request that has not run, raises RequestQuarantined instead of returning False.
+        A quarantined request has crashed replicas and is not sent for a while.  If this request has not run
+        yet, RequestQuarantined is raised instead of returning False.
         """
         crash_guard = self._replica_client.crash_guard
         await crash_guard.wait_for_probes(forwarding.identity)
@@ -163,7 +164,10 @@
         return True
 
     def _is_still_authorized(self, forwarding: ForwardedRequest) -> bool:
-        """Whether the caller's API key is still valid; used where a refusal as not run would be false."""
+        """Whether the caller's API key is still valid.
+
+        Used for a request that may have run, for which Unauthorized would falsely claim "not run".
+        """
         try:
             self._recheck_api_key(forwarding)
         except Unauthorized:
@@ -171,7 +175,7 @@
         return True
 
     def _send_context(self, forwarding: ForwardedRequest) -> SendContext:
-        """Return the request's region restriction by the active configuration, which may have changed."""
+        """Return the regions that may serve the request by the active configuration."""
         request, tenant = forwarding.request, forwarding.caller.tenant
         accepted_regions = forwarding.route.allowed_regions
         return self._config_holder.send_context_for(request.host, request.path, tenant, accepted_regions)
@@ -210,10 +214,9 @@
         )
 
     def _no_replica_error(self, forwarding: ForwardedRequest, reason: str) -> PassgateError:
-        """Return the error for a request that did not run.
+        """Return the error for a request that did not run: NoReplicaInRegions or NoReplicaAvailable.
 
-        It is NoReplicaInRegions if the request is region-restricted and no replica was tried, else
-        NoReplicaAvailable.
+        NoReplicaInRegions is returned if only certain regions may serve the request and no replica was tried.
         """
         if forwarding.tried_replicas or self._send_context(forwarding).allowed_regions is None:
             return no_replica_error(reason)
@@ -257,7 +260,7 @@
         return self._usage.now_s() if self._usage is not None else 0.0
 
     def _count_run(self, forwarding: ForwardedRequest, wall_s: float) -> None:
-        """Count a run for the usage report; ``wall_s`` is the wall-clock time at which it was sent."""
+        """Count a run for the usage report in the window of the wall-clock time ``wall_s``."""
         if self._usage is not None:
             self._usage.record_started(forwarding.caller.tenant, wall_s)
 
@@ -275,5 +278,5 @@
 
 
 def no_replica_error(reason: str) -> PassgateError:
-    """Return the error for a request that did not run and may be sent again."""
+    """Return NoReplicaAvailable, with a ``Retry-After``, for a request that did not run."""
     return NoReplicaAvailable(reason, execution=ExecutionStatus.NOT_RUN, retry_after_s=RETRY_AFTER_S)
--- a/passgate/gateway/header_names.py
+++ b/passgate/gateway/header_names.py
@@ -1,4 +1,4 @@
-"""Names of the HTTP headers between callers, gateway and replicas; the platform adapter supplies them."""
+"""Names of the HTTP headers between callers, gateway and replicas; :mod:`passgate.platform` supplies them."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 class HeaderNames(msgspec.Struct, frozen=True, kw_only=True):
-    """Names of the headers that the gateway reads or sets."""
+    """Names of headers; each text says what the header's value means."""
 
     request_id: str
-    """Identifies one request of a caller, whose retries have other identifiers; replicas echo it."""
+    """Identifier of one request of a caller; a retry by the caller has another one.  Replicas echo it."""
     deadline_ms: str
     """Milliseconds for which the sender waits for the answer."""
     expected_replica: str
@@ -18,14 +18,14 @@
     """Set by a replica on its answers; a 2xx answer to a plain request without it is not accepted."""
     replica_id: str
     replica_load: str
-    """Load report of a replica: running requests, waiting requests, slots, separated by commas."""
+    """Load of the replica that answers: running requests, waiting requests, slots, separated by commas."""
     not_executed: str
     """Set by a replica on a refusal, to confirm that it did not run the request."""
     weight_versions: str
     """Version of the model weights that produced an answer or an event."""
     expected_version: str
     last_event_id: str
-    """Identifier of the last event that the sender has; a resumed stream continues after it."""
+    """Identifier of the last event that the sender received; a resumed stream continues after that event."""
     priority: str
     """Priority of the request at the replica; 0 is the most urgent."""
     model: str
@@ -35,4 +35,4 @@
     wait_ms: str
     """Milliseconds for which a read of job results may be held until there are new ones."""
     tenant: str
-    """Authenticated tenant of the caller; set by the gateway, which drops a value sent by the caller."""
+    """Authenticated tenant; if tenants are configured, the gateway sets it and drops the caller's value."""
--- a/passgate/gateway/ingress.py
+++ b/passgate/gateway/ingress.py
@@ -1,7 +1,7 @@
 """HTTP servers of the gateway, built on tornado's connection delegates.
 
-``tornado.web`` is not used, as it would add and change headers: requests reach the handler as they were
-received, and answers are written with the handler's status, headers and body.
+``tornado.web`` is not used, as it would add and change headers.  Answers are written with the handler's
+status and headers; only ``Content-Length`` is added, and the body left out where HTTP forbids one.
 """
 
 from __future__ import annotations
@@ -36,9 +36,9 @@
 BODILESS_STATUSES = frozenset({204, 304})
 LISTEN_BACKLOG = 512
 IDLE_TIMEOUT_MARGIN_S = 3.0
-"""Added to the idle timeout that callers know, so that a request just before it meets an open connection."""
+"""Margin by which the server's idle timeout exceeds the configured one, on which callers rely."""
 MAX_HEADER_BYTES = 65_536
-"""Maximum size of a request's head, whatever the configuration says; tornado refuses larger ones."""
+"""Maximum size of a request's start line and headers; the configuration does not change it."""
 MAX_BODY_BYTES = 1 << 26
 """Maximum size of a request's body until :meth:`Ingress.set_limits` sets another one."""
 
@@ -61,10 +61,10 @@
         self._server.listen(int(port), host, backlog=LISTEN_BACKLOG, reuse_port=False)
 
     def set_limits(self, *, max_body_bytes: int, idle_timeout_s: float) -> None:
-        """Set the limits of the configuration, from the next request of each connection on.
+        """Set the maximum size of a body, from the next request of each connection on.
 
-        The idle timeout is stored as ``idle_connection_timeout``, which tornado only reads as an argument
-        of ``HTTPServer``; it has no effect here.
+        ``idle_timeout_s`` has no effect: tornado reads ``idle_connection_timeout`` only as an argument of
+        ``HTTPServer``.
         """
         parameters = self._server.conn_params
         parameters.max_body_size = max_body_bytes
@@ -76,11 +76,11 @@
         return len(self._tasks)
 
     def disable_keep_alive(self) -> None:
-        """Disable keep-alive: each connection is closed after its next answer."""
+        """Disable keep-alive: each connection is closed after the answer to the next request it receives."""
         self._server.conn_params.no_keep_alive = True
 
     def refuse_new_requests(self) -> None:
-        """Refuse every further request as not run, so that the shutdown interrupts none."""
+        """Refuse every further request with Draining, so that the shutdown interrupts no request."""
         self._refusing_new_requests = True
 
     def stop_listening(self) -> None:
@@ -96,7 +96,7 @@
         return _RequestReader(self, request_conn)
 
     def start_handling(self, request: IncomingRequest, connection: HTTPConnection) -> None:
-        """Start the task that handles a complete request."""
+        """Start the task that handles a complete request; closing the connection cancels the task."""
         task = asyncio.get_running_loop().create_task(self._handle(request, connection))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
@@ -152,7 +152,7 @@
 
 
 class _RequestReader(HTTPMessageDelegate):
-    """Collects the parts of one request from tornado, and starts its handling once it is complete."""
+    """Collects head and body of one request from tornado, and starts its handling once it is complete."""
 
     def __init__(self, ingress: Ingress, connection: HTTPConnection) -> None:
         self._ingress = ingress
@@ -185,10 +185,9 @@
 
 
 def make_probe_handler(is_ready: Callable[[], bool], render_metrics: Callable[[], bytes]) -> RequestHandler:
-    """Return the handler of the readiness server.
+    """Return a handler that serves METRICS_PATH, and answers any other path by the daemon's readiness.
 
-    It answers METRICS_PATH with the metrics, and any other path with 200 if the daemon is ready; else it
-    raises NotReady.
+    The answer is 200 if the daemon is ready; otherwise the handler raises NotReady (503).
     """
 
     async def handle(request: IncomingRequest) -> GatewayAnswer:
--- a/passgate/gateway/messages.py
+++ b/passgate/gateway/messages.py
@@ -1,4 +1,4 @@
-"""A caller's request, the answers to it, and the answer that a failure maps to.
+"""A caller's request, complete and streamed answers, and the answer for an error.
 
 >>> json_answer(200, {"total": 1}).body
 b'{"total":1}'
@@ -21,7 +21,7 @@
 GUARANTEED_NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 """Statuses that guarantee to the caller that its request has not run and never will."""
 BAD_GATEWAY = 502
-"""Replaces one of GUARANTEED_NOT_RUN_STATUSES if the request may have run."""
+"""Status sent in place of one of GUARANTEED_NOT_RUN_STATUSES if the request may have run."""
 DEFAULT_RETRY_AFTER_S = 0.2
 """Value of ``Retry-After`` for a refusal that has none of its own."""
 
@@ -39,14 +39,15 @@
     """Loop time at which the request was complete."""
 
     def header(self, name: str, default: str = "") -> str:
-        """Return the value of the first header of a name, in any case, or the default."""
+        """Return the value of the first header with a name, ignoring case, or the default."""
         lowered = name.lower()
         return next((value for key, value in self.headers if key.lower() == lowered), default)
 
     def deadline_s(self, header_name: str, default_s: float = DEFAULT_DEADLINE_S) -> float:
-        """Return the loop time until which the caller waits, by a header that holds milliseconds.
+        """Return the loop time until which the caller waits.
 
-        Without the header, or if it is not a number, ``default_s`` after the request's arrival.
+        The header holds the caller's timeout in milliseconds, counted from the request's arrival; if it is
+        missing or does not consist of digits, the timeout is ``default_s``.
         """
         timeout_ms = self.header(header_name)
         return self.received_s + (int(timeout_ms) / 1000 if timeout_ms.isdigit() else default_s)
@@ -75,7 +76,7 @@
 
 
 def error_status(error: PassgateError) -> int:
-    """Return the HTTP status of a failure: its own one, or 502 if that would guarantee too much.
+    """Return the error's HTTP status, or 502 if the status would falsely guarantee "not run".
 
     >>> error_status(PassgateError(execution=ExecutionStatus.NOT_RUN))
     500
@@ -86,9 +87,9 @@
 
 
 def error_answer(error: PassgateError) -> GatewayAnswer:
-    """Return a failure's JSON answer, with ``WWW-Authenticate`` for 401 and ``Retry-After`` for 429 and 503.
+    """Return the JSON answer for an error, with the status of :func:`error_status`.
 
-    Its status is that of :func:`error_status`, which never claims "not run" unless that is certain.
+    A 401 has the header ``WWW-Authenticate``, a 429 or 503 the header ``Retry-After``.
     """
     status = error_status(error)
     headers: tuple[tuple[str, str], ...] = ()
--- a/passgate/gateway/metrics.py
+++ b/passgate/gateway/metrics.py
@@ -1,4 +1,4 @@
-"""Prometheus metrics of one gateway daemon, mostly derived from the events of its decision log.
+"""Prometheus metrics of one gateway daemon, mostly derived from the decision events that it writes.
 
 Labels never hold names of routes, callers or replicas, so that the number of time series stays bounded.
 
@@ -44,10 +44,7 @@
 
 
 class GatewayMetrics:
-    """All metrics of a daemon, in a registry of their own; docs/OPERATIONS.md lists them.
-
-    The public gauges are set by the daemon just before :meth:`exposition`.
-    """
+    """Metrics of a daemon, in a registry of their own; the daemon sets the public gauges itself."""
 
     def __init__(self) -> None:
         self.registry = CollectorRegistry()
@@ -143,11 +140,11 @@
         )
 
     def register_exclusions(self, counts: Mapping[Exclusion, int]) -> None:
-        """Export counts of exclusions by send rules; ``counts`` is read again at each exposition."""
+        """Export how often send rules excluded replicas; ``counts`` is read again at each exposition."""
         self.registry.register(_ExclusionCollector(counts))
 
     def count_log_call(self, call: str, subject: str, outcome: str) -> None:
-        """Count a call to the log, made by :mod:`passgate.sharedlog.instrumented_log`."""
+        """Count a call to the log; ``subject`` is the topic or group that the call is about."""
         self._log_calls.labels(call, subject, outcome).inc()
 
     def count_region_send(self, region: str, spilled: bool) -> None:
@@ -198,14 +195,14 @@
 class _ExclusionCollector(Collector):
     """Exports exclusion counts that :class:`passgate.eligibility.rules.SendRules` maintains.
 
-    They are read at each exposition, so that counting them at each send needs no lock.
+    Reading them only at an exposition keeps the cost of a Prometheus counter out of each send.
     """
 
     def __init__(self, counts: Mapping[Exclusion, int]) -> None:
         self._counts = counts
 
     def collect(self) -> Iterator[CounterMetricFamily]:
-        """Yield one counter family, labelled by rule, kind of send, and step at which the rule applied."""
+        """Yield one counter family, labelled by rule, kind of send, and stage (choice or send)."""
         family = CounterMetricFamily(
             "passgate_kept_back",
             "Replicas passed over in choices, and sends stopped, by the rule that forbade it.",
--- a/passgate/gateway/peer_configuration.py
+++ b/passgate/gateway/peer_configuration.py
@@ -1,8 +1,8 @@
 """Fetches newer configurations and evacuations from peer daemons while the log is unreachable.
 
 A revoked API key must stop working also on daemons that can not read the log.  A daemon whose view of
-the operator's topic is older than POLL_AFTER_S polls a few peers, and applies what they report only if
-it is newer: a configuration of a higher version, evacuations as of a higher log offset.
+the operator's topic is older than POLL_AFTER_S polls a few peers.  It applies a configuration that they
+report only if the version is higher, and evacuated zones only if they are as of a higher log offset.
 """
 
 from __future__ import annotations
@@ -23,23 +23,25 @@
 
 CONFIGURATION_METHOD = "configuration.newer"
 POLL_AFTER_S = 1.3
-"""Age of the own view from which on peers are polled; the log's long poll confirms the view every 1 s."""
+"""Age of this daemon's view of the operator's topic from which on it polls peers.  It exceeds the 1 s after
+which a long poll of the log without new records returns and confirms the view."""
 POLL_INTERVAL_S = 0.5
-"""Pause between polls; it leaves several polls within the 3 s in which a configuration must be applied."""
+"""Pause after each round of polls."""
 MAX_PEERS_POLLED = 3
-"""Peers polled at once, as some of them may not reach the log either."""
+"""Maximum number of peers polled in a round; several, as some of them may not reach the log either."""
 RESPONSE_TIMEOUT_S = 0.4
-"""Timeout of a peer's response; it covers a daemon that is short of processor time."""
+"""Timeout of a peer's response."""
 AGE_CHECK_INTERVAL_S = 0.1
-"""Time between checks of the own view's age."""
+"""Time between checks of the view's age while peers are not polled."""
 NEVER_S = float("-inf")
 """Loop time of a confirmation that has not happened yet."""
 
 
 class ConfigurationQuery(msgspec.Struct, frozen=True, kw_only=True):
-    """Asks a peer for a configuration newer than a version."""
+    """Asks a peer for its evacuated zones, and for its configuration if that is newer than a version."""
 
     version: int
+    """Version of the active configuration of the daemon that asks."""
 
 
 class EvacuationSnapshot(msgspec.Struct, frozen=True, kw_only=True):
@@ -56,9 +58,9 @@
     age_s: float
     """Time since the answering daemon's configuration was last confirmed to be the newest."""
     config: GatewayConfig | None = None
-    """The daemon's configuration; None if it is not newer than the version of the query."""
+    """The answering daemon's configuration; None if it is not newer than the version of the query."""
     evacuations: EvacuationSnapshot | None = None
-    """None from a daemon of an earlier release, or from one that has not read the topic yet."""
+    """None if the answering daemon has no confirmed view yet, or is of a release without this field."""
 
 
 class PeerConfigurationPoller:
@@ -79,10 +81,11 @@
         Args:
             transport: carries queries to peers.
             list_other_members: returns the names of the other daemons in random order; the first are polled.
-            config_holder: holds the active configuration, with which the version is compared.
-            evacuated_zones: is updated with peers' views.
-            log_age_s: returns the time since this daemon's own view of the operator's topic was confirmed.
-            apply_config: makes a newer configuration the active one.
+            config_holder: holds the active configuration.
+            evacuated_zones: gets peers' views of the evacuated zones if they are newer.
+            log_age_s: returns the time since the log last confirmed this daemon's view of the operator's
+                topic as complete; infinite before the first time.
+            apply_config: makes a newer configuration the active one, unless it is inconsistent.
             decisions: decision log.
         """
         self._transport = transport
@@ -93,20 +96,26 @@
         self._apply_config = apply_config
         self._decisions = decisions
         self._config_confirmed_at_s = NEVER_S
-        """Last loop time at which, according to a peer, the active configuration was the newest."""
+        """Last loop time at which, according to a peer, no newer configuration existed."""
         self._evacuations_confirmed_at_s = NEVER_S
-        """The same for the evacuated zones; separate, as peers of earlier releases don't report them."""
+        """Last loop time at which, according to a peer, the view of the evacuated zones was the newest."""
 
     def configuration_age_s(self) -> float:
-        """Return the time since the log or a peer confirmed the active configuration as the newest."""
+        """Return the time since the log or a peer last confirmed that no newer configuration exists.
+
+        Infinite before the first time.
+        """
         return min(self._log_age_s(), monotonic_s() - self._config_confirmed_at_s)
 
     def evacuations_age_s(self) -> float:
-        """Return the time since the set of evacuated zones was confirmed as the newest; may be infinite."""
+        """Return the time since the log or a peer last confirmed the set of evacuated zones as the newest.
+
+        Infinite before the first time.
+        """
         return min(self._log_age_s(), monotonic_s() - self._evacuations_confirmed_at_s)
 
     async def run(self) -> None:
-        """Poll peers whenever the own view of the log is too old; runs until cancelled."""
+        """Poll peers while this daemon's view of the operator's topic is too old; runs until cancelled."""
         while True:
             if self._log_age_s() < POLL_AFTER_S:
                 await asyncio.sleep(AGE_CHECK_INTERVAL_S)
@@ -124,7 +133,7 @@
             )
             snapshot = msgspec.json.decode(payload, type=ConfigurationSnapshot)
         except (PeerError, msgspec.DecodeError):
-            return  # other peers are polled at the same time, and the poll is repeated
+            return  # polls are repeated, with other peers
         if snapshot.config is not None and snapshot.config.version > self._config_holder.version:
             self._apply_newer_config(peer, snapshot.config, snapshot.age_s)
         self._config_confirmed_at_s = max(self._config_confirmed_at_s, queried_at_s - snapshot.age_s)
@@ -168,5 +177,5 @@
     def _evacuation_snapshot(self) -> EvacuationSnapshot | None:
         age_s = self.evacuations_age_s()
         if math.isinf(age_s):
-            return None  # the topic was never read, so the empty view means nothing
+            return None  # no view was ever confirmed, so the empty set does not mean "no evacuation"
         return EvacuationSnapshot(age_s=age_s, view=self._evacuated_zones.view)
--- a/passgate/gateway/replica_client.py
+++ b/passgate/gateway/replica_client.py
@@ -1,7 +1,7 @@
-"""Sends one request to one replica and reads its answer.
+"""Sends one request to one replica and reads the answer.
 
-An answer with the identifier of another request is rejected and its connection closed.  Every failure
-carries an ExecutionStatus that says whether the request may have run.
+An answer that names another request is rejected and its connection closed.  Every failure carries an
+ExecutionStatus that says whether the request may have run.
 """
 
 from __future__ import annotations
@@ -35,7 +35,8 @@
 from passgate.quarantine.identity import CRASH_LIMIT, RequestIdentity
 
 CONNECT_TIMEOUT_S = 0.6
-"""Time limit of a new connection; below the 1 s after which TCP sends a lost SYN again."""
+"""Timeout of a new connection; below the 1 s after which TCP repeats a lost SYN, so a new attempt is
+faster."""
 HOP_BY_HOP_HEADERS = frozenset(
     {
         "connection",
@@ -52,17 +53,18 @@
         "host",
     }
 )
-"""Headers that are not forwarded, as they apply to one connection or are set for each."""
+"""Headers that are not forwarded: they apply to one connection, or the sender sets them anew."""
 REPLICA_REFUSAL_STATUSES = frozenset({421, 429, 503, 400})
-"""Statuses with which a replica may refuse a request; a header confirms that it did not run."""
+"""Statuses that count as a refusal if the header ``not_executed`` confirms that the request did not run."""
 MISDIRECTED_STATUS = 421
+"""Another replica listens at the address; counts as a refusal also without ``not_executed``."""
 BUSY_STATUSES = frozenset({429, 503})
 BUSY_HOLD_OFF_S = 0.15
-"""Time for which no request is sent to a replica after it refused one as busy."""
+"""Time for which a replica is excluded from choices after it refused a request as busy."""
 
 
 class ReplicaRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """A request as it is forwarded to a replica: a caller's request, an item of a job, or a reward call."""
+    """A request to forward to a replica: a caller's request, an item of a batch job, or a reward call."""
 
     request_id: str
     method: str
@@ -70,20 +72,20 @@
     """Path and query as the caller sent them."""
     host: str
     headers: tuple[tuple[str, str], ...]
-    """The caller's headers; those that the gateway sets are added or replaced when it is sent."""
+    """The caller's headers; headers that the gateway sets are added or replaced when the request is sent."""
     body: bytes
     deadline_s: float
-    """Loop time at which the attempt times out; the replica is sent the time left."""
+    """Loop time at which the attempt times out; the time left is sent to the replica."""
     priority: int | None = None
-    """Value of the priority header; None sends none."""
+    """Value of the priority header; None leaves out the header."""
     repeatable: bool = True
-    """Whether it may run more than once; if not, it is sent on a new connection of its own."""
+    """Whether the request may run more than once; if not, it is sent on a new connection of its own."""
     tenant: str | None = None
     """Tenant sent to the replica; see :func:`passgate.gateway.access.replica_headers`."""
     crash_limit: int = CRASH_LIMIT
-    """Number of crashed replicas from which on the request is quarantined."""
+    """Number of crash reports from which on the request is quarantined, that is, not sent for a while."""
     send_context: SendContext = ANY_REGION_REQUEST
-    """What the send rules need to know of it."""
+    """What the send rules need to know of the request."""
 
     @property
     def identity(self) -> RequestIdentity:
@@ -107,13 +109,13 @@
     incarnation: ReplicaIncarnation
 
     def header(self, name: str) -> str:
-        """Return the value of the first header of a name, in any case, or ""."""
+        """Return the value of the first header with a name, ignoring case, or ""."""
         lowered = name.lower()
         return next((value for key, value in self.headers if key.lower() == lowered), "")
 
 
 def end_to_end_headers(headers: Iterable[tuple[str, str]]) -> list[tuple[str, str]]:
-    """Return the headers without hop-by-hop headers and those that ``Connection`` names.
+    """Return the headers without HOP_BY_HOP_HEADERS and without headers that ``Connection`` names.
 
     >>> end_to_end_headers([("Connection", "close, X-Hop"), ("X-Hop", "1"), ("X-End", "2")])
     [('X-End', '2')]
@@ -129,7 +131,7 @@
 
 
 class ReplicaClient:
-    """Starts attempts at replicas; the only way in which requests reach them."""
+    """Starts attempts at replicas; all requests of a gateway daemon to replicas go through this class."""
 
     def __init__(
         self, http: HttpClient, replicas: ReplicaTable, header_names: HeaderNames, crash_guard: CrashGuard
@@ -143,11 +145,11 @@
         """Send a request to a replica; the caller must close the returned attempt.
 
         Raises:
-            RequestQuarantined: the request has crashed replicas; it was not sent.
-            SendForbidden: a send rule excludes the replica now; it was not sent.
-            BackendUnreachable: the HTTP client can not send it; it was not sent.
+            RequestQuarantined: earlier attempts of the request crashed replicas; nothing was sent.
+            SendForbidden: a send rule excludes the replica now; nothing was sent.
+            BackendUnreachable: the HTTP client can not start the transfer; nothing was sent.
         """
-        # The checks are made here, and not only by callers, so that no request can bypass them.
+        # Checked here, and not only before the choice of a replica, so that no attempt bypasses the checks.
         self.crash_guard.raise_if_quarantined(request.identity)
         not_sent_after_s = self._replicas.send_rules.admit(state.info, request.send_context, monotonic_s())
         return ReplicaAttempt(
@@ -155,11 +157,9 @@
         )
 
     async def fetch(self, state: ReplicaState, request: ReplicaRequest) -> ReplicaAnswer:
-        """Send a request and return the complete answer, whatever its status.
+        """Send a request and return the complete answer, which may have an error status.
 
-        Raises:
-            BackendRefused: the replica refused the request without running it.
-            PassgateError: any other failure, with its execution status.
+        Raises the errors of :meth:`start_attempt` and :meth:`ReplicaAttempt.read_answer`.
         """
         attempt = self.start_attempt(state, request)
         try:
@@ -169,10 +169,10 @@
 
 
 class ReplicaAttempt:
-    """One attempt: a request that was sent to a replica, and its answer.
+    """One attempt: a request that is sent to a replica, and the answer.
 
-    It records what the attempt shows about the replica: load, latency, health, crashes.  :meth:`close`
-    must be called in any case.
+    Records what the attempt shows about the replica: load, latency, failures, crashes.  :meth:`close` must
+    be called in any case.
     """
 
     def __init__(
@@ -226,22 +226,23 @@
 
     @property
     def status(self) -> int:
-        """Status of the answer; 0 before its head has arrived."""
+        """Status of the answer; 0 before its status line has arrived."""
         return self._transfer.status
 
     @property
     def headers(self) -> HTTPHeaders:
-        """Headers of the answer; empty before its head has arrived."""
+        """Headers of the answer; complete once :meth:`wait_for_head` has returned."""
         return self._transfer.headers
 
     async def wait_for_head(self) -> int:
-        """Wait for the head of the answer and return its status, which is then no refusal.
+        """Wait for the head of the answer and return its status, which may be an error but is no refusal.
 
         Raises:
             BackendRefused: the replica refused the request without running it; ReplicaReplaced if another
                 replica listens at the address.
             AnswerMismatch: the answer names another request.
-            ExecutionFailed: the status would guarantee that nothing ran, which the replica did not confirm.
+            ExecutionFailed: the status is one of GUARANTEED_NOT_RUN_STATUSES, but the replica did not
+                confirm that the request did not run.
             PassgateError: the HTTP client failed.
         """
         try:
@@ -276,7 +277,10 @@
         return status
 
     def _raise_refusal(self, status: int) -> None:
-        """Record a refusal and raise BackendRefused, not run, or ReplicaReplaced for status 421."""
+        """Raise BackendRefused, or ReplicaReplaced for status 421; both say that the request did not run.
+
+        A busy replica is held off for a short time, a replaced one ejected.
+        """
         now_s = monotonic_s()
         self._transfer.finish_unread()
         if status in BUSY_STATUSES:
@@ -292,14 +296,17 @@
     def _reject_unconfirmed_refusal(self, status: int) -> None:
         """Raise ExecutionFailed for a status that guarantees "not run" without the replica's confirmation.
 
-        Passed on to the caller, such a status could make it send the request a second time.
+        If the caller got this status, it could send a request again that has run.
         """
         self._transfer.finish_unread()
         self._record_failure(unreachable=False)
         raise ExecutionFailed(f"replica answered {status} and may have run", status=status)
 
     async def read(self) -> bytes:
-        """Return the next bytes of the body, or b"" at its end; raises PassgateError if it broke off."""
+        """Return the next bytes of the body, or b"" at the end.
+
+        Raises PassgateError if the body broke off.
+        """
         try:
             return await self._transfer.read()
         except PassgateError as error:
@@ -308,7 +315,10 @@
             raise
 
     async def read_answer(self) -> ReplicaAnswer:
-        """Wait for the complete answer and return it; raises like :meth:`ReplicaClient.fetch`."""
+        """Return the complete answer.
+
+        Raises the errors of :meth:`wait_for_head`, and PassgateError if the body broke off.
+        """
         status = await self.wait_for_head()
         try:
             answer = await self._transfer.read_all()
@@ -326,7 +336,10 @@
         )
 
     def record_success(self) -> None:
-        """Record a complete answer: the request crashes no replica, the replica works, and its latency."""
+        """Record a complete answer that is no server error.
+
+        Clears the request's crash reports for the service and the replica's failures; records the latency.
+        """
         now_s = monotonic_s()
         self._crash_guard.record_success(self._request.identity, self._state.info.service)
         self._replicas.health.record_success(self.incarnation)
@@ -335,7 +348,7 @@
     def _report_possible_crash(self, error: PassgateError) -> None:
         """Have the crash guard check whether the replica crashed while it ran the request.
 
-        A draining or delisted replica ends on purpose, so its end is not attributed to its requests.
+        A draining or delisted replica probably exits on purpose, so its requests are not blamed.
         """
         if self._state.info.draining or self._replicas.find_latest_incarnation(self.incarnation) is None:
             return
@@ -357,22 +370,25 @@
             self._replicas.health.record_failure(self.incarnation, monotonic_s())
 
     def record_timeout(self) -> None:
-        """Record that an attempt is abandoned without an answer: its duration so far counts as latency."""
+        """Record an attempt abandoned without an answer: the time since its start counts as latency."""
         now_s = monotonic_s()
         self._replicas.record_latency(self.incarnation, now_s - self.started_s, now_s)
 
     def record_stall(self) -> None:
-        """Record that a stream is abandoned as no data arrives; the replica is ejected as unreachable."""
+        """Record that the attempt is abandoned because no data arrives.
+
+        The time since the attempt's start counts as latency, and the replica as unreachable.
+        """
         self.record_timeout()
         self._record_failure(unreachable=True)
 
     @property
     def expected_event_interval_s(self) -> float:
-        """Expected time until the replica's next event, which is its smoothed latency."""
+        """The replica's smoothed latency, taken as the expected time between two events of a stream."""
         return self._state.expected_latency_s(monotonic_s())
 
     def _record_reported_load(self, answer: HTTPHeaders) -> None:
-        """Record the replica's running and waiting requests; ignores a missing or malformed load header."""
+        """Record the sum of running and waiting requests; ignores a missing or malformed load header."""
         report = answer.get(self._header_names.replica_load)
         if report is None:
             return
@@ -383,8 +399,7 @@
     def record_stream_success(self) -> None:
         """Record a complete stream like :meth:`record_success`, but not its duration as latency.
 
-        A stream's duration depends on the number of its events, whose interval
-        :meth:`record_event_interval` records.
+        A stream's duration depends on its number of events; :meth:`record_event_interval` is used instead.
         """
         self._crash_guard.record_success(self._request.identity, self._state.info.service)
         self._replicas.health.record_success(self.incarnation)
@@ -399,7 +414,7 @@
 
     @property
     def is_complete(self) -> bool:
-        """Whether the body has ended with an end mark, not just by the end of the connection."""
+        """Whether the body has ended and was chunked or had a Content-Length, so that a cut would show."""
         headers = self._transfer.headers
         chunked = headers.get("Transfer-Encoding", "").lower() == "chunked"
         return self._transfer.ended and (chunked or "Content-Length" in headers)
--- a/passgate/gateway/replica_table.py
+++ b/passgate/gateway/replica_table.py
@@ -1,6 +1,7 @@
 """The replicas that discovery lists, their state as this daemon observed it, and the choice of one.
 
-A choice takes the usable replica with the best score: low load, low latency, low network cost.
+The best replica has the lowest score of load, latency and network cost; between regions, the expected time
+of an answer counts as well.
 
 >>> replicas = ReplicaTable(Topology(zone="z1"))
 >>> replicas.put(ReplicaInfo(replica_id="r", service="s", address="h:1", zone="z1", slots=4))
@@ -30,11 +31,12 @@
 LATENCY_SMOOTHING = 0.2
 """Weight of a new observation in a replica's smoothed latency."""
 DEFAULT_LATENCY_S = 0.05
-"""Latency of a replica without observations: about that of a plain request or of one event of a stream."""
+"""Latency assumed without observations, for a plain request as well as for one event of a stream."""
 LOAD_REPORT_MAX_AGE_S = 1.5
 """Age after which a replica's load report is ignored."""
 MAX_REMOTE_CANDIDATES = 2
-"""Random replicas of other regions that are compared, so that daemons don't all pick the same one."""
+"""Maximum number of replicas in other regions that a choice compares; they are picked at random, so that
+daemons don't all choose the same replica."""
 MAX_LATENCY_INCREASE_FACTOR = 6.0
 """An observation is capped at this many times the current smoothed latency."""
 FASTER_LATENCY_SHARE = 0.5
@@ -42,9 +44,10 @@
 LATENCY_HALF_LIFE_S = 4.0
 """Time without an observation after which the latency has moved halfway back to DEFAULT_LATENCY_S."""
 ASSUMED_LOADING_S = 1.0
-"""Time for which a replica that refused despite free slots is assumed to be loading weights."""
+"""Time for which a replica that refused despite free slots is assumed to be loading weights; ends early
+when an answer of the replica arrives."""
 LOADING_SCORE_PENALTY = 3.0
-"""Added to the score of a replica that seems to be loading, so that it is only chosen as the last one."""
+"""Added to the score of a replica that is probably loading weights."""
 
 
 FULL_LOAD = 1.0
@@ -55,16 +58,16 @@
     """Criteria by which a replica is chosen."""
 
     services: frozenset[str]
-    """Services of which it must be a replica."""
+    """The replica must belong to one of these services."""
     excluded: frozenset[ReplicaIncarnation] = frozenset()
     """Replicas that must not be chosen, such as those that were tried already."""
     model: str = ""
-    """Model whose weights it must hold in ``min_version`` or a newer one; any if empty."""
+    """The replica must hold weights of this model, of ``min_version`` or newer; empty: no condition."""
     min_version: int = 0
     preferred: ReplicaIncarnation | None = None
     """Replica with a small bonus in the score, such as one that has the prompt's prefix cached."""
     load_below: float = math.inf
-    """Exclusive upper limit of the load, which counts requests per slot."""
+    """The replica's load, in requests per slot, must be below this limit."""
     send_context: SendContext = ANY_REGION_REQUEST
     """What the send rules need to know of the request."""
 
@@ -80,19 +83,19 @@
         self.latency_s = DEFAULT_LATENCY_S
         self.latency_recorded_at_s = 0.0
         self.other_requests = 0
-        """Number of other daemons' requests at the replica, by its last load report."""
+        """Number of requests at the replica that are not this daemon's, by the last load report."""
         self.load_reported_at_s = float("-inf")
         self.reported_versions: dict[str, int] = {}
-        """Model to the weight version that the replica itself last reported."""
+        """Weight version that the replica itself last reported, by model."""
         self._refused_with_free_slots_at_s = float("-inf")
 
     def record_refusal(self, now_s: float) -> None:
-        """Record a refusal as busy; a replica that refuses with free slots is probably loading weights."""
+        """Record that the replica refused as busy; if it has free slots, it is probably loading weights."""
         if self.load(now_s) < FULL_LOAD:
             self._refused_with_free_slots_at_s = now_s
 
     def record_answer_start(self) -> None:
-        """Record that an answer's head arrived, so that the replica is not loading weights."""
+        """Record that the replica sent the head of an answer, and so is not loading weights."""
         self._refused_with_free_slots_at_s = float("-inf")
 
     def is_probably_loading(self, now_s: float) -> bool:
@@ -100,17 +103,24 @@
         return now_s - self._refused_with_free_slots_at_s < ASSUMED_LOADING_S
 
     def load(self, now_s: float) -> float:
-        """Return the number of requests at the replica, of all daemons, divided by its slots."""
+        """Return the number of requests at the replica divided by its slots.
+
+        Other daemons' requests count only if the replica's load report is not older than
+        LOAD_REPORT_MAX_AGE_S.
+        """
         other_requests = self.other_requests if now_s - self.load_reported_at_s < LOAD_REPORT_MAX_AGE_S else 0
         return (self.in_flight + other_requests) / max(self.info.slots, 1)
 
     def expected_latency_s(self, now_s: float) -> float:
-        """Return the smoothed latency, which decays to DEFAULT_LATENCY_S while nothing is observed."""
+        """Return the smoothed latency, which moves towards DEFAULT_LATENCY_S while nothing is observed."""
         half_lives = (now_s - self.latency_recorded_at_s) / LATENCY_HALF_LIFE_S
         return DEFAULT_LATENCY_S + (self.latency_s - DEFAULT_LATENCY_S) * 0.5 ** max(half_lives, 0.0)
 
     def expected_answer_time_s(self, now_s: float) -> float:
-        """Return the expected time to answer a request sent now; it includes queueing beyond full load."""
+        """Return the expected time until the answer to a request sent now.
+
+        Time in the replica's queue and the rest of a probable load of weights are included.
+        """
         overload = max(self.load(now_s) + 1.0 / max(self.info.slots, 1) - FULL_LOAD, 0.0)
         loading_s = ASSUMED_LOADING_S if self.is_probably_loading(now_s) else 0.0
         return (1.0 + overload) * self.expected_latency_s(now_s) + loading_s
@@ -121,36 +131,39 @@
 
 
 class ReplicaTable:
-    """All listed replicas by incarnation, with the choice of one for a request."""
+    """The replicas that discovery lists, and the choice of one for each request."""
 
     def __init__(self, topology: Topology, seed: int | None = None) -> None:
         self.topology = topology
         self.distances = ZoneDistances(topology)
         self._local_capacity_waits = LocalCapacityWaits()
         self.cold_replicas = ColdReplicas()
-        """The cold replicas; none until its ``limit_of`` is set."""
+        """Cold replicas, which take only a limited rate of requests; none until ``limit_of`` is set."""
         self.permit_pool = PermitPool()
-        """Permits to send to cold replicas."""
+        """Permits of this daemon, each for one request to a cold replica."""
         self._cold_rule = ColdRule(self.cold_replicas, self.permit_pool)
         self.send_rules = SendRules([DrainingRule(), self._cold_rule])
         """Rules that exclude replicas from choices and sends; the daemon adds further ones."""
         self._state_by_incarnation: dict[ReplicaIncarnation, ReplicaState] = {}
         self._listed_incarnation_by_id: dict[str, ReplicaIncarnation] = {}
-        """Replica identifier to the newest incarnation that discovery lists under it."""
+        """Newest incarnation that discovery lists, by replica identifier."""
         self._delisted_in_use: dict[ReplicaIncarnation, ReplicaState] = {}
-        """Replicas that are no longer listed, but still run requests of this daemon."""
+        """Replicas that are no longer listed, but had requests of this daemon in flight at last sight."""
         self._random = random.Random(seed)
         self.health: ReplicaHealth[ReplicaIncarnation] = ReplicaHealth()
 
     def apply_entry(self, info: ReplicaInfo, now_s: float, *, from_full_list: bool = False) -> None:
-        """Apply a discovery entry that was just read; ``from_full_list`` if it was part of a full list."""
+        """Apply a discovery entry that was just read.
+
+        ``from_full_list`` tells that the entry came in a list of all replicas, hence may be older.
+        """
         self.cold_replicas.apply_entry(info, now_s, from_full_list=from_full_list)
         self.put(info)
 
     def put(self, info: ReplicaInfo) -> bool:
-        """Add or update a replica; return False if a newer incarnation of it is already listed.
+        """Add or update a replica; return False if a newer incarnation of the replica is already listed.
 
-        A new incarnation replaces the old one and starts without any of its observations.
+        A new incarnation replaces the old one, whose observations don't apply to the new one.
         """
         listed = self._listed_incarnation_by_id.get(info.replica_id)
         if listed is not None and listed.started_unix_ms > info.started_unix_ms:
@@ -165,7 +178,7 @@
         return True
 
     def remove(self, replica_id: str) -> None:
-        """Remove a replica that discovery no longer lists; harmless if it is not listed."""
+        """Remove a replica that discovery no longer lists; does nothing for an unknown replica."""
         incarnation = self._listed_incarnation_by_id.pop(replica_id, None)
         if incarnation is not None:
             self._delisted_in_use[incarnation] = self._state_by_incarnation.pop(incarnation)
@@ -180,14 +193,20 @@
             self.record_unreachable(incarnation, now_s)
 
     def record_unreachable(self, incarnation: ReplicaIncarnation, now_s: float) -> None:
-        """Record that a replica could not be reached: it is ejected, and possibly cold when it is back."""
+        """Record that a replica could not be reached: it is ejected unless it is excluded already.
+
+        If it is listed and its service limits requests to cold replicas, it also becomes possibly cold.
+        """
         self.health.record_failure(incarnation, now_s, unreachable=True)
         state = self._state_by_incarnation.get(incarnation)
         if state is not None:
             self.cold_replicas.mark_unreachable(state.info, now_s)
 
     def mark_zone_possibly_cold(self, zone: str, now_s: float) -> None:
-        """Mark all replicas of a zone as possibly cold, until later entries say that they are warm."""
+        """Mark a zone's replicas as possibly cold, if their services limit requests to cold replicas.
+
+        The mark ends with a later discovery entry, or after the service's longest cold period.
+        """
         infos = [state.info for state in self._state_by_incarnation.values() if state.info.zone == zone]
         self.cold_replicas.mark_possibly_cold(infos, now_s)
 
@@ -197,7 +216,7 @@
         return self.find_incarnation(incarnation) if incarnation is not None else None
 
     def find_incarnation(self, incarnation: ReplicaIncarnation) -> ReplicaState | None:
-        """Return the state of one incarnation; None if it is not listed or was replaced by a newer one."""
+        """Return the state of an incarnation; None if it is not the listed one of its replica."""
         return self._state_by_incarnation.get(incarnation)
 
     def find_latest_incarnation(self, incarnation: ReplicaIncarnation) -> ReplicaState | None:
@@ -211,8 +230,8 @@
     def choose(self, query: ReplicaQuery, now_s: float) -> ReplicaState | None:
         """Return the best usable replica that matches a query, or None.
 
-        A cold replica is usable only while an unclaimed permit for it is held; choosing it claims one.  If
-        no replica with a free slot is found, permits for matching cold replicas are requested.
+        A cold replica is usable only with an unclaimed permit; choosing the replica claims the permit.  If
+        there is no choice, or only one without a free slot, permits for matching cold replicas are requested.
         """
         best = self._choose_best(query, now_s)
         if not self.cold_replicas.any_may_be_cold:
@@ -249,10 +268,10 @@
     def _choose_between_regions(
         self, candidates: list[ReplicaState], query: ReplicaQuery, now_s: float
     ) -> ReplicaState | None:
-        """Return the best local replica, or a remote one if that is expected to answer earlier.
+        """Return the best replica of the local region, or one of another region.
 
-        To not overload a remote region, only a share of such requests goes there.  None means to wait for
-        a local replica.
+        The other region gets a share of the requests for which it is expected to answer earlier, and may
+        get those without a usable local replica.  None means to wait for a local replica.
         """
         local = [state for state in candidates if self.distances.is_local_region(state.info.zone)]
         remote = [state for state in candidates if not self.distances.is_local_region(state.info.zone)][
@@ -275,9 +294,10 @@
     def _choose_remote(
         self, remote: ReplicaState | None, request_class: Hashable, query: ReplicaQuery, now_s: float
     ) -> ReplicaState | None:
-        """Return the remote replica for a request without a usable local one, or None to wait for that.
+        """Return the remote replica for a request without a usable local one, or None to wait.
 
-        If local replicas match but are full, the request waits for a free slot as long as the network cost.
+        A request waits if local replicas are only too loaded for it, until requests of its class have
+        waited for the time of the network cost.
         """
         if remote is None or not self._has_local_replica(query, now_s):
             return remote
@@ -285,7 +305,7 @@
         return remote if self._local_capacity_waits.record_no_capacity(request_class, cost_s, now_s) else None
 
     def _has_local_replica(self, query: ReplicaQuery, now_s: float) -> bool:
-        """Whether a local replica is only excluded by the query's limit of the load."""
+        """Whether only the query's limit of the load excludes a local replica; False without such a limit."""
         if query.load_below == math.inf:
             return False
         any_load_query = msgspec.structs.replace(query, load_below=math.inf)
@@ -298,7 +318,7 @@
         return bool(self.health.filter_usable(eligible, now_s)) if eligible else False
 
     def _is_eligible(self, state: ReplicaState, query: ReplicaQuery, now_s: float) -> bool:
-        """Whether a replica matches a query, no send rule excludes it, and a permit is free if it is cold."""
+        """Whether a replica matches a query, all send rules allow it, and any permit needed is free."""
         if not self._matches(state, query, now_s):
             return False
         if not self.send_rules.allows(state.info, query.send_context, now_s):
@@ -317,7 +337,7 @@
         return not query.model or state.weight_version(query.model) >= query.min_version
 
     def _score(self, state: ReplicaState, query: ReplicaQuery, now_s: float) -> float:
-        """Return a score that is the lower, the better; units are multiples of DEFAULT_LATENCY_S."""
+        """Return a score, of which the lowest is best; 1 stands for DEFAULT_LATENCY_S."""
         load = state.load(now_s)
         score = (1.0 + load) * state.expected_latency_s(now_s) / DEFAULT_LATENCY_S + load
         if state.info.zone != self.topology.zone:
@@ -335,9 +355,9 @@
         now_s: float,
         latency_share: float = FASTER_LATENCY_SHARE,
     ) -> bool:
-        """Whether the best replica for a query is much faster than a given one.
+        """Whether the best replica for a query has less than ``latency_share`` of an incarnation's latency.
 
-        That is, its latency is below ``latency_share`` of the given incarnation's latency.
+        False if there is no usable replica for the query or the incarnation is not listed.
         """
         state = self._state_by_incarnation.get(incarnation)
         best = self._choose_best(query, now_s)
@@ -346,7 +366,7 @@
         return best.expected_latency_s(now_s) < latency_share * state.expected_latency_s(now_s)
 
     def record_latency(self, incarnation: ReplicaIncarnation, latency_s: float, now_s: float) -> None:
-        """Record a replica's latency, or a lower bound of it; ignored if the incarnation is not listed."""
+        """Record a latency, or the time waited without an answer; ignored for an unlisted incarnation."""
         state = self._state_by_incarnation.get(incarnation)
         if state is None:
             return
@@ -356,7 +376,10 @@
         state.latency_recorded_at_s = now_s
 
     def record_load(self, incarnation: ReplicaIncarnation, reported_requests: int, now_s: float) -> None:
-        """Record the number of running and waiting requests that a replica reported, of all daemons."""
+        """Record the number of running and waiting requests, of all daemons, that a replica reported.
+
+        Ignored for an incarnation that is not listed.
+        """
         state = self._state_by_incarnation.get(incarnation)
         if state is not None:
             state.other_requests = max(reported_requests - state.in_flight, 0)
--- a/passgate/gateway/routes.py
+++ b/passgate/gateway/routes.py
@@ -47,7 +47,7 @@
 
 
 class WeightedService(msgspec.Struct, frozen=True):
-    """A service among which a route's requests are split, and its relative weight."""
+    """One of the services among which a route's requests are split, and the service's relative weight."""
 
     service: str
     weight: float
@@ -63,23 +63,23 @@
     parts: tuple[WeightedService, ...]
     kind: RouteKind = RouteKind.SAFE
     timeout_s: float = DEFAULT_TIMEOUT_S
-    """Time after a request's arrival at which it is answered at the latest."""
+    """Maximum time from a request's arrival to the end of its answer."""
     target_latency_s: float = 1.0
-    """Latency objective; hedging and waiting times are shares or multiples of it."""
+    """Latency objective; hedging and waiting times are shares or multiples of this time."""
     max_attempts: int = 2
-    """Maximum number of replicas that one request is sent to."""
+    """Maximum number of attempts of one request; attempts that did not reach a replica don't count."""
     priority: int = 5
-    """Priority at the replicas; 0 is the most urgent."""
+    """Priority at the replicas of streamed requests and of job items; 0 is the most urgent."""
     resumable: bool = False
-    """Whether a stream that broke off may be continued from another replica."""
+    """Whether a stream that broke off may be continued by another replica; the request may then run again."""
     item_time_to_live_s: float = ITEM_TIME_TO_LIVE_S
     """Time after which an unfinished item of a batch job may be given up."""
     result_deadline_s: float = 60.0
-    """Time within which the results of a batch job are due."""
+    """Time within which the results of a batch job are due; the gateway does not use it."""
     public: bool = False
-    """Whether callers need no API key."""
+    """Whether callers without a valid API key are admitted."""
     single_version: bool = False
-    """Whether all of a result must come from one weight version."""
+    """Whether the whole result of an item must come from one version of the weights."""
     allowed_regions: frozenset[str] = frozenset()
     """Regions that may serve the route's requests and store their bodies; empty if any may."""
 
@@ -97,18 +97,18 @@
     most: int
     """Maximum number of replicas in each zone, on-demand and spot ones together."""
     boot_s: float
-    """Time from an order until its replicas serve."""
+    """Time from an order of replicas until they serve."""
     spot_price: float = 1.0
     """Price of a spot replica relative to an on-demand one."""
     zone_prices: dict[str, float] = {}
-    """Zone to the price of a replica-second; only the ratios of prices matter."""
+    """Price of a replica-second by zone; only the ratios of prices matter."""
 
 
 class ColdStart(msgspec.Struct, frozen=True, kw_only=True):
-    """Capacity of a service's cold replicas: those that have just started or turned cold later."""
+    """Capacity of a service's cold replicas, which have just started or become cold later."""
 
     lasts_s: float
-    """Time for which a replica is cold after its start."""
+    """Longest time for which a replica stays cold."""
     requests_per_s: float
     """Rate of requests that one cold replica can take."""
 
@@ -118,15 +118,15 @@
 
     name: str
     max_connections: int = 100
-    """Connections that one of its replicas accepts from all daemons together."""
+    """Connections that one replica accepts from all daemons together; the gateway does not use it."""
     scaling: ScalingRule | None = None
-    """None if the number of replicas is not scaled by the gateway."""
+    """None if the gateway does not order replicas of the service."""
     cold_start: ColdStart | None = None
     """None if a cold replica can take as many requests as a warm one."""
 
 
 class RequestLimits(msgspec.Struct, frozen=True, kw_only=True):
-    """Limits of callers' requests and connections."""
+    """Limits of callers' requests and connections; only ``max_body_bytes`` has an effect."""
 
     max_header_bytes: int = 16_384
     max_body_bytes: int = 33_554_432
@@ -146,14 +146,14 @@
 
 
 class RouteTable:
-    """A compiled configuration: routes by host with the longest prefix first, and the API key index."""
+    """A configuration prepared for look-ups of routes and API keys."""
 
     def __init__(self, config: GatewayConfig, topology: Topology | None = None) -> None:
         """Compile a configuration; raises InvalidConfiguration.
 
         Args:
             config: the configuration.
-            topology: zones and regions of the deployment, for checking allowed regions; None if unknown.
+            topology: zones and regions of the deployment; allowed regions are checked if it names any.
         """
         self.config = config
         self.api_key_index = ApiKeyIndex(config.tenants)
@@ -168,13 +168,13 @@
             self._routes_by_host.setdefault(route.host, []).append(route)
 
     def accepts_public_jobs(self, host: str) -> bool:
-        """Whether a host has a public batch route; its jobs may then be submitted and read without a key."""
+        """Whether a host has a public batch route; reading and cancelling its jobs then needs no API key."""
         return any(
             route.public and route.kind is RouteKind.BATCH for route in self._routes_by_host.get(host, ())
         )
 
     def match(self, host: str, path: str) -> Route | None:
-        """Return the route with the longest matching path prefix, or None; the query is ignored."""
+        """Return the host's route with the longest matching path prefix, or None; the query is ignored."""
         plain_path = path.partition("?")[0]
         for route in self._routes_by_host.get(host, ()):
             if plain_path.startswith(route.path_prefix):
@@ -182,15 +182,15 @@
         return None
 
     def allowed_tenant_regions(self, tenant: str | None) -> frozenset[str]:
-        """Return the allowed regions of a tenant; empty if any may serve it, or the tenant is unknown."""
+        """Return the allowed regions of a tenant; empty if any region is allowed or the tenant is unknown."""
         found = self._tenant_by_name.get(tenant or "")
         return found.allowed_regions if found is not None else frozenset()
 
 
 def _validate_regions(owner: Route | Tenant, topology: Topology | None) -> None:
-    """Raise InvalidConfiguration if an allowed region of a route or tenant does not exist.
+    """Raise InvalidConfiguration if an allowed region of a route or tenant is empty or not in the topology.
 
-    A misspelt region would otherwise have all requests of its owner refused.
+    A misspelt region could otherwise make the gateway refuse all requests of the route or tenant.
     """
     known_regions = frozenset(topology.region_by_zone.values()) if topology is not None else frozenset()
     for region in owner.allowed_regions:
@@ -202,13 +202,13 @@
     """Holds the active configuration; its version never decreases."""
 
     def __init__(self, topology: Topology | None = None) -> None:
-        """Start without a configuration; ``topology`` names the regions that configurations may use."""
+        """Start without a configuration; ``topology`` is passed to each :class:`RouteTable`."""
         self.table: RouteTable | None = None
         self._topology = topology
 
     @property
     def version(self) -> int:
-        """Active version; NO_VERSION before the first one."""
+        """Version of the active configuration; NO_VERSION before the first one."""
         return NO_VERSION if self.table is None else self.table.config.version
 
     def find_route(self, host: str, path: str) -> Route | None:
@@ -216,14 +216,14 @@
         return self.table.match(host, path) if self.table is not None else None
 
     def item_time_to_live_s(self, host: str, path: str) -> float:
-        """Return the time to live of a batch job's items by its active route, or the default without one."""
+        """Return the time to live of job items by the route for a host and path; the default without one."""
         route = self.find_route(host, path)
         return route.item_time_to_live_s if route is not None else ITEM_TIME_TO_LIVE_S
 
     def send_context_for(
         self, host: str, path: str, tenant: str | None, accepted_regions: frozenset[str] = frozenset()
     ) -> SendContext:
-        """Return a request's region restriction by the active configuration.
+        """Return the context with the regions that may serve a request by the active configuration.
 
         The active configuration counts also for a request that was accepted under an earlier one.
 
@@ -231,8 +231,8 @@
             host: host of the request.
             path: path of the request.
             tenant: name of the request's tenant, if it has one.
-            accepted_regions: the route's allowed regions when the request was accepted; they apply if the
-                active configuration has no route for it any more.
+            accepted_regions: the route's allowed regions when the request was accepted; used if the active
+                configuration has no route for the request.
         """
         route = self.find_route(host, path)
         route_regions = route.allowed_regions if route is not None else accepted_regions
@@ -241,11 +241,11 @@
         return ANY_REGION_REQUEST if regions is None else SendContext(allowed_regions=regions)
 
     def has_service(self, service: str) -> bool:
-        """Whether the active configuration has a service of this name."""
+        """Whether the active configuration lists a service, or a route uses it."""
         return self.table is not None and service in self.table.services
 
     def apply_if_newer(self, config: GatewayConfig) -> bool:
-        """Make a configuration the active one if its version is higher; return whether it was.
+        """Make a configuration the active one if its version is higher; return whether that was done.
 
         Raises InvalidConfiguration, in which case the active configuration stays.
         """
@@ -258,9 +258,9 @@
 class WeightedServicePicker:
     """Splits the requests of each route among its services in proportion to their weights.
 
-    Successive requests get positions from 0 to 1 that differ by the golden ratio's fraction, which covers
-    the range evenly from any start; the weights divide the range among the services.  The start is random,
-    so that services of little weight get their share also from many daemons with few requests each.
+    The weights divide the range from 0 to 1 among the services.  Successive requests get positions in this
+    range that differ by the golden ratio's fraction, which covers the range evenly.  The first position is
+    random, so that services of little weight get their share even if each daemon has few requests.
 
     >>> picker = WeightedServicePicker(seed=1)
     >>> services = (WeightedService("s", 90), WeightedService("t", 10))
@@ -273,10 +273,13 @@
     def __init__(self, seed: int | None = None) -> None:
         self._random = random.Random(seed)
         self._last_position_by_route: dict[str, float] = {}
-        """Name of a route to the position of its last request, from 0 to 1."""
+        """Position of the last request, from 0 to 1, by the name of the route."""
 
     def pick(self, route: Route) -> str:
-        """Return the service for the route's next request; a weight of 0 gets none unless all are 0."""
+        """Return the service for the route's next request.
+
+        Services of weight 0 get no requests; if all weights are 0, the last service gets all requests.
+        """
         parts = [part for part in route.parts if part.weight > 0] or list(route.parts)
         if len(parts) == 1:
             return parts[0].service
--- a/passgate/gateway/spillover.py
+++ b/passgate/gateway/spillover.py
@@ -1,7 +1,7 @@
-"""Decides when requests spill over to another region: only if that saves time, and only a share of them.
+"""Decides which requests spill over to another region while local replicas exist.
 
-All daemons of a region see the same idle region at the same time.  Each of them sends only a share
-of its requests there, which grows with the time saved, so that together they don't overload it.
+All daemons of a region may find the same other region idle at the same time.  So each sends only a share
+of its requests there, which grows with the time saved; together they then don't overload that region.
 
 >>> spillover_share(saved_s=0.0, network_cost_s=0.02), spillover_share(saved_s=0.06, network_cost_s=0.02)
 (0.0, 0.75)
@@ -20,18 +20,19 @@
 from collections.abc import Hashable
 
 MIN_NETWORK_COST_S = 0.001
-"""Lower bound of the network cost in a share's formula; avoids a division by zero."""
+"""Lower bound of the network cost in the formula of the share."""
 WAIT_EXPIRY_S = 1.0
-"""Time without a request of a class after which its wait is over."""
+"""Time without a check of a request class after which a new check starts a new wait."""
 MAX_WAITS = 256
-"""Number of waits above which expired ones are dropped; request classes contain names set by callers."""
+"""Number of recorded waits above which expired waits are dropped; callers can cause any number of request
+classes."""
 
 
 def spillover_share(saved_s: float, network_cost_s: float) -> float:
     """Return the share, from 0 to 1, of requests to send to another region.
 
     Args:
-        saved_s: by how much an answer is expected earlier from there, with the network cost included.
+        saved_s: time by which an answer from there is expected earlier; the network cost is subtracted.
         network_cost_s: extra network time to that region.
     """
     if saved_s <= 0.0:
@@ -40,20 +41,23 @@
 
 
 class LocalCapacityWaits:
-    """Waits for a free slot in the local region, by request class: any hashable that groups requests."""
+    """Tracks for how long requests have found no free slot in the local region, by request class.
+
+    A request class is any hashable value that groups requests.
+    """
 
     def __init__(self) -> None:
         self._wait_by_class: dict[Hashable, tuple[float, float]] = {}
-        """Request class to the loop times of the first and the latest check that found no free slot."""
+        """Loop times of the first and the latest check that found no free slot, by request class."""
 
     def record_capacity(self, request_class: Hashable) -> None:
-        """Record that a local replica has a free slot for a request class; ends its wait."""
+        """Record that a local replica can take requests of a class; ends the wait of the class."""
         self._wait_by_class.pop(request_class, None)
 
     def record_no_capacity(self, request_class: Hashable, network_cost_s: float, now_s: float) -> bool:
         """Record that no local replica has a free slot, which starts or continues the wait.
 
-        Returns whether the wait has lasted at least the network cost, so that spilling over is worthwhile.
+        Returns whether the wait has lasted at least ``network_cost_s``; the request should then spill over.
         """
         start_s, checked_s = self._wait_by_class.get(request_class, (now_s, now_s))
         if now_s - checked_s > WAIT_EXPIRY_S:
--- a/passgate/gateway/stream_forwarder.py
+++ b/passgate/gateway/stream_forwarder.py
@@ -1,8 +1,8 @@
 """Forwards streamed requests: passes complete server-sent events on to the caller as they arrive.
 
-When a stream of a resumable route fails, the forwarder requests the events after the last one sent
-(``Last-Event-Id``) from another replica and continues the same answer.  A stream of any other route
-runs at most once; when it fails after its head, the answer ends incomplete.
+When a stream of a resumable route fails, or another replica is much faster, the forwarder requests the
+events after the last one sent (``Last-Event-Id``) from another replica and continues the same answer.  A
+stream of any other route runs at most once; when it fails after its head, the answer ends incomplete.
 """
 
 from __future__ import annotations
@@ -31,11 +31,13 @@
 
 OK_STATUS = 200
 HEAD_TIMEOUT_FACTOR = 3.0
-"""Time limit of the answer's head, in target latencies of the route, if another replica may be tried."""
+"""Timeout of the answer's head, in target latencies of the route, if the stream is resumable and another
+attempt is permitted."""
 EVENT_TIMEOUT_S = 1.2
-"""Time without data after which a resumable stream is continued at another replica."""
+"""Time without data after which a resumable stream is continued at another replica, if another attempt is
+permitted."""
 MIN_EVENTS_BEFORE_MOVE = 4
-"""Events that a replica sends before the stream may move to a faster one."""
+"""Events that an attempt delivers before the stream may move to a faster replica."""
 EVENT_SEPARATOR = b"\n\n"
 
 
@@ -45,10 +47,10 @@
     async def forward(
         self, request: IncomingRequest, route: Route, caller: Caller
     ) -> GatewayAnswer | StreamAnswer:
-        """Return the stream once its head has arrived, or a replica's complete answer if it is not 200.
+        """Return the stream once its head has arrived, or the complete answer if the status is not 200.
 
-        Raises PassgateError if no replica sent a head; its ``execution`` says whether the request may
-        have run.  The returned stream raises PassgateError from its iterator when it ends incomplete.
+        Raises PassgateError if there is neither; its ``execution`` says whether the request may have run.
+        The iterator of a returned stream raises PassgateError if the stream ends incomplete.
         """
         stream = self._begin_forwarding(request, route, caller)
         attempt = await self._open_stream(stream)
@@ -99,7 +101,10 @@
         self._record_failed_attempt(stream, attempt.incarnation, error, attempt.started_s)
 
     async def _start_attempt(self, stream: ForwardedRequest) -> ReplicaAttempt:
-        """Check that the request may be sent, choose a replica and send; raises PassgateError if not sent."""
+        """Check that the request may be sent, choose a replica and send.
+
+        Raises PassgateError if nothing was sent by this attempt.
+        """
         try:
             self._check_regions(stream)
             if not await self._passes_quarantine(stream):
@@ -122,7 +127,7 @@
     ) -> AsyncGenerator[bytes, None]:
         """Yield bytes of complete events, from further replicas if the stream may be continued.
 
-        Raises PassgateError when the stream ends incomplete.
+        Raises PassgateError if the stream ends incomplete.
         """
         try:
             while True:
@@ -153,7 +158,7 @@
     ) -> AsyncGenerator[bytes, None]:
         """Yield bytes of complete events of one attempt.
 
-        Raises IncompleteAnswer, MovedElsewhere, the attempt's errors, or TimeoutError after a pause.
+        Raises IncompleteAnswer, MovedElsewhere, the attempt's errors, or TimeoutError if no data arrives.
         """
         pending = b""
         count = 0
@@ -181,13 +186,13 @@
         attempt.record_stream_success()
 
     def _count_run_once(self, stream: ForwardedRequest) -> None:
-        """Count the request's run for the usage report, at the first event of its first attempt with one."""
+        """Count the request for the usage report when its first event arrives, and only then."""
         if not stream.usage_counted:
             stream.usage_counted = True
             self._count_run(stream, self._usage_wall_s())
 
     def _should_move(self, stream: ForwardedRequest, attempt: ReplicaAttempt) -> bool:
-        """Whether a resumable stream should continue at another replica, which is much faster."""
+        """Whether another usable replica is so much faster that a resumable stream should continue there."""
         if not stream.route.resumable or not stream.may_be_sent_again:
             return False
         query = ReplicaQuery(
--- a/passgate/gateway/zone_distances.py
+++ b/passgate/gateway/zone_distances.py
@@ -1,7 +1,7 @@
 """Estimates the round trip time (RTT) to each zone, and the network cost of sending a request there.
 
-RTT samples come from calls that are made anyway: new connections to replicas and queries to other
-daemons.  A zone without samples has a default that depends on whether it is in the local region.
+RTT samples come from new connections to replicas and from calls to other daemons.  A zone without samples
+has a default that depends on whether the zone is in the local region.
 
 >>> topology = Topology(zone="a1", region_by_zone={"a1": "a", "a2": "a", "b1": "b"})
 >>> distances = ZoneDistances(topology)
@@ -24,13 +24,14 @@
 from passgate.eligibility.topology import Topology
 
 OTHER_ZONE_COST_S = 0.0025
-"""Cost of another zone of the local region, and minimum cost of a zone elsewhere: traffic is billed."""
+"""Network cost of another zone of the local region, and minimum for zones of other regions.  Traffic between
+zones is billed, so the cost is not just the RTT."""
 DEFAULT_SAME_ZONE_RTT_S, DEFAULT_SAME_REGION_RTT_S, DEFAULT_OTHER_REGION_RTT_S = 0.0005, 0.002, 0.025
-"""RTT of a zone without samples: the own zone, another one of the local region, one elsewhere."""
+"""RTT without samples: within this daemon's zone, to another zone of its region, to another region."""
 RTT_WINDOW_S = 4.0
 """Length of the window whose shortest sample counts; longer samples include time on a busy machine."""
 RTT_RISE_SHARE = 0.5
-"""Share of the difference by which the estimate rises to a window's longer minimum."""
+"""Share of the difference by which the estimate rises to a longer minimum of a window."""
 RESPONSE_MARGIN_S = 0.05
 """Time beyond the RTT that a daemon has for a response: a few iterations of a busy event loop."""
 
@@ -54,7 +55,7 @@
         """Whether the zones are in more than one region."""
         self._estimates_by_zone: dict[str, _RoundTripEstimate] = {}
         self._cost_s_by_zone: dict[str, float] = {}
-        """Cache, read for every replica of every choice; cleared by each new sample."""
+        """Cache of the costs; cleared by each new sample."""
 
     def record_round_trip(self, zone: str, round_trip_s: float, now_s: float) -> None:
         """Record an RTT sample.
@@ -74,7 +75,7 @@
         self._cost_s_by_zone.clear()
 
     def round_trip_s(self, zone: str) -> float:
-        """Return the estimated RTT to a zone, or its default without samples."""
+        """Return the estimated RTT to a zone, or the default without samples."""
         estimate = self._estimates_by_zone.get(zone)
         return estimate.estimate_s if estimate is not None else self._default_round_trip_s(zone)
 
@@ -88,7 +89,7 @@
         return not self.has_multiple_regions or self.topology.region_of(zone) == self.topology.region
 
     def network_cost_s(self, zone: str) -> float:
-        """Return the cost of sending to a zone instead of the own one, as a time; 0 for the own zone."""
+        """Return the extra cost of sending to a zone instead of this daemon's zone, as a time."""
         cost_s = self._cost_s_by_zone.get(zone)
         if cost_s is None:
             cost_s = self._cost_s_by_zone[zone] = self._compute_network_cost_s(zone)
@@ -102,15 +103,14 @@
         return max(self.round_trip_s(zone) - self.round_trip_s(self.topology.zone), OTHER_ZONE_COST_S)
 
     def other_zones_nearest_first(self) -> list[str]:
-        """Return all zones but the own one: first the local region's, then the others', by rising RTT."""
+        """Return all zones but this daemon's: those of the local region first, then the rest, by RTT."""
         zones = [zone for zone in self.topology.region_by_zone if zone != self.topology.zone]
         return sorted(zones, key=lambda zone: (not self.is_local_region(zone), self.round_trip_s(zone), zone))
 
     def fallback_zones(self) -> list[str]:
-        """Return the zones whose daemons may be asked in place of those of the own zone.
+        """Return the nearest other zone of the local region and the nearest zone of another region.
 
-        They are the nearest other zone of the local region and the nearest zone elsewhere; there are
-        none with a single region.
+        Their daemons may be called while the log is unavailable.  With a single region, the list is empty.
         """
         zones = self.other_zones_nearest_first() if self.has_multiple_regions else []
         local = [zone for zone in zones if self.is_local_region(zone)]
@@ -118,11 +118,11 @@
         return local[:1] + remote[:1]
 
     def response_timeout_s(self, minimum_s: float, zone: str | None = None) -> float:
-        """Return the timeout of a daemon's response to a request that it can handle immediately.
+        """Return the timeout for the response of another daemon to a request that needs no waiting.
 
         Args:
-            minimum_s: timeout for a daemon nearby; always returned with a single region.
-            zone: zone of the daemon; None if it may be in any zone, then the longest RTT counts.
+            minimum_s: shortest timeout; always returned with a single region.
+            zone: zone of the other daemon; None if the daemon may be in any zone, so the longest RTT counts.
         """
         if not self.has_multiple_regions:
             return minimum_s
--- a/passgate/routing/replica_health.py
+++ b/passgate/routing/replica_health.py
@@ -1,11 +1,12 @@
 """Outlier ejection: excludes failing replicas from choices for a while.
 
-An unreachable replica is ejected at once, one whose requests fail after EJECT_AFTER_FAILURES of them.
-Each further ejection lasts twice as long.  After an ejection, requests are probes, sent one at a time,
-until one succeeds.  A load report ends the ejection of an unreachable replica.
+A replica is ejected when it can't be reached, or after EJECT_AFTER_FAILURES failures since its last
+success.  After the ejection, a request is sent only every PROBE_INTERVAL_S until one succeeds.  Failures
+don't prolong an ejection or a probe interval; a later one ejects again, for twice as long, up to
+MAX_EJECTION_S.  A load report ends the ejection of a replica that could not be reached.
 
-If failing requests would eject most of a pool, the replicas are probably not the cause, so these
-ejections are ignored.
+If more than MAX_EJECTED_SHARE of the replicas are excluded, failing requests are probably not the
+replicas' fault, so ejections for them are ignored.
 
 >>> health = ReplicaHealth()
 >>> for _ in range(EJECT_AFTER_FAILURES):
@@ -29,11 +30,11 @@
 FIRST_EJECTION_S = 1.0
 MAX_EJECTION_S = 30.0
 MAX_EJECTIONS_COUNTED = 16
-"""Limit of the counter whose power of two scales an ejection's length."""
+"""Limit of the counter of ejections, so that two to its power can't overflow."""
 MAX_EJECTED_SHARE = 0.7
 """If a larger share of the replicas is excluded, ejections for failing requests are ignored."""
 PROBE_INTERVAL_S = 2.0
-"""Time between two probes of a replica that was ejected and has not succeeded since."""
+"""Time without a further request after a request to a replica that has not succeeded since its ejection."""
 
 
 class _HealthRecord(msgspec.Struct):
@@ -42,18 +43,18 @@
     failures: int = 0
     """Number of failures since the last success."""
     ejections: int = 0
-    """Number of ejections since the last success."""
+    """Number of ejections since the last success, up to MAX_EJECTIONS_COUNTED."""
     unreachable: bool = False
     """Whether any of the failures showed that the replica could not be reached."""
     excluded_until_s: float = float("-inf")
-    """Loop time at which the current ejection, hold-off or probe interval ends."""
+    """Loop time at which the last ejection, hold-off or probe interval ends."""
 
     def is_excluded(self, now_s: float) -> bool:
         return now_s < self.excluded_until_s
 
 
 class ReplicaHealth(Generic[Key]):
-    """Failures, ejections and hold-offs of the replicas of one pool; all times are loop times."""
+    """Failures, ejections and hold-offs of replicas; all times are loop times."""
 
     def __init__(self) -> None:
         self._record_by_replica: dict[Key, _HealthRecord] = {}
@@ -62,7 +63,8 @@
     def record_failure(self, replica: Key, now_s: float, *, unreachable: bool = False) -> None:
         """Record a failed request, and eject the replica if it has failed often enough.
 
-        A replica that is unreachable, or was ejected since its last success, is ejected by any failure.
+        One failure is enough if the replica was unreachable or has been ejected since its last success.  A
+        replica that is excluded already is not ejected again.
         """
         health = self._record_by_replica.setdefault(replica, _HealthRecord())
         health.failures += 1
@@ -74,25 +76,28 @@
             health.excluded_until_s = now_s + ejection_s
 
     def record_success(self, replica: Key) -> None:
-        """Record that the replica produced output, which clears its failures and any exclusion."""
+        """Record that the replica answered a request, which clears its failures and ends any exclusion."""
         self._record_by_replica.pop(replica, None)
 
     def record_load_report(self, replica: Key) -> None:
-        """Record that a load report was read.
+        """Record that the replica's load report was read.
 
-        This clears a replica that was unreachable, but not one that only failed requests.
+        Clears the failures and ends the exclusion of a replica that was unreachable; otherwise does nothing.
         """
         health = self._record_by_replica.get(replica)
         if health is not None and health.unreachable:
             del self._record_by_replica[replica]
 
     def hold_off(self, replica: Key, until_s: float) -> None:
-        """Exclude a replica until a loop time, without recording a failure; used when it says it is busy."""
+        """Exclude a replica until a loop time, without recording a failure; for example if it is busy."""
         health = self._record_by_replica.setdefault(replica, _HealthRecord())
         health.excluded_until_s = max(health.excluded_until_s, until_s)
 
     def record_send(self, replica: Key, now_s: float) -> None:
-        """Record that a request is sent; after an ejection it is a probe, which delays the next one."""
+        """Record that a request is sent, which delays the next one if the replica was ejected.
+
+        The delay is PROBE_INTERVAL_S; there is none once the replica has succeeded after its ejection.
+        """
         health = self._record_by_replica.get(replica)
         if health is not None and health.ejections:
             health.excluded_until_s = max(health.excluded_until_s, now_s + PROBE_INTERVAL_S)
@@ -109,7 +114,8 @@
     def filter_usable(self, replicas: Sequence[Key], now_s: float) -> list[Key]:
         """Return those of the given replicas that may get requests now, in the same order.
 
-        If too many are excluded, those ejected for failing requests are returned as well.
+        If more than MAX_EJECTED_SHARE of them are excluded, those ejected for failing requests are returned
+        as well.
         """
         if not self._record_by_replica:
             return list(replicas)
@@ -130,7 +136,7 @@
     def _must_stay_excluded(self, replica: Key, now_s: float) -> bool:
         """Whether a replica is excluded for another reason than failing requests.
 
-        That is, it was unreachable since its last success, or it was not ejected since then but held off.
+        Since its last success, it either was unreachable, or was held off without having been ejected.
         """
         health = self._record_by_replica.get(replica)
         return (
