--- a/passgate/platform/documents.py
+++ b/passgate/platform/documents.py
@@ -1,7 +1,7 @@
 """Converts between the platform's JSON documents and passgate's types.
 
-Decoded are the configuration, discovery entries, named versions, replicas' reports and submitted jobs;
-encoded are pages of results.
+Decodes the configuration, discovery entries, target versions, replicas' reports and submitted jobs; encodes
+pages of results.
 """
 
 from __future__ import annotations
@@ -44,11 +44,10 @@
 READY, DRAINING = "ready", "draining"
 """Valid states of a discovery entry; an entry with another state is rejected."""
 MAX_SLOTS = 1_000_000
-"""Discovery entries with more slots are rejected; replicas serve 10 to 100 requests at once."""
+"""Discovery entries with more slots are rejected; a replica usually has 10 to 100."""
 MAX_PORT = 65_535
-"""Highest TCP port."""
 MAX_MS = 2**53
-"""Largest integer up to which a double, and so every JSON parser, is exact."""
+"""Upper limit of start times; JSON parsers that use doubles represent all integers up to here exactly."""
 
 # ruff: noqa: N815  (field names are the platform's)
 
@@ -222,7 +221,7 @@
 
 
 def _to_route(route: _Route) -> Route:
-    """Convert a route; an unknown kind becomes UNSAFE, so that its requests never run twice."""
+    """Convert a route; an unknown kind becomes UNSAFE, whose requests run at most once unless resumable."""
     split = route.trafficSplit or [_Split(service=route.service)]
     return Route(
         name=route.name,
@@ -280,7 +279,7 @@
 
 
 def decode_version(data: bytes) -> tuple[str, int]:
-    """Return a model and the target version that the operator named; raises msgspec.DecodeError."""
+    """Return the model of an operator's record and its target version; raises msgspec.DecodeError."""
     named = msgspec.json.decode(data, type=_NamedVersion)
     return named.model, named.version
 
@@ -311,7 +310,7 @@
 def decode_job(job_id: str, host: str, path: str, body: bytes, caller: Caller) -> JobSpec:
     """Return the job that a caller submitted; raises MalformedBody.
 
-    Callers choose ``job_id`` freely, so it is scoped to the caller's tenant.
+    Callers choose ``job_id`` freely, so the job's identifier is ``job_id`` scoped to the caller's tenant.
     """
     try:
         job = msgspec.json.decode(body, type=_Job)
--- a/passgate/platform/duty_calls.py
+++ b/passgate/platform/duty_calls.py
@@ -1,4 +1,4 @@
-"""Calls that singleton duties make to the platform: usage reports and orders of replicas."""
+"""Calls to the platform for duties that one daemon at a time does for all: usage reports, replica orders."""
 
 from __future__ import annotations
 
@@ -11,7 +11,8 @@
 from passgate.platform import names
 
 CALL_TIMEOUT_S = 1.0
-"""Well below the lease of 3 s, so that a former leader's last call ends before a new leader's first."""
+"""Timeout of a call.  A leader starts calls only within 0.6 of its lease, so with the default lease of 3 s
+its last call ends before another daemon takes over."""
 OUTCOME_BY_STATUS = {200: DutyOutcome.ACCEPTED, 409: DutyOutcome.REFUSED}
 
 
@@ -28,10 +29,10 @@
 
 
 class PlatformDutyClient(DutyClient):
-    """Sends the calls of duties over HTTP, each at most once.
+    """Sends calls to the platform over HTTP, each at most once.
 
-    The holder and its fencing token let the platform refuse a former leader.  A failed call is reported as
-    ``DutyOutcome.UNKNOWN``, not raised.
+    The leader's name (``holder``) and fencing token let the platform refuse a former leader.  A failed call
+    returns ``DutyOutcome.UNKNOWN``.
     """
 
     def __init__(self, http: HttpClient, address: str) -> None:
@@ -44,7 +45,7 @@
         return await self._call(names.USAGE_PATH, document, report.holder, report.fence)
 
     async def order_replicas(self, order: ReplicaOrder) -> DutyOutcome:
-        """Order a number of replicas of a service in a zone, spot or on-demand."""
+        """Order the number of spot or on-demand replicas that a service shall have in a zone."""
         document = _Scale(service=order.service, zone=order.zone, desired=order.count, spot=order.spot)
         return await self._call(names.SCALE_PATH, document, order.holder, order.fence)
 
--- a/passgate/platform/http_api.py
+++ b/passgate/platform/http_api.py
@@ -25,28 +25,32 @@
 from passgate.versions.loader import LoadOrder, ReplicaReport
 
 MAX_WAIT_S = 1.0
-"""Longest time for which the platform lets a read of results wait for new ones."""
+"""Longest time for which the platform lets a read of a job's results wait for new ones."""
 DEFAULT_DEADLINE_S = 4.0
-"""Deadline, counted from the request's arrival, of a job request without a deadline header."""
+"""Timeout, from the request's arrival, of submitting or cancelling a job without a deadline header."""
 ANSWER_MARGIN_S = 0.1
 """Time before a caller's deadline that is reserved for sending the answer."""
 REPORT_TIMEOUT_S = 1.0
 """Timeout of reading a replica's report."""
 ORDER_TIMEOUT_S = 1.5
-"""Timeout of a load order; half of the lease, so that a leader's last order ends before its lease does."""
+"""Timeout of a load order.  With the default lease, an order that the leader sends at the last moment (0.6 of
+the lease) ends before another daemon takes over (after the lease plus TAKEOVER_MARGIN_S)."""
 NO_ROUTE = "no_route"
 LOGGED_PATH_CHARACTERS = 80
 BINARY_HEADERS = (("Content-Type", "application/octet-stream"),)
 
 
 class FrontRequestHandler:
-    """Handles all requests to the front address: routed ones, and those for jobs, results and item bodies."""
+    """Handles all requests to ``GatewaySettings.front_address``, where callers connect.
+
+    These are requests of routes, and requests for the results, the cancellation and the items of jobs.
+    """
 
     def __init__(self, daemon: GatewayDaemon) -> None:
         self._daemon = daemon
 
     async def handle(self, request: IncomingRequest) -> GatewayAnswer | StreamAnswer:
-        """Answer a request; raises PassgateError."""
+        """Answer a request; a refusal or failure is raised as PassgateError."""
         path, _, query = request.path.partition("?")
         if path.startswith(names.JOB_PATH):
             return await self._handle_job_request(request, path.removeprefix(names.JOB_PATH), query)
@@ -70,7 +74,7 @@
         return await self._daemon.forwarder.forward(request, route, caller)
 
     def _usable_routes(self) -> RouteTable:
-        """Return the routes; raises NotReady without a configuration, or with one that is too old to use."""
+        """Return the routes; raises NotReady if there is no configuration or the configuration is too old."""
         table = self._daemon.config_holder.table
         if table is None:
             raise NotReady("no configuration was received yet", execution=ExecutionStatus.NOT_RUN)
@@ -89,13 +93,14 @@
     def _retryable_if_stale(self, refusal: PassgateError) -> PassgateError:
         """Return ``refusal``, or a retryable NotReady instead if the configuration may be stale.
 
-        While the log can not be read, the operator may have added the unknown route or key.
+        A newer configuration, which this daemon could not read, may contain the unknown route or key.
         """
         if self._daemon.configuration_may_be_stale:
             return NotReady("the configuration may be out of date", execution=ExecutionStatus.NOT_RUN)
         return refusal
 
     def _log_refusal(self, request: IncomingRequest, status: int, reason: str) -> None:
+        """Write a decision event; ``status`` differs from the answer's if NotReady replaces the refusal."""
         self._daemon.decisions.write(
             RequestRefused(
                 request_id=request.header(names.HEADERS.request_id),
@@ -110,8 +115,10 @@
         job_id = request.header(names.HEADERS.request_id)
         if not job_id:
             raise InvalidRequest(
-                "a batch job needs a request identifier, which names it", execution=ExecutionStatus.NOT_RUN
+                "a batch job needs the header X-Attempt-Id, which identifies the job",
+                execution=ExecutionStatus.NOT_RUN,
             )
+        # decode_job scopes job_id to the caller's tenant, as _tenant_job_id does for later requests.
         spec = documents.decode_job(job_id, request.host, request.path, request.body, caller)
         await self._daemon.jobs.submit(spec, _deadline_s(request))
         return GatewayAnswer(status=202)
@@ -129,7 +136,7 @@
     async def _handle_job_request(
         self, request: IncomingRequest, caller_job_id: str, query: str
     ) -> GatewayAnswer:
-        """Cancel a job (DELETE), or return the results after a position (any other method)."""
+        """Cancel a job (DELETE), or return its results from the position ``afterRev`` on (other methods)."""
         job_id = self._tenant_job_id(request, caller_job_id)
         if request.method == "DELETE":
             await self._daemon.jobs.cancel(request.host, job_id, _deadline_s(request))
@@ -144,7 +151,7 @@
     async def _handle_item_request(
         self, request: IncomingRequest, caller_job_id: str, query: str
     ) -> GatewayAnswer:
-        """Return the body of one item of a job."""
+        """Return the request body of one item of a job."""
         job_id = self._tenant_job_id(request, caller_job_id)
         item_id = parse_qs(query).get("id", [""])[0]
         body = await self._daemon.jobs.read_body(request.host, job_id, item_id)
@@ -152,7 +159,7 @@
 
 
 def _deadline_s(request: IncomingRequest) -> float:
-    """Return the loop time by which the work has to end, so that the answer arrives in time."""
+    """Return the loop time by which the work for a request has to end, so that the answer arrives in time."""
     return request.deadline_s(names.HEADERS.deadline_ms, DEFAULT_DEADLINE_S) - ANSWER_MARGIN_S
 
 
@@ -163,7 +170,10 @@
         self._http = http
 
     async def report(self, replica_id: str, address: str) -> ReplicaReport:
-        """Return a replica's report about itself; raises PassgateError, NotReady if there is no valid one."""
+        """Return a replica's report about itself.
+
+        Raises NotReady if the answer is not a valid report, another PassgateError if there is no answer.
+        """
         call = HttpCall(
             method="GET",
             url=f"http://{address}{names.REPORT_PATH}",
@@ -174,14 +184,18 @@
         )
         answer = await self._http.fetch(call)
         if answer.status != 200:
-            raise NotReady("replica sent no report", execution=ExecutionStatus.NOT_RUN, status=answer.status)
+            raise NotReady(
+                "the replica did not answer with a report",
+                execution=ExecutionStatus.NOT_RUN,
+                status=answer.status,
+            )
         try:
             return documents.decode_report(answer.body)
         except (msgspec.DecodeError, RecursionError) as error:
             raise NotReady("the replica's report is not valid", execution=ExecutionStatus.NOT_RUN) from error
 
     async def order(self, order: LoadOrder) -> int:
-        """Send a load order and return the HTTP status; raises PassgateError if no answer arrived."""
+        """Send a load order and return the HTTP status; raises PassgateError without a complete answer."""
         document = {
             "op": "version",
             "model": order.model,
--- a/passgate/platform/log_client.py
+++ b/passgate/platform/log_client.py
@@ -1,4 +1,4 @@
-"""HTTP client of the platform's log service; implements :class:`passgate.sharedlog.log.SharedLog`.
+"""HTTP client of the platform's log service, with the methods of :class:`passgate.sharedlog.log.SharedLog`.
 
 >>> unpack_records(pack_records([b"ab", b"c"]))
 (b'ab', b'c')
@@ -35,14 +35,14 @@
 CALL_TIMEOUT_S = 1.2
 """Timeout of a call, in addition to the time that a read waits for records."""
 CONNECT_TIMEOUT_S = 0.7
-"""Timeout of a new connection; below the 1 s after which TCP repeats a lost SYN, so a retry is faster."""
+"""Timeout of a new connection; below the 1 s after which TCP repeats a lost SYN, so a new call is faster."""
 OK, GONE, PRECONDITION_FAILED, THROTTLED = 200, 410, 412, 429
 RECORD_LENGTH = struct.Struct(">I")
 PAGE_HEADER = struct.Struct(">QQ")
 FIRST_RETRY_PAUSE_S = 0.1
-"""Pause before the first retry of a throttled page; it doubles with each retry."""
+"""Pause before the first retry of a throttled page; doubles with each retry, up to MAX_RETRY_PAUSE_S."""
 MAX_RETRY_PAUSE_S = 1.0
-"""Longest pause between retries of a throttled page, before jitter."""
+"""Longest pause between retries of a throttled page; jitter may add half of it."""
 MAX_PAGE_ATTEMPTS = 20
 RECORDS_TYPE = "application/octet-stream"
 JSON_TYPE = "application/json"
@@ -90,6 +90,7 @@
 
 class _NewestPage(msgspec.Struct):
     requests: list[_Newest]
+    """Records of the page; the platform calls them requests."""
     end: int
     more: bool = False
 
@@ -100,7 +101,7 @@
 
 
 def unpack_records(data: bytes) -> tuple[bytes, ...]:
-    """Split concatenated records; the inverse of :func:`pack_records`."""
+    """Split concatenated records; a truncated last record is returned as far as present."""
     records = []
     position = 0
     while position + RECORD_LENGTH.size <= len(data):
@@ -121,7 +122,8 @@
 class PlatformLog:
     """Client of the log service.
 
-    Each call is sent at most once, except that pages of :meth:`newest` are read again when throttled.
+    Each call is sent at most once, except that pages of :meth:`newest` are read again when throttled.  An
+    answer that can not be decoded raises msgspec.DecodeError, although an append may have taken effect.
     """
 
     def __init__(self, http: HttpClient, address: str) -> None:
@@ -134,7 +136,11 @@
         self._base_url = f"http://{address}"
 
     async def append(self, topic: str, part: int, records: Sequence[bytes], *, at: int | None = None) -> int:
-        """Append all records or none; see :meth:`SharedLog.append`."""
+        """Append all records or none; see :meth:`SharedLog.append`.
+
+        An answer with an error status, which raises LogUnavailable or for 412 AppendConflict, is taken as
+        the log's assurance that nothing was appended.
+        """
         query = f"?topic={quote(topic)}&part={part}" + (f"&at={at}" if at is not None else "")
         try:
             answer = await self._fetch(
@@ -163,23 +169,27 @@
         if answer.status == THROTTLED:
             raise LogThrottled("the log throttles reads")
         if answer.status != OK or len(answer.body) < PAGE_HEADER.size:
-            raise LogUnavailable(f"read failed with status {answer.status}", status=answer.status)
+            raise LogUnavailable(
+                f"read refused, or its page truncated: status {answer.status}", status=answer.status
+            )
         end, first = PAGE_HEADER.unpack_from(answer.body)
         records = unpack_records(answer.body[PAGE_HEADER.size :])
         return LogPage(start=start, end=end, records=records, first=first)
 
     async def newest(self, topic: str, part: int, *, most_pages: int | None = None) -> KeyedSnapshot:
-        """Return the newest record of every key; see :meth:`SharedLog.newest`."""
+        """Return the newest record of every key on the pages read; see :meth:`SharedLog.newest`."""
         records: list[KeyedRecord] = []
         end: int | None = None
         after = ""
         for pages in itertools.count(1):
             path = f"{names.NEWEST_PATH}?topic={quote(topic)}&part={part}"
+            # In this call, afterRev is the last key of the previous page.
             answer = await self._read_page(path + (f"&afterRev={quote(after, safe='')}" if after else ""))
             if answer.status != OK:
-                raise LogUnavailable(f"read refused with status {answer.status}", status=answer.status)
+                raise LogUnavailable(f"read answered with status {answer.status}", status=answer.status)
             page = msgspec.json.decode(answer.body, type=_NewestPage)
-            # Keys may change between two pages, so reading has to continue from the end at the first page.
+            # Keys may change between two pages, so the caller has to continue reading from the partition's
+            # end as reported with the first page.
             end = page.end if end is None else end
             records += [KeyedRecord(key=row.key, value=base64.b64decode(row.value)) for row in page.requests]
             more = page.more and bool(page.requests)
@@ -191,7 +201,8 @@
     async def _read_page(self, path: str) -> HttpAnswer:
         """Read one page, retrying while throttled, as giving up would discard all pages read before.
 
-        Raises LogThrottled after MAX_PAGE_ATTEMPTS attempts, and LogUnavailable without a retry.
+        Raises LogThrottled if all MAX_PAGE_ATTEMPTS attempts were throttled, and LogUnavailable if a call
+        fails.
         """
         pause_s = FIRST_RETRY_PAUSE_S
         for _ in range(MAX_PAGE_ATTEMPTS):
@@ -205,7 +216,10 @@
     async def join(
         self, group: str, member: str, topics: Sequence[str], *, lifetime_s: float, generation: int
     ) -> GroupAssignment:
-        """Join a group or renew the membership; see :meth:`SharedLog.join`."""
+        """Join a group or renew the membership; see :meth:`SharedLog.join`.
+
+        After LogUnavailable, the call may nevertheless have taken effect.
+        """
         document = _Join(group, member, list(topics), int(lifetime_s * 1000), generation)
         answer = await self._post(names.JOIN_PATH, document)
         joined = msgspec.json.decode(answer.body, type=_Joined)
@@ -213,7 +227,7 @@
         return GroupAssignment(generation=joined.generation, partitions=partitions)
 
     async def leave(self, group: str, member: str) -> None:
-        """Leave a group at once."""
+        """Leave a group; after LogUnavailable, the call may nevertheless have taken effect."""
         await self._post(names.LEAVE_PATH, _Leave(group, member))
 
     async def members(self, group: str) -> dict[GroupPartition, str]:
@@ -234,7 +248,7 @@
     def decode_keyed(self, record: bytes) -> KeyedRecord:
         """Decode a raw record of a keyed topic; raises MalformedRecord.
 
-        It consists of the key's length in one byte, the key in UTF-8, and the value.
+        A record consists of the key's length in one byte, the key in UTF-8, and the value.
         """
         key_size = record[0] if record else 0
         if len(record) < 1 + key_size:
--- a/passgate/platform/program.py
+++ b/passgate/platform/program.py
@@ -1,4 +1,4 @@
-"""Builds a daemon for the users' platform from its settings and runs it until its graceful shutdown ends."""
+"""Builds a daemon for the users' platform from the settings file, and runs the daemon."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 from passgate.process_signals import block_signals, install_signal_handlers
 
 OPERATOR_READ_PAUSE_S = 0.05
-"""Pause between reads of the operator's topic; short, as changes have to apply within seconds."""
+"""Pause between reads of the operator's topic; short, as changes must take effect within seconds."""
 
 
 def make_daemon(settings: GatewaySettings, http: HttpClient, log: PlatformLog) -> GatewayDaemon:
@@ -57,12 +57,12 @@
 
 
 def make_runner() -> asyncio.Runner:
-    """Return an asyncio runner with a daemon's event loop."""
+    """Return an asyncio runner whose loop's clock goes on while the machine is suspended."""
     return asyncio.Runner(loop_factory=DaemonEventLoop)
 
 
 async def serve() -> None:
-    """Run one daemon until SIGTERM or SIGINT; SIGHUP reloads its settings."""
+    """Run one daemon; SIGTERM or SIGINT begins a graceful shutdown, SIGHUP reloads the settings file."""
     with contextlib.suppress(OSError):
         os.set_blocking(sys.stdout.fileno(), False)  # a stalled reader of stdout must not block the loop
     settings = read_settings(settings_path())
@@ -81,6 +81,6 @@
 
 
 def main() -> None:
-    """Run a daemon with the settings file that the platform provides; raises SettingsError."""
+    """Run a daemon with the settings file at :func:`settings_path`; raises SettingsError."""
     with make_runner() as daemon_runner:
         daemon_runner.run(serve())
--- a/passgate/platform/settings.py
+++ b/passgate/platform/settings.py
@@ -1,4 +1,4 @@
-"""Reads the platform's settings file, and reloads it when it changes."""
+"""Reads the settings file that the platform provides, and reads it again when it changes."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 logger = logging.getLogger("passgate.platform")
 
 CHECK_INTERVAL_S = 2.0
-"""Interval at which the settings file is checked for changes, as not every change comes with a signal."""
+"""Interval of the checks whether the settings file has changed; SIGHUP reloads it at once."""
 
 RETENTION_MARGIN_S = 30.0
-"""Time for which a job stays readable beyond the time that the platform requires."""
+"""Time for which a job stays readable beyond the time that the platform requires (``statusS``)."""
 
 
 class _Listen(msgspec.Struct, frozen=True):
@@ -66,7 +66,7 @@
     cpuShare: float = 1.0  # noqa: N815
     """Fraction of the time for which the process may run."""
     cores: float = 1.0
-    """Speed while it runs, relative to an ordinary core; not a number of threads."""
+    """Speed while the process runs, relative to a reference core; not a number of threads."""
 
 
 class _Node(msgspec.Struct, frozen=True, kw_only=True):
@@ -85,7 +85,7 @@
 
 
 def settings_path() -> str:
-    """Return the path of the settings file, from the environment or the default."""
+    """Return the path of the settings file: the value of ``PASSGATE_BOOT``, or a default path."""
     return os.environ.get(names.SETTINGS_VARIABLE, names.SETTINGS_PATH)
 
 
@@ -150,7 +150,10 @@
 
 
 class SettingsWatcher:
-    """Applies the settings file to the daemon and its log client whenever the file has changed."""
+    """Applies the settings file to the daemon and its log client after a change of the file.
+
+    A change is noticed by the file's modification time or size.
+    """
 
     def __init__(self, daemon: GatewayDaemon, log: PlatformLog, path: str) -> None:
         self._daemon = daemon
@@ -167,7 +170,7 @@
                 self.reload()
 
     def reload(self) -> None:
-        """Reload the file; an unreadable or invalid file is logged and changes nothing."""
+        """Read and apply the settings; an unreadable or invalid file is logged and changes nothing."""
         self._last_stamp = self._file_stamp()
         try:
             settings = read_settings(self._path)
--- a/passgate/platform/topic_records.py
+++ b/passgate/platform/topic_records.py
@@ -1,4 +1,4 @@
-"""Applies the operator topic's records to the daemon, and decodes the platform's discovery entries."""
+"""Applies records of the operator's topic to the daemon, and decodes the platform's discovery entries."""
 
 from __future__ import annotations
 
@@ -21,9 +21,9 @@
 
 
 class OperatorTopicHandler:
-    """Applies records of the operator's topic to the daemon: configuration, versions and evacuations.
+    """Applies records of the operator's topic: the configuration, target versions and evacuations of zones.
 
-    A record that can not be decoded is logged and skipped, so that it does not block later ones.
+    A record that can not be decoded is logged and skipped, so that later records still apply.
     """
 
     def __init__(self, daemon: GatewayDaemon) -> None:
@@ -38,7 +38,7 @@
         self._apply_configurations_and_versions(records)
 
     def apply_records(self, records: Records, start: int) -> None:
-        """Apply consecutive records of which the first has the offset ``start``."""
+        """Apply consecutive records, the first of which has the offset ``start``."""
         self._daemon.evacuated_zones.apply_changes(_evacuation_changes(records, start), start + len(records))
         self._apply_configurations_and_versions(records)
 
@@ -50,7 +50,10 @@
                 logger.warning("unreadable_record", extra={"key": record.key, "error": str(error)})
 
     def _apply_configuration_or_version(self, record: KeyedRecord) -> None:
-        """Apply a record; raises msgspec.DecodeError.  Other keys and deletions are ignored."""
+        """Apply a record of the configuration or of a target version; ignores deletions and other keys.
+
+        Raises msgspec.DecodeError.
+        """
         if not record.value:
             return
         if record.key == names.CONFIGURATION_KEY:
@@ -60,9 +63,9 @@
 
 
 def _evacuation_changes(records: Records, start: int) -> Iterator[EvacuationChange]:
-    """Yield the evacuations that records start or end: any value starts one, an empty value ends it.
+    """Yield the evacuations that records start or end: an empty value ends one, any other starts one.
 
-    The value is not decoded, so that a malformed one still takes its zone out of use.
+    The value is not decoded, so a malformed value takes its zone out of use as well.
     """
     for offset, record in enumerate(records, start):
         if not record.key.startswith(names.EVACUATION_KEY_PREFIX):
