--- a/passgate/clients/__init__.py
+++ b/passgate/clients/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP clients that implement the protocols of :mod:`passgate.interfaces`, and what they share."""
+"""HTTP clients that implement the protocols of :mod:`passgate.interfaces`, and their common parts."""
--- a/passgate/clients/answer_decoding.py
+++ b/passgate/clients/answer_decoding.py
@@ -43,9 +43,9 @@
 
 
 def engine_failure(answer: HttpAnswer) -> PassgateError:
-    """Return the error of an engine's answer whose status is not 200.
+    """Return the error for an engine's answer whose status is not 200.
 
-    The execution status is the one that the body reports, else the one that the HTTP status implies.
+    The execution status is the one in the body; without one, NOT_RUN for NOT_RUN_STATUSES, else UNKNOWN.
     """
     error = decode_error(answer)
     if error is not None:
@@ -60,9 +60,9 @@
 
 
 def reported_failure(error: ErrorBody) -> PassgateError:
-    """Return BackendRefused for an error reported as not run, else ExecutionFailed.
+    """Return BackendRefused for an error that a back end reports as not run, else ExecutionFailed.
 
-    The back end's own code is kept in the detail ``reported``.
+    The code that the back end reports is put into the detail ``reported``.
     """
     details = {**error.details, "reported": error.code}
     if error.execution is ExecutionStatus.NOT_RUN:
@@ -71,14 +71,17 @@
 
 
 def control_call_error(answer: HttpAnswer) -> BackendUnreachable:
-    """Return the error of a control call whose answer has an error status."""
+    """Return the error for a control call whose answer has an error status.
+
+    The execution status is the one in the body, or UNKNOWN without one.
+    """
     error = decode_error(answer)
     execution = ExecutionStatus.UNKNOWN if error is None else error.execution
     return BackendUnreachable("control call answered with error", execution=execution, status=answer.status)
 
 
 def retry_after_s(answer: HttpAnswer) -> float | None:
-    """Return the answer's ``Retry-After`` in seconds, or None if it is absent or a date."""
+    """Return the answer's ``Retry-After`` in seconds, or None if the header is absent or not a number."""
     text = answer.headers.get(RETRY_AFTER_HEADER, "")
     try:
         return max(float(text), 0.0)
--- a/passgate/clients/connection_sockets.py
+++ b/passgate/clients/connection_sockets.py
@@ -1,7 +1,7 @@
 """Detects, before a request is sent, that the server has closed a reused connection.
 
-libcurl checks idle connections at most once a second.  A request sent on a closed one in between would
-fail with an unknown outcome, although the server can not have read it.
+libcurl checks idle connections at most once a second.  A request sent meanwhile on a closed connection would
+fail with an unknown outcome, although the server can not have read the request.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 def set_unacknowledged_timeout(descriptor: int, timeout_s: float) -> None:
-    """Let the kernel close a connection whose sent bytes stay unacknowledged for ``timeout_s``."""
+    """Have the kernel close a connection when sent bytes stay unacknowledged for ``timeout_s``."""
     borrowed = socket.socket(socket.AF_INET, socket.SOCK_STREAM, socket.IPPROTO_TCP, fileno=descriptor)
     try:
         borrowed.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, int(timeout_s * 1000))
@@ -35,8 +35,8 @@
 class ConnectionSockets:
     """Descriptors of libcurl's sockets by the endpoints of their connections.
 
-    libcurl owns the descriptors and may close and reuse them at any time.  So one is used only while
-    libcurl is about to send on its connection, only after its ports were compared, and never closed here.
+    libcurl owns the descriptors and may close and reuse them at any time.  So a descriptor is used only while
+    libcurl is about to send on the connection and after the ports were compared; it is never closed here.
     """
 
     def __init__(self) -> None:
@@ -45,14 +45,17 @@
         )
 
     def record(self, endpoints: ConnectionEndpoints, descriptor: int) -> None:
-        """Record the socket of a new connection; beyond a limit the oldest record is dropped."""
+        """Record the socket of a new connection; beyond MAX_RECORDED_SOCKETS the oldest record is dropped."""
         self._descriptor_by_endpoints[endpoints] = descriptor
         self._descriptor_by_endpoints.move_to_end(endpoints)
         if len(self._descriptor_by_endpoints) > MAX_RECORDED_SOCKETS:
             self._descriptor_by_endpoints.popitem(last=False)
 
     def is_closed_by_server(self, endpoints: ConnectionEndpoints) -> bool:
-        """Return whether the server has closed an idle connection; False if its socket is not known."""
+        """Return whether an idle connection is unusable; False if its socket is not known.
+
+        The server has closed or reset the connection, or has sent bytes that belong to no answer.
+        """
         descriptor = self._descriptor_by_endpoints.get(endpoints)
         if descriptor is None:
             return False
@@ -79,7 +82,7 @@
 
 
 def _is_readable(borrowed: socket.socket) -> bool:
-    # An idle connection has nothing to read; a close, a reset or stray bytes make it unusable.
+    # An idle connection has nothing to read unless it was closed, was reset or got unexpected bytes.
     try:
         borrowed.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
     except BlockingIOError:
--- a/passgate/clients/curl.py
+++ b/passgate/clients/curl.py
@@ -1,7 +1,7 @@
 """HTTP client on Tornado's curl client, with explicit limits and send policies.
 
-Defaults of libcurl and Tornado that could delay, cut or repeat a request (10 concurrent transfers, 20 s in
-total, redirects, ``Expect``, proxies from the environment, a silent second send) are overridden here and
+Defaults of libcurl and Tornado that could delay, cut or repeat a request (10 concurrent transfers, a timeout
+of 20 s, redirects, ``Expect``, proxies from the environment, a silent second send) are overridden here and
 in :mod:`passgate.clients.transfer`.
 
 >>> HttpLimits().connect_timeout_s
@@ -26,24 +26,24 @@
 from passgate.errors import BackendUnreachable, ExecutionStatus
 
 NO_TIMEOUT_S = 0.0
-"""Total timeout that libcurl takes as "no limit"."""
+"""Value of the total timeout that means "no limit" to libcurl."""
 MIN_TIMEOUT_S = 0.001
 """Shortest total timeout; libcurl would round a shorter one to 0, which means "no limit"."""
 MAX_TIMEOUT_S = 24 * 3600.0
-"""Longest total timeout; the option can not be set to more than 64 bits of milliseconds."""
+"""Longest total timeout; keeps the milliseconds within the range of libcurl's option."""
 LOCALHOST = "localhost"
 MAX_CACHED_HOSTS = 4096
 USER_AGENT = "passgate"
 
 
 class _CurlClient(CurlAsyncHTTPClient):
-    """Tornado's client with handles created on demand, and transfers that can be resumed and aborted."""
+    """Tornado's client, with handles created on demand and transfers that can be resumed and aborted."""
 
     def initialize(self, limits: HttpLimits) -> None:  # type: ignore[override]
         super().initialize(max_clients=0, max_body_size=limits.max_body_bytes)
 
     def set_max_connections(self, count: int) -> None:
-        # libcurl counts connections in use, too, and closes idle ones above the limit.
+        # libcurl's limit counts the connections in use as well; above the limit, idle ones are closed.
         self._multi.setopt(pycurl.M_MAXCONNECTS, count)
 
     def fetch_impl(self, request, callback) -> None:
@@ -54,7 +54,7 @@
         super().fetch_impl(request, callback)
 
     def resume(self, handle: pycurl.Curl) -> None:
-        # Raises if the transfer has failed, which libcurl also reports through the transfer's callback.
+        # pause() raises if the transfer has failed; libcurl reports the failure to the callback as well.
         with contextlib.suppress(pycurl.error):
             handle.pause(pycurl.PAUSE_CONT)
         self._set_timeout(0)
@@ -74,12 +74,12 @@
 
 
 def needs_no_resolver(url: str) -> bool:
-    """Return whether the URL's host is an IP address, or ``localhost``, which libcurl resolves itself."""
+    """Return whether the URL's host is an IP address or ``localhost``, which libcurl resolves itself."""
     return _is_ip_or_localhost(urlsplit(url).hostname or "")
 
 
 class HttpClient:
-    """Starts transfers on the running loop; one client is shared by all adapters of a daemon."""
+    """Starts transfers on the running loop, within limits for all transfers of this client."""
 
     def __init__(self, limits: HttpLimits | None = None) -> None:
         self.limits = limits or HttpLimits()
@@ -97,7 +97,7 @@
         """Start a transfer.
 
         Raises BackendUnreachable (not run) if the limit of transfers is reached, or if the host is a name
-        and names are not resolved.
+        and ``resolve_names`` is off.
         """
         if not self.limits.resolve_names and not needs_no_resolver(call.url):
             raise BackendUnreachable(
@@ -119,7 +119,7 @@
         return transfer
 
     async def fetch(self, call: HttpCall) -> HttpAnswer:
-        """Send a request and return its complete answer, of any status; raises PassgateError."""
+        """Send a request and return the complete answer, of any status; raises PassgateError."""
         transfer = self.start(call)
         try:
             return await transfer.read_all()
@@ -133,7 +133,7 @@
         self._client.close()
 
     def _transfers_below_limit(self, call: HttpCall) -> set[Transfer]:
-        """Return the transfers that a call counts among; raises BackendUnreachable if they are too many."""
+        """Return the transfers of the call's kind; raises BackendUnreachable if their limit is reached."""
         transfers = self._control_transfers if call.control else self._request_transfers
         limit = self.limits.max_control_transfers if call.control else self.limits.max_transfers
         if len(transfers) >= limit:
--- a/passgate/clients/http_app.py
+++ b/passgate/clients/http_app.py
@@ -1,4 +1,4 @@
-"""AppClient over HTTP: forwards a call and verifies that the answer is complete and belongs to it."""
+"""AppClient over HTTP: forwards a call and verifies that the answer is complete and belongs to the call."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class HttpAppClient:
-    """Client of application services; they must return the request's ``X-Request-Id``."""
+    """Client of application services; each answer must carry the ``X-Request-Id`` of its request."""
 
     def __init__(self, http: HttpClient) -> None:
         self._http = http
@@ -22,8 +22,8 @@
     async def call(self, address: str, request: AppRequest) -> AppResponse:
         """Forward one call; see :meth:`passgate.interfaces.AppClient.call`.
 
-        An answer of any status is returned, except one that the service marks as not run, which raises
-        BackendRefused.  Raises DeadlineExceeded, too.
+        An answer of any status is returned, unless the service marks the call as not run; this raises
+        BackendRefused.  Raises DeadlineExceeded as well.
         """
         answer = await self._http.fetch(_build_call(address, request))
         _check_request_id(answer, request.request_id)
--- a/passgate/clients/http_engine.py
+++ b/passgate/clients/http_engine.py
@@ -1,7 +1,7 @@
 """EngineClient over HTTP, with verified streams of completions.
 
-A chunk is yielded only after :class:`StreamVerifier` has checked that it belongs to the request, is in
-order and has a weight version; the last chunk, which has the finish reason, only after the end mark.
+A chunk is yielded only after :class:`StreamVerifier` has checked it; the last chunk, which has the finish
+reason, only after the end mark.
 """
 
 from __future__ import annotations
@@ -50,8 +50,8 @@
 
         Args:
             http: shared HTTP client.
-            stall_timeout_s: seconds without a received byte after which a stream fails; a request that
-                waits in the engine's queue receives none, either.  None means no limit.
+            stall_timeout_s: :attr:`HttpCall.stall_timeout_s` of streams; also counts while a request waits in
+                the engine's queue.
         """
         self._http = http
         self._stall_timeout_s = stall_timeout_s
@@ -59,8 +59,8 @@
     async def generate(self, address: str, request: GenerateRequest) -> AsyncIterator[GenerateChunk]:
         """Stream one request's output; see :meth:`passgate.interfaces.EngineClient.generate`.
 
-        Raises VersionNotReported and, after ``deadline_s``, DeadlineExceeded, too.  An error after the
-        first token has the execution status RAN instead of UNKNOWN.
+        Raises VersionNotReported and DeadlineExceeded as well.  An error after the first token has the
+        execution status RAN instead of UNKNOWN.
         """
         transfer = self._http.start(_completion_call(address, request, self._stall_timeout_s))
         verifier = StreamVerifier(request)
@@ -90,17 +90,20 @@
             return
 
     async def load_report(self, address: str) -> LoadReport:
-        """Return the engine's latest report; raises BackendUnreachable."""
+        """Return the engine's latest report; raises BackendUnreachable, or IncompleteAnswer if unreadable."""
         answer = await self._get(address, wire.LOAD_PATH)
         return decode_body(answer, LoadReport)
 
     async def cache_events(self, address: str, after_sequence: int) -> Sequence[CacheEvent]:
-        """Return later cache events, perhaps with gaps; raises BackendUnreachable."""
+        """Return the cache events after a sequence number, maybe with gaps.
+
+        Raises BackendUnreachable, or IncompleteAnswer for an unreadable answer.
+        """
         answer = await self._get(address, f"/cache_events?after={after_sequence}")
         return decode_body(answer, wire.CacheEventsAnswer).events
 
     async def order(self, address: str, order: EngineOrder) -> OrderResult:
-        """Send a control order; raises OrderRefused or BackendUnreachable."""
+        """Send a control order; raises OrderRefused, or another PassgateError if the call failed."""
         body = msgspec.json.encode(order)
         answer = await self._http.fetch(_post(address, "/orders", body, ORDER_TIMEOUT_S))
         if answer.status == 200:
@@ -118,7 +121,7 @@
 
 
 def _check_request_id(transfer: Transfer, request_id: str) -> None:
-    """Raise AnswerMismatch if the engine returns another request identifier; it may return none."""
+    """Raise AnswerMismatch if the answer has another request identifier; an answer without one passes."""
     echoed = transfer.headers.get(wire.REQUEST_ID_HEADER)
     if echoed is not None and echoed != wire.encode_header_value(request_id):
         raise AnswerMismatch("answer belongs to another request", expected=request_id, got=echoed)
--- a/passgate/clients/http_log.py
+++ b/passgate/clients/http_log.py
@@ -1,7 +1,7 @@
 """LogClient over HTTP.
 
 A failed append raises LogUnavailable only if nothing can have been appended: the request was not sent, or
-the log reports that it was not run.  Any other failure raises LogAppendUnknown.
+the log reports that it was not run.  Any other failure of an append raises LogAppendUnknown.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 from passgate.interfaces import LogBatch
 
 READ_TIMEOUT_MARGIN_S = 5.0
-"""Timeout of a read, in addition to the time that it waits for records."""
+"""Timeout of a read, in addition to the time for which the read waits for records."""
 
 
 class HttpLogClient:
--- a/passgate/clients/http_platform.py
+++ b/passgate/clients/http_platform.py
@@ -24,7 +24,7 @@
 
 
 class _PlatformClient:
-    """Sends calls to one service of the platform; every failure raises PlatformError."""
+    """Sends calls to one service of the platform; a failed call raises PlatformError."""
 
     def __init__(self, http: HttpClient, address: str, credential: str | None = None) -> None:
         self._http = http
@@ -34,7 +34,10 @@
     async def _send(
         self, method: str, path: str, body: bytes | None = None, *, entity_tag: str = ""
     ) -> HttpAnswer:
-        """Send one call; with an entity tag the request is conditional, and the answer may be 304."""
+        """Send a call and return the decompressed answer, which has the status 200.
+
+        With an entity tag the call is conditional, and the status may also be 304.
+        """
         call = HttpCall(
             method=method,
             url=self._base_url + path,
@@ -56,8 +59,8 @@
 class HttpMachineList(_PlatformClient):
     """Client of the platform's machine list.
 
-    Reads are conditional (RFC 9110, section 13.1.2), so an unchanged list is not sent again if the platform
-    supports entity tags.
+    Reads are conditional requests (RFC 9110, section 13.1.2), so an unchanged list is not sent again if the
+    platform supports entity tags.
     """
 
     def __init__(self, http: HttpClient, address: str, credential: str | None = None) -> None:
@@ -88,7 +91,7 @@
     """Client of the platform's weight store."""
 
     async def size_bytes(self, model: str, version: int) -> int:
-        """Return the size of a version; raises PlatformError if the store does not have it."""
+        """Return the size of a version's weights; raises PlatformError, also for an unknown version."""
         answer = await self._send("GET", f"/weights/{quote(model, safe='')}/{version}")
         return _decode(answer, wire.WeightAnswer).size_bytes
 
@@ -99,7 +102,7 @@
 
 
 def _decompress(answer: HttpAnswer) -> HttpAnswer:
-    """Return an answer with its body decompressed; raises PlatformError if that fails."""
+    """Return an answer with its gzip body, if it has one, decompressed; raises PlatformError."""
     if answer.headers.get("Content-Encoding", "") != "gzip":
         return answer
     decompressor = zlib.decompressobj(_GZIP_WINDOW_BITS)
--- a/passgate/clients/stream_verifier.py
+++ b/passgate/clients/stream_verifier.py
@@ -1,4 +1,4 @@
-"""Verifies that a streamed completion belongs to its request and is in order, versioned and complete.
+"""Verifies that a streamed completion belongs to its request, is in order, complete, and states versions.
 
 >>> request = GenerateRequest(request_id="r", caller="c", pool="p", model="m", prompt=(1,), max_tokens=4)
 >>> verifier = StreamVerifier(request)
@@ -29,6 +29,7 @@
 """Prefix that some engines add to the request identifier."""
 
 FIRST_VERSION = 1
+"""Lowest weight version; a lower number counts as no version."""
 
 _event_decoder = msgspec.json.Decoder(wire.CompletionEvent)
 
@@ -36,8 +37,8 @@
 class StreamVerifier:
     """Decodes the bytes of one stream to verified chunks; does no I/O.
 
-    Invariant: the chunk with the finish reason is returned only after the end mark, so a truncated stream
-    never looks complete.
+    Each chunk belongs to the request, has a weight version if it has tokens, and is in order as far as the
+    engine reports positions.  The chunk with the finish reason is returned only after the end mark.
     """
 
     def __init__(self, request: GenerateRequest) -> None:
@@ -58,10 +59,10 @@
         """Return the chunks completed by ``data``; ``b""`` means that the body has ended.
 
         Raises:
-            IncompleteAnswer: the stream ended early, is out of order, or can not be decoded.
+            IncompleteAnswer: the stream ended early, violates the protocol, or reports an error.
             AnswerMismatch: an event carries another request identifier.
             VersionNotReported: an event has tokens but no weight version.
-            BackendRefused: the engine refused the request before its first token.
+            BackendRefused: the engine reports, before the first token, that it did not run the request.
         """
         if not data:
             raise self._incomplete("stream ended without its end mark")
@@ -85,7 +86,7 @@
         return self._last_chunk
 
     def _read_event(self, data: bytes) -> GenerateChunk | None:
-        """Return the event's chunk, or None for the last chunk and for an event without output."""
+        """Return the event's chunk; None if the event has no output, or the last chunk, which is kept."""
         event = self._decode(data)
         if event.error is not None:
             raise self._reported_error(event.error)
@@ -137,7 +138,7 @@
             )
 
     def _reported_error(self, error: ErrorBody) -> PassgateError:
-        """Return the error that the engine reported; it counts as a refusal only before the first token."""
+        """Return the error for an error that the engine reported; a refusal only before the first token."""
         if error.execution is ExecutionStatus.NOT_RUN and not self.started:
             return reported_failure(error)
         return self._incomplete(error.message, code=error.code)
--- a/passgate/clients/transfer.py
+++ b/passgate/clients/transfer.py
@@ -1,8 +1,8 @@
 """One HTTP transfer, driven by libcurl's callbacks.
 
-A :class:`Transfer` reads its body incrementally with back-pressure and can be aborted while it runs.  It
-records whether libcurl ever started to send the request, which alone decides whether a failure's execution
-status is ``not_run`` or ``unknown``.
+The body of a :class:`Transfer` is read incrementally with back-pressure, and the transfer can be aborted.
+Whether libcurl ever started to send the request decides whether a failed transfer has the execution status
+``not_run`` or ``unknown``.
 """
 
 from __future__ import annotations
@@ -34,13 +34,14 @@
 
 SIGNALS_OFF = 1
 UPLOAD_BUFFER_BYTES = 16 * 1024
-"""libcurl's minimum; its default, 64 KiB, would stay allocated as long as a stream runs."""
+"""Minimum that libcurl accepts; the default of 64 KiB would stay allocated as long as a stream runs."""
 FINISH_UNREAD_TIMEOUT_S = 2.0
-"""Time within which a server has to end a body of which the rest is not read."""
+"""Time after which a transfer whose body is not read to the end is aborted."""
 TCP_KEEPALIVE_IDLE_S = 10
 TCP_KEEPALIVE_INTERVAL_S = 2
-"""With the kernel's nine probes, a peer that vanished is detected after 28 s of silence."""
+"""With the kernel's default of nine probes, a peer that vanished is detected after 28 s of silence."""
 STALLED_BYTES_PER_S = 1
+"""Average speed below which a transfer counts as stalled; see :attr:`HttpCall.stall_timeout_s`."""
 FIRST_FINAL_STATUS = 200
 BODILESS_STATUSES = frozenset({204, 304})
 REJECT_DATA = -1
@@ -51,7 +52,7 @@
 
 
 class HandleControl(Protocol):
-    """Operations of the HTTP client that a transfer needs."""
+    """Operations on a running transfer that the HTTP client provides."""
 
     def resume(self, handle: pycurl.Curl) -> None:
         """Resume a paused transfer."""
@@ -65,8 +66,8 @@
 class Transfer:
     """One HTTP transfer, started by :meth:`HttpClient.start`.
 
-    Await :meth:`wait_for_head` for the status and headers, then :meth:`read` the body until it returns
-    ``b""``.  Both raise the transfer's failure as a PassgateError with its execution status.  Call
+    Await :meth:`wait_for_head` for the status and headers, then :meth:`read` repeatedly until it returns
+    ``b""``.  Both raise a failure of the transfer as a PassgateError with an execution status.  Call
     :meth:`abort` or :meth:`finish_unread` if the body is not read to its end.
     """
 
@@ -75,12 +76,12 @@
     ) -> None:
         self.call = call
         self.send_count = 0
-        """How often libcurl has started to send the request."""
+        """Number of times that libcurl has started to send the request."""
         self.status = 0
         self.headers = HTTPHeaders()
         self.received_bytes = 0
         self.connect_duration_s: float | None = None
-        """Time that it took to open a new connection; None if an open one was reused."""
+        """Time that opening a new connection took; None until then, and if a connection is reused."""
         self._socket_created_s = 0.0
         self._client = client
         self._connections = connections
@@ -109,7 +110,10 @@
         return self.status
 
     async def read(self) -> bytes:
-        """Wait for data and return all that is buffered; ``b""`` at the end.  Raises PassgateError."""
+        """Wait for data and return all buffered bytes, or ``b""`` at the end of the body.
+
+        Raises PassgateError if the transfer failed; bytes received before the failure are returned first.
+        """
         while not self._pieces and not self._ended:
             await self._wait_for_change()
         if self._pieces:
@@ -121,8 +125,8 @@
     async def read_all(self) -> HttpAnswer:
         """Return the complete answer.
 
-        Raises PassgateError; IncompleteAnswer if the body is too large, or if its length is not the
-        declared one or was not declared although required.
+        Raises PassgateError; IncompleteAnswer if the body is too large, differs in length from the declared
+        length, or lacks a length that ``length_required`` demands.
         """
         await self.wait_for_head()
         parts = []
@@ -145,17 +149,20 @@
             self._client.abort(self._handle)
 
     def finish_unread(self) -> None:
-        """Let the transfer end by itself, so that its connection can be reused; abort it after a timeout."""
+        """Let the transfer end by itself, so that its connection can be reused, or abort it after a timeout.
+
+        A rest of the body above ``max_buffered_bytes`` pauses the transfer, which is then aborted.
+        """
         if not self._ended:
             asyncio.get_running_loop().call_later(FINISH_UNREAD_TIMEOUT_S, self.abort)
 
     @property
     def ended(self) -> bool:
-        """Whether the transfer has ended, so that no more bytes will be received."""
+        """Whether the transfer has ended, successfully or not; buffered bytes may still be unread."""
         return self._ended
 
     def execution(self) -> ExecutionStatus:
-        """Return the execution status of the request if the transfer fails."""
+        """Return the request's execution status in case the transfer fails now."""
         return ExecutionStatus.UNKNOWN if self.send_count else ExecutionStatus.NOT_RUN
 
     def _check_length(self, size: int) -> None:
@@ -169,7 +176,7 @@
             raise IncompleteAnswer("answer has neither Content-Length nor chunked encoding")
 
     def _take_buffered(self) -> bytes:
-        """Remove and return the buffered bytes, and resume a transfer that was paused by them."""
+        """Remove and return the buffered bytes, and resume the transfer if a full buffer has paused it."""
         data = b"".join(self._pieces) if len(self._pieces) > 1 else self._pieces[0]
         self._pieces.clear()
         self._buffered_bytes = 0
@@ -228,7 +235,7 @@
         return pycurl.SOCKOPT_OK
 
     def _on_send(self, remote_ip: str, local_ip: str, remote_port: int, local_port: int) -> int:
-        # libcurl calls this each time before it sends the request, also before a repetition.
+        # libcurl calls this each time just before it sends the request, also when it repeats the request.
         if self.send_count and self.call.send is not SendPolicy.REPEAT:
             return pycurl.PREREQFUNC_ABORT
         latest_send_s = self.call.not_sent_after_s
@@ -246,9 +253,9 @@
         return pycurl.PREREQFUNC_OK
 
     def claim_restart(self) -> bool:
-        """Return whether to start the transfer again on a new connection; True at most once.
+        """Return whether to start the transfer again on a new connection, and record that if so.
 
-        True if the transfer ended before the request was sent, because the server had closed the connection.
+        True, at most once, if nothing was sent because the server had closed the reused connection.
         """
         restart = (
             self._reused_connection_closed
@@ -291,7 +298,7 @@
         return len(data)
 
     def record_end(self, response: HTTPResponse) -> None:
-        """Record the transfer's end and its failure, if any; called once, by the client."""
+        """Record the end of the transfer and the failure, if any; called once, by the client."""
         self._handle = None
         self._ended = True
         if self._error is None:
@@ -314,14 +321,14 @@
 def classify_failure(errno: int, sent: bool, in_time: bool, message: str) -> PassgateError:
     """Return the error of a failed transfer.
 
-    Its execution status is NOT_RUN only if libcurl never started to send the request: connection refused,
-    no route, name not resolved, connect timeout.
+    The execution status is NOT_RUN if libcurl never started to send the request, for example because the
+    connection was refused or timed out; otherwise UNKNOWN.
 
     Args:
         errno: libcurl's error code.
         sent: whether libcurl started to send the request.
         in_time: whether the transfer ended before its total timeout.
-        message: text of the error.
+        message: text of the returned error.
     """
     if not sent:
         return BackendUnreachable(message, execution=ExecutionStatus.NOT_RUN, curl_errno=errno)
--- a/passgate/clients/wire.py
+++ b/passgate/clients/wire.py
@@ -1,8 +1,8 @@
 """Headers and JSON bodies exchanged with engines, application services and the platform.
 
 Engines are called through the completions interface that rollout engines share: ``POST /v1/completions``
-with ``stream: true`` returns server-sent events.  Each has the tokens of one chunk and the ``weight_version``
-that produced them; the last one before ``[DONE]`` has the ``finish_reason``.
+with ``stream: true`` returns server-sent events.  An event has the tokens of one chunk and the
+``weight_version`` that produced them; the event that ends the output also has the ``finish_reason``.
 
 >>> EventDecoder().feed(b": ping\\n\\ndata: {}\\n\\nda")
 [b'{}']
@@ -20,7 +20,7 @@
 
 REQUEST_ID_HEADER = "X-Request-Id"
 EXECUTION_HEADER = "X-Execution-Status"
-"""Set to ``not_run`` by an app service that refuses a call before running it."""
+"""Set to ``not_run`` by an application service that refuses a call before running it."""
 CALLER_HEADER = "X-Caller"
 REPLICA_HEADER = "X-Replica-Id"
 PRIORITY_HEADER = "X-Priority-Class"
@@ -47,17 +47,17 @@
     return_token_ids: bool = False
     seed: int = 0
     user: str = ""
-    """Identity by which the engine schedules requests fairly."""
+    """Caller of the request; the engine shares its capacity fairly among callers."""
     priority_class: str = "default"
     timeout_s: float | None = None
     """Time left until the request's deadline; None means no deadline."""
     minimum_weight_version: int = 0
     resume_token_ids: tuple[int, ...] = ()
-    """Output tokens of an earlier attempt, which the engine continues."""
+    """Output tokens of an earlier attempt, after which the engine continues."""
 
 
 class CompletionChoice(msgspec.Struct, frozen=True, kw_only=True):
-    """Tokens of a streamed chunk; an event has one choice."""
+    """Tokens of a streamed chunk."""
 
     index: int = 0
     text: str = ""
@@ -66,17 +66,20 @@
 
 
 class Usage(msgspec.Struct, frozen=True, kw_only=True):
-    """Token count of the complete output, in the last event."""
+    """Token count that an engine reports at the end of a stream."""
 
     completion_tokens: int
+    """Number of tokens of the complete output, including those of earlier attempts."""
 
 
 class CompletionEvent(msgspec.Struct, frozen=True, kw_only=True):
     """One server-sent event of a streamed completion; ``error`` ends the stream."""
 
     id: str = ""
+    """Identifier of the request, maybe with the prefix ``cmpl-``."""
     object: str = "text_completion"
     choices: tuple[CompletionChoice, ...] = ()
+    """One choice; empty in an event without output."""
     weight_version: int | str | None = None
     """Version that produced the tokens, as a number or as decimal text."""
     position: int | None = None
@@ -104,15 +107,15 @@
     sequence: int
     """Increases with each report of one process."""
     running: int
-    """Calls in progress."""
+    """Number of calls in progress."""
     waiting: int = 0
-    """Calls in the service's own queue."""
+    """Number of calls in the service's own queue."""
     leaving: bool = False
     """Whether the replica accepts no new calls."""
 
     @classmethod
     def from_report(cls, report: LoadReport) -> AppLoadAnswer:
-        """Return the answer with the fields of an application's report."""
+        """Return the answer with the fields that it shares with a report."""
         return cls(
             replica_id=report.replica_id,
             sequence=report.sequence,
@@ -143,9 +146,10 @@
 
 
 class AppendAnswer(msgspec.Struct, frozen=True, kw_only=True):
-    """Offset of the first appended record."""
+    """Answer of ``POST /v1/streams/NAME/records``."""
 
     offset: int
+    """Offset of the first appended record."""
 
 
 class ReadAnswer(msgspec.Struct, frozen=True, kw_only=True):
@@ -168,19 +172,19 @@
 
 
 class WeightAnswer(msgspec.Struct, frozen=True, kw_only=True):
-    """Answer of ``GET /v1/weights/MODEL/VERSION``."""
+    """Answer of ``GET /v1/weights/MODEL/VERSION``, and body of ``PUT`` to this path."""
 
     size_bytes: int
 
 
 class ErrorAnswer(msgspec.Struct, frozen=True, kw_only=True):
-    """Body of every JSON error answer."""
+    """Body of an error answer in passgate's form."""
 
     error: ErrorBody
 
 
 def encode_chunk(chunk: GenerateChunk, total_tokens: int | None = None) -> bytes:
-    """Return the server-sent event of a chunk; ``total_tokens`` is given with the last chunk."""
+    """Return the server-sent event of a chunk; ``total_tokens``, for the last chunk, adds a Usage."""
     finish = None if chunk.finish_reason is None else chunk.finish_reason.value
     event = CompletionEvent(
         id=chunk.request_id,
@@ -207,7 +211,10 @@
         self._unfinished_line = b""
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Return the data of the events completed by ``data``; raises ValueError if a line is too long."""
+        """Return the data of the events completed by ``data``.
+
+        Raises ValueError if an unfinished line is longer than MAX_EVENT_BYTES.
+        """
         lines = (self._unfinished_line + data).split(b"\n")
         self._unfinished_line = lines.pop()
         if len(self._unfinished_line) > MAX_EVENT_BYTES:
@@ -221,7 +228,7 @@
 
 
 def encode_header_value(value: str) -> str:
-    """Return a value for a header; all but letters, digits and some ASCII characters are percent-encoded.
+    """Return a value for a header: letters, digits and some punctuation in ASCII, all else percent-encoded.
 
     >>> encode_header_value("Damião"), encode_header_value("linha/7")
     ('Dami%C3%A3o', 'linha/7')
--- a/passgate/peers/__init__.py
+++ b/passgate/peers/__init__.py
@@ -1,5 +1,5 @@
 """Calls and one-way messages between daemons.
 
-``transport`` is the interface, ``peer_transport`` implements it over TCP with netstrings of JSON, and
+``transport`` is the interface.  ``peer_transport`` implements the interface over TCP with netstrings of JSON,
 ``memory_transport`` in memory and virtual time.
 """
--- a/passgate/peers/calls.py
+++ b/passgate/peers/calls.py
@@ -1,4 +1,4 @@
-"""Both ends of a call between peers: matches answers to open calls, and runs the handler of a call."""
+"""Both ends of a call between daemons: matches answers to open calls, and runs the handler of a call."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 class CallTable:
     """Open calls of one transport by identifier.
 
-    Identifiers are never reused, so a late answer can not be taken for that of another call.
+    Identifiers are never reused, so a late answer can not be taken for the answer of another call.
     """
 
     def __init__(self) -> None:
@@ -34,14 +34,14 @@
         self._last_id = 0
 
     def open(self) -> OpenCall:
-        """Register a new call; pass it to :meth:`wait`, which removes it again."""
+        """Register a new call, which stays registered until :meth:`wait` ends."""
         self._last_id += 1
         call = OpenCall(self._last_id, asyncio.get_running_loop().create_future())
         self._open[call.call_id] = call
         return call
 
     def resolve(self, frame: CallReply | CallFailure) -> None:
-        """Complete the call that a frame answers; ignored if it is unknown or already complete."""
+        """Complete the call that a frame answers; does nothing for an unknown or complete call."""
         call = self._open.get(frame.call_id)
         if call is None or call.answer.done():
             return
@@ -80,9 +80,9 @@
 
 
 async def answer_call(handler: CallHandler, sender: str, request: CallRequest) -> CallReply | CallFailure:
-    """Run the handler and return the answer frame; a handler's exception becomes a CallFailure.
+    """Run the handler and return the answer frame; an exception of the handler becomes a CallFailure.
 
-    The text of an unexpected exception is not sent, only its type.
+    Of an exception that is no PassgateError, only the type is sent and not the text.
     """
     try:
         payload = await handler(sender, request.method, request.payload)
--- a/passgate/peers/frames.py
+++ b/passgate/peers/frames.py
@@ -16,7 +16,7 @@
 """Largest JSON document of one frame; a larger one closes the connection."""
 
 MAXIMUM_PAYLOAD_BYTES = 700_000
-"""Largest payload of a call or its answer; its base64, a third larger, has to fit into a frame."""
+"""Largest payload of a call or an answer; its encoding in base64, a third larger, has to fit into a frame."""
 
 PROTOCOL_VERSION = 1
 
@@ -32,9 +32,10 @@
 
 
 class Proof(msgspec.Struct, frozen=True, tag="proof"):
-    """Second frame if a credential is configured: an HMAC over the other side's nonce, in hexadecimal."""
+    """Second frame of each side if a credential is configured: proves that the side knows the credential."""
 
     digest: str
+    """HMAC over the sender's role and the other side's nonce, in hexadecimal."""
 
 
 class OneWay(msgspec.Struct, frozen=True, tag="m"):
@@ -67,7 +68,7 @@
 
 
 class Goodbye(msgspec.Struct, frozen=True, tag="bye"):
-    """Last frame of a connection that the sender closes because of an error."""
+    """Last frame on a connection that the sender closes because of an error."""
 
     code: str
     """Code of the PeerError, for example ``peer_credential_refused``."""
--- a/passgate/peers/memory_transport.py
+++ b/passgate/peers/memory_transport.py
@@ -1,7 +1,7 @@
 """Peer transport in memory and virtual time, with delays, network partitions, loss and paused processes.
 
 Frames are encoded and decoded as by the TCP transport, so byte counts and the processor time of encoding
-are those of real connections.
+are close to those of real connections.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 from passgate.peers.transport import CallHandler, MessageHandler, TrafficCounters
 
 MAX_CONNECTIONS = 128
-"""Simulated connections per transport; the same limit as that of the TCP transport."""
+"""Number of connections that a transport is assumed to keep open; as for the TCP transport."""
 
 
 class LinkDelays(msgspec.Struct, frozen=True, kw_only=True):
@@ -42,7 +42,7 @@
 
 
 class MemoryNetwork:
-    """Delivers frames between memory transports and simulates network partitions and loss."""
+    """Delivers frames between memory transports; simulates delays, network partitions and loss."""
 
     def __init__(self, random: Random, delays: LinkDelays | None = None) -> None:
         self._random = random
@@ -53,13 +53,13 @@
         """Fraction of frames lost; they are not retransmitted, unlike with TCP."""
 
     def transport(self, address: str, zone: str) -> MemoryTransport:
-        """Create a transport at ``address``; it replaces an earlier one there."""
+        """Create a transport, which replaces an earlier one at the same address."""
         transport = MemoryTransport(self, address, zone)
         self._transport_by_address[address] = transport
         return transport
 
     def cut(self, group_of: Callable[[str, str], object]) -> None:
-        """Partition the network: deliver only between ends with equal ``group_of(address, zone)``."""
+        """Partition the network: deliver only between transports with equal ``group_of(address, zone)``."""
         self._group_of = group_of
 
     def heal(self) -> None:
@@ -67,10 +67,9 @@
         self._group_of = None
 
     def deliver(self, source: MemoryTransport, destination: str, data: bytes) -> bool:
-        """Deliver ``data`` after the link's delay.
+        """Deliver ``data`` after the link's delay, unless it is lost or a partition begins meanwhile.
 
-        Returns False if no transport is open at ``destination`` or a partition separates them, and True
-        for a lost frame.
+        Returns False if no transport is open at ``destination`` or a partition separates the ends already.
         """
         target = self._transport_by_address.get(destination)
         if target is None or target.closed or self._is_cut(source, target):
@@ -116,7 +115,7 @@
         self._deferred_actions: list[Callable[[], None]] = []
 
     def start(self, on_message: MessageHandler, on_call: CallHandler) -> None:
-        """Set the handlers of received messages and calls; no frame may arrive before."""
+        """Set the handlers of received messages and calls; must be called before any frame arrives."""
         self._on_message = on_message
         self._on_call = on_call
 
@@ -128,7 +127,7 @@
     async def call(self, address: str, method: str, payload: bytes, timeout_s: float) -> bytes:
         """Return the peer's answer; raises PeerError.
 
-        An unreachable peer is reported as PeerTimeout, as if its packets were lost.
+        If the peer can't be reached, PeerTimeout is raised after the timeout, as if packets were lost.
         """
         check_payload(payload)
         call = self._calls.open()
@@ -149,7 +148,7 @@
         self._paused = True
 
     def resume(self) -> None:
-        """End a pause: run due timers, then deliver received frames, in the order of a resumed process."""
+        """End a pause: run the timers that became due, the last first, then deliver the received frames."""
         self._paused = False
         actions, self._deferred_actions = self._deferred_actions, []
         for action in actions:
@@ -179,7 +178,10 @@
         return self._network.deliver(self, address, data)
 
     def _connect(self, address: str) -> None:
-        """Count a new connection and its Hello unless the least-recently-used cache holds one."""
+        """Count a new connection and its Hello, unless a connection to the address counts as open.
+
+        The MAX_CONNECTIONS most recently used connections count as open.
+        """
         if address in self._connected_addresses:
             self._connected_addresses.move_to_end(address)
             return
@@ -192,7 +194,7 @@
             self._connected_addresses.popitem(last=False)
 
     def receive(self, sender: str, data: bytes) -> None:
-        """Handle encoded frames that the network delivers; ignored after :meth:`close`."""
+        """Handle encoded frames that the network delivers; ignores them after :meth:`close`."""
         if self.closed:
             return
         if self._paused:
--- a/passgate/peers/peer_connection.py
+++ b/passgate/peers/peer_connection.py
@@ -1,7 +1,7 @@
 """One TCP connection between two peers: handshake, then frames in both directions.
 
-Both sides send Hello first.  If a credential is configured, each side then proves that it knows it by an
-HMAC over the other's nonce; the credential itself is never sent.  Frames sent before the handshake is
+Both sides send Hello first.  If a credential is configured, each side then proves by an HMAC over the other
+side's nonce that it knows the credential, which is never sent.  Frames to be sent before the handshake is
 complete are queued.
 """
 
@@ -33,11 +33,11 @@
 from passgate.peers.transport import TrafficCounters
 
 HANDSHAKE_TIMEOUT_S = 5.0
-"""Time within which a new connection has to be open and its handshake complete."""
+"""Time within which a new connection has to be open and the handshake complete."""
 READ_CHUNK_BYTES = 65536
-"""Most bytes read from a connection at once."""
+"""Maximum number of bytes read from a connection at once."""
 MAX_QUEUED_FRAMES = 256
-"""Frames queued until the handshake is complete; further ones are dropped."""
+"""Maximum number of frames queued until the handshake is complete; further frames are dropped."""
 
 CONNECTING = "connecting"
 ACCEPTING = "accepting"
@@ -46,7 +46,7 @@
 def proof_digest(credential: str, role: str, nonce: str) -> str:
     """Return the digest by which the side in ``role`` proves that it knows the credential.
 
-    As the role is part of the digest, a proof can not be reflected to the side that made it.
+    The digest contains the role, so that a side does not accept its own digest sent back by the other side.
     """
     return hmac.new(credential.encode(), f"passgate-peer|{role}|{nonce}".encode(), "sha256").hexdigest()
 
@@ -54,8 +54,8 @@
 class PeerConnection:
     """A connection that one side opened (CONNECTING) and the other accepted (ACCEPTING).
 
-    :meth:`run` does the handshake and reads; it returns once the connection is closed.  ``on_ready`` is
-    called when the handshake is complete, ``on_frame`` with each later frame.
+    :meth:`run` does the handshake and reads frames until the connection is closed.  ``on_ready`` is called
+    when the handshake is complete, ``on_frame`` for each later frame but Goodbye.
     """
 
     def __init__(
@@ -72,7 +72,7 @@
         self.peer_address = ""
         """Address in the peer's Hello; empty until the handshake is complete."""
         self.error: PeerError | None = None
-        """Why the connection was closed; None while it is open."""
+        """Why the connection was closed; None while it is open, or if :meth:`run` was cancelled."""
         self.calls_in_progress = 0
         """Calls in progress on this connection, in both directions."""
         self.last_received_s = monotonic_s()
@@ -91,16 +91,19 @@
 
     @property
     def ready(self) -> bool:
-        """Return whether the handshake is complete; before that, no queued frame has been sent."""
+        """Whether the handshake is complete; queued frames are sent only then."""
         return self._ready
 
     @property
     def closed(self) -> bool:
-        """Return whether the connection is closed, so that no frame can be sent."""
+        """Whether the connection is closed, so that no frame can be sent."""
         return self._stream.closed()
 
     def send(self, frame: Frame) -> bool:
-        """Send a frame, or queue it until the handshake is complete; return False if it was dropped."""
+        """Send a frame, or queue it until the handshake is complete; return False if the frame was dropped.
+
+        A frame that was sent or queued can still be lost with the connection.
+        """
         if self.closed:
             return False
         if self._ready:
@@ -117,7 +120,7 @@
     async def run(self) -> None:
         """Connect if necessary, do the handshake and read frames until the connection closes.
 
-        Sets ``error`` instead of raising.
+        Failures of the connection and violations of the protocol set ``error`` and are not raised.
         """
         loop = asyncio.get_running_loop()
         handshake_timer = loop.call_later(HANDSHAKE_TIMEOUT_S, self._close_unless_ready)
@@ -204,7 +207,7 @@
             self._stream.close()
 
     def _closed_error(self) -> PeerError:
-        # Calls are queued until the handshake is complete, so before that no call can have run.
+        # No call is sent before the handshake is complete, so no call can have run if it never was.
         if self._ready:
             return PeerConnectionLost("connection closed by either side, or lost")
         return PeerUnreachable("connection closed before the handshake was complete")
@@ -227,6 +230,6 @@
 
 
 def _retrieve_exception(written: asyncio.Future) -> None:
-    # The read loop handles a lost connection; this only keeps asyncio from logging the same error.
+    # The read loop handles a lost connection; retrieving the exception keeps asyncio from logging it.
     if not written.cancelled():
         written.exception()
--- a/passgate/peers/peer_transport.py
+++ b/passgate/peers/peer_transport.py
@@ -1,8 +1,8 @@
 """Peer transport over TCP, with a bounded number of connections.
 
-A connection is used in both directions: an answer is sent on the connection of its call, a new message or
-call on any open connection to the peer.  Above ``max_connections``, the least recently used connections
-without calls in progress are closed.
+A connection is used in both directions: an answer is sent on the connection of its call, a message or call
+on an open connection to the peer, whichever side opened it.  Above ``max_connections``, the least recently
+used connections without calls in progress are closed.
 """
 
 from __future__ import annotations
@@ -36,15 +36,15 @@
 MAX_CONNECTIONS = 128
 
 MAX_INCOMING_CALLS = 256
-"""Calls of peers in progress at once; further ones fail with ``overloaded``."""
+"""Number of calls of peers in progress from which on further calls fail with ``overloaded``."""
 
 BUFFER_BYTES = 4 * MAXIMUM_FRAME_BYTES
-"""Most unread or unsent bytes of a connection; beyond it, frames to a slow peer are dropped."""
+"""Maximum number of unread and of unsent bytes of a connection; further frames to a slow peer are dropped."""
 
 NONCE_BYTES = 16
-"""Random bytes of the challenge in a Hello."""
+"""Number of random bytes of the nonce in a Hello."""
 SILENCE_TIMEOUT_S = 1.0
-"""When a call times out, its connection is closed if nothing was received on it for this long."""
+"""A connection on which nothing was received for longer is closed when a call on it times out."""
 
 
 class TcpPeerTransport(TCPServer):
@@ -68,8 +68,9 @@
             host: IP address to listen on.
             port: port to listen on; 0 picks a free one.
             advertised_host: IP address under which peers reach this daemon; ``host`` by default.
-            credential: shared secret that peers must know; empty means that none is required.
-            max_connections: limit of open connections; exceeded while all have calls in progress.
+            credential: secret that all daemons share; empty if none of them has a credential.
+            max_connections: limit of open connections; may be exceeded while connections have calls in
+                progress.
 
         Raises:
             OSError: the port can not be bound.
@@ -106,7 +107,7 @@
             self.counters.frames_dropped += 1
 
     async def call(self, address: str, method: str, payload: bytes, timeout_s: float) -> bytes:
-        """Return the peer's answer; raises PeerError."""
+        """Return the peer's answer; raises PeerError, whose ``execution`` tells if the call may have run."""
         check_payload(payload)
         connection = self._connection_to(address)
         if connection is None:
@@ -130,7 +131,7 @@
             open_calls.remove(call)
 
     async def close(self) -> None:
-        """Close the port and all connections; calls in progress fail with PeerConnectionLost."""
+        """Close the port and all connections; calls in progress fail with PeerError."""
         self._closing = True
         self.stop()
         for listening_socket in self._listening_sockets:
@@ -152,7 +153,7 @@
         await self._run(connection)
 
     def _connection_to(self, address: str) -> PeerConnection | None:
-        """Return the open connection to a peer, or start to open one; None if that is impossible."""
+        """Return an open connection to a peer, or start to open one; None if that is impossible."""
         connection = self._connection_by_address.get(address)
         if connection is not None and not connection.closed:
             self._connections.move_to_end(connection)
@@ -204,7 +205,7 @@
             self._remove(connection)
 
     def _remove(self, connection: PeerConnection) -> None:
-        """Remove a closed connection and fail its open calls."""
+        """Remove a closed connection and fail the open calls that were sent on it."""
         self._connections.pop(connection, None)
         for address, other in list(self._connection_by_address.items()):
             if other is connection:
@@ -260,7 +261,7 @@
             self._incoming_calls -= 1
 
     def _start_task(self, coroutine) -> None:
-        """Start a task and keep a reference, so that it is not collected and :meth:`close` cancels it."""
+        """Start a task and keep a reference to it: asyncio keeps none, and :meth:`close` cancels the task."""
         task = asyncio.get_running_loop().create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
--- a/passgate/peers/transport.py
+++ b/passgate/peers/transport.py
@@ -12,40 +12,41 @@
 import msgspec
 
 MessageHandler = Callable[[str, bytes], None]
-"""Called with the sender's address and the JSON payload of a one-way message."""
+"""Called with the sender's address and the JSON payload of a message."""
 
 CallHandler = Callable[[str, str, bytes], Awaitable[bytes]]
-"""Called with the caller's address, the method and the payload; returns the answer's payload.
+"""Called with the calling daemon's address, the method and the payload; returns the answer's payload.
 
-Any exception is sent to the caller as a failure of the call.
+An exception is sent to the calling daemon as the call's failure.
 """
 
 
 class TrafficCounters(msgspec.Struct):
-    """Frames and bytes of one transport, including framing but not TCP/IP headers."""
+    """Frames, bytes and connections of one transport; bytes include framing but not TCP/IP headers."""
 
     frames_sent: int = 0
     frames_received: int = 0
     bytes_sent: int = 0
     bytes_received: int = 0
     connections_opened: int = 0
+    """Connections that this transport opened, tried to open or, over TCP, accepted."""
     frames_dropped: int = 0
-    """Frames not sent because the peer could not be reached or read too slowly."""
+    """One-way messages that could not be sent or queued, and frames queued for a handshake that failed."""
     malformed: int = 0
-    """Connections closed because of a frame that violates the protocol."""
+    """Connections closed because either side received a frame that violates the protocol."""
     refused: int = 0
-    """Connections closed because of a missing or wrong credential."""
+    """Connections closed by either side because of a missing or wrong credential."""
 
 
 class PeerTransport(Protocol):
-    """Sends and receives one-way messages and calls between peers."""
+    """Sends and receives one-way messages and calls between daemons."""
 
     address: str
     """``host:port`` under which other daemons reach this one."""
     counters: TrafficCounters
 
     def start(self, on_message: MessageHandler, on_call: CallHandler) -> None:
-        """Start to receive; received messages and calls go to the handlers."""
+        """Start to receive; the handlers are called for received messages and calls."""
         ...
 
     def send(self, address: str, payload: bytes) -> None:
@@ -60,5 +61,5 @@
         ...
 
     async def close(self) -> None:
-        """Stop receiving and close all connections; calls in progress fail with PeerError."""
+        """Stop receiving and close all connections; this daemon's calls in progress fail with PeerError."""
         ...
