--- a/passgate/clients/answer_decoding.py
+++ b/passgate/clients/answer_decoding.py
@@ -35,7 +35,7 @@
 
 
 def decode_error(answer: HttpAnswer) -> ErrorBody | None:
-    """Return the error in the answer's body, or None if it is not in passgate's form."""
+    """Return the error in the answer's body, or None if the body is not in the form of ErrorAnswer."""
     try:
         return _error_decoder.decode(answer.body).error
     except msgspec.MsgspecError:
--- a/passgate/clients/http_app.py
+++ b/passgate/clients/http_app.py
@@ -14,7 +14,7 @@
 
 
 class HttpAppClient:
-    """Client of application services; each answer must carry the ``X-Request-Id`` of its request."""
+    """Client of application services; the answer to a call must carry the ``X-Request-Id`` of the call."""
 
     def __init__(self, http: HttpClient) -> None:
         self._http = http
--- a/passgate/clients/stream_verifier.py
+++ b/passgate/clients/stream_verifier.py
@@ -1,4 +1,4 @@
-"""Verifies that a streamed completion belongs to its request, is in order, complete, and states versions.
+"""Verifies a streamed completion: request identifier, order, weight versions and end.
 
 >>> request = GenerateRequest(request_id="r", caller="c", pool="p", model="m", prompt=(1,), max_tokens=4)
 >>> verifier = StreamVerifier(request)
@@ -138,7 +138,7 @@
             )
 
     def _reported_error(self, error: ErrorBody) -> PassgateError:
-        """Return the error for an error that the engine reported; a refusal only before the first token."""
+        """Convert an error that the engine reported; the result is a refusal only before the first token."""
         if error.execution is ExecutionStatus.NOT_RUN and not self.started:
             return reported_failure(error)
         return self._incomplete(error.message, code=error.code)
--- a/passgate/clients/wire.py
+++ b/passgate/clients/wire.py
@@ -178,7 +178,7 @@
 
 
 class ErrorAnswer(msgspec.Struct, frozen=True, kw_only=True):
-    """Body of an error answer in passgate's form."""
+    """Body of an error answer that states the error's code and execution status."""
 
     error: ErrorBody
 
--- a/passgate/gateway/forwarder.py
+++ b/passgate/gateway/forwarder.py
@@ -1,8 +1,9 @@
 """Forwards plain (not streamed) requests to replicas, with retries and hedging.
 
 A repeatable request may be sent to several replicas, one after another or, when an answer is slow, at
-the same time (hedging); the first final answer is returned and the other attempts are cancelled.  Any
-other request is sent to a further replica only if the previous one certainly did not run it.
+the same time (hedging).  The first final answer (see ``Forwarder._is_final``) is returned, and the other
+attempts are cancelled.  Any other request is sent to a further replica only if the previous replica
+certainly did not run the request.
 """
 
 from __future__ import annotations
@@ -28,7 +29,8 @@
 from passgate.gateway.routes import Route
 
 HEDGE_DELAY_SHARE = 0.4
-"""Share of the route's target latency after which a repeatable request is sent to one more replica."""
+"""Share of the route's target latency, counted from the request's arrival, after which a second parallel
+attempt may start; a third one may start after twice this time, and so on."""
 REPLICA_WAIT_SHARE = 0.2
 """Share of the route's target latency for which an attempt waits at most for a usable replica."""
 REPLICA_POLL_INTERVAL_S = 0.02
--- a/passgate/gateway/forwarder_base.py
+++ b/passgate/gateway/forwarder_base.py
@@ -47,9 +47,9 @@
     """Service of the route that was picked for the request; all attempts go to its replicas."""
     request_id: str
     answer_by_s: float
-    """Loop time limit of the answer: the end of the route's timeout or, if earlier, the caller's deadline."""
+    """Loop time by which the answer has to end: the route's timeout or, if earlier, the caller's deadline."""
     caller_deadline_s: float
-    """Loop time until which the caller waits, by its deadline header or else DEFAULT_DEADLINE_S."""
+    """Loop time until which the caller waits, by the deadline header or else DEFAULT_DEADLINE_S."""
     tried_replicas: list[ReplicaIncarnation] = []
     """Replicas of all attempts, in order; they are not chosen again."""
     unreached_count: int = 0
--- a/passgate/gateway/header_names.py
+++ b/passgate/gateway/header_names.py
@@ -15,7 +15,7 @@
     expected_replica: str
     """Identifier of the replica that the request is meant for; any other replica refuses it with 421."""
     replica_stamp: str
-    """Set by a replica on its answers; a 2xx answer to a plain request without it is not accepted."""
+    """Set by a replica on each answer; the gateway accepts no 2xx answer to a plain request without it."""
     replica_id: str
     replica_load: str
     """Load of the replica that answers: running requests, waiting requests, slots, separated by commas."""
--- a/passgate/gateway/ingress.py
+++ b/passgate/gateway/ingress.py
@@ -1,7 +1,7 @@
 """HTTP servers of the gateway, built on tornado's connection delegates.
 
 ``tornado.web`` is not used, as it would add and change headers.  Answers are written with the handler's
-status and headers; only ``Content-Length`` is added, and the body left out where HTTP forbids one.
+status and headers, to which only headers for the length and the connection are added.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
 BODILESS_STATUSES = frozenset({204, 304})
 LISTEN_BACKLOG = 512
 IDLE_TIMEOUT_MARGIN_S = 3.0
-"""Margin by which the server's idle timeout exceeds the configured one, on which callers rely."""
+"""Added to the configured idle timeout; without effect for the reason given at :meth:`Ingress.set_limits`."""
 MAX_HEADER_BYTES = 65_536
 """Maximum size of a request's start line and headers; the configuration does not change it."""
 MAX_BODY_BYTES = 1 << 26
--- a/passgate/gateway/messages.py
+++ b/passgate/gateway/messages.py
@@ -62,7 +62,7 @@
 
 
 class StreamAnswer(msgspec.Struct, frozen=True, kw_only=True):
-    """An answer whose body is streamed; if the iterator raises, the connection is closed mid-body."""
+    """An answer whose body is streamed; if ``chunks`` raises PassgateError, the body ends incomplete."""
 
     status: int
     headers: tuple[tuple[str, str], ...]
--- a/passgate/gateway/metrics.py
+++ b/passgate/gateway/metrics.py
@@ -1,4 +1,4 @@
-"""Prometheus metrics of one gateway daemon, mostly derived from the decision events that it writes.
+"""Prometheus metrics of one gateway daemon, mostly derived from the events of the daemon's decision log.
 
 Labels never hold names of routes, callers or replicas, so that the number of time series stays bounded.
 
--- a/passgate/gateway/peer_configuration.py
+++ b/passgate/gateway/peer_configuration.py
@@ -1,4 +1,4 @@
-"""Fetches newer configurations and evacuations from peer daemons while the log is unreachable.
+"""Fetches newer configurations and sets of evacuated zones from other daemons while the log is unreachable.
 
 A revoked API key must stop working also on daemons that can not read the log.  A daemon whose view of
 the operator's topic is older than POLL_AFTER_S polls a few peers.  It applies a configuration that they
@@ -30,7 +30,7 @@
 MAX_PEERS_POLLED = 3
 """Maximum number of peers polled in a round; several, as some of them may not reach the log either."""
 RESPONSE_TIMEOUT_S = 0.4
-"""Timeout of a peer's response."""
+"""Timeout of the poll of one peer."""
 AGE_CHECK_INTERVAL_S = 0.1
 """Time between checks of the view's age while peers are not polled."""
 NEVER_S = float("-inf")
@@ -133,7 +133,7 @@
             )
             snapshot = msgspec.json.decode(payload, type=ConfigurationSnapshot)
         except (PeerError, msgspec.DecodeError):
-            return  # polls are repeated, with other peers
+            return  # the next round polls again
         if snapshot.config is not None and snapshot.config.version > self._config_holder.version:
             self._apply_newer_config(peer, snapshot.config, snapshot.age_s)
         self._config_confirmed_at_s = max(self._config_confirmed_at_s, queried_at_s - snapshot.age_s)
--- a/passgate/gateway/replica_client.py
+++ b/passgate/gateway/replica_client.py
@@ -145,7 +145,7 @@
         """Send a request to a replica; the caller must close the returned attempt.
 
         Raises:
-            RequestQuarantined: earlier attempts of the request crashed replicas; nothing was sent.
+            RequestQuarantined: replicas crashed while they ran this content; nothing was sent.
             SendForbidden: a send rule excludes the replica now; nothing was sent.
             BackendUnreachable: the HTTP client can not start the transfer; nothing was sent.
         """
@@ -414,7 +414,7 @@
 
     @property
     def is_complete(self) -> bool:
-        """Whether the body has ended and was chunked or had a Content-Length, so that a cut would show."""
+        """Whether the body has ended, with a Content-Length or chunked encoding, which show a truncation."""
         headers = self._transfer.headers
         chunked = headers.get("Transfer-Encoding", "").lower() == "chunked"
         return self._transfer.ended and (chunked or "Content-Length" in headers)
--- a/passgate/gateway/replica_table.py
+++ b/passgate/gateway/replica_table.py
@@ -148,7 +148,7 @@
         self._listed_incarnation_by_id: dict[str, ReplicaIncarnation] = {}
         """Newest incarnation that discovery lists, by replica identifier."""
         self._delisted_in_use: dict[ReplicaIncarnation, ReplicaState] = {}
-        """Replicas that are no longer listed, but had requests of this daemon in flight at last sight."""
+        """Delisted replicas that had requests of this daemon in flight at the last call of :meth:`remove`."""
         self._random = random.Random(seed)
         self.health: ReplicaHealth[ReplicaIncarnation] = ReplicaHealth()
 
@@ -188,7 +188,7 @@
         self.health.retain(self._state_by_incarnation)
 
     def eject(self, incarnation: ReplicaIncarnation, now_s: float) -> None:
-        """Eject a replica at whose address nothing listens; ignored if the incarnation is not listed."""
+        """Record an incarnation that has exited as unreachable; ignored if the incarnation is not listed."""
         if incarnation in self._state_by_incarnation:
             self.record_unreachable(incarnation, now_s)
 
@@ -211,16 +211,16 @@
         self.cold_replicas.mark_possibly_cold(infos, now_s)
 
     def get(self, replica_id: str) -> ReplicaState | None:
-        """Return the newest incarnation listed under an identifier, or None."""
+        """Return the state of the newest listed incarnation of a replica, or None if there is none."""
         incarnation = self._listed_incarnation_by_id.get(replica_id)
         return self.find_incarnation(incarnation) if incarnation is not None else None
 
     def find_incarnation(self, incarnation: ReplicaIncarnation) -> ReplicaState | None:
-        """Return the state of an incarnation; None if it is not the listed one of its replica."""
+        """Return the state of an incarnation, or None if the incarnation is not listed."""
         return self._state_by_incarnation.get(incarnation)
 
     def find_latest_incarnation(self, incarnation: ReplicaIncarnation) -> ReplicaState | None:
-        """Return the newest listed incarnation of the replica that an incarnation belongs to, or None."""
+        """Return the state of the newest listed incarnation of the same replica, or None if there is none."""
         return self.get(incarnation.replica_id)
 
     def all(self) -> list[ReplicaState]:
@@ -230,8 +230,8 @@
     def choose(self, query: ReplicaQuery, now_s: float) -> ReplicaState | None:
         """Return the best usable replica that matches a query, or None.
 
-        A cold replica is usable only with an unclaimed permit; choosing the replica claims the permit.  If
-        there is no choice, or only one without a free slot, permits for matching cold replicas are requested.
+        A cold replica is usable only with an unclaimed permit; choosing the replica claims the permit.  If no
+        replica or only one without a free slot is found, permits for matching cold replicas are requested.
         """
         best = self._choose_best(query, now_s)
         if not self.cold_replicas.any_may_be_cold:
@@ -337,7 +337,7 @@
         return not query.model or state.weight_version(query.model) >= query.min_version
 
     def _score(self, state: ReplicaState, query: ReplicaQuery, now_s: float) -> float:
-        """Return a score, of which the lowest is best; 1 stands for DEFAULT_LATENCY_S."""
+        """Return a score, which is lower for a better replica; 1 stands for a time of DEFAULT_LATENCY_S."""
         load = state.load(now_s)
         score = (1.0 + load) * state.expected_latency_s(now_s) / DEFAULT_LATENCY_S + load
         if state.info.zone != self.topology.zone:
--- a/passgate/gateway/routes.py
+++ b/passgate/gateway/routes.py
@@ -69,7 +69,7 @@
     max_attempts: int = 2
     """Maximum number of attempts of one request; attempts that did not reach a replica don't count."""
     priority: int = 5
-    """Priority at the replicas of streamed requests and of job items; 0 is the most urgent."""
+    """Priority of streamed requests and, unless the tenant has a priority, of job items; 0 is most urgent."""
     resumable: bool = False
     """Whether a stream that broke off may be continued by another replica; the request may then run again."""
     item_time_to_live_s: float = ITEM_TIME_TO_LIVE_S
@@ -168,7 +168,7 @@
             self._routes_by_host.setdefault(route.host, []).append(route)
 
     def accepts_public_jobs(self, host: str) -> bool:
-        """Whether a host has a public batch route; reading and cancelling its jobs then needs no API key."""
+        """Whether a host has a public batch route, so that callers without an API key may have jobs there."""
         return any(
             route.public and route.kind is RouteKind.BATCH for route in self._routes_by_host.get(host, ())
         )
--- a/passgate/gateway/spillover.py
+++ b/passgate/gateway/spillover.py
@@ -32,7 +32,7 @@
     """Return the share, from 0 to 1, of requests to send to another region.
 
     Args:
-        saved_s: time by which an answer from there is expected earlier; the network cost is subtracted.
+        saved_s: time by which an answer from there is expected earlier, after subtracting the network cost.
         network_cost_s: extra network time to that region.
     """
     if saved_s <= 0.0:
--- a/passgate/platform/documents.py
+++ b/passgate/platform/documents.py
@@ -279,7 +279,7 @@
 
 
 def decode_version(data: bytes) -> tuple[str, int]:
-    """Return the model of an operator's record and its target version; raises msgspec.DecodeError."""
+    """Return the model and the target version that a record names; raises msgspec.DecodeError."""
     named = msgspec.json.decode(data, type=_NamedVersion)
     return named.model, named.version
 
--- a/passgate/platform/duty_calls.py
+++ b/passgate/platform/duty_calls.py
@@ -12,7 +12,7 @@
 
 CALL_TIMEOUT_S = 1.0
 """Timeout of a call.  A leader starts calls only within 0.6 of its lease, so with the default lease of 3 s
-its last call ends before another daemon takes over."""
+its last call normally ends before another daemon takes over."""
 OUTCOME_BY_STATUS = {200: DutyOutcome.ACCEPTED, 409: DutyOutcome.REFUSED}
 
 
--- a/passgate/platform/http_api.py
+++ b/passgate/platform/http_api.py
@@ -1,4 +1,4 @@
-"""The platform's HTTP interface: requests of callers to the daemon, and its control calls to replicas."""
+"""The platform's HTTP interface: requests of callers, and control calls of daemons to replicas."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 """Timeout of reading a replica's report."""
 ORDER_TIMEOUT_S = 1.5
 """Timeout of a load order.  With the default lease, an order that the leader sends at the last moment (0.6 of
-the lease) ends before another daemon takes over (after the lease plus TAKEOVER_MARGIN_S)."""
+the lease) normally ends before another daemon takes over (after the lease plus TAKEOVER_MARGIN_S)."""
 NO_ROUTE = "no_route"
 LOGGED_PATH_CHARACTERS = 80
 BINARY_HEADERS = (("Content-Type", "application/octet-stream"),)
@@ -126,8 +126,8 @@
     def _tenant_job_id(self, request: IncomingRequest, job_id: str) -> str:
         """Authenticate the caller and return ``job_id`` scoped to its tenant.
 
-        The scope keeps a caller from reading or cancelling jobs of another tenant.  Raises NotReady or
-        Unauthorized.
+        The scope separates the jobs of different tenants; for a caller without a tenant's name, ``job_id``
+        stays as it is.  Raises NotReady or Unauthorized.
         """
         table = self._usable_routes()
         caller = self._authenticate(request, table, public=table.accepts_public_jobs(request.host))
--- a/passgate/platform/log_client.py
+++ b/passgate/platform/log_client.py
@@ -40,9 +40,9 @@
 RECORD_LENGTH = struct.Struct(">I")
 PAGE_HEADER = struct.Struct(">QQ")
 FIRST_RETRY_PAUSE_S = 0.1
-"""Pause before the first retry of a throttled page; doubles with each retry, up to MAX_RETRY_PAUSE_S."""
+"""Mean pause before the first retry of a throttled page; doubles with each retry, up to MAX_RETRY_PAUSE_S."""
 MAX_RETRY_PAUSE_S = 1.0
-"""Longest pause between retries of a throttled page; jitter may add half of it."""
+"""Longest mean pause between retries of a throttled page; jitter adds or subtracts up to a half."""
 MAX_PAGE_ATTEMPTS = 20
 RECORDS_TYPE = "application/octet-stream"
 JSON_TYPE = "application/json"
@@ -138,8 +138,8 @@
     async def append(self, topic: str, part: int, records: Sequence[bytes], *, at: int | None = None) -> int:
         """Append all records or none; see :meth:`SharedLog.append`.
 
-        An answer with an error status, which raises LogUnavailable or for 412 AppendConflict, is taken as
-        the log's assurance that nothing was appended.
+        An error status counts as the log's assurance that nothing was appended: 412 raises AppendConflict,
+        any other LogUnavailable.
         """
         query = f"?topic={quote(topic)}&part={part}" + (f"&at={at}" if at is not None else "")
         try:
--- a/passgate/platform/topic_records.py
+++ b/passgate/platform/topic_records.py
@@ -23,14 +23,18 @@
 class OperatorTopicHandler:
     """Applies records of the operator's topic: the configuration, target versions and evacuations of zones.
 
-    A record that can not be decoded is logged and skipped, so that later records still apply.
+    Nothing is sent to replicas in an evacuated zone.  A record that can not be decoded is logged and skipped,
+    so that later records still apply.
     """
 
     def __init__(self, daemon: GatewayDaemon) -> None:
         self._daemon = daemon
 
     def apply_snapshot(self, records: Records, next_offset: int) -> None:
-        """Apply the newest record of every key; an evacuation that is not among them has ended."""
+        """Apply the newest record of every key.
+
+        An evacuation that is not among them has ended, unless another daemon reported a newer state.
+        """
         # Records of a snapshot carry no offsets; the offsets set here are not used.
         changes = _evacuation_changes(records, next_offset)
         zones = [change.zone for change in changes if change.evacuated]
--- a/passgate/routing/replica_health.py
+++ b/passgate/routing/replica_health.py
@@ -2,7 +2,7 @@
 
 A replica is ejected when it can't be reached, or after EJECT_AFTER_FAILURES failures since its last
 success.  After the ejection, a request is sent only every PROBE_INTERVAL_S until one succeeds.  Failures
-don't prolong an ejection or a probe interval; a later one ejects again, for twice as long, up to
+don't prolong an ejection or a probe interval; a later failure ejects again, for twice as long, up to
 MAX_EJECTION_S.  A load report ends the ejection of a replica that could not be reached.
 
 If more than MAX_EJECTED_SHARE of the replicas are excluded, failing requests are probably not the
@@ -34,7 +34,7 @@
 MAX_EJECTED_SHARE = 0.7
 """If a larger share of the replicas is excluded, ejections for failing requests are ignored."""
 PROBE_INTERVAL_S = 2.0
-"""Time without a further request after a request to a replica that has not succeeded since its ejection."""
+"""Pause after a request to a replica that has not succeeded since its ejection."""
 
 
 class _HealthRecord(msgspec.Struct):
