--- a/passgate/gateway/forwarder.py
+++ b/passgate/gateway/forwarder.py
@@ -87,7 +87,7 @@
         results = _AttemptResults()
         try:
             while True:
-                if not running and not await self._send_to_next_replica(forwarding, running):
+                if not running and not await self._start_next_attempt(forwarding, running):
                     return self._answer_without_success(forwarding, results)
                 await self._wait_for_attempts(forwarding, running)
                 answer = self._collect_finished(forwarding, running, results)
@@ -101,7 +101,7 @@
             self._count_abandoned(forwarding, running)
             await cancel_and_wait(running)
 
-    async def _send_to_next_replica(self, forwarding: ForwardedRequest, running: RunningAttempts) -> bool:
+    async def _start_next_attempt(self, forwarding: ForwardedRequest, running: RunningAttempts) -> bool:
         """Start the first or a further attempt, after a short wait if no replica is usable.
 
         Returns False if no attempt is permitted any more or no replica became usable.  Raises
--- a/passgate/gateway/messages.py
+++ b/passgate/gateway/messages.py
@@ -46,8 +46,8 @@
     def deadline_s(self, header_name: str, default_s: float = DEFAULT_DEADLINE_S) -> float:
         """Return the loop time until which the caller waits.
 
-        The header holds the caller's timeout in milliseconds, counted from the request's arrival; if it is
-        missing or does not consist of digits, the timeout is ``default_s``.
+        The header holds the caller's timeout in milliseconds, counted from the request's arrival.  The
+        timeout is ``default_s`` if the header is missing or ``str.isdigit`` is false for its value.
         """
         timeout_ms = self.header(header_name)
         return self.received_s + (int(timeout_ms) / 1000 if timeout_ms.isdigit() else default_s)
--- a/passgate/gateway/peer_configuration.py
+++ b/passgate/gateway/peer_configuration.py
@@ -45,7 +45,7 @@
 
 
 class EvacuationSnapshot(msgspec.Struct, frozen=True, kw_only=True):
-    """A daemon's view of the evacuated zones."""
+    """A daemon's view of the evacuated zones, to which nothing is sent."""
 
     age_s: float
     """Time since the view was last confirmed to be the newest."""
--- a/passgate/gateway/replica_table.py
+++ b/passgate/gateway/replica_table.py
@@ -195,7 +195,8 @@
     def record_unreachable(self, incarnation: ReplicaIncarnation, now_s: float) -> None:
         """Record that a replica could not be reached: it is ejected unless it is excluded already.
 
-        If it is listed and its service limits requests to cold replicas, it also becomes possibly cold.
+        If it is listed and its service limits requests to cold replicas, it counts as cold for now, as it may
+        restart cold.
         """
         self.health.record_failure(incarnation, now_s, unreachable=True)
         state = self._state_by_incarnation.get(incarnation)
@@ -203,9 +204,10 @@
             self.cold_replicas.mark_unreachable(state.info, now_s)
 
     def mark_zone_possibly_cold(self, zone: str, now_s: float) -> None:
-        """Mark a zone's replicas as possibly cold, if their services limit requests to cold replicas.
+        """Count a zone's replicas as cold, as they may be, if their services limit requests to cold replicas.
 
-        The mark ends with a later discovery entry, or after the service's longest cold period.
+        This ends with a discovery entry that was certainly written later, or after the service's longest
+        cold period.
         """
         infos = [state.info for state in self._state_by_incarnation.values() if state.info.zone == zone]
         self.cold_replicas.mark_possibly_cold(infos, now_s)
--- a/passgate/platform/http_api.py
+++ b/passgate/platform/http_api.py
@@ -50,7 +50,7 @@
         self._daemon = daemon
 
     async def handle(self, request: IncomingRequest) -> GatewayAnswer | StreamAnswer:
-        """Answer a request; a refusal or failure is raised as PassgateError."""
+        """Answer a request; a refusal is raised as PassgateError."""
         path, _, query = request.path.partition("?")
         if path.startswith(names.JOB_PATH):
             return await self._handle_job_request(request, path.removeprefix(names.JOB_PATH), query)
--- a/passgate/routing/replica_health.py
+++ b/passgate/routing/replica_health.py
@@ -1,9 +1,9 @@
 """Outlier ejection: excludes failing replicas from choices for a while.
 
 A replica is ejected when it can't be reached, or after EJECT_AFTER_FAILURES failures since its last
-success.  After the ejection, a request is sent only every PROBE_INTERVAL_S until one succeeds.  Failures
-don't prolong an ejection or a probe interval; a later failure ejects again, for twice as long, up to
-MAX_EJECTION_S.  A load report ends the ejection of a replica that could not be reached.
+success.  After the ejection, a request is sent only every PROBE_INTERVAL_S until one succeeds.  A failure
+within the ejection or this interval prolongs neither; a later failure ejects again, for twice as long, up
+to MAX_EJECTION_S.  A load report ends the ejection of a replica that could not be reached.
 
 If more than MAX_EJECTED_SHARE of the replicas are excluded, failing requests are probably not the
 replicas' fault, so ejections for them are ignored.
@@ -64,7 +64,7 @@
         """Record a failed request, and eject the replica if it has failed often enough.
 
         One failure is enough if the replica was unreachable or has been ejected since its last success.  A
-        replica that is excluded already is not ejected again.
+        replica that is excluded at this time is not ejected.
         """
         health = self._record_by_replica.setdefault(replica, _HealthRecord())
         health.failures += 1
