--- a/passgate/platform/topic_records.py
+++ b/passgate/platform/topic_records.py
@@ -1,4 +1,4 @@
-"""Applies the operator topic's records to the daemon, and decodes the platform's discovery entries."""
+"""Applies records of the operator's topic to the daemon, and decodes the platform's discovery entries."""
 
 from __future__ import annotations
 
@@ -21,16 +21,20 @@
 
 
 class OperatorTopicHandler:
-    """Applies records of the operator's topic to the daemon: configuration, versions and evacuations.
+    """Applies records of the operator's topic: the configuration, target versions and evacuations of zones.
 
-    A record that can not be decoded is logged and skipped, so that it does not block later ones.
+    Nothing is sent to replicas in an evacuated zone.  A record that can not be decoded is logged and skipped,
+    so that later records still apply.
     """
 
     def __init__(self, daemon: GatewayDaemon) -> None:
         self._daemon = daemon
 
     def apply_snapshot(self, records: Records, next_offset: int) -> None:
-        """Apply the newest record of every key; an evacuation that is not among them has ended."""
+        """Apply the newest record of every key.
+
+        An evacuation that is not among them has ended, unless another daemon reported a newer state.
+        """
         # Records of a snapshot carry no offsets; the offsets set here are not used.
         changes = _evacuation_changes(records, next_offset)
         zones = [change.zone for change in changes if change.evacuated]
@@ -38,7 +42,7 @@
         self._apply_configurations_and_versions(records)
 
     def apply_records(self, records: Records, start: int) -> None:
-        """Apply consecutive records of which the first has the offset ``start``."""
+        """Apply consecutive records, the first of which has the offset ``start``."""
         self._daemon.evacuated_zones.apply_changes(_evacuation_changes(records, start), start + len(records))
         self._apply_configurations_and_versions(records)
 
@@ -50,7 +54,10 @@
                 logger.warning("unreadable_record", extra={"key": record.key, "error": str(error)})
 
     def _apply_configuration_or_version(self, record: KeyedRecord) -> None:
-        """Apply a record; raises msgspec.DecodeError.  Other keys and deletions are ignored."""
+        """Apply a record of the configuration or of a target version; ignores deletions and other keys.
+
+        Raises msgspec.DecodeError.
+        """
         if not record.value:
             return
         if record.key == names.CONFIGURATION_KEY:
@@ -60,9 +67,9 @@
 
 
 def _evacuation_changes(records: Records, start: int) -> Iterator[EvacuationChange]:
-    """Yield the evacuations that records start or end: any value starts one, an empty value ends it.
+    """Yield the evacuations that records start or end: an empty value ends one, any other starts one.
 
-    The value is not decoded, so that a malformed one still takes its zone out of use.
+    The value is not decoded, so a malformed value takes its zone out of use as well.
     """
     for offset, record in enumerate(records, start):
         if not record.key.startswith(names.EVACUATION_KEY_PREFIX):
