--- a/passgate/clock.py
+++ b/passgate/clock.py
@@ -1,7 +1,7 @@
 """Clocks of daemons, the emulator and simulations.
 
-All code reads the time from the running event loop, so the same code runs in real time and, on a loop from
-:func:`new_virtual_loop`, in virtual time.
+Code that uses :func:`monotonic_s` and :func:`unix_s` reads the time from the running event loop, so it runs
+in real time and, on a loop from :func:`new_virtual_loop`, in virtual time.
 
 >>> loop = new_virtual_loop()
 >>> async def sleep_an_hour():
@@ -31,7 +31,7 @@
     """Event loop of a daemon, whose clock includes the time for which the machine was suspended.
 
     CLOCK_MONOTONIC stops during a suspension, while leases expire and deadlines of callers pass.  Timers that
-    became due during it fire when the loop next wakes, which a daemon's periodic tasks ensure within 0.1 s.
+    became due during a suspension fire when the loop next wakes, for example for a periodic task.
     """
 
     def time(self) -> float:
@@ -40,22 +40,22 @@
 
 
 MAX_CANCEL_ROUNDS = 20
-"""Most rounds in which :func:`run_virtual` cancels the remaining tasks; each may start new ones."""
+"""Maximum number of rounds in which :func:`run_virtual` cancels tasks; cancelled tasks may start new ones."""
 
 
 def monotonic_s() -> float:
-    """Return the running loop's time in seconds, which is monotonic and has an arbitrary origin."""
+    """Return the running loop's time in seconds; the time is monotonic and has an arbitrary origin."""
     return asyncio.get_running_loop().time()
 
 
 def unix_s() -> float:
-    """Return the Unix time in seconds, comparable between daemons; on a virtual loop, the loop's time."""
+    """Return the machine's Unix time in seconds; on a virtual loop, the loop's time."""
     loop = asyncio.get_running_loop()
     return loop.time() if hasattr(loop, "setup_looptime") else time.time()
 
 
 def new_virtual_loop() -> asyncio.AbstractEventLoop:
-    """Return an event loop in virtual time, which jumps to the next timer; needs the package looptime."""
+    """Return an event loop whose virtual time jumps to the next timer; needs the package looptime."""
     import looptime
 
     loop = looptime.new_event_loop(start=0.0)
@@ -64,7 +64,7 @@
 
 
 def run_virtual(main: Coroutine[Any, Any, Result]) -> Result:
-    """Run a coroutine on a new virtual loop and return its result; then cancel all remaining tasks.
+    """Run a coroutine on a new virtual loop and return its result, after cancelling the tasks that remain.
 
     >>> run_virtual(asyncio.sleep(3600, "done"))
     'done'
@@ -78,7 +78,7 @@
 
 
 def _cancel_remaining_tasks(loop: asyncio.AbstractEventLoop) -> None:
-    """Cancel all tasks of a loop, and those that they start meanwhile, for MAX_CANCEL_ROUNDS at most."""
+    """Cancel a loop's tasks and those that they start meanwhile, in up to MAX_CANCEL_ROUNDS rounds."""
     for _ in range(MAX_CANCEL_ROUNDS):
         remaining = asyncio.all_tasks(loop)
         if not remaining:
--- a/passgate/errors/base.py
+++ b/passgate/errors/base.py
@@ -11,11 +11,11 @@
     """Whether a refused or failed request reached execution on a back end."""
 
     NOT_RUN = "not_run"
-    """No byte can have reached a back end, or the back end itself refused the request."""
+    """The request certainly did not run: it was not sent, or the back end refused it."""
     UNKNOWN = "unknown"
     """The request may or may not have run."""
     RAN = "ran"
-    """The back end reported that it executed the request."""
+    """The request counts as run, for example because a back end answered it."""
 
 
 class ErrorBody(msgspec.Struct, frozen=True, kw_only=True):
@@ -54,8 +54,8 @@
         Args:
             message: text for a person; the code by default.
             execution: whether the request ran, if it differs from the default of the class.
-            retry_after_s: time after which the caller may send the request again.
-            details: further values about the failure, kept as strings.
+            retry_after_s: time after which the caller may send the request again; None for no advice.
+            details: further values about the failure, which are converted to strings.
         """
         super().__init__(message or self.code)
         if execution is not None:
--- a/passgate/errors/peers.py
+++ b/passgate/errors/peers.py
@@ -12,7 +12,7 @@
 
 
 class PeerUnreachable(PeerError):
-    """No peer to call is known, or no connection to it could take the call."""
+    """No known peer could answer the call, or no connection to the peer could take the call."""
 
     code = "peer_unreachable"
     execution = ExecutionStatus.NOT_RUN
@@ -31,20 +31,20 @@
 
 
 class PeerMalformedFrame(PeerError):
-    """A peer sent a frame that is malformed, unknown, too large or out of order."""
+    """A peer sent a frame that can't be decoded or is unexpected, or uses another protocol version."""
 
     code = "peer_malformed_frame"
 
 
 class PeerCredentialRefused(PeerError):
-    """The credentials of two peers do not match."""
+    """The credentials of two peers differ, or only one of them has a credential."""
 
     code = "peer_credential_refused"
     execution = ExecutionStatus.NOT_RUN
 
 
 class PeerCallFailed(PeerError):
-    """The peer answered with an error, or a payload is too large; details give its ``peer_code``."""
+    """The called daemon answered with an error, or a payload is too large; details give the ``peer_code``."""
 
     code = "peer_call_failed"
 
--- a/passgate/errors/platform.py
+++ b/passgate/errors/platform.py
@@ -1,4 +1,4 @@
-"""Errors of the platform: its log, machine list and weight store, and orders to engines."""
+"""Errors of the log, of records on it, of orders to engines, and of other calls to the platform."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 
 class LogUnavailable(LogError):
-    """The log refused or could not be reached; an append certainly had no effect."""
+    """The log refused a call or could not be reached; callers take an append as certainly without effect."""
 
     code = "log_unavailable"
     execution = ExecutionStatus.NOT_RUN
 
 
 class LogAppendUnknown(LogError):
-    """The outcome of an append is unknown: no answer arrived, and the record may be on the log."""
+    """The outcome of an append is unknown: the record may be on the log, now or later."""
 
     code = "log_append_unknown"
 
@@ -32,13 +32,13 @@
 
 
 class LogGap(LogError):
-    """A read of the log returned records that do not directly follow the last applied one."""
+    """A read of the log returned records that do not directly follow the last applied one; not in use."""
 
     code = "log_gap"
 
 
 class DuplicateRecord(LogError):
-    """A record repeats an earlier record of its writer and has no effect."""
+    """A record has no effect, as its writer has already appended one with this or a higher sequence."""
 
     code = "duplicate_record"
 
@@ -50,13 +50,13 @@
 
 
 class MalformedRecord(LogError):
-    """A record of the log could not be decoded; it is skipped."""
+    """A record of the log could not be decoded; readers go on with the next record."""
 
     code = "malformed_record"
 
 
 class SupersededEpoch(PassgateError):
-    """A claim, record or order was rejected, as a later epoch or fencing token is current."""
+    """A claim, record or order was rejected: another holder, epoch, fencing token or state is current."""
 
     code = "superseded_epoch"
     http_status = 409
@@ -64,13 +64,13 @@
 
 
 class OrderRefused(PassgateError):
-    """An engine refused an order; details give the ``reason`` and the ``fence``."""
+    """An engine refused an order; details are those of its answer, among them ``reason`` and ``fence``."""
 
     code = "order_refused"
 
 
 class InvalidConfiguration(PassgateError):
-    """A configuration is inconsistent and is not applied; the active version stays."""
+    """A configuration or evacuation is invalid and is not applied; what was active before stays."""
 
     code = "invalid_configuration"
     http_status = 422
@@ -78,7 +78,7 @@
 
 
 class PlatformError(PassgateError):
-    """A call to the machine list or the weight store failed."""
+    """A call to the platform, for example to its machine list or weight store, failed."""
 
     code = "platform_error"
     http_status = 503
--- a/passgate/errors/requests.py
+++ b/passgate/errors/requests.py
@@ -16,13 +16,13 @@
 
 
 class MalformedBody(InvalidRequest):
-    """The body is not the expected JSON document; details may name the ``field``."""
+    """The body, or the value of a field in it, is malformed; details may name the ``field``."""
 
     code = "malformed_body"
 
 
 class PayloadTooLarge(InvalidRequest):
-    """The body is larger than the configured limit."""
+    """The body, or the lot that it would open, exceeds a size limit."""
 
     code = "payload_too_large"
     http_status = 413
@@ -36,7 +36,7 @@
 
 
 class BodyTimeout(InvalidRequest):
-    """The caller sent its body too slowly."""
+    """The body was not completely received before its timeout."""
 
     code = "body_timeout"
     http_status = 408
@@ -62,7 +62,7 @@
 
 
 class MalformedCredential(Unauthorized):
-    """The request's credential is not in the expected form, or the request carries several."""
+    """The request's credential is not in the expected form, or the request carries several credentials."""
 
     code = "malformed_credential"
 
@@ -74,27 +74,27 @@
 
 
 class NotFound(InvalidRequest):
-    """The named object does not exist."""
+    """Nothing exists under the requested name, identifier or path."""
 
     code = "not_found"
     http_status = 404
 
 
 class NoMatchingPool(NotFound):
-    """No configured pool matches the selector."""
+    """No configured pool has the requested name, or matches the selector, role and model."""
 
     code = "no_matching_pool"
 
 
 class KeyReused(InvalidRequest):
-    """The idempotency key was used for a different request before."""
+    """The idempotency key or lot identifier was used for a different request before."""
 
     code = "key_reused"
     http_status = 422
 
 
 class RevisionConflict(InvalidRequest):
-    """A concurrent change of the configuration took effect first; details name its ``revision``."""
+    """A configuration object is not at the expected revision; details give its ``revision``, 0 for none."""
 
     code = "revision_conflict"
     http_status = 409
@@ -112,20 +112,20 @@
 
 
 class Overloaded(Refused):
-    """A queue is full, or the expected wait exceeds the deadline."""
+    """Too many requests are queued or in flight, or the wait in the queue would be or was too long."""
 
     code = "overloaded"
     http_status = 429
 
 
 class NoReplicaAvailable(Refused):
-    """No live replica of the pool can take the request."""
+    """No replica can take the request, or all that were tried refused it or could not be reached."""
 
     code = "no_replica_available"
 
 
 class NoReplicaInRegions(NoReplicaAvailable):
-    """No live replica in the allowed regions can take the request; replicas elsewhere are not tried."""
+    """No replica in the request's allowed regions can take it; replicas elsewhere are not tried."""
 
     code = "no_replica_in_regions"
 
@@ -137,7 +137,7 @@
 
 
 class RequestQuarantined(Refused):
-    """The request is quarantined: replicas crashed while they ran it, so it is not sent for a while."""
+    """The request is not sent for a while, because too many replicas crashed while they ran it."""
 
     code = "request_quarantined"
 
@@ -149,7 +149,7 @@
 
 
 class BodiesElsewhere(NotReady):
-    """The job's bodies may not be stored in this daemon's region; a daemon elsewhere holds them."""
+    """This daemon's region may not hold the job's bodies; daemons in the allowed regions may."""
 
     code = "bodies_elsewhere"
 
@@ -161,7 +161,7 @@
 
 
 class DurabilityUnavailable(Refused):
-    """The log is unavailable for a record or a read that the request needs; the request does not run."""
+    """The request is not run, as the log did not confirm a record or could not be read."""
 
     code = "durability_unavailable"
 
@@ -189,7 +189,7 @@
 
 
 class BackendUnreachable(ExecutionFailed):
-    """The connection to the back end failed; ``execution`` tells whether the request may have run."""
+    """No usable answer came from the back end; ``execution`` tells whether the request may have run."""
 
     code = "backend_unreachable"
 
@@ -201,13 +201,13 @@
 
 
 class SendTooLate(SendForbidden):
-    """The permit to send had expired when the connection was ready; nothing was sent."""
+    """The latest time to send, set by a permit, passed before the connection was ready; nothing was sent."""
 
     code = "send_too_late"
 
 
 class IncompleteAnswer(ExecutionFailed):
-    """The answer is incomplete: it ended early, has a wrong length or can not be decoded."""
+    """The answer ended early, stalled or is invalid, or an attempt of an item got an error status."""
 
     code = "incomplete_answer"
 
@@ -225,33 +225,33 @@
 
 
 class VersionNotReported(ExecutionFailed):
-    """The engine did not report the weight version of a part of its output."""
+    """A part of an output, or a sample, names no version of the weights that made it."""
 
     code = "version_not_reported"
 
 
 class VersionTooOld(ExecutionFailed):
-    """The engine used a weight version older than the request accepts."""
+    """The replica's weights, or those that made a part of the output, are older than the request accepts."""
 
     code = "version_too_old"
 
 
 class DeadlineExceeded(ExecutionFailed):
-    """The deadline of the request passed; ``execution`` tells whether it ran."""
+    """The deadline of a request or of a wait passed; ``execution`` tells whether the request may have run."""
 
     code = "deadline_exceeded"
     http_status = 504
 
 
 class Cancelled(ExecutionFailed):
-    """The caller cancelled the request."""
+    """The caller closed its connection before it was answered."""
 
     code = "cancelled"
     http_status = 499
 
 
 class RequestInProgress(PassgateError):
-    """A request with the same idempotency key is still running."""
+    """Another call with the same idempotency key holds the claim to the request or has completed it."""
 
     code = "request_in_progress"
     http_status = 409
@@ -265,7 +265,7 @@
 
 
 class SampleWithdrawn(PassgateError):
-    """A sample that was delivered before now exceeds the staleness limit."""
+    """A sample that was delivered before now exceeds the staleness limit; not in use."""
 
     code = "sample_withdrawn"
     http_status = 409
--- a/passgate/errors/tools.py
+++ b/passgate/errors/tools.py
@@ -18,12 +18,12 @@
 
 
 class IllegalTransition(PassgateError):
-    """The current state of a chart accepts no such event; details name ``chart``, ``state`` and ``event``."""
+    """A chart's state has no transition for an event; details name ``chart``, ``state`` and ``event``."""
 
     code = "illegal_transition"
 
 
 class VerificationFailed(PassgateError):
-    """A check found a violated property or an outdated file."""
+    """A check did not confirm what it must, for example because a property is violated or a file is old."""
 
     code = "verification_failed"
--- a/passgate/explain.py
+++ b/passgate/explain.py
@@ -1,7 +1,8 @@
 """Implements ``passgate explain ID``: explains one request, job or item from the daemons' decision logs.
 
-Reads the decision lines of any number of daemons, also with a prefix that another tool has added, shows the
-lines with the identifier in order of time, and states the result or the cause of the failure.
+Reads decision lines of any number of daemons, with or without a prefix that another tool has added to each.
+Shows the lines that contain the identifier, in order of time, and states the result or the cause of the
+failure.
 
 >>> lines = ['{"time":1.0,"daemon":"d","event":"forward_sent","request_id":"r","replica_id":"e"}',
 ...          '{"time":1.2,"daemon":"d","event":"forward_ended","request_id":"r","status":504,'
@@ -25,17 +26,17 @@
 from passgate.gateway.access import TENANT_SEPARATOR
 
 LogLine = dict[str, Any]
-"""A decoded decision line; its fields are those of an event of :mod:`passgate.decisions`."""
+"""A decoded decision line: an event of :mod:`passgate.decisions`, with the fields that all lines have."""
 
 ID_FIELDS = ("request_id", "job_id", "item_id", "replica_id", "fingerprint")
-"""Fields in which an identifier is looked for."""
+"""Fields whose value may be the identifier to explain."""
 COMMON_FIELDS = frozenset({"time", "up", "daemon", "event"})
-"""Fields of all events, which are not printed among an event's own fields."""
+"""Fields that all lines have; they are not printed among an event's own fields."""
 FIRST_ERROR_STATUS = 400
 REWARD_EVENTS = frozenset({"reward_sent", "reward_failed"})
 
 REWARD_ANSWERED_500 = "the replica answered 500"
-"""Reason that a ``reward_failed`` line gives for this answer."""
+"""Reason in a ``reward_failed`` line for an answer with status 500."""
 DESCRIPTION_BY_CODE = {
     "no_replica_available": "replicas were full, set aside or not known; nothing ran",
     "no_replica_in_regions": "no replica of the allowed regions could take it; nothing ran",
@@ -48,19 +49,19 @@
     "unknown_key": "the request's API key belongs to no tenant of the active configuration; nothing ran",
     "no_route": "no route of the active configuration matches",
     "log_unavailable": "the log refused or could not be reached; the job never runs",
-    "durability_unknown": "the answer of the log was lost; the job may run",
+    "durability_unknown": "the log did not confirm the job in time; the job may run",
     "malformed_body": "the body is not a batch job",
-    "backend_refused": "the replica was full or loading",
+    "backend_refused": "the replica refused the request, for example as it was full or loading",
     "replica_replaced": "a different replica listens at the replica's address",
     "send_forbidden": "nothing was sent: the replica is draining, or a rule excludes it",
     "send_too_late": "nothing was sent: the permit for a cold replica expired before the connection was open",
-    "incomplete_answer": "the stream ended early or no data arrived for too long",
+    "incomplete_answer": "the answer ended early, stalled, was invalid or had an error status",
     "version_too_old": "the replica's weights were older than the job allows",
-    "moved_elsewhere": "another replica was much faster",
+    "moved_elsewhere": "another replica was faster",
     "answer_mismatch": "the answer belonged to another request",
     REWARD_ANSWERED_500: "the scorer failed; as many of these as the routes allow end the item",
 }
-"""Error code, or other reason in a decision line, to its description for an operator."""
+"""Description for an operator, by error code or other reason in a decision line."""
 
 
 class Explanation(msgspec.Struct, frozen=True, kw_only=True):
@@ -73,9 +74,9 @@
 
 
 def parse_lines(raw_lines: Iterable[str]) -> list[LogLine]:
-    """Return the decision lines; any other line is skipped.
+    """Return the decision lines: those that from their first ``{`` on are an object with the key ``event``.
 
-    The key ``_order`` of each holds the time by which lines are sorted.
+    The key ``_order`` that is added to each holds the time by which lines are sorted.
     """
     found = []
     for raw_line in raw_lines:
@@ -94,7 +95,7 @@
 
 
 def _time_of_prefix(prefix: str, default: float) -> float:
-    """Return the time at the start of a prefix, which is from one clock for the lines of all daemons."""
+    """Return the number that a prefix begins with: a time by one clock for all lines; else ``default``."""
     first = prefix.split(None, 1)[0] if prefix.strip() else ""
     try:
         return float(first)
@@ -103,7 +104,7 @@
 
 
 def explain(identifier: str, raw_lines: Iterable[str]) -> Explanation:
-    """Explain an identifier; raises InvalidRequest when no line holds it."""
+    """Explain an identifier; raises InvalidRequest when no line contains it."""
     lines = parse_lines(raw_lines)
     matching = [line for line in lines if any(_has_identifier(line, name, identifier) for name in ID_FIELDS)]
     if not matching:
@@ -115,7 +116,7 @@
 
 
 def _has_identifier(line: LogLine, field: str, identifier: str) -> bool:
-    """Whether a line's field holds an identifier; that of a job may follow the name of its tenant."""
+    """Whether a line's field is the identifier; in ``job_id``, the tenant's name may precede it."""
     value = line.get(field)
     return value == identifier or (
         field == "job_id" and str(value).endswith(f"{TENANT_SEPARATOR}{identifier}")
@@ -146,7 +147,7 @@
 
 
 def _describe_code(code: str) -> str:
-    """Return the description of an error code, which a message may follow; the code itself if it has none."""
+    """Return the description of the code with which a reason begins; the code itself if it has none."""
     code_alone = code.partition(":")[0]
     return DESCRIPTION_BY_CODE.get(code_alone, code_alone or "no reason was given")
 
@@ -167,7 +168,7 @@
 
 
 def _fingerprint_verdict(matching: list[LogLine]) -> str:
-    """Summarize the failed attempts of all requests with the same content."""
+    """Summarize the failed attempts of callers' requests with the same content."""
     failures = [line for line in matching if line["event"] == "attempt_failed"]
     request_ids = {line["request_id"] for line in failures}
     replicas = ", ".join(dict.fromkeys(line["replica_id"] for line in failures))
@@ -227,11 +228,11 @@
 
 
 def run(identifier: str, *files: str) -> None:
-    """Print the decision lines about one request, job or item, and the cause of its failure.
+    """Print the decision lines that contain an identifier, and the result or the cause of a failure.
 
     Args:
         identifier: identifier of a request, job, item or replica, or a request's fingerprint.
-        files: log files; ``-`` or none means standard input.
+        files: log files; ``-`` means standard input, which is also read if no file is given.
     """
     raw_lines: list[str] = []
     for file in files or ("-",):
--- a/passgate/logging_setup.py
+++ b/passgate/logging_setup.py
@@ -24,10 +24,10 @@
 def configure_logging(level: str, daemon_id: str, stream: TextIO | None = None) -> logging.Logger:
     """Replace the handlers of the root logger by one that writes JSON lines; return passgate's logger.
 
-    Tornado's access and general lines below ERROR are dropped, as requests are counted as metrics.
+    Lines of ``tornado.access`` and ``tornado.general`` below ERROR are dropped: metrics count the requests.
 
     Args:
-        level: lowest level of passgate's lines; other libraries log from WARNING on.
+        level: lowest level of passgate's lines; libraries other than Tornado log from WARNING on.
         daemon_id: identifier of the daemon, part of each line.
         stream: where the lines are written; standard error by default.
     """
@@ -53,6 +53,6 @@
 def log_state_change(
     logger: logging.Logger, change: str, level: int = logging.INFO, **fields: object
 ) -> None:
-    """Log one change of state with its fields; fields that hold a credential are left out."""
+    """Log one change of state with its fields; a field whose value is a ``Credential`` is left out."""
     shown = {name: value for name, value in fields.items() if not isinstance(value, Credential)}
     logger.log(level, change, extra=shown)
--- a/passgate/metrics.py
+++ b/passgate/metrics.py
@@ -1,4 +1,4 @@
-"""Prometheus metrics of the daemon of ``passgate serve``, in a registry of their own.
+"""Prometheus metrics of a daemon of ``passgate serve``, by default in a registry of their own.
 
 >>> metrics = DaemonMetrics()
 >>> metrics.requests.labels(port="caller", route="completions", status="200").inc()
@@ -36,7 +36,7 @@
 
 
 class DaemonMetrics:
-    """Metrics of the HTTP servers of one daemon; their names and labels are part of its public interface."""
+    """Metrics of one daemon; their names and labels are part of passgate's public interface."""
 
     def __init__(self, registry: CollectorRegistry | None = None) -> None:
         self.registry = registry or CollectorRegistry()
@@ -89,5 +89,5 @@
         )
 
     def exposition(self) -> bytes:
-        """Return all metrics in the text format of Prometheus."""
+        """Return all metrics of the registry in the text format of Prometheus."""
         return generate_latest(self.registry)
--- a/passgate/statecharts.py
+++ b/passgate/statecharts.py
@@ -28,7 +28,7 @@
 """File of the compiled charts; written by ``python -m passgate.charts.compiler``."""
 
 TransitionTable = dict[str, dict[str, str]]
-"""Leaf state to event to the next leaf state."""
+"""Next leaf state by event, by current leaf state."""
 
 
 class Chart(msgspec.Struct, frozen=True, kw_only=True):
@@ -39,9 +39,9 @@
     initial: str
     """Initial leaf state."""
     table: TransitionTable
-    """Transitions; has a key for each leaf state, also for those without transitions."""
+    """Transitions; has a key for each leaf state, even for a state without transitions."""
     ancestors: dict[str, frozenset[str]]
-    """Leaf state to itself and the states that enclose it."""
+    """Set of the leaf state itself and all states that enclose it, by leaf state."""
     final_states: frozenset[str]
 
     def events(self) -> list[str]:
@@ -108,7 +108,7 @@
         return event in self._chart.table[self.state]
 
     def within(self, state: str) -> bool:
-        """Return whether the machine is in ``state`` or in a state nested in it."""
+        """Return whether the machine is in ``state`` or in a state nested in ``state``."""
         return state in self._chart.ancestors[self.state]
 
     @property
