--- a/passgate/decisions/__init__.py
+++ b/passgate/decisions/__init__.py
@@ -1,8 +1,8 @@
 """Decision log: one JSON line on standard output for each decision, with its inputs and its outcome.
 
 Each kind of event is a struct of its own.  Events are buffered, written without waiting for the reader, and
-limited to a number of lines a second.  Events beyond that are dropped and their number is logged; routine
-events are dropped before those that explain failures.
+limited to an average number of lines a second.  Events beyond the limit are dropped, routine ones first, and
+their number is written as an event of its own.
 
 >>> lines = []
 >>> log = DecisionLog("d1", write=lambda data: lines.append(data) or len(data), now=lambda: 5.0)
--- a/passgate/decisions/base.py
+++ b/passgate/decisions/base.py
@@ -10,7 +10,7 @@
 
     @property
     def is_routine(self) -> bool:
-        """Whether the event is part of normal operation; such events are dropped first."""
+        """Whether the event is part of normal operation; routine events are dropped first."""
         return False
 
     @property
--- a/passgate/decisions/cold_events.py
+++ b/passgate/decisions/cold_events.py
@@ -1,4 +1,4 @@
-"""Events about cold replicas and the permits to send to them."""
+"""Events about cold replicas, and about permits, each of which allows one request to a cold replica."""
 
 from __future__ import annotations
 
@@ -6,21 +6,21 @@
 
 
 class ColdReplicasChanged(Event, tag="cold_replicas_changed"):
-    """The set of replicas that this daemon takes to be cold has changed; reported at most once a second."""
+    """This daemon's set of cold and possibly cold replicas has changed; reported at most once a second."""
 
     cold: int
-    """Number of cold replicas."""
+    """Number of cold and possibly cold replicas."""
     replicas: tuple[str, ...]
-    """Identifiers of the first few cold replicas, sorted."""
+    """Sorted identifiers of these replicas; the first few if there are many."""
     log_age_ms: float
     """Age of this daemon's view of the log."""
 
 
 class PermitIssuingStarted(Event, tag="permits_began"):
-    """This daemon has led for long enough that it may issue permits from now on."""
+    """This daemon may issue permits from now on: it has led for long enough that earlier permits expired."""
 
     fence: int
-    """Fencing token of its leadership."""
+    """Fencing token of this daemon's leadership."""
 
 
 class PermitCountsReported(Event, tag="permits_counted"):
@@ -30,18 +30,18 @@
     """
 
     given: int
-    """Permits that this daemon issued, to itself included."""
+    """Number of permits that this daemon issued, including those that it issued to itself."""
     refused: int
-    """Permit requests that this daemon answered without issuing any."""
+    """Number of permit requests that this daemon answered as leader without issuing a permit."""
     got: int
-    """Permits that this daemon received."""
+    """Number of permits that this daemon received, including those that had expired on arrival."""
     used: int
-    """Permits that this daemon used for a request."""
+    """Number of permits that this daemon used, each for one request."""
     expired: int
-    """Permits that expired before this daemon used them."""
+    """Number of permits that expired before this daemon used them."""
     wanting: int
-    """Permit requests of this daemon that were answered without any permit."""
+    """Number of this daemon's permit requests that the leader answered without a permit."""
     unanswered: int
-    """Permit requests of this daemon that no leader answered."""
+    """Number of this daemon's requests, for permits or the list of cold replicas, that no leader answered."""
     leader: str
-    """Address of the daemon that answered the last permit request as leader; empty if none did."""
+    """Address of the daemon that answered this daemon's last request as leader; empty if none did."""
--- a/passgate/decisions/daemon_events.py
+++ b/passgate/decisions/daemon_events.py
@@ -6,27 +6,27 @@
 
 
 class DaemonStarted(Event, tag="daemon_started"):
-    """A daemon has begun to run."""
+    """A daemon has started; it is not ready yet."""
 
     start_id: str
     """Random identifier of this incarnation of the daemon."""
     zone: str
     scaling_policy: str = ""
-    """Policy by which replicas are ordered; empty where the platform takes no orders of replicas."""
+    """Policy for the number of replicas to order; empty where the daemon has no singleton duties."""
 
 
 class DaemonStopping(Event, tag="daemon_stopping"):
     """A graceful shutdown has begun."""
 
     in_flight: int
-    """Callers' requests in flight."""
+    """Number of callers' requests in flight."""
 
 
 class DaemonStopped(Event, tag="daemon_stopped"):
-    """A graceful shutdown has drained the requests in flight or has reached its time limit."""
+    """A graceful shutdown no longer waits for requests: they are finished, or its time limit is reached."""
 
     in_flight: int
-    """Callers' requests still in flight."""
+    """Number of callers' requests still in flight, which will be cut off."""
     after_s: float
     """Time since the shutdown began."""
 
@@ -39,16 +39,16 @@
 
 
 class DependencyLost(Event, tag="dependency_lost"):
-    """A dependency has been unavailable for too long."""
+    """This daemon's view of a dependency has become so old that the dependency counts as lost."""
 
     dependency: str
     """Name of the dependency; ``log`` is the only one."""
     age_s: float
-    """Age of the last view that was read from it."""
+    """Age of this daemon's view of the dependency."""
 
 
 class DependencyRegained(Event, tag="dependency_regained"):
-    """A lost dependency is available again."""
+    """A lost dependency has been read again."""
 
     dependency: str
 
@@ -57,6 +57,7 @@
     """A record on the log could not be decoded and was skipped."""
 
     offset: int
+    """Offset of the record; -1 when it is unknown."""
     reason: str
 
 
@@ -65,7 +66,7 @@
 
     version: int
     routes: int
-    """Number of its routes."""
+    """Number of the configuration's routes."""
 
 
 class ConfigurationReceivedFromPeer(Event, tag="configuration_learned"):
@@ -89,13 +90,13 @@
 
 
 class ZoneEvacuated(Event, tag="zone_evacuated"):
-    """The operator evacuates a zone: this daemon sends nothing more to its replicas."""
+    """The operator evacuates a zone: this daemon sends nothing more to replicas there."""
 
     zone: str
     source: str
-    """``log``, or ``peer`` when another daemon reported it."""
+    """Source of the view: ``log``, or ``peer`` when another daemon sent it."""
     peer: str
-    """Address of that daemon; empty when the source is the log."""
+    """Address of the other daemon; empty when the source is the log."""
     age_ms: float
     """Age of the peer's view; 0 when the source is the log."""
     offset: int
@@ -113,47 +114,49 @@
 
 
 class ReplicaChanged(Event, tag="replica_changed"):
-    """Discovery reports another state of a replica than before."""
+    """A replica's entry in discovery appeared, changed its state, or disappeared."""
 
     replica_id: str
     service: str
     state: str
+    """``ready``, ``draining``, ``restarted``, ``gone``, or ``lapsed`` (perhaps gone only by a log outage)."""
 
 
 class DiscoveryEntryRejected(Event, tag="entry_unusable"):
-    """An entry of discovery was not used, as it describes no usable replica; reported at a limited rate."""
+    """Entries of discovery were not used, as they describe no usable replica; reported at a limited rate."""
 
     key: str
-    """Key of the entry, possibly cut short."""
+    """Key of the last of these entries, possibly cut short."""
     reason: str
+    """Why the last entry is not usable, possibly cut short."""
     entries: int
-    """Number of such entries since the last event of this kind, including this one."""
+    """Number of unusable entries since the last event of this kind, including the last one."""
 
 
 class RelayRoleChanged(Event, tag="relay_changed"):
-    """This daemon has begun or ended to relay the list of replicas to other daemons."""
+    """This daemon has started or stopped relaying: copying discovery's list to the log for other daemons."""
 
     relaying: bool
     replicas: int
-    """Number of replicas that it knows."""
+    """Number of replicas that this daemon knows."""
 
 
 class DiscoveryLoaded(Event, tag="discovery_loaded"):
     """This daemon has read the whole list of replicas for the first time."""
 
     source: str
-    """``direct`` when it reads discovery itself, or ``relayed``."""
+    """``direct``, or ``relayed`` if the daemon uses relays; it may still have read discovery itself."""
     replicas: int
-    """Number of replicas on the list."""
+    """Number of usable replicas on the list."""
     elapsed_ms: float
     """Time since the reading began."""
 
 
 class PartitionsAssigned(Event, tag="partitions_held"):
-    """The log's group has assigned other partitions of jobs to this daemon."""
+    """The partitions of jobs that the log's group assigns to this daemon have changed."""
 
     generation: int
-    """Generation of the group; 0 when this daemon has left it."""
+    """Generation of the group; 0 when this daemon has left the group."""
     parts: tuple[int, ...]
     """Numbers of the assigned partitions."""
 
--- a/passgate/decisions/job_events.py
+++ b/passgate/decisions/job_events.py
@@ -1,4 +1,4 @@
-"""Events of batch jobs, their items and the reward calls of items."""
+"""Events of batch jobs, of their items, and of reward calls, which score an item's complete output."""
 
 from __future__ import annotations
 
@@ -6,18 +6,18 @@
 
 
 class JobAccepted(Event, tag="job_accepted"):
-    """A batch job is on the log and was accepted."""
+    """A batch job was accepted, as it is on the log."""
 
     job_id: str
     items: int
-    """Number of its items."""
+    """Number of the job's items."""
     offset: int
-    """Offset of its last record; -1 when it was on the log already or another daemon appended it."""
+    """Offset of the job's last record; -1 when it was on the log before or another daemon appended it."""
     elapsed_ms: float
 
 
 class JobBodiesUnusable(Event, tag="job_bodies_lost"):
-    """The bodies of a region-restricted job are unusable: they can not be decoded or do not fit its items."""
+    """The bodies of a region-restricted job were deleted, can't be decoded or don't match its items."""
 
     job_id: str
     reason: str
@@ -28,7 +28,7 @@
 
     job_id: str
     epoch: int
-    """Ownership epoch that the release begins."""
+    """Number of the ownership that the release begins; each claim and release increases it by one."""
 
 
 class JobAcceptFailed(Event, tag="job_accept_failed"):
@@ -42,18 +42,19 @@
 
 
 class JobOwnershipClaimed(Event, tag="job_owned"):
-    """This daemon's claim to own a job is on the log; the first claim of an epoch takes effect."""
+    """This daemon's claim to own a job is on the log; the first claim with an epoch takes effect."""
 
     job_id: str
     epoch: int
-    """Ownership epoch of the claim."""
+    """Number of the ownership that the claim begins, if it is the first with this number."""
     previous_owner: str
+    """Writer name of the previous owner; empty if the job had none."""
     silent_s: float
-    """Time for which the log showed no record of the previous owner."""
+    """Time without a record of the previous owner, since its ownership began at the earliest."""
 
 
 class ItemSent(Event, tag="item_sent"):
-    """An attempt of an item was sent to a replica."""
+    """An attempt of an item was started at a replica."""
 
     job_id: str
     item_id: str
@@ -61,7 +62,7 @@
     attempt: int
     """Number of the attempt, beginning with 1."""
     events_kept: int
-    """Events of earlier attempts after which the output is resumed."""
+    """Number of events of the output so far; the attempt resumes after them."""
 
     @property
     def is_routine(self) -> bool:
@@ -70,7 +71,7 @@
 
 
 class ItemFailed(Event, tag="item_failed"):
-    """An attempt of an item ended without its complete output."""
+    """An attempt of an item was not sent, or ended without the item's complete output."""
 
     job_id: str
     item_id: str
@@ -78,11 +79,11 @@
     reason: str
     """Code of the error and its message."""
     events_kept: int
-    """Events of the output that the next attempt may resume after."""
+    """Number of events of the output so far; the next attempt may resume after them."""
 
 
 class RewardSent(Event, tag="reward_sent"):
-    """An attempt of the reward call of an item, whose output is complete, was sent to a replica."""
+    """An attempt of an item's reward call was started at a replica."""
 
     job_id: str
     item_id: str
@@ -99,7 +100,7 @@
 
 
 class RewardFailed(Event, tag="reward_failed"):
-    """An attempt of a reward call returned no score."""
+    """An attempt of a reward call was not sent, or returned no score."""
 
     job_id: str
     item_id: str
@@ -112,7 +113,7 @@
 
 
 class ItemResultRecorded(Event, tag="item_listed"):
-    """The result of an item was put to the log, which adds it to the job's results."""
+    """A result of an item was queued for the log; on the log, the first result of each item counts."""
 
     job_id: str
     item_id: str
@@ -120,49 +121,50 @@
     versions: tuple[int, ...]
     """Versions of the weights that produced the output."""
     attempts: int
-    """Attempts that this daemon sent."""
+    """Number of attempts of the item that this daemon started."""
     elapsed_ms: float
+    """Time since this daemon started the item; for an expired item, since it read the job."""
     scored: bool = False
     """Whether the result holds the score of its reward call."""
 
     @property
     def is_routine(self) -> bool:
-        """Whether the item succeeded with at most one attempt."""
+        """Whether the item succeeded with at most one attempt of this daemon."""
         return self.state == "succeeded" and self.attempts <= 1
 
 
 class JobGroupsCompleted(Event, tag="job_whole"):
-    """The groups of items that the caller of a job waits for are complete.
+    """As many item groups of a job as its caller waits for are complete; written by the job's owner.
 
-    Times begin when this daemon has read the job.  The fields from ``last_item`` on are about the item whose
-    result completed the last of these groups.
+    Times are counted from when this daemon read the job.  The fields from ``last_item`` on are about the item
+    whose result completed the last of the groups.
     """
 
     job_id: str
     model: str
     step: int
     items: int
-    """Number of all items of the job."""
+    """Number of the job's items in all groups."""
     whole_ms: float
     """Time until the groups were complete."""
     all_sent_ms: float
-    """Time until the first attempt of the last item was sent, of the items that were sent at all."""
+    """Time until this daemon had sent each item of which it sent an attempt; 0 if it sent none."""
     failures: dict[str, int]
-    """Error code to the number of attempts of all items that ended without complete output."""
+    """Number of failed attempts of all items at this daemon, by error code."""
     last_item: str
-    """Identifier of the item."""
+    """Identifier of the item that completed the last group."""
     waited_ms: float
-    """Time until its first attempt was sent."""
+    """Time until the item's first attempt was sent."""
     first_event_ms: float
-    """Time from then until its first event."""
+    """Time from the item's first attempt to its first event."""
     events: int
-    """Events that this daemon received; an earlier owner or job may have received others."""
+    """Number of events that this daemon received; an earlier owner or job may have received others."""
     events_ms: float
-    """Time from its first to its last event, without ``stalled_ms``."""
+    """Time from the item's first to its last event, without ``stalled_ms``."""
     stalled_ms: float
     """Sum of the times from the last event of an attempt to the first event of the next."""
     attempts: int
-    """Attempts that this daemon sent."""
+    """Number of the item's attempts that this daemon sent."""
 
 
 class JobResultsRead(Event, tag="job_read"):
@@ -170,7 +172,7 @@
 
     job_id: str
     position: int
-    """Position in the results from which on they were read."""
+    """Position of the first result that the caller asked for."""
     results: int
     """Number of results in the answer."""
     total: int
@@ -179,22 +181,22 @@
 
     @property
     def is_routine(self) -> bool:
-        """Always true."""
+        """Whether the event is routine, which it always is."""
         return True
 
 
 class JobEnded(Event, tag="job_ended"):
-    """A job was ended by its caller, or had ended before."""
+    """A caller has cancelled a job, or repeated the cancellation of a job."""
 
     job_id: str
     listed: int
-    """Number of its results."""
+    """Number of the job's results."""
     total: int
-    """Number of its items."""
+    """Number of the job's items."""
 
 
 class JobEndUnconfirmed(Event, tag="job_end_failed"):
-    """A caller's request to end a job has failed; it may take effect nevertheless."""
+    """A caller's request to cancel a job has failed; it may still take effect unless the job is not found."""
 
     job_id: str
     reason: str
--- a/passgate/decisions/log.py
+++ b/passgate/decisions/log.py
@@ -16,17 +16,17 @@
 MAX_BURST_LINES = 240.0
 """Size of the token bucket."""
 IMPORTANT_RESERVE_SHARE = 0.5
-"""Share of the token bucket that routine events must leave to all others."""
+"""Share of the token bucket that routine events must leave for all other events."""
 MAX_BUFFER_BYTES = 256 * 1024
-"""Size of the buffer of unwritten lines beyond which events are dropped."""
+"""Size of the buffer of unwritten lines; while the buffer is larger, events are dropped."""
 STDOUT_FD = 1
 
 
 def _write_stdout(data: bytes) -> int:
     """Write to standard output; return the number of bytes written, 0 when the reader is too slow.
 
-    Standard output must be in non-blocking mode, as a slow reader would else block the event loop.  Data for
-    a closed or broken standard output counts as written, so that it is discarded.
+    Standard output must be in non-blocking mode, as otherwise a slow reader blocks the event loop.  Data for
+    a closed or broken standard output counts as written and is lost.
     """
     try:
         return os.write(STDOUT_FD, data)
@@ -56,7 +56,7 @@
             write: writes as many bytes as it can without blocking and returns their number.
             now: returns seconds since the machine was booted, suspensions included.
             wall_clock: returns the Unix time in seconds.
-            lines_per_s: lines a second that may be written on average.
+            lines_per_s: lines a second that may be written on average, besides those about dropped lines.
             observe: called with each event, also with those that are dropped.
         """
         self._write = write
--- a/passgate/decisions/request_events.py
+++ b/passgate/decisions/request_events.py
@@ -7,7 +7,7 @@
 
 
 class ForwardSent(Event, tag="forward_sent"):
-    """An attempt of a request was sent to a replica."""
+    """An attempt of a request is about to be sent to a replica; the send may still fail or be refused."""
 
     request_id: str
     route: str
@@ -15,7 +15,7 @@
     attempt: int
     """Number of the attempt, beginning with 1."""
     in_flight: int
-    """Requests of this daemon in flight at the replica."""
+    """Number of other requests of this daemon in flight at the replica."""
 
     @property
     def is_routine(self) -> bool:
@@ -24,7 +24,7 @@
 
 
 class AttemptFailed(Event, tag="attempt_failed"):
-    """A replica did not completely answer a request that was sent to it."""
+    """An attempt of a request failed: it was not sent, or the replica did not answer it completely."""
 
     request_id: str
     route: str
@@ -39,21 +39,21 @@
 
     @property
     def is_routine(self) -> bool:
-        """Whether the request certainly did not run, as after a refusal."""
+        """Whether the attempt certainly did not run, for example as the replica refused it."""
         return self.execution == ExecutionStatus.NOT_RUN.value
 
 
 class ForwardEnded(Event, tag="forward_ended"):
-    """A request got its final answer."""
+    """A request ended, with an answer or an error."""
 
     request_id: str
     route: str
     status: int
-    """HTTP status of the answer."""
+    """HTTP status of the answer, or of the error that ended a stream after its head was sent."""
     reason: str
-    """Code of the error; empty for an answer of a replica."""
+    """Code or text of the error; empty for an answer of a replica."""
     replicas: tuple[str, ...]
-    """Identifiers of the replicas to which it was sent, in order."""
+    """Identifiers of the replicas of all attempts, in order; some attempts may not have been sent."""
     elapsed_ms: float
 
     @property
@@ -63,44 +63,45 @@
 
 
 class RequestRefused(Event, tag="request_refused"):
-    """A request was answered with an error before any replica was chosen."""
+    """A request matched no route or had no valid API key, so it was not sent to a replica."""
 
     request_id: str
     path: str
     """Path of the request, possibly cut short."""
     status: int
-    """HTTP status of the answer."""
+    """HTTP status of the answer; but while the configuration may be stale, the answer has 503 instead."""
     reason: str
+    """Code of the error."""
     configuration_version: int
     """Version of the active configuration."""
 
 
 class ReplicaCrashed(Event, tag="replica_crashed"):
-    """A replica crashed while it ran a request of this daemon."""
+    """A replica has exited after this daemon sent it a request or a load order; it counts as crashed."""
 
     replica_id: str
     fingerprint: str
     """Digest of the request's content."""
     crashes: int
-    """Number of replicas that crashed while they ran such a request, as far as this daemon knows."""
+    """Number of crash reports in effect for the fingerprint at this daemon, one per replica incarnation."""
 
 
 class CrashReportReceived(Event, tag="crash_reported"):
-    """Another daemon has reported that a replica crashed while it ran a request."""
+    """This daemon received a crash report that it did not know: a replica crashed while it ran a request."""
 
     replica_id: str
     fingerprint: str
     """Digest of the request's content."""
     source: str
-    """``log``, or ``peer`` while the log does not answer this daemon."""
+    """``log``, or ``peer`` when another daemon sent the report directly."""
     crashes: int
-    """Number of replicas that crashed while they ran such a request, as far as this daemon knows."""
+    """Number of crash reports in effect for the fingerprint at this daemon, one per replica incarnation."""
     age_ms: float
-    """Age of the report by the wall clocks of both daemons; clock skew falsifies it."""
+    """Age of the report by the wall clocks of both daemons, so clock skew makes it wrong."""
 
 
 class CrashReportCleared(Event, tag="crash_reports_cleared"):
-    """A crash report was cleared: it is no longer in effect."""
+    """This daemon cleared a crash report, because the request was answered or the replica lives."""
 
     replica_id: str
     fingerprint: str
@@ -109,22 +110,23 @@
 
 
 class IsolatedRunStarted(Event, tag="last_chance_begun"):
-    """A request that one more crash would quarantine begins an isolated run at a replica, or yields there.
+    """Whether a request that one more crash would quarantine may begin its isolated run at a replica.
 
-    At most one such request runs at a replica at a time, so that a crash is attributed to the right one.
+    An isolated run gives way to one announced earlier at the same replica, so that a crash is attributed to
+    the right request.  Ordinary requests may run beside it.
     """
 
     replica_id: str
     fingerprint: str
     """Digest of the request's content."""
     announced: bool
-    """Whether its announcement to all daemons was read back from the log; if not, the log is slow or lost."""
+    """Whether its announcement was read back from the log in time; without that, the run begins anyway."""
     is_first: bool
-    """Whether the request runs there; if not, another one was announced earlier."""
+    """Whether the run may begin; if not, another one was announced earlier."""
 
 
 class ItemQuarantined(Event, tag="item_held"):
-    """An item is quarantined: it is sent to no replica for a while, as replicas crashed while they ran it."""
+    """An item is sent to no replica for a while, because too many replicas crashed while they ran it."""
 
     job_id: str
     item_id: str
