--- a/passgate/daemon/cold_permits.py
+++ b/passgate/daemon/cold_permits.py
@@ -1,7 +1,7 @@
 """Limits the request rate of cold replicas: computes the limits, and issues and obtains permits.
 
-A cold replica can not serve its full rate yet, for example just after its start.  Where its service has a
-limit, each request to it needs a permit.  The daemon that leads the control topic issues the permits to
+A cold replica can not serve its full rate yet, for example just after its start.  If its service has a limit,
+each request to the replica uses up a permit.  The daemon that leads the control topic issues the permits to
 all daemons.
 """
 
@@ -28,15 +28,15 @@
 from passgate.versions.control_topic import ControlTopic
 
 REPORT_INTERVAL_S = 1.0
-"""Least time between two decision lines about permits or about cold replicas."""
+"""Minimum time between two decision lines about permits, and between two about cold replicas."""
 MAX_REQUESTS_PER_S = 1_000_000.0
 """Upper bound of a limit, so that an infinite configured rate becomes a whole number."""
 MAX_LISTED_REPLICAS = 8
-"""Most replicas that one decision line names; the line also gives the total."""
+"""Maximum number of replicas that one decision line names; the line also gives the total."""
 
 
 class ColdRateLimits:
-    """Rate limit of a cold replica of each service, computed from the active configuration.
+    """Rate limits of cold replicas, one for each service, computed from the active configuration.
 
     >>> from passgate.gateway.routes import ColdStart, GatewayConfig, Service
     >>> config_holder = ConfigHolder()
@@ -85,13 +85,13 @@
 
     @property
     def has_limits(self) -> bool:
-        """Whether any service has a limit."""
+        """Whether any service of the active configuration has a limit."""
         self.limit_for("")
         return bool(self._limits)
 
 
 def _whole_requests_per_s(rate: float) -> int:
-    """Return a configured rate, which may be negative, infinite or no number, as whole requests a second.
+    """Return a rate, rounded down, as a whole number from 0 to MAX_REQUESTS_PER_S; not-a-number gives 0.
 
     >>> [_whole_requests_per_s(rate) for rate in (29.5, -1.0, math.nan, math.inf)]
     [29, 0, 0, 1000000]
@@ -100,7 +100,10 @@
 
 
 class ColdPermitService:
-    """Obtains this daemon's permits, issues permits while it leads, and reports both to the decision log."""
+    """Requests permits to send to cold replicas, and issues them to all daemons while this daemon leads.
+
+    Writes the permit counts and the set of cold replicas to the decision log.
+    """
 
     def __init__(
         self,
@@ -113,17 +116,17 @@
         log_age_s: Callable[[], float],
         decisions: DecisionLog,
     ) -> None:
-        """Set the limits of ``replicas`` and create the permit issuer and the exchange with peers.
+        """Set the limits of ``replicas``, and create the permit issuer and the client that requests permits.
 
         Args:
             settings: returns the current settings, which may be reloaded.
             config_holder: the active configuration.
-            replicas: the known replicas and this daemon's permits for them.
+            replicas: the known replicas, and this daemon's permits for cold ones.
             control: the control topic, whose leader issues permits.
             transport: sends permit requests to other daemons.
             directory: the group members of this daemon's zone.
             log_age_s: returns the age of this daemon's view of the log.
-            decisions: decision log.
+            decisions: the decision log.
         """
         self._replicas = replicas
         self._log_age_s = log_age_s
@@ -157,19 +160,19 @@
         self.peer_method = PERMITS_METHOD
         """Method name of the peer calls that :attr:`handle_peer_request` handles."""
         self.handle_peer_request = self._permit_client.handle_request
-        """Answers a permit request, given the sender's address and the encoded request.
+        """Returns the encoded response to a permit request, given the sender's address and the encoded request.
 
         Raises msgspec.DecodeError for a payload that is no permit request.
         """
 
     def _remaining_cold_ms(self) -> dict[str, int]:
-        """Return the identifier of each cold replica and the milliseconds until it counts as warm."""
+        """Return the milliseconds until each cold replica counts as warm, by replica ID."""
         now_s = monotonic_s()
         infos = [state.info for state in self._replicas.all()]
         remaining_s = {
             info.replica_id: self._replicas.cold_replicas.remaining_cold_s(info, now_s) for info in infos
         }
-        # An infinite time marks a possibly cold replica whose end is unknown; it is not passed on to peers.
+        # An infinite time, for a replica that is possibly cold without a known end, is left out.
         return {key: round(left_s * 1000) for key, left_s in remaining_s.items() if 0.0 < left_s < math.inf}
 
     async def run(self) -> None:
@@ -179,7 +182,7 @@
             group.create_task(self._run_periodic_tasks())
 
     async def _run_periodic_tasks(self) -> None:
-        """Update the issuer, and once in REPORT_INTERVAL_S drop expired state and report, until cancelled."""
+        """Update the issuer, and drop expired state and report changes at longer intervals."""
         while True:
             self._issuer.update()
             now_s = monotonic_s()
@@ -190,13 +193,13 @@
             await asyncio.sleep(CHECK_INTERVAL_S)
 
     def _drop_expired(self, now_s: float) -> None:
-        """Drop the state of replicas that are warm or no longer listed, and expired permits."""
+        """Drop expired permits, and what is known of cold replicas that are warm now or no longer listed."""
         replica_ids = {state.info.replica_id for state in self._replicas.all()}
         self._replicas.cold_replicas.drop_expired(replica_ids, now_s)
         self._replicas.permit_pool.drop_expired(now_s)
 
     def _report_changes(self, now_s: float) -> None:
-        """Write the set of cold replicas and the permit counters if they changed since the last report."""
+        """Write the set of cold replicas and the permit counters, each if changed since its last report."""
         infos = [state.info for state in self._replicas.all()]
         cold = sorted(info.replica_id for info in infos if self._replicas.cold_replicas.is_cold(info, now_s))
         if cold != self._last_reported_cold:
--- a/passgate/daemon/control_topic.py
+++ b/passgate/daemon/control_topic.py
@@ -15,7 +15,7 @@
 from passgate.versions.control_topic import ControlTopic
 
 ELECTABLE_PARTITIONS = 3
-"""A daemon may lead while it watches a partition below this number; so many daemons of a zone may lead."""
+"""Number of partitions whose watchers may lead; in a zone, this many daemons follow the control topic."""
 
 
 def make_control_topic(
@@ -35,10 +35,10 @@
         settings: the daemon's settings.
         topics: names of the topics.
         writer: name under which this incarnation of the daemon writes to the log.
-        member: the daemon's membership in the group that watches partitions; it decides whether the daemon
-            may lead.
-        peers: asks other daemons whether the leader is alive.
-        duty_projections: state of the duties, updated with each record of the topic.
+        member: the daemon's membership in the group that watches partitions; a member to which a partition
+            below ELECTABLE_PARTITIONS is assigned may lead.
+        peers: asks the daemon at the leader's address whether the leader still runs.
+        duty_projections: state of the singleton duties, updated with each record that the daemon reads.
         decisions: receives the decision events.
     """
     journal = Journal(
--- a/passgate/daemon/gateway_daemon.py
+++ b/passgate/daemon/gateway_daemon.py
@@ -63,13 +63,14 @@
 WATCH_INTERVAL_S = 0.1
 """Time between checks of the initial state and of the age of the log's view."""
 DECISION_FLUSH_INTERVAL_S = 0.2
-"""Least time between two flushes of the decision log."""
+"""Minimum time between two periodic flushes of the decision log."""
 LOG_LOST_AFTER_S = 2.5
-"""Age of the view of the log from which the log counts as lost: two and a half long polls."""
+"""Age of this daemon's view of the log from which the log counts as lost: two and a half long polls."""
 RELAY_PARTITION = 0
-"""In each zone, the daemon that watches this partition relays the list of replicas when it is long."""
+"""Partition that selects a zone's relay: while discovery's list of replicas is long, the daemon to which the
+partition is assigned copies the list to the log."""
 CONFIGURATION_POLL_S = 0.05
-"""Time between checks whether the first configuration has been read."""
+"""Time between checks whether a first configuration has been applied."""
 DUTY_METHOD_PREFIX = "duties."
 """Prefix of the methods of peer calls about singleton duties."""
 
@@ -89,7 +90,7 @@
         peer_transport: PeerTransport,
         duty_client: DutyClient | None = None,
     ) -> None:
-        """Create the parts; nothing runs until :meth:`run`.
+        """Create the daemon's components; nothing runs until :meth:`run`.
 
         Args:
             settings: the daemon's settings.
@@ -100,7 +101,7 @@
             replica_control: sends orders and queries to replicas.
             replica_decoder: decodes entries of discovery.
             peer_transport: carries calls between daemons.
-            duty_client: makes the calls of the singleton duties; None where the platform has none.
+            duty_client: makes the calls of the singleton duties; None where the platform has no duties.
         """
         self.settings = settings
         self.http = http
@@ -284,13 +285,14 @@
     ) -> None:
         """Register a keyed topic to follow; its reading begins with :meth:`run`.
 
-        The first topic that is registered must be the operator's: its freshness is the age of the log's view.
+        The first topic that is registered must be the operator's: the age of its view counts as that of the
+        whole log.
 
         Args:
             topic: the topic.
             gap_s: pause between two reads.
             on_snapshot: takes the newest record of each key, and the offset of the next record.
-            on_records: takes further records, and the offset of the first of them.
+            on_records: takes records that were read after the snapshot, and the offset of the first of them.
         """
         settings = TailSettings(topic=topic, gap_s=gap_s, urgent=True)
         self._keyed_tails.append(
@@ -328,7 +330,7 @@
 
     @property
     def configuration_expired(self) -> bool:
-        """Whether requests must be refused: the settings demand it when the configuration is too old."""
+        """Whether requests must be refused, as ``fail_closed`` is set and the configuration is too old."""
         settings = self.settings
         return (
             settings.fail_closed
@@ -341,7 +343,11 @@
         return self.lifecycle.within("stopping")
 
     def apply_settings(self, settings: GatewaySettings) -> None:
-        """Apply changed settings; the addresses that the daemon listens on stay as they were."""
+        """Replace the settings.
+
+        Takes effect for settings that are read while the daemon runs, for example ``lease_s`` and
+        ``fail_closed``, but not for those that are read at its start, such as addresses.
+        """
         changed = settings != self.settings
         self.settings = settings
         self._control_topic.leadership.lease_s = settings.lease_s
@@ -395,7 +401,7 @@
         )
 
     def _collect_metrics(self) -> bytes:
-        """Update the gauges and return all metrics in the text format of Prometheus."""
+        """Set the gauges to the current values and return all metrics in the text format of Prometheus."""
         self.metrics.log_age_seconds.set(self._log_age_s())
         self.metrics.evacuated_zones.set(len(self.evacuated_zones))
         self.metrics.evacuation_age_seconds.set(self._configuration_poller.evacuations_age_s())
@@ -423,7 +429,7 @@
                 group.create_task(self._duties.run())
 
     async def _handle_peer_request(self, sender: str, method: str, payload: bytes) -> bytes:
-        """Return the answer to a call of another daemon; calls about jobs are the default."""
+        """Return the answer to a call of another daemon; any other method goes to :attr:`jobs`."""
         if self._duties is not None and method.startswith(DUTY_METHOD_PREFIX):
             return await self._duties.handle_peer_request(sender, method, payload)
         if method == CONFIGURATION_METHOD:
@@ -448,7 +454,7 @@
                 self.decisions.flush()
 
     def _update_log_state(self, age_s: float) -> None:
-        """Update the lifecycle chart when the log is lost or available again."""
+        """Update the lifecycle, and write a decision line, when the log is lost or available again."""
         if age_s >= LOG_LOST_AFTER_S and self.lifecycle.can("log_lost"):
             self.lifecycle.send("log_lost")
             self.decisions.write(DependencyLost(dependency="log", age_s=round(age_s, 3)))
@@ -457,7 +463,10 @@
             self.decisions.write(DependencyRegained(dependency="log"))
 
     async def _release_ownership(self) -> None:
-        """Release jobs and leadership on the log, then leave the group that watches partitions."""
+        """Release jobs and leadership on the log, then leave the group that watches partitions.
+
+        Waits for at most RELEASE_TIMEOUT_S until the release is on the log.
+        """
         confirmations = [*self.job_partitions.stop(), self._control_topic.release_leadership()]
         await asyncio.wait(confirmations, timeout=RELEASE_TIMEOUT_S)
         await self._group_member.leave()
--- a/passgate/daemon/graceful_shutdown.py
+++ b/passgate/daemon/graceful_shutdown.py
@@ -1,8 +1,8 @@
 """Graceful shutdown of a daemon after SIGTERM or SIGINT.
 
-The readiness probe already fails when it begins.  The daemon releases its jobs and leadership while it
-goes on serving.  It then refuses new requests as not run, lets requests in flight finish, and closes all
-connections.
+The readiness probe fails from the start of the shutdown.  The daemon releases its jobs and leadership while
+it goes on serving.  It then refuses new requests as not run, gives requests in flight some time to finish,
+and closes all connections.
 """
 
 from __future__ import annotations
@@ -17,9 +17,9 @@
 from passgate.statecharts import Machine
 
 MIN_SERVING_S = 3.0
-"""Least time of serving after the shutdown began, as the platform still opens new connections for so long."""
+"""Minimum time of serving after the start of the shutdown; meanwhile the platform may open connections."""
 RELEASE_TIMEOUT_S = 5.0
-"""Longest wait, since the shutdown began, until the log confirms the release of jobs and leadership."""
+"""Longest wait for the log to confirm the release of jobs and leadership."""
 DRAIN_TIMEOUT_S = 0.7
 """Longest wait for requests in flight once new ones are refused."""
 FLUSH_TIMEOUT_S = 0.2
@@ -27,9 +27,9 @@
 CLOSE_TIMEOUT_S = 0.2
 """Longest time to close all connections."""
 SHUTDOWN_RESERVE_S = DRAIN_TIMEOUT_S + FLUSH_TIMEOUT_S + CLOSE_TIMEOUT_S + 0.1
-"""Part of the grace period kept for the steps after serving; its last 0.1 s is for the process to exit."""
+"""Part of the grace period kept for the steps after serving, including 0.1 s for the process to exit."""
 POLL_INTERVAL_S = 0.05
-"""Time between checks of the conditions to go on."""
+"""Time between checks whether the next step may begin."""
 
 
 class GracefulShutdown:
@@ -50,8 +50,9 @@
         Args:
             ingress: the server of callers' requests.
             lifecycle: the daemon's lifecycle chart, in its state ``stopping``.
-            release_ownership: releases the daemon's jobs and leadership and leaves the group.
-            flush_usage: sends the usage counts that only this daemon holds; called once no request can start.
+            release_ownership: releases the daemon's jobs and leadership, and leaves its zone's group.
+            flush_usage: sends the usage counts that only this daemon holds; called once, when new requests
+                are refused.
             decisions: decision log.
             grace_s: time from SIGTERM to SIGKILL.
         """
@@ -63,7 +64,7 @@
         self._grace_s = grace_s
 
     async def run(self) -> None:
-        """Shut down; return when all connections are closed or the grace period is nearly over."""
+        """Run all steps of the shutdown; each ends at its time limit even if it is not complete."""
         started_s = monotonic_s()
         self._decisions.write(DaemonStopping(in_flight=self._ingress.in_flight))
         self._lifecycle.send("announced")
@@ -81,9 +82,10 @@
         self._lifecycle.send("handed_over")
 
     async def _serve_until_released(self, started_s: float) -> None:
-        """Release ownership and serve until that is done and no request is in flight.
+        """Release ownership, and serve until it is released and no request is in flight.
 
-        Serves for at least MIN_SERVING_S, and ends in any case when the grace period is nearly over.
+        Serves for at least MIN_SERVING_S, and waits for the release until RELEASE_TIMEOUT_S at most.  Ends in
+        any case SHUTDOWN_RESERVE_S before the end of the grace period.
         """
         release = asyncio.ensure_future(self._release_ownership())
         deadline_s = started_s + self._grace_s - SHUTDOWN_RESERVE_S
@@ -101,7 +103,7 @@
 
 
 async def _run_with_timeout(timeout_s: float, step: Awaitable[None]) -> None:
-    """Run a step and cancel it after its timeout; that is no error, as the process exits next."""
+    """Run a step and cancel it at its timeout, which is no error, as the process exits next."""
     with contextlib.suppress(TimeoutError):
         async with asyncio.timeout(timeout_s):
             await step
--- a/passgate/daemon/http_client.py
+++ b/passgate/daemon/http_client.py
@@ -8,13 +8,13 @@
 CONNECT_TIMEOUT_S = 0.7
 """Time to open a connection; shorter than the 1 s after which the kernel resends a lost SYN."""
 UNACKNOWLEDGED_TIMEOUT_S = 2.0
-"""A connection whose sent bytes are not acknowledged for so long is closed; survives two lost packets."""
+"""Time after which a connection with unacknowledged sent bytes is closed; allows for two lost packets."""
 MAX_BUFFERED_BYTES = 32 * 1024
 """Unread bytes of one response after which reading from its connection pauses."""
 
 
 def make_http_client() -> HttpClient:
-    """Return a client that resolves no host names: its URLs must hold IP addresses."""
+    """Return a client that does not resolve host names, so URLs must contain IP addresses."""
     return HttpClient(
         HttpLimits(
             resolve_names=False,
--- a/passgate/daemon/job_partitions.py
+++ b/passgate/daemon/job_partitions.py
@@ -1,4 +1,4 @@
-"""Creates a daemon's partitions of batch jobs."""
+"""Creates a daemon's partitions of batch jobs, and the storage of region-restricted bodies."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     peers: JobPeerClient,
     decisions: DecisionLog,
 ) -> JobPartitions:
-    """Return the partitions; none is followed until they run.
+    """Return a daemon's partitions of batch jobs; none is followed before :meth:`JobPartitions.run`.
 
     Args:
         log: the log that stores the jobs.
@@ -36,7 +36,7 @@
         writer: name under which this incarnation of the daemon writes to the log.
         config_holder: the active configuration.
         member: the daemon's membership in the group that watches partitions.
-        membership_policy: decides whether this daemon may take ownership of new jobs.
+        membership_policy: decides whether this daemon may own new jobs that no watcher takes.
         runner_factory: creates the runners of jobs.
         peers: asks other daemons about jobs.
         decisions: receives the decision events.
--- a/passgate/daemon/job_runner_factory.py
+++ b/passgate/daemon/job_runner_factory.py
@@ -1,4 +1,4 @@
-"""Creates job runners that share one daemon's state about waiting items, output durations and streams."""
+"""Creates job runners that share a daemon's queues of items, output durations and stall detection."""
 
 from __future__ import annotations
 
@@ -65,7 +65,7 @@
         )
 
     def make(self, projection: JobProjection, journal: Journal, job: JobState) -> JobRunner | None:
-        """Return a runner of a job, which is not started; None if no active route matches the job's path.
+        """Return a runner of a job, not started; None if no active route matches the job's host and path.
 
         Args:
             projection: state of the job's partition.
--- a/passgate/daemon/replica_table.py
+++ b/passgate/daemon/replica_table.py
@@ -21,7 +21,7 @@
     """Return an empty table with the rules for regions, evacuated zones and unknown services.
 
     The table itself adds the rules for draining and cold replicas.  When a zone's evacuation ends, the zone's
-    replicas count as cold.
+    replicas are marked as possibly cold.
     """
     replicas = ReplicaTable(settings.topology)
     evacuated_zones.on_evacuation_ended.append(
--- a/passgate/daemon/topics.py
+++ b/passgate/daemon/topics.py
@@ -8,7 +8,7 @@
 
 
 class LogTopics(msgspec.Struct, frozen=True, kw_only=True):
-    """Names of the topics that a daemon reads and writes, and of its group."""
+    """Names of the topics that a daemon reads and writes, and prefix of the groups' names."""
 
     operator: str
     """Keyed topic to which the operator writes configurations, evacuations and target versions."""
@@ -17,8 +17,8 @@
     jobs: str
     """Topic of batch jobs; a job's host selects its partition."""
     control: str
-    """Topic of leadership, new jobs and singleton duties."""
+    """Topic of leader election, of what new jobs require of the weights, and of singleton duties."""
     crashes: str
-    """Keyed topic of the reports that a replica crashed while it ran a request."""
+    """Keyed topic of crash reports and of announced isolated runs (see :mod:`passgate.quarantine.guard`)."""
     watch_group: str
-    """Prefix of the name of each zone's group, whose members watch the partitions of the topic of jobs."""
+    """Prefix of the names of the groups, one for each zone, that assign the partitions of :attr:`jobs`."""
