--- a/passgate/jobs/durations.py
+++ b/passgate/jobs/durations.py
@@ -1,6 +1,6 @@
-"""Predicts how long an output takes from its estimated length in tokens, per model.
+"""Predicts the duration of an output from its estimated length in tokens, for each model.
 
-The prediction is based on earlier outputs that one attempt completed.
+The prediction is based on earlier outputs that were completed by a single attempt.
 
 >>> durations = OutputDurations()
 >>> durations.expected_s("m", 1000.0)
@@ -41,10 +41,10 @@
         totals.longest_s = max(totals.longest_s * DECAY_PER_OUTPUT, duration_s)
 
     def expected_s(self, model: str, tokens: float) -> float:
-        """Return the expected time of an output; 0 before the first output of the model.
+        """Return the expected time of an output; 0 if no output of the model was recorded with an estimate.
 
-        Callers' estimates are often far too high, so the result is at most the longest recent
-        output's time (which decays like the totals).
+        Callers' estimates are often far too high, so the result is at most the duration of the longest
+        recent output, which decays like the totals.
         """
         totals = self._totals_by_model.get(model)
         if totals is None or totals.tokens <= 0.0:
--- a/passgate/jobs/event_stream.py
+++ b/passgate/jobs/event_stream.py
@@ -24,19 +24,19 @@
     replaced_run_ids: frozenset[str] = frozenset()
     """Earlier runs whose events were dropped; late copies of their records are ignored."""
     complete: bool = False
-    """Whether the output has no further events and waits for its reward call."""
+    """Whether these are all events of the output; recorded before its reward call is sent."""
 
     def text(self) -> str:
         """Return the data of all events, separated by line feeds."""
         return "\n".join(self.data)
 
     def distinct_versions(self) -> tuple[int, ...]:
-        """Return the versions of the weights that made the events, each once, in order."""
+        """Return the versions of the weights that made the events, each once, in order of first use."""
         return tuple(dict.fromkeys(self.versions))
 
 
 class EventStream:
-    """Complete events of an item received so far, over all its attempts."""
+    """Complete events of an item so far: recorded ones that it resumes after, and those of all attempts."""
 
     def __init__(self, version_field: str) -> None:
         """Create an empty stream; ``version_field`` is the event field that names the weight version."""
@@ -55,12 +55,12 @@
 
     @property
     def versions(self) -> tuple[int, ...]:
-        """Versions of the weights that made the events, each once, in order."""
+        """Versions of the weights that made the events, each once, in order of first use."""
         return tuple(dict.fromkeys(self._versions))
 
     @property
     def has_partial_event(self) -> bool:
-        """Whether bytes of an incomplete event were received."""
+        """Whether the attempt's last event has not been completely received."""
         return bool(self._unparsed.strip())
 
     def text(self) -> str:
@@ -68,17 +68,17 @@
         return "\n".join(self._data)
 
     def resume_after(self, recorded_events: RecordedEvents) -> None:
-        """Start with the recorded events of an earlier run; the next event must follow them."""
+        """Start with the recorded events of an earlier run; the next event must have the next number."""
         self._data = list(recorded_events.data)
         self._versions = list(recorded_events.versions)
         self.last_event_id = recorded_events.last_event_id
 
     def events_after(self, count: int) -> tuple[tuple[str, ...], tuple[int, ...]]:
-        """Return data and versions of the events after the first ``event_count``."""
+        """Return the data and the versions of all events after the first ``count``."""
         return tuple(self._data[count:]), tuple(self._versions[count:])
 
     def begin_attempt(self, version: int | None) -> None:
-        """Start to parse another attempt's stream; ``version`` is the weight version in its HTTP headers."""
+        """Start to parse an attempt's stream; ``version`` is the weight version in its headers, if any."""
         self._unparsed = b""
         self._current_version = version
 
@@ -92,7 +92,8 @@
     def feed(self, chunk: bytes) -> None:
         """Parse bytes of the stream and add the events that they complete.
 
-        Raises IncompleteAnswer for an event without a number, out of order, or without a weight version.
+        Raises IncompleteAnswer for an event without a number, out of order, or without a weight version, and
+        ValueError for bytes that are not UTF-8 or a version that is no number.
         """
         self._unparsed += chunk.replace(b"\r\n", b"\n")
         *blocks, self._unparsed = self._unparsed.split(b"\n\n")
--- a/passgate/jobs/group_affinity.py
+++ b/passgate/jobs/group_affinity.py
@@ -1,8 +1,8 @@
 """Replica affinity of a job's item groups, so that the items of a group share one prefill of their prompt.
 
-A group whose replica is in an evacuated zone gets another replica as soon as one of its items
-looks for a free slot, and its next items prefer that one: the prompt is then processed once more for the
-group, not once for each item.
+If the preferred replica of a group is in an evacuated zone, the next item of the group that looks for a free
+slot chooses another one, which later items of the group prefer too.  So the prompt is prefilled once more for
+the whole group, not once for each item.
 """
 
 from __future__ import annotations
@@ -22,14 +22,14 @@
         self._replicas = replicas
         self._evacuated_zones = evacuated_zones
         self._replica_by_group: dict[str, ReplicaIncarnation] = {}
-        """Maps groups to the replica that last received an item of theirs, or that is to receive the next."""
+        """Preferred replica by group: that of the last item sent, or the one chosen for the next item."""
 
     def replica_of(self, group: str) -> ReplicaIncarnation | None:
-        """Return the preferred replica of a group, or None."""
+        """Return the preferred replica of a group, or None if there is none."""
         return self._replica_by_group.get(group)
 
     def record_send(self, group: str, incarnation: ReplicaIncarnation) -> None:
-        """Prefer the replica that an item of the group was sent to."""
+        """Make the replica to which an item of the group was sent the preferred one."""
         self._replica_by_group[group] = incarnation
 
     def record_refusal(self, group: str, incarnation: ReplicaIncarnation) -> None:
@@ -38,7 +38,7 @@
             del self._replica_by_group[group]
 
     def choose_preferred(self, group: str, query: ReplicaQuery, now_s: float) -> ReplicaIncarnation | None:
-        """Return the replica that a group's items prefer, or None; replaces one in an evacuated zone first.
+        """Return the preferred replica of a group, or None; first choose another if its zone is evacuated.
 
         Args:
             group: the item's group.
@@ -52,9 +52,9 @@
         return self.replica_of(group)
 
     def _reassign(self, group: str, query: ReplicaQuery, now_s: float) -> None:
-        """Prefer another replica for a group: if possible one that no group prefers.
+        """Choose another preferred replica for a group, if possible one that no other group prefers.
 
-        The preference stays as it is when no replica matches the query.
+        The preference stays as it is if no replica matches the query.
         """
         unshared_query = msgspec.structs.replace(
             query, excluded=query.excluded | set(self._replica_by_group.values())
--- a/passgate/jobs/group_progress.py
+++ b/passgate/jobs/group_progress.py
@@ -1,4 +1,4 @@
-"""Counts the item groups of a job that have all their results, and compares with what the caller waits for.
+"""Counts the item groups of a job that have all their results, up to the number that its caller waits for.
 
 >>> items = [ItemSpec(id="a1", path="/p", group="a"), ItemSpec(id="b1", path="/p", group="b")]
 >>> progress = GroupProgress(items, desired=1)
@@ -22,7 +22,7 @@
 
         Args:
             items: all items of the job.
-            desired: number of groups that the caller waits for; 0 means all.
+            desired: number of groups that the caller waits for; 0, or more than there are, means all.
         """
         self._group_by_item = {item.id: item.group for item in items}
         self._missing_results_by_group = Counter(self._group_by_item.values())
--- a/passgate/jobs/item_checkpointer.py
+++ b/passgate/jobs/item_checkpointer.py
@@ -1,4 +1,4 @@
-"""Makes the log entries that record an unfinished item's events, so that another daemon can resume it.
+"""Makes the log entries that record an unfinished item's events, so that another daemon can resume the item.
 
 >>> entries = []
 >>> stream = EventStream("v")
@@ -19,7 +19,7 @@
 
 
 class ItemCheckpointer:
-    """Tracks which events of one item's run have been handed out as entries."""
+    """Tracks which events of one item's run were returned in entries already."""
 
     def __init__(
         self, job_id: str, item_id: str, stream: EventStream, resumed: RecordedEvents | None
--- a/passgate/jobs/item_run.py
+++ b/passgate/jobs/item_run.py
@@ -1,7 +1,8 @@
 """Runs one item of a job at replicas until its output is complete or the item has failed.
 
-An interrupted item resumes at any replica after the last event received.  An item of which an
-event was made by weights older than the job accepts starts over.
+An interrupted output resumes at any replica after the last event received.  It starts over if an event turns
+out to be made by weights older than the job accepts.  An item that one more crash of a replica would
+quarantine needs an isolated run, that is, an attempt that avoids replicas with other isolated runs.
 """
 
 from __future__ import annotations
@@ -41,15 +42,15 @@
 SLOT_POLL_INTERVAL_S = 0.01
 """Time between checks for a replica with a free slot."""
 PACE_CHECK_EVENTS = 4
-"""Number of an attempt's events between two checks for a much faster replica."""
+"""An attempt looks for a faster replica when its number of events is a multiple of this."""
 LONG_OUTPUT_EVENTS = 30
 """Outputs with this many events count as long: they are likely to continue, and delay their training step."""
 LONG_OUTPUT_MAX_TIME_RATIO = 0.83
-"""A long output moves once, to a replica whose latency is at most this share of the present one's."""
+"""A long output may move once to a replica whose latency is below this share of the present one's."""
 RETRY_PAUSE_S = 0.02
 """Pause after a failed attempt; there is none after a refusal or a move to a faster replica."""
 ATTEMPT_DEADLINE_S = 30.0
-"""Time from the send of an attempt to the deadline that is passed on to the replica."""
+"""Time limit of an attempt, which the replica gets as its deadline."""
 HTTP_INTERNAL_SERVER_ERROR, HTTP_UNPROCESSABLE_CONTENT = 500, 422
 HTTP_OK = 200
 
@@ -67,7 +68,8 @@
     reward_context: RewardCallContext
     stall_detector: StallDetector
     find_send_context: Callable[[str, str, str | None, frozenset[str]], SendContext]
-    """Returns the restrictions on a request, from its host, path, tenant and the regions allowed earlier."""
+    """Returns the restrictions on a request, from its host, path and tenant, and the regions that apply if
+    its route no longer exists."""
     group_affinity: GroupAffinity
 
     def send_context_of(self, spec: JobSpec) -> SendContext:
@@ -75,11 +77,11 @@
         return self.find_send_context(spec.host, spec.path, spec.tenant, self.route.allowed_regions)
 
     def queue_key(self, spec: JobSpec) -> QueueKey:
-        """Return the queue of a job's items; a new configuration may change it with the allowed regions."""
+        """Return the key of the queue for a job's items, which depends on the active configuration."""
         return QueueKey(model=spec.model, regions=self.send_context_of(spec).allowed_regions)
 
     def expected_tokens(self, item: ItemSpec) -> float:
-        """Return the caller's estimate of the output's length in tokens, or 0 without a valid one."""
+        """Return the caller's estimate of the output's length in tokens; 0 if it is missing or no number."""
         length_hint = item.headers.get(self.header_names.length_hint, "")
         try:
             return float(length_hint)
@@ -99,7 +101,7 @@
         rank: Rank,
         timing: JobTiming,
     ) -> None:
-        """Create the run; it resumes after ``recorded_events`` where the job accepts them."""
+        """Create the run; it resumes after ``recorded_events`` if the job accepts their weight versions."""
         self.item = item
         self._job_timing = timing
         self._item_times = timing.item_times(item.id)
@@ -115,7 +117,7 @@
         self.resumed = usable_events is not None
         """Whether this run resumes after the recorded events of an earlier run."""
         self.last_attempt_sent_s = self.started_s
-        """Loop time at which the last attempt was sent."""
+        """Loop time at which the last attempt was sent, or the run was created if there was none."""
         if usable_events is not None:
             self._stream.resume_after(usable_events)
         self.checkpointer = ItemCheckpointer(spec.job_id, item.id, self._stream, usable_events)
@@ -123,14 +125,14 @@
         """Answers of status 500, over all attempts."""
         self._moved_for_length = False
         self._avoided_replica: ReplicaIncarnation | None = None
-        """Replica of the last failed attempt, which is not chosen while another one is available."""
+        """Replica of the last failed attempt; not chosen while another replica is available."""
         self._reserved_replica: ReplicaState | None = None
         """Replica at which a slot is reserved for the next attempt."""
         self._identity = self._build_request().identity
         self._crash_guard = context.replica_client.crash_guard
 
     def _is_usable(self, recorded_events: RecordedEvents) -> bool:
-        """Whether the run may resume after recorded events: all were made by accepted weights."""
+        """Whether the run may resume after recorded events; never if the route requires a single version."""
         if not recorded_events.data or self._context.route.single_version:
             return False
         return min(recorded_events.versions) >= self._spec.min_version
@@ -142,9 +144,9 @@
         self._reserve_slot(state)
 
     async def _wait_outside_queue(self) -> None:
-        """Wait for a replica without other isolated runs and reserve a slot there.
+        """Wait for a replica that has a free slot and no other isolated run, and reserve the slot.
 
-        The item does not block the queue, because the items there may use other replicas.
+        Waiting in the queue would block its other items, which may use more replicas.
         """
         while (state := self._choose_replica()) is None:
             await asyncio.sleep(SLOT_POLL_INTERVAL_S)
@@ -156,7 +158,7 @@
         self._crash_guard.announce_run(self._identity, state.incarnation)
 
     async def _wait_in_queue(self, queue_key: QueueKey) -> ReplicaState | None:
-        """Wait in a queue for a replica with a free slot; return None once another queue is the right one."""
+        """Wait in a queue for a replica with a free slot; return None if the item gets another queue."""
         with self._context.wait_queues.queued(queue_key, self._rank):
             while self._context.queue_key(self._spec) == queue_key:
                 if (
@@ -217,8 +219,8 @@
     async def run(self) -> Result:
         """Run the item, over as many attempts as it takes, and return its result.
 
-        Waits for a slot first unless one is reserved.  The result is DEAD when a replica answers that the
-        item can't be processed, or after as many answers of status 500 as the route allows attempts.
+        Waits for a slot first unless one is reserved.  The result is DEAD after an answer of status 422, or
+        after as many answers of status 500 as the route allows attempts.
         """
         while True:
             if self._reserved_replica is None:
@@ -247,7 +249,10 @@
         await self.wait_for_replica()
 
     async def _wait_out_quarantine(self) -> None:
-        """Wait while the item is quarantined; the job's runner cancels the wait when the item expires."""
+        """Wait for the delay before an isolated run, if one is needed, and while the item is quarantined.
+
+        The job's runner cancels the wait when the item expires.
+        """
         await self._crash_guard.delay_isolated_run(self._identity)
         if not self.is_quarantined:
             return
@@ -283,7 +288,7 @@
         )
 
     def _start_attempt(self, state: ReplicaState) -> ReplicaAttempt:
-        """Send the item and record the attempt; nothing is recorded when a rule excludes the replica."""
+        """Send the item and record the attempt; a refused send raises PassgateError and is not recorded."""
         attempt = self._context.replica_client.start_attempt(state, self._build_request())
         self.attempts += 1
         self.last_attempt_sent_s = attempt.started_s
@@ -323,10 +328,9 @@
         )
 
     def _move_if_slow(self, attempt: ReplicaAttempt, attempt_events: int, now_s: float) -> None:
-        """Raise MovedElsewhere when another replica with a free slot is sufficiently faster.
+        """Raise MovedElsewhere if another replica with a free slot is much faster.
 
-        Checks after every few events of the attempt.  A long output moves also for a smaller gain, but
-        only once.
+        For a long output, a smaller gain suffices once.  Checks only at multiples of PACE_CHECK_EVENTS.
         """
         if attempt_events < PACE_CHECK_EVENTS or attempt_events % PACE_CHECK_EVENTS:
             return
--- a/passgate/jobs/job_timing.py
+++ b/passgate/jobs/job_timing.py
@@ -1,6 +1,6 @@
-"""Breaks down the time of a job into a report, made when the groups that its caller waits for are complete.
+"""Reports how a job spent its time, once as many item groups as its caller waits for are complete.
 
-The item that got the last result of these groups determines how long the job took, so the report
+The item whose result completed the last of these groups determines how long the job took, so the report
 contains the phases of that item.
 
 >>> item = ItemSpec(id="i", path="/p", group="g")
@@ -28,7 +28,7 @@
     """Times of one item at this daemon, over all its attempts, as loop times in seconds."""
 
     first_sent_s: float | None = None
-    """Time of the first attempt."""
+    """Time at which the first attempt was sent."""
     first_event_s: float | None = None
     last_event_s: float | None = None
     attempts: int = 0
@@ -66,7 +66,7 @@
         self._progress = GroupProgress(spec.items, spec.desired)
         self._reported = False
         self.failure_count_by_code: Counter[str] = Counter()
-        """Maps error codes to the number of attempts that failed with them."""
+        """Number of failed attempts by error code."""
 
     def item_times(self, item_id: str) -> ItemTimes:
         """Return the times of an item, for the caller to update."""
@@ -75,7 +75,7 @@
     def record_result(
         self, item: ItemSpec, now_s: float, items_with_result: Collection[str]
     ) -> JobGroupsCompleted | None:
-        """Record a result; return the report once, when the groups that the caller waits for are complete.
+        """Record a result; return the report for the result that completes enough groups, else None.
 
         Args:
             item: the item that got a result.
--- a/passgate/jobs/journal.py
+++ b/passgate/jobs/journal.py
@@ -1,8 +1,8 @@
 """Appends entries to one partition of the log: in batches, one at a time, each retried until acknowledged.
 
 Applying an entry twice has the same effect as applying it once, so an append whose outcome is
-unknown is repeated.  New jobs do not go through the queue, because their caller must learn whether
-the job certainly is not on the log or may be.
+unknown is repeated.  New jobs do not go through the queue, because the caller of a failed append must learn
+whether the job may be on the log.
 """
 
 from __future__ import annotations
@@ -28,13 +28,13 @@
 MAX_RETRY_PAUSE_S = 0.5
 """Longest pause between attempts, so that appends resume soon after the log has recovered."""
 RENEWAL_INTERVAL_S = 0.4
-"""Longest time between appends of a daemon that owns jobs or leads."""
+"""Age of the last acknowledged append from which a lease is renewed by an append of its own."""
 NO_FENCE = -1
 """Fence in the renewals of a daemon that does not lead."""
 MAX_UNREAD_BATCHES = 1024
-"""Batches whose time of sending is kept until this daemon reads them from the log."""
+"""Maximum number of batches whose time is kept until this daemon reads them from the log."""
 MAX_RAW_RECORD_SHARE = 0.7
-"""Share of the maximum record size that a batch's entries may take before compression."""
+"""Share of the maximum record size that several entries of one batch may take before compression."""
 
 
 class Journal:
@@ -58,7 +58,7 @@
         self._renewal: asyncio.Future[int] | None = None
         self._sequence = 0
         self._sent_s_by_sequence: dict[int, float] = {}
-        """Maps sequence numbers of batches not yet read from the log to the loop time of their encoding."""
+        """Loop time of encoding, by sequence number, of batches that were not yet read from the log."""
 
     @property
     def max_piece_bytes(self) -> int:
@@ -66,7 +66,7 @@
         return self._max_raw_bytes // 2
 
     def put(self, entry: AnyEntry) -> asyncio.Future[int]:
-        """Queue an entry for the next batch; the future returns the batch's offset once it is on the log."""
+        """Queue an entry for a batch; the future returns the batch's offset once it is acknowledged."""
         future = asyncio.get_running_loop().create_future()
         self._queue.append((entry, future))
         self._wakeup.set()
@@ -74,20 +74,26 @@
 
     @property
     def has_no_pending_entries(self) -> bool:
-        """Whether all queued entries have been acknowledged."""
+        """Whether the log has acknowledged all queued entries."""
         return not self._queue
 
     @property
     def unacknowledged_for_s(self) -> float:
-        """Time for which the log has not acknowledged the current batch; 0 when there is none."""
+        """Time since the append of the unacknowledged batch was begun; 0 when there is none."""
         return 0.0 if self._unacknowledged_since_s is None else monotonic_s() - self._unacknowledged_since_s
 
     def unacknowledged_entries(self) -> list[AnyEntry]:
-        """Return the entries not yet acknowledged by the log, in order."""
+        """Return the queued entries that the log has not acknowledged, in order."""
         return [entry for entry, _ in self._queue]
 
     def renew_lease(self, fence: int = NO_FENCE) -> None:
-        """Queue a lease renewal unless one is queued or the last append is younger than the interval."""
+        """Queue a lease renewal, unless one is queued or the last acknowledged append is recent.
+
+        Recent is an append that was sent less than RENEWAL_INTERVAL_S ago.
+
+        Args:
+            fence: fence of this daemon's leadership; NO_FENCE if it does not lead.
+        """
         renewal_pending = self._renewal is not None and not self._renewal.done()
         if not renewal_pending and monotonic_s() - self.last_append_sent_s >= RENEWAL_INTERVAL_S:
             self._renewal = self.put(WriterAlive(fence=fence))
@@ -111,9 +117,9 @@
         return encode_batch(Batch(writer=self.writer, entries=entries, sequence=self._sequence))
 
     def take_send_time_s(self, batch: Batch) -> float | None:
-        """Return the loop time at which a batch, now read from the log, was first sent, and forget it.
+        """Return and forget the loop time at which a batch of this writer, now read, was encoded.
 
-        Returns None when the time is not known any more.  The batch must be this writer's.
+        Returns None if the time is not known, for example when a copy of the batch is read.
         """
         return self._sent_s_by_sequence.pop(batch.sequence, None)
 
@@ -149,6 +155,8 @@
     async def append_job(self, pieces: Sequence[AnyEntry], deadline_s: float) -> int:
         """Append a new job's entries, each as a record; return the offset of the last.
 
+        Failed appends are repeated until the deadline.
+
         Raises:
             LogUnavailable: the job is not on the log and never will be.
             DurabilityUnknown: the outcome of an append is unknown; the job may be on the log, now or later.
@@ -174,7 +182,7 @@
 
     async def _append_all(self, records: Sequence[bytes]) -> int:
         """Append records, in several appends where one would be too large; return the last one's offset."""
-        # Several appends are safe: readers ignore a job until they have all its pieces.
+        # If only some appends succeed, there is no job: readers ignore it until they have all its pieces.
         offset = 0
         for append_records in split_by_size(records, self._max_append_bytes):
             offset = (
--- a/passgate/jobs/liveness.py
+++ b/passgate/jobs/liveness.py
@@ -1,8 +1,9 @@
 """Probes writers that are silent on the log, to find out whether their daemons still run.
 
-A probe is a call to the writer's peer address.  A response from another incarnation of the daemon
-proves that the writer's process has ended.  Without a response the writer may only be unreachable.
-A writer that responds reports also for how long the log has not acknowledged its appends.
+A writer is one incarnation of a daemon, that is, one run of its process; its name contains its peer address.
+A probe is a call to that address.  A response under another writer's name proves that the writer has ended;
+without a response, it may only be unreachable.  A response also says how long the log has not acknowledged an
+append.
 """
 
 from __future__ import annotations
@@ -18,9 +19,9 @@
 CUT_OFF_AFTER_S = 0.45
 """A writer whose current append is unacknowledged for this long counts as cut off from the log."""
 PROBE_INTERVAL_S = 0.3
-"""Shortest time between two probes of the same writer."""
+"""Minimum time between the starts of two probes of the same writer."""
 RESPONSE_TTL_S = 30.0
-"""Time for which a probe is remembered; longer than any takeover lasts."""
+"""Age from which the outcome of a probe may be forgotten; longer than any takeover lasts."""
 
 
 class AliveResponse(msgspec.Struct, frozen=True, kw_only=True):
@@ -31,20 +32,20 @@
     zone: str = ""
     """Zone of the daemon, to which the caller attributes the round-trip time."""
     waiting_s: float = 0.0
-    """Time for which the log has not acknowledged the daemon's append to the partition in question."""
+    """Time for which the log has not acknowledged the daemon's append to the partition; 0 if none waits."""
 
 
 class WriterStatus(enum.Enum):
     """Outcome of a probe."""
 
     ALIVE = "alive"
-    """The writer responds, and the log acknowledges its appends."""
+    """The writer responds, and no append of it has been unacknowledged for CUT_OFF_AFTER_S."""
     CUT_OFF = "cut_off"
-    """The writer responds, but the log does not acknowledge its appends."""
+    """The writer responds, but its append has been unacknowledged for at least CUT_OFF_AFTER_S."""
     REPLACED = "replaced"
-    """Another incarnation of the writer's daemon responds, so the writer has ended."""
+    """Another writer responds at the address, so this one has ended."""
     SILENT = "silent"
-    """Nothing responds at the writer's address."""
+    """No valid response came from the writer's address."""
 
 
 class _Probe(msgspec.Struct):
@@ -55,22 +56,22 @@
 
 
 class LivenessProber:
-    """Probes writers in the background and remembers the latest outcomes."""
+    """Probes writers in the background and remembers the latest outcome for each."""
 
     def __init__(self, probe: Callable[[str], Awaitable[AliveResponse | None]]) -> None:
-        """Create the prober; ``probe`` calls a writer and returns the response, None without one."""
+        """Create the prober; ``probe`` calls a writer and returns its response, or None if there is none."""
         self._probe = probe
         self._probe_by_writer: dict[str, _Probe] = {}
 
     def status_of(self, writer: str, last_contact_s: float) -> WriterStatus | None:
         """Return the outcome of the writer's latest probe, and start another probe if one is due.
 
-        Returns None unless that probe started after the writer's last contact and has finished.  A
-        writer known to be replaced is not probed again.  Needs a running event loop; does not wait.
+        Returns None if the latest probe is unfinished or started before the writer's last contact.  Starts
+        no probe of a writer for which it returns REPLACED.  Needs a running event loop; does not wait.
 
         Args:
             writer: name of the writer.
-            last_contact_s: loop time of the writer's last record.
+            last_contact_s: loop time of the writer's last record; minus infinity if none was read.
         """
         now_s = monotonic_s()
         latest_probe = self._probe_by_writer.get(writer)
--- a/passgate/jobs/ownership.py
+++ b/passgate/jobs/ownership.py
@@ -1,9 +1,10 @@
 """Decides which jobs of a partition this daemon runs, and starts and stops their runners.
 
-Every batch that a writer appends to the partition renews its leases on the jobs that it owns there.
-The partition's watcher takes over the jobs of a writer that has ended or is silent for too long, by
-claims with the next epoch; the first such claim on the log is accepted.  Other daemons that follow
-the partition do the same after a longer silence.
+A job's owner is a writer: one incarnation of a daemon.  Every batch that a writer appends to the partition
+renews its leases on the jobs that it owns there.  The watcher, to which the zone's group assigns the
+partition, takes over the jobs of a writer that has ended or is silent for too long.  It appends claims with
+the next epoch (number of the ownership); the first one on the log is accepted.  Other daemons that follow the
+partition do the same after a longer silence.
 """
 
 from __future__ import annotations
@@ -26,26 +27,26 @@
 logger = logging.getLogger("passgate.jobs")
 
 TAKEOVER_AFTER_S = 1.5
-"""Silence of an owner after which its jobs are taken over, whatever its probe says."""
+"""Silence of an owner after which the watcher takes over its jobs whatever a probe says; jitter is added."""
 PROBE_AFTER_S = 0.55
-"""Silence of an owner after which it is probed; longer than the interval of its renewals."""
+"""Silence of an owner after which the watcher probes it; longer than the interval of renewals."""
 DEAD_AFTER_S = 0.8
 """Silence after which an owner that does not respond to a probe counts as dead."""
 NON_WATCHER_DELAY_S = 2.0
-"""Additional time after which a daemon that does not watch the partition claims a job."""
+"""Additional time, plus a random one up to 1 s, before a daemon that is not the watcher claims a job."""
 RELEASE_PAUSE_S = 2.0
-"""Time after a release within which the claim of the daemon that requested it is on the log."""
+"""Time for which released jobs are not run here, as the daemon that requested the release claims them."""
 CLAIM_READ_TIME_S = 0.5
-"""Time for an appended claim to be read; the job is not claimed again before."""
+"""Time for an appended claim to be read; until then, the job is not claimed again."""
 TAKEOVER_JITTER_S = 0.3
-"""Upper bound of the random time added to the silence, so that few daemons claim at once."""
+"""Upper bound of the random time added to TAKEOVER_AFTER_S, so that few daemons claim at once."""
 
 NEVER_S = float("-inf")
 """Last contact with a writer of which no record was read."""
 UNLIMITED_TIME_TO_LIVE_S = float("inf")
 """Time to live of a job whose items expire only by its runner."""
 NO_OWNER = ""
-"""Owner of a job that any watcher may claim at once."""
+"""Owner of a job that has none; any watcher may claim the job at once."""
 
 MakeJobRunner = Callable[[JobState], JobRunner | None]
 """Makes a job's runner; returns None while the job matches no route."""
@@ -75,13 +76,13 @@
             owners: contact with the owners of jobs.
             decisions: decision log.
             may_own: returns whether a job's bodies may be held in this daemon's region.
-            time_to_live_s: returns after which time the items of a job expire, also at daemons that
-                can't run it.
+            time_to_live_s: returns the time after which a job's items may be expired by a daemon that can't
+                run the job.
         """
         self._may_own = may_own
         self._time_to_live_s = time_to_live_s
         self._expired_jobs: set[str] = set()
-        """Jobs whose missing results this daemon has appended as dead."""
+        """Jobs for whose items without a result this daemon has queued dead results."""
         self._projection = projection
         self._journal = journal
         self._freshness = freshness
@@ -92,7 +93,7 @@
         self._jobs_being_claimed: set[str] = set()
         """Jobs for which this daemon has queued a claim or a release that it may not have read yet."""
         self._released_since_s_by_job: dict[str, float] = {}
-        """Maps jobs whose runs were stopped for another daemon to the loop time of the release."""
+        """Loop time of the release, by job whose runs were stopped so that another daemon can claim it."""
         self.stopping = False
         """Whether the daemon shuts down; it claims no jobs then."""
 
@@ -103,7 +104,7 @@
 
     @property
     def running_jobs(self) -> int:
-        """Number of jobs that this daemon runs."""
+        """Number of this partition's jobs that this daemon runs."""
         return len(self._runner_by_job)
 
     def owns_open_job(self) -> bool:
@@ -116,9 +117,10 @@
             runner.record_progress()
 
     def release_jobs(self) -> UnappendedEntries:
-        """Stop all runs because the log acknowledges no appends; return the progress it has not acknowledged.
+        """Stop all runs of the partition, so that another daemon can claim the jobs.
 
-        The daemon that requested the release appends these entries and claims the jobs.
+        Called while this daemon is cut off from the log.  Returns the results and events that the log has not
+        acknowledged; the other daemon appends them.
         """
         now_s = monotonic_s()
         self.record_all_progress()
@@ -132,13 +134,13 @@
         ]
 
     def cancel_runners(self) -> None:
-        """Cancel all runners."""
+        """Cancel all runners; progress that was not recorded is lost."""
         for _, task in self._runner_by_job.values():
             task.cancel()
         self._runner_by_job.clear()
 
     def update(self, *, is_watcher: bool) -> None:
-        """Start and stop runners, claim jobs and renew the leases, as the partition's state requires.
+        """Start and stop runners; claim, release or expire jobs; renew the leases while any job runs here.
 
         Args:
             is_watcher: whether this daemon watches the partition for its zone.
@@ -171,12 +173,12 @@
         return self._may_own(job) and job.bodies_to_read is None
 
     def _must_expire(self, job: JobState, now_s: float) -> bool:
-        """Whether a job that can't be run here has expired; expiring it does not need its bodies."""
+        """Whether a job that can't be run here has expired; to append dead results, no bodies are needed."""
         age_s = now_s - job.known_since_s
         return not self._may_run(job) and age_s > self._time_to_live_s(job) + EXPIRY_MARGIN_S
 
     def _expire_items(self, job: JobState, now_s: float) -> None:
-        """Append dead results for a job's items without a result, once: no daemon has run them in time."""
+        """Queue dead results, once, for a job's items that no daemon has completed in time."""
         if job.job_id in self._expired_jobs:
             return
         self._expired_jobs.add(job.job_id)
@@ -202,7 +204,7 @@
     def _is_released(self, job_id: str) -> bool:
         """Whether a job was released and may have been claimed by another daemon since.
 
-        Assumed for some time after the release, and for as long as the log can't be read.
+        Assumed for RELEASE_PAUSE_S after the release, and for as long as the log can't be read.
         """
         released_since_s = self._released_since_s_by_job.get(job_id)
         if released_since_s is None:
@@ -216,7 +218,7 @@
     def _may_claim(self, job: JobState, is_watcher: bool, now_s: float) -> bool:
         """Whether this daemon may claim a job that it does not own.
 
-        Never while its view of the log is old: it might just not have read the owner's renewals.
+        Never while this daemon's view of the partition is old, as it may lack the owner's renewals.
         """
         if job.job_id in self._jobs_being_claimed or self._freshness.age_s(now_s) >= MAX_CURRENT_AGE_S:
             return False
@@ -248,10 +250,10 @@
         return status is WriterStatus.REPLACED or (status is WriterStatus.SILENT and silent_s >= DEAD_AFTER_S)
 
     def _owner_silence_s(self, job: JobState, now_s: float) -> float:
-        """Return for how long a job's owner has been silent since it got the job.
+        """Return for how long a job's owner has certainly been silent, since it got the job at the earliest.
 
-        The silence before does not count: a writer without jobs in the partition appends nothing
-        there, so it would count as dead as soon as it gets a job.
+        An earlier silence does not count: a writer without jobs in the partition appends nothing there, so
+        otherwise it would count as dead as soon as it gets a job.
         """
         last_contact_s = self._projection.last_contact_s_by_writer.get(job.owner, NEVER_S)
         return self._freshness.silence_s(max(last_contact_s, job.owner_since_s), now_s)
--- a/passgate/jobs/partition_owners.py
+++ b/passgate/jobs/partition_owners.py
@@ -15,11 +15,14 @@
     """Calls to the owners of jobs."""
 
     async def probe(self, writer: str, partition: int) -> AliveResponse | None:
-        """Return the response of the daemon at a writer's address; None without a response."""
+        """Return the response of the daemon at a writer's address; None without a valid response."""
         ...
 
     async def release_jobs(self, writer: str, partition: int) -> UnappendedEntries:
-        """Make a writer that is cut off from the log stop its runs; return its entries missing on the log."""
+        """Make a writer that is cut off from the log stop its runs of the partition's jobs.
+
+        Returns its results and events that the log has not acknowledged; none if the call fails.
+        """
         ...
 
 
@@ -43,5 +46,5 @@
         return await self._peers.probe(writer, self._partition)
 
     async def release_jobs(self, writer: str) -> UnappendedEntries:
-        """Make an owner stop its runs of the partition; return its entries missing on the log."""
+        """Make an owner that is cut off from the log stop its runs; see :meth:`OwnerClient.release_jobs`."""
         return await self._peers.release_jobs(writer, self._partition)
--- a/passgate/jobs/partitions.py
+++ b/passgate/jobs/partitions.py
@@ -1,8 +1,9 @@
 """Partitions of the batch jobs on the log, each followed only by the daemons that need its state.
 
-All records of a job are in the partition of its host.  In each zone one daemon watches a partition;
-the zone's group on the log assigns the partitions.  A daemon follows a partition while it watches it
-or owns jobs there, and for some time after a request needed it.  All others call the watcher.
+All records of a job are in the partition of its host, except the bodies of region-restricted jobs, which may
+be stored and served in some regions only.  In each zone, one daemon is the watcher of a partition; the zone's
+group on the log assigns the partitions.  A daemon follows a partition while it is the watcher or owns open
+jobs there, and for some time after a request needed the partition.  Other daemons call the watcher.
 
 >>> partition_of("h.example", 12) == partition_of("h.example", 12)
 True
@@ -35,9 +36,9 @@
 IDLE_POLL_WAIT_S = 3.0
 """Longest wait of a long poll while no job of the partition is open."""
 FOLLOW_AFTER_USE_S = 4.0
-"""Time for which a partition is followed after its last use by a request, or after the end of the watch."""
+"""Time for which a partition is followed after its last use by a request, or after this daemon watched it."""
 STATE_TTL_S = 30.0
-"""Time for which the state of a partition is kept after it was last needed."""
+"""Minimum time for which the state of a partition is kept after it was last needed."""
 
 MakePartitionJobRunner = Callable[[JobProjection, Journal, JobState], JobRunner | None]
 """Makes a job's runner; returns None while the job matches no route."""
@@ -53,7 +54,7 @@
 
     topic: str
     partition_count: int
-    """Number of partitions."""
+    """Number of partitions of the topic."""
     writer: str
     """Writer name of the daemon's present incarnation."""
     record_bytes: int
@@ -61,7 +62,7 @@
     append_bytes: int
     """Maximum size of an append."""
     retention_s: float
-    """Time for which a job that is not open stays readable."""
+    """Time, since this daemon read the job, for which a job that is not open stays readable."""
 
 
 class JobPartition:
@@ -84,7 +85,7 @@
         self.bodies_reader = (
             BodiesReader(restricted_bodies, self._deliver_bodies) if restricted_bodies is not None else None
         )
-        """Reads the bodies of region-restricted jobs; None where no job is restricted."""
+        """Reads the bodies of region-restricted jobs; None where jobs can't be restricted."""
         self.journal = Journal(
             log,
             settings.topic,
@@ -106,7 +107,7 @@
             self._time_to_live_s,
         )
         self.needed_until_s = monotonic_s()
-        """Loop time until which requests need the partition; once past, when it was last needed."""
+        """Loop time until which requests need the partition; if past, when it was last needed."""
         self._append_task = asyncio.get_running_loop().create_task(self.journal.run())
 
     @property
@@ -116,7 +117,7 @@
 
     @property
     def is_current(self) -> bool:
-        """Whether the partition is followed and was read to its end."""
+        """Whether the partition is followed, and was read to its end since this daemon began to follow it."""
         return self.followed_tail.current
 
     def may_hold(self, job: JobState) -> bool:
@@ -126,7 +127,7 @@
         )
 
     def _time_to_live_s(self, job: JobState) -> float:
-        """Return the time to live of a job's items; where no job is restricted, only runners expire items."""
+        """Return the time to live of a job's items; unlimited where jobs can't be region-restricted."""
         if self._restricted_bodies is None:
             return UNLIMITED_TIME_TO_LIVE_S
         return self._restricted_bodies.time_to_live_s(job.host, job.path)
@@ -143,27 +144,27 @@
         self.bodies_reader.forget_jobs_except(self.projection.jobs)
 
     def _deliver_bodies(self, job_id: str, bodies: Sequence[ItemBodies]) -> bool:
-        """Set a job's bodies and start its runner if it is owned here; return False if they don't match."""
+        """Set a job's bodies and start its runner if it is owned here; False if their number is wrong."""
         matches = self.projection.set_bodies(job_id, bodies)
         if matches and self.is_current:
             self.ownership.start_runners()
         return matches
 
     def choose_poll_wait(self) -> None:
-        """Use short long polls while a job is open, because takeovers require a fresh view."""
+        """Shorten the long polls while a job is open, because takeovers require a fresh view."""
         self.tail.wait_s = POLL_WAIT_S if self.projection.has_open_jobs() else IDLE_POLL_WAIT_S
 
     def keep_following(self) -> None:
-        """Follow the partition for some time from now."""
+        """Follow the partition for at least FOLLOW_AFTER_USE_S from now."""
         self.needed_until_s = max(self.needed_until_s, monotonic_s() + FOLLOW_AFTER_USE_S)
         self.followed_tail.set_following(True)
 
     def keep_following_if_current(self) -> None:
-        """Follow a partition that was read to its end for some time, also if another daemon watches it next.
+        """Follow the partition for some time from now if it was read to its end, else change nothing.
 
-        Until the next watcher has read the partition, only this daemon can answer requests.  A partition
-        that was not read to its end is not followed on: when all daemons of a zone start, each
-        watches many partitions for a moment, and reading them all would exceed the log's throughput.
+        If another daemon watches it next, only this one can answer requests until the other has read it.
+        Unread partitions are not kept: when all daemons of a zone start, each watches many partitions for a
+        moment, and reading them all would exceed the log's throughput.
         """
         if self.is_current:
             self.keep_following()
@@ -182,7 +183,7 @@
             try:
                 batch = decode_batch(record)
             except (msgspec.DecodeError, zlib.error) as error:
-                # For example a newer daemon's record; to fail here would block the partition for ever.
+                # For example a newer daemon's record; raising would block the partition for ever.
                 offset = page.start + index
                 self._decisions.write(RecordUnreadable(offset=offset, reason=str(error)))
                 continue
@@ -220,9 +221,11 @@
             make_runner: makes the runner of a job.
             peers: calls the owners of jobs.
             decisions: decision log.
-            may_own_new: returns whether this daemon is large enough to own a job that no watcher takes.
+            may_own_new: returns whether this daemon's machine is large enough to own a job that no watcher
+                takes.
             log_answers: returns whether the log has recently answered this daemon.
-            restricted_bodies: stores the bodies of region-restricted jobs; None where no job is restricted.
+            restricted_bodies: stores the bodies of region-restricted jobs; None where jobs can't be
+                restricted.
         """
         self._log = log
         self._settings = settings
@@ -238,7 +241,7 @@
 
     @property
     def running_jobs(self) -> int:
-        """Number of jobs that this daemon runs."""
+        """Number of jobs that this daemon runs, over all partitions."""
         return sum(partition.ownership.running_jobs for partition in self._partition_by_number.values())
 
     @property
@@ -252,11 +255,11 @@
         return self._may_own_new() and not self.stopping
 
     def is_watcher_of(self, number: int) -> bool:
-        """Whether this daemon watches a partition for its zone."""
+        """Whether this daemon watches a partition for its zone; false during a graceful shutdown."""
         return not self.stopping and number in self._watched_partitions()
 
     def of_host(self, host: str) -> JobPartition:
-        """Return the partition of a host's jobs; it is created, but not followed, on first use."""
+        """Return the partition of a host's jobs; a new one is created, but not followed."""
         return self._get_or_create(partition_of(host, self._settings.partition_count))
 
     def _get_or_create(self, number: int) -> JobPartition:
--- a/passgate/jobs/peers.py
+++ b/passgate/jobs/peers.py
@@ -1,8 +1,8 @@
 """Calls about jobs between daemons: the client, and the messages of client and server.
 
-A daemon that does not follow a job's partition calls the zone's watcher of the partition, whose
-member name in the log's group contains its address.  When the call fails, it reads the partition from
-the log itself.  Watchers also probe owners that are silent on the log, to take their jobs over sooner.
+In each zone, one daemon is the watcher of a partition: the zone's group on the log assigns the partition to
+the daemon, whose member name contains its address.  A daemon that does not follow a job's partition calls the
+watcher.  Watchers also probe owners that are silent on the log, to take their jobs over sooner.
 """
 
 from __future__ import annotations
@@ -36,26 +36,27 @@
 from passgate.sharedlog.member_names import address_of
 
 RESPONSE_TIMEOUT_S = 0.35
-"""Timeout of a response, in addition to the wait that the request contains."""
+"""Timeout of a response from a daemon nearby, in addition to the wait that the request contains."""
 OWN_TIMEOUT_S = 0.1
-"""Timeout of a watcher's response whether it takes a new job."""
+"""Timeout of a response by a watcher nearby that was asked to own a new job."""
 MAX_VIEW_AGE_FOR_PEERS_S = 0.6
 """Maximum age of the view of the log from which another daemon gets a page without results."""
 NEXT_CALL_DELAY_S = 0.15
-"""Time for a daemon to respond before the next one is called as well."""
+"""Time for a daemon nearby to respond before the next one is called as well."""
 MAX_CALLED_IN_ZONE = 3
-"""Number of daemons of its own zone that a daemon cut off from the log calls at most."""
+"""Maximum number of daemons called in the own zone if any daemon can handle the call."""
 MAX_CALLED_PER_DISTANCE = 2
-"""Number of daemons that it calls at most in its region's other zones, and as many in other regions."""
+"""Maximum number of daemons called in other zones of the own region if any daemon can handle the call; also
+the maximum in other regions."""
 CATCH_UP_TIMEOUT_S = 3.0
-"""Time for a zone to get a new watcher after a loss, and for the watcher to read the partition."""
+"""Time for a zone that lost its watcher to get another, and for this one to read the partition."""
 CATCH_UP_RETRY_PAUSE_S = 0.1
-"""Pause before a watcher that still reads its partition is called again."""
+"""Pause before a watcher that has not read its partition to the end yet is called again."""
 ALIVE_TIMEOUT_S = 0.3
-"""Timeout of a response to a probe."""
+"""Timeout of a response to a probe by a daemon nearby."""
 
 RELEASE_JOBS_TIMEOUT_S = 0.3
-"""Timeout of a response with the entries of released jobs."""
+"""Timeout of a response by a daemon nearby that was asked to release its jobs."""
 
 METHOD_ALIVE, METHOD_RELEASE_JOBS, METHOD_OWN, METHOD_SUBMIT = (
     "jobs.alive",
@@ -70,18 +71,17 @@
     """Asks which incarnation of a daemon runs at an address; the response is an :class:`AliveResponse`."""
 
     partition: int = msgspec.field(name="part")
-    """Partition about whose jobs the caller has to decide."""
+    """Partition whose jobs the caller may take over; the response is about appends to this partition."""
 
 
 class ReleaseJobsRequest(msgspec.Struct, frozen=True, kw_only=True):
     """Asks a daemon that is cut off from the log to stop its runs of a partition's jobs."""
 
     partition: int = msgspec.field(name="part")
-    """Number of the partition."""
 
 
 class ReleaseJobsResponse(msgspec.Struct, frozen=True, kw_only=True):
-    """Results and events of the stopped runs that the log has not acknowledged."""
+    """Results and events of stopped runs that the log has not acknowledged; empty if no run was stopped."""
 
     entries: tuple[ItemsDone | ItemProgressed, ...] = ()
 
@@ -90,23 +90,23 @@
     """Asks a watcher whether it will own a new job of its partition."""
 
     partition: int = msgspec.field(name="part")
-    """Number of the partition."""
+    """Partition of the new job; only its watcher in the called daemon's zone accepts."""
 
 
 class OwnResponse(msgspec.Struct, frozen=True, kw_only=True):
     """Whether the called daemon will own the new job."""
 
     writer: str
-    """Writer name of the daemon; empty when it will not own the job."""
+    """Writer name of the called daemon; empty when it will not own the job."""
 
 
 class SubmitRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """Asks to append a job to the log, on behalf of a daemon that can't reach the log."""
+    """Asks to append a job to the log, for a daemon whose own append fails or is slow."""
 
     spec: bytes
     """The job, encoded by :func:`passgate.jobs.records.encode_spec`."""
     timeout_s: float = msgspec.field(name="patience_s")
-    """Time after which the caller does not wait any more."""
+    """Time for which the caller waits."""
 
 
 class ReadResultsRequest(msgspec.Struct, frozen=True, kw_only=True):
@@ -118,7 +118,7 @@
     wait_s: float
     """Longest wait for the first result."""
     relay: bool = False
-    """Whether a daemon that does not follow the partition must pass the request on to the watcher."""
+    """Whether a called daemon that is not up to date passes the request on to the partition's watcher."""
 
 
 class ReadBodyRequest(msgspec.Struct, frozen=True, kw_only=True):
@@ -130,21 +130,22 @@
 
 
 class CancelRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """Asks to cancel a job."""
+    """Asks to cancel a job; the response comes once the cancellation is on the log."""
 
     host: str
     job_id: str
     timeout_s: float = msgspec.field(name="patience_s")
-    """Time after which the caller does not wait any more."""
+    """Time for which the caller waits."""
     relay: bool = False
     """Whether to append the cancellation without checking that the job exists."""
 
 
 class JobPeerClient:
-    """Calls the watchers of partitions and the owners of jobs.
+    """Calls the watchers of partitions, the owners of jobs, and other daemons.
 
-    Failed calls raise PeerError, except answers that a job or item does not exist (NotFound) and that
-    the daemon's region may not hold the job's bodies (BodiesElsewhere).
+    Failed calls raise PeerError unless a method's text says otherwise.  A response that a job or item
+    does not exist raises NotFound; one that the called daemon's region may not hold the job's bodies raises
+    BodiesElsewhere.
     """
 
     def __init__(
@@ -163,7 +164,7 @@
             directory: members of this daemon's zone and the partitions that they watch.
             member_name: this daemon's own name among them.
             decisions: decision log.
-            distances: round-trip times to the zones; None to treat all daemons as near.
+            distances: round-trip times to the zones; None to treat all daemons as nearby.
             other_zones: directories of the other zones; None to call no daemon there.
         """
         self._distances = distances or ZoneDistances(Topology(zone=""))
@@ -173,7 +174,7 @@
         self._member_name = member_name
         self._decisions = decisions
         self._unanswered_since_s_by_partition: dict[int, float] = {}
-        """Maps partitions to the loop time since which their watchers were still catching up."""
+        """Loop time, by partition, since which the watcher has been catching up at every call."""
 
     @property
     def zone(self) -> str:
@@ -195,9 +196,10 @@
             return None  # expected of a writer that has ended, so no decision line is written
 
     async def release_jobs(self, writer: str, partition: int) -> UnappendedEntries:
-        """Make a writer that is cut off from the log stop its runs; return its unacknowledged entries.
+        """Make a writer that is cut off from the log stop its runs of a partition's jobs.
 
-        Returns no entries when the writer does not respond, or is not cut off any more.
+        Returns the results and events that the log has not acknowledged; none if the call fails, or if the
+        writer is not cut off any more.
         """
         request = msgspec.json.encode(ReleaseJobsRequest(partition=partition))
         try:
@@ -211,7 +213,7 @@
             return ()
 
     async def find_owner(self, partition: int) -> str:
-        """Return the writer name of the zone's watcher if it will own a new job, else an empty string."""
+        """Return the writer name of the partition's watcher if it will own a new job, else ""."""
         try:
             timeout_s = self._distances.response_timeout_s(OWN_TIMEOUT_S, self.zone)
             payload = await self._call_watcher(
@@ -222,10 +224,14 @@
         return msgspec.json.decode(payload, type=OwnResponse).writer
 
     async def find_owner_in_regions(self, partition: int, regions: frozenset[str] | None) -> str:
-        """Return the writer name of the nearest watcher in some regions that will own a new job, or empty.
+        """Return the writer name of the nearest watcher in the regions that will own a new job, or "".
 
-        Without an owner from the start, the job would wait until a watcher with a fresh view of the log
-        claims it.
+        Asks the watchers of other zones only.  Without an owner from the start, the job would wait until a
+        watcher with a fresh view of the log claims it.
+
+        Args:
+            partition: partition of the job.
+            regions: regions in which the owner may be; None for any.
         """
         request = OwnRequest(partition=partition)
         for zone, watcher in await self._watchers_in_other_zones(partition):
@@ -245,9 +251,9 @@
     async def submit(
         self, partition: int, spec: JobSpec, timeout_s: float, regions: frozenset[str] | None = None
     ) -> None:
-        """Have a daemon of some regions append a job to the log.
+        """Have another daemon, in one of the regions if any are given, append a job to the log.
 
-        Raises PeerError when no daemon has confirmed it; the job may be on the log even then, unless the
+        Raises PeerError if no daemon has confirmed the append; the job may still be on the log, unless the
         error's execution is NOT_RUN.
         """
         request = SubmitRequest(spec=encode_spec(spec), timeout_s=timeout_s)
@@ -261,9 +267,9 @@
         return msgspec.json.decode(payload, type=ResultPage)
 
     async def read_results_via_any(self, partition: int, request: ReadResultsRequest) -> ResultPage:
-        """Read results through any daemon, for a daemon cut off from the log that may not know the watcher.
+        """Read results through any other daemon; raises PeerError or NotFound.
 
-        Raises PeerError or NotFound.
+        For a daemon that is cut off from the log, so that it may not know the watcher.
         """
         relay_request = msgspec.structs.replace(request, relay=True)
         payload = await self._call_any(
@@ -274,7 +280,7 @@
     async def read_body(self, partition: int, request: ReadBodyRequest) -> bytes:
         """Read the body of an item at the partition's watcher.
 
-        Raises PeerError, NotFound, or BodiesElsewhere when the watcher's region may not hold it.
+        Raises PeerError, NotFound, or BodiesElsewhere when the watcher's region may not hold the body.
         """
         return await self._call_until_caught_up(partition, METHOD_BODY, request, self._response_timeout_s())
 
@@ -290,7 +296,7 @@
         raise PeerUnreachable("no watcher in another zone returned the body", part=partition) from failure
 
     async def _watchers_in_other_zones(self, partition: int) -> list[tuple[str, str]]:
-        """Return pairs of another zone and its watcher of a partition: local region first, then nearest."""
+        """Return pairs of another zone and its watcher: first in the local region, then by distance."""
         if self._other_zones is None:
             return []
         zones = self._other_zones.directories_by_distance()
@@ -309,17 +315,17 @@
         await self._call_watcher(partition, METHOD_CANCEL, request, request.timeout_s)
 
     async def cancel_job_via_any(self, partition: int, request: CancelRequest) -> None:
-        """Have any daemon cancel a job, without a check that it exists; raises PeerError."""
+        """Have any other daemon cancel a job, without a check that the job exists; raises PeerError."""
         relay_request = msgspec.structs.replace(request, relay=True)
         await self._call_any(partition, METHOD_CANCEL, relay_request, request.timeout_s)
 
     async def _call_until_caught_up(
         self, partition: int, method: str, request: msgspec.Struct, timeout_s: float
     ) -> bytes:
-        """Call the watcher, again while it is still reading its partition, until it responds or the timeout.
+        """Call the watcher, and repeat the call until the timeout while the watcher is still catching up.
 
-        Raises PeerCatchingUp when the watcher may respond soon, and PeerUnreachable when the partition
-        has been without a watcher that has caught up for longer than usual.
+        Raises PeerCatchingUp if it is still catching up at the timeout, PeerUnreachable if it has been for
+        longer than CATCH_UP_TIMEOUT_S in all calls, and what :meth:`_call_watcher` raises.
         """
         until_s = monotonic_s() + timeout_s
         while True:
@@ -341,9 +347,10 @@
     async def _call_watcher(
         self, partition: int, method: str, request: msgspec.Struct, timeout_s: float
     ) -> bytes:
-        """Call the watcher; while it still reads the partition, call the previous one, which follows on.
+        """Call the watcher; if it is still catching up, call the previous one, if known.
 
-        Raises PeerCatchingUp when no watcher is known, and PeerUnreachable when this daemon is the watcher.
+        Without a watcher in this zone, calls that of the nearest other zone if there are several regions.
+        Raises PeerCatchingUp if no watcher is known, and PeerUnreachable if this daemon is the watcher.
         """
         until_s = monotonic_s() + timeout_s
         watcher = await self._directory.holder_of(partition)
@@ -366,7 +373,7 @@
         return next((watcher for _, watcher in await self._watchers_in_other_zones(partition)), None)
 
     def _members_to_call(self, regions: frozenset[str] | None) -> list[str]:
-        """Return members in some regions in reverse order of the calls: those of the own zone are last."""
+        """Return members in the regions (None: any) in reverse order of calls: the own zone's are last."""
         topology = self._distances.topology
         remote_members = self._other_zones.known_members() if self._other_zones is not None else []
         remote_members = [
@@ -393,11 +400,11 @@
         timeout_s: float,
         regions: frozenset[str] | None = None,
     ) -> bytes:
-        """Call members, the next one after a short delay even if the previous have not responded.
+        """Call members, each after a short delay even if those before have not responded.
 
-        Returns the first successful response and cancels the other calls.  A response that the job does
-        not exist counts as one, and raises NotFound.  Raises PeerUnreachable when there is no member to
-        call, and PeerError when all calls have failed.
+        Returns the first successful response and cancels the other calls.  A response that the job does not
+        exist ends the calls too and raises NotFound.  Raises PeerUnreachable if there is no member to call,
+        and PeerError if all calls have failed.
         """
         members = self._members_to_call(regions)
         if not members:
--- a/passgate/jobs/projection.py
+++ b/passgate/jobs/projection.py
@@ -1,8 +1,9 @@
 """State of the jobs of one partition: a projection of the log, built by applying its records in offset order.
 
-Every daemon applies the same records with this code, so all of them have the same results at
-the same positions.  Races between daemons are resolved here: the first claim with a job's next
-epoch and the first result of an item are accepted, later ones are ignored.
+Every daemon that follows the partition applies the same records, so all have the same results at the same
+positions.  Races between daemons are resolved here: the first claim with a job's next epoch (number of the
+ownership) and the first result of an item are accepted, later ones are ignored.  A writer is one incarnation
+of a daemon.
 
 >>> from passgate.jobs.records import job_pieces
 >>> projection = JobProjection()
@@ -46,9 +47,9 @@
 
 FIRST_EPOCH = 1
 MAX_PENDING_JOBS = 256
-"""Submissions remembered while some of their pieces are missing; beyond this the oldest are dropped."""
+"""Maximum number of submissions with missing pieces that are remembered; the oldest are dropped first."""
 MAX_STOPPED_WRITERS = 1024
-"""Stopped writers remembered; records that still assign jobs to a stopped writer arrive within seconds."""
+"""Maximum number of stopped writers that are remembered, as later records may still assign them jobs."""
 
 
 class JobState:
@@ -77,7 +78,7 @@
         """Bodies stored apart from the job; None until this daemon has read them."""
         self.results: list[Result] = []
         self.position_by_item: dict[str, int] = {}
-        """Maps items with a result to the position in ``results``."""
+        """Position in ``results`` by item, for items with a result."""
         self._progress = GroupProgress(spec.items, spec.desired)
         self.cancelled = False
         self.owner = owner
@@ -85,12 +86,12 @@
         self.owner_since_s = now_s
         """Loop time since which this daemon knows of the present owner, or that there is none."""
         self.epoch = FIRST_EPOCH
-        """Increases by one with each change of owner by a claim."""
+        """Number of the ownership; increases by one with each accepted claim or release."""
         self.known_since_s = now_s
         """Loop time at which this daemon applied the submission."""
 
     def item_key(self, item_id: str) -> str:
-        """Return the key of an item of this job in the projection's mappings: its id, scoped by tenant."""
+        """Return the key of an item of this job in the projection's mappings: its tenant and its id."""
         return tenant_scoped_id(self.tenant, item_id)
 
     @property
@@ -100,7 +101,7 @@
 
     @property
     def has_enough_results(self) -> bool:
-        """Whether as many item groups have all their results as the caller waits for."""
+        """Whether as many item groups as the caller waits for have all their results."""
         return self._progress.has_enough_groups
 
     @property
@@ -147,13 +148,13 @@
     def __init__(self) -> None:
         self.jobs: dict[str, JobState] = {}
         self.last_contact_s_by_writer: dict[str, float] = {}
-        """Maps writers to the loop time at which their last new batch was applied; see ``apply``."""
+        """Loop time at which the last new batch was applied, by writer; see ``apply``."""
         self.newest_job_by_model: dict[str, str] = {}
-        """Maps models to the newest job for them."""
+        """Identifier of the newest job, which may have been removed, by model."""
         self.recorded_events_by_item: dict[str, RecordedEvents] = {}
-        """Maps items, scoped by tenant, to the recorded events of their unfinished run."""
+        """Recorded events of the item's latest run, by :meth:`JobState.item_key`."""
         self.newest_result_by_item: dict[str, Result] = {}
-        """Maps items, scoped by tenant, to their newest result, for later jobs with the same item."""
+        """Newest result, for later jobs with the same item, by :meth:`JobState.item_key`."""
         self._pending_jobs: dict[tuple[str, str], _PendingJob] = {}
         self._stopped_writers: dict[str, None] = {}
         """Writers that shut down gracefully, in order; a dict serves as an ordered set."""
@@ -228,7 +229,7 @@
                 self._discard_events(key, result)
 
     def _discard_events(self, key: str, result: Result) -> None:
-        """Discard an item's events, unless a later job can have the complete text scored again."""
+        """Discard an item's events, unless a later job can have them scored: complete ones of a dead item."""
         recorded = self.recorded_events_by_item.get(key)
         if recorded is not None and not (recorded.complete and result.state is ResultState.DEAD):
             del self.recorded_events_by_item[key]
@@ -263,10 +264,10 @@
 
     @staticmethod
     def _replaces_events(entry: ItemProgressed, recorded: RecordedEvents | None, by_owner: bool) -> bool:
-        """Whether the first record of a run starts the recorded events of its item.
+        """Whether the first record of a run replaces the recorded events of its item, if there are any.
 
-        Recorded events of another run are replaced only by the job's owner, and not by a late copy
-        of the present or a replaced run.
+        Only the job's owner replaces events of another run, and a late copy of a record of the present run
+        or of a replaced one never does.
         """
         if recorded is None:
             return True
@@ -278,7 +279,7 @@
             job.cancelled = True
 
     def set_bodies(self, job_id: str, bodies: Sequence[ItemBodies]) -> bool:
-        """Set the separately stored bodies of a job; return False when their number is not that of the items.
+        """Set the separately stored bodies of a job; return False if their number differs from the items'.
 
         Bodies of an unknown job are ignored.
         """
@@ -295,7 +296,7 @@
         return any(job.is_open for job in self.jobs.values())
 
     def prune(self, now_s: float, retention_s: float) -> None:
-        """Remove jobs that are not open and have been known for longer than ``retention_s``."""
+        """Remove jobs that are not open and that this daemon read more than ``retention_s`` ago."""
         for job in list(self.jobs.values()):
             if now_s - job.known_since_s > retention_s and not job.is_open:
                 self._remove_job(job)
--- a/passgate/jobs/reader.py
+++ b/passgate/jobs/reader.py
@@ -1,4 +1,4 @@
-"""Reads jobs, results and bodies from a partition that this daemon follows."""
+"""Returns jobs, results and bodies from this daemon's own state of a partition."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 from passgate.jobs.records import Result
 
 MAX_PAGE_TEXT_BYTES = 450_000
-"""Estimated size of a page's results; a page must fit into one message between daemons."""
+"""Maximum estimated size of a page of several results, which must fit into one message between daemons."""
 CATCH_UP_TIMEOUT_S = 0.9
-"""Time for a partition that was not followed to be read to its end."""
+"""Longest wait for a partition that was not followed to be read to its end."""
 CONFIRM_TIMEOUT_S = 0.5
-"""Time for a read up to the log's end, which confirms that this daemon's view is complete."""
+"""Longest wait until records up to the log's present end are applied, and longest wait for bodies."""
 MAX_VIEW_AGE_S = 2.6
-"""Maximum age of the view of the log from which a caller gets a page without results."""
+"""Maximum age of this daemon's view of the log with which a caller gets a page without results."""
 RESULT_OVERHEAD_BYTES = 200
-"""Estimated size of a result without its text: identifiers, state, versions."""
+"""Assumed size of a result without its text: identifiers, state, versions."""
 MORE_RESULTS_WAIT_S = 0.2
-"""Time to wait for further results after the first, so that one page holds results that arrive together."""
+"""Longest wait for further results after the first; a page then has results that arrive close together."""
 
 
 class ResultPage(msgspec.Struct, frozen=True, kw_only=True):
@@ -32,7 +32,7 @@
     total: int
     """Number of the job's items."""
     next_position: int
-    """Position after the page's last result."""
+    """Position after the page's last result; for an empty page, the requested position."""
     results: tuple[Result, ...]
 
 
@@ -46,13 +46,15 @@
 ) -> ResultPage:
     """Return results from a position on; wait for the first one and then shortly for further ones.
 
+    The page is empty if no result arrives in time.
+
     Args:
         partition: partition of the job.
         job_id: identifier of the job.
         position: position of the page's first result.
         wait_s: longest wait for the first result.
-        max_view_age_s: maximum age of the view of the log from which an empty page is returned while
-            the job has items without a result.
+        max_view_age_s: maximum age of this daemon's view of the log with which an empty page is returned
+            while further results are possible.
 
     Raises:
         NotFound: there is no such job.
@@ -72,8 +74,8 @@
 async def _wait_for_more_results(partition: JobPartition, job: JobState, until_s: float) -> None:
     """Wait until the caller has enough results or the job is not open, at most until a loop time.
 
-    Items that started together end together, and callers pause between pages, so a page with
-    only the first result would delay the others by that pause.
+    Items that started together often end together, and callers pause between pages, so a page with only the
+    first result would delay the others by that pause.
     """
     while not job.has_enough_results and job.is_open:
         if not await partition.tail.wait_until_applied(partition.tail.next_offset, until_s - monotonic_s()):
@@ -83,7 +85,7 @@
 def require_followed(partition: JobPartition) -> None:
     """Raise NotReady unless the partition is followed here and was read to its end.
 
-    Used for calls of other daemons, which can ask elsewhere at once instead of waiting here.
+    Used for calls of other daemons, which ask elsewhere at once instead of waiting here.
     """
     if not partition.is_current:
         raise NotReady("this daemon has not read the partition to its end", execution=ExecutionStatus.NOT_RUN)
@@ -122,11 +124,11 @@
 
 
 async def find_job(partition: JobPartition, job_id: str) -> JobState:
-    """Return a job, and keep following its partition.
+    """Return a job, and follow its partition for some time from now.
 
     Raises:
         NotFound: there is no such job; the log was read to its end.
-        NotReady: the log can't be read to its end, so that it is unknown whether there is one.
+        NotReady: the log can't be read to its end, so that it is unknown whether there is such a job.
     """
     partition.keep_following()
     job = partition.projection.jobs.get(job_id)
--- a/passgate/jobs/records.py
+++ b/passgate/jobs/records.py
@@ -1,7 +1,7 @@
 """Records on the shared log: of batch jobs, of leader election, and of the leader's singleton duties.
 
-One log record is a batch of entries by one writer, as zlib-compressed JSON.  The names of the
-fields and the tags are part of the stored format.
+One log record is a batch of entries by one writer (one incarnation of a daemon), as zlib-compressed JSON.
+The tags and the encoded names of the fields are part of the stored format.
 
 >>> batch = Batch(writer="d1.a", entries=(JobCancelled(job_id="j"),))
 >>> decode_batch(encode_batch(batch)) == batch
@@ -33,7 +33,7 @@
     """Request that scores an item's complete text (its reward call)."""
 
     id: str
-    """Request identifier that the replica's answer must repeat."""
+    """Identifier of the reward call, which the replica's answer must repeat."""
     host: str
     path: str
     body: bytes = b""
@@ -49,7 +49,7 @@
     tokens: int = 0
     group: str = ""
     reward: RewardSpec | None = None
-    """None when the item is not scored; its result is then final once its text is complete."""
+    """Call that scores the item; None if its result is final once its text is complete."""
 
 
 class BodiesLocation(msgspec.Struct, frozen=True, kw_only=True):
@@ -59,13 +59,13 @@
     partition: int = msgspec.field(name="part")
     """Partition of the topic."""
     first: int
-    """Offset of the first record that may hold a piece of the bodies."""
+    """Offset of the record with the first piece of the bodies."""
     last: int
-    """Offset of the last such record."""
+    """Offset of the record with the last piece; records of other jobs may lie between them."""
     nonce: str
-    """Identifies the pieces that belong together."""
+    """Identifies the pieces of these bodies."""
     regions: frozenset[str] = frozenset()
-    """Regions allowed when the job was accepted; they still apply after its route was removed."""
+    """Regions allowed when the job was accepted; they apply if the job's route is removed later."""
 
 
 class ItemBodies(msgspec.Struct, frozen=True, array_like=True):
@@ -76,7 +76,7 @@
 
 
 class BodiesPiece(msgspec.Struct, frozen=True, kw_only=True):
-    """A piece of a job's encoded bodies."""
+    """A piece of a job's encoded bodies, which result from joining the pieces in order of ``index``."""
 
     nonce: str
     index: int
@@ -99,27 +99,27 @@
     """Training step that the job belongs to."""
     model: str = ""
     min_version: int = 0
-    """Oldest version of the weights that may make a result."""
+    """Oldest version of the weights that may make any part of a result."""
     desired: int = 0
     """Number of item groups that the caller waits for; 0 means all."""
     tenant: str | None = None
     """Tenant that submitted the job, passed on to the replicas; None where there are no tenants."""
     priority: int | None = None
-    """Priority of the tenant's requests; overrides that of the route."""
+    """Priority of the tenant's requests, which overrides the route's; None to use the route's."""
     bodies_at: BodiesLocation | None = None
     """Where the items' bodies are stored when the spec does not contain them."""
 
 
 class Score(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
-    """Result of a reward call."""
+    """Result of a successful reward call: the stamp that the replica put on its answer."""
 
     call_id: str
     stamp: str
-    """Signature of the replica that answered the call successfully."""
+    """Value of the answer's stamp header."""
 
 
 class Result(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
-    """Final result of an item."""
+    """Result of an item; the first one on the log counts for the job."""
 
     item_id: str
     state: ResultState
@@ -133,7 +133,7 @@
 
 
 class JobPiece(Entry, tag="part"):
-    """A piece of a job's encoded spec; the job exists once all pieces of a nonce are on the log."""
+    """A piece of a job's encoded spec; the job exists once all pieces with one nonce are on the log."""
 
     job_id: str
     nonce: str
@@ -148,10 +148,11 @@
 
 
 class JobClaimed(Entry, tag="claim"):
-    """``owner`` runs the job from now on; ignored unless ``epoch`` is the job's epoch plus one."""
+    """Changes a job's owner; ignored unless ``epoch`` is the job's epoch plus one."""
 
     job_id: str
     owner: str
+    """Writer that runs the job from now on; empty to release the job."""
     epoch: int
 
 
@@ -163,7 +164,7 @@
 
 
 class ItemProgressed(Entry, tag="run"):
-    """Stream events of an unfinished item, so that another daemon or a later job can resume after them."""
+    """Stream events of an item without a result; another daemon or a later job can resume after them."""
 
     job_id: str
     item_id: str
@@ -179,23 +180,24 @@
     parent: str = ""
     """Run whose events this run continues; set in the run's first record only."""
     complete: bool = msgspec.field(name="whole", default=False)
-    """Whether these events complete the output, which then waits for its reward call."""
+    """Whether these events complete the output, before its reward call is sent."""
 
 
 class JobCancelled(Entry, tag="end"):
-    """The caller cancelled the job: no item of it is run any more."""
+    """The caller cancelled the job; its owner stops the items after reading this entry."""
 
     job_id: str
 
 
 class LeaderClaimed(Entry, tag="lead"):
-    """``leader`` leads from now on.
+    """Makes a writer the leader.
 
-    Ignored when another claim was accepted after the one at ``after``, or when the previous
-    leader appended a record after ``seen``.
+    Ignored if the last accepted claim is not the one at ``after``, or if the previous leader has not stopped
+    and has appended a record after ``seen``.
     """
 
     leader: str = msgspec.field(name="holder")
+    """Writer that leads from now on; the offset of this record is its fencing token."""
     after: int
     """Offset of the last accepted claim; -1 when there is none."""
     seen: int = -1
@@ -203,14 +205,14 @@
 
 
 class WriterStopped(Entry, tag="stop"):
-    """The batch's writer shuts down gracefully; its jobs have no owner any more."""
+    """The batch's writer shuts down gracefully: its jobs have no owner, or it leads no more."""
 
 
 class WriterAlive(Entry, tag="alive"):
     """Renews the leases of the batch's writer."""
 
     fence: int = -1
-    """Fence of the writer's leadership, -1 when it does not lead; for readers that did not read its claim."""
+    """Fencing token of the writer's leadership, for readers that did not read its claim; -1 if none."""
 
 
 class WeightDemand(Entry, tag="need"):
@@ -218,28 +220,28 @@
 
     model: str
     lag: int
-    """How many versions behind the newest one the job accepts."""
+    """Number of versions behind the newest one that the job accepts."""
     items: int
     """Number of items of the job."""
 
 
 CountByTenant = dict[str, int]
-"""Maps tenants to numbers of requests."""
+"""Number of requests by tenant."""
 
 
 class UsageCounted(Entry, tag="usage"):
-    """Requests that replicas began in one window, as counted by one daemon since its previous count."""
+    """Numbers of requests that one daemon counted in one window since its previous record on the window."""
 
     meter: str
     """Incarnation of the daemon that counted."""
     number: int
-    """Sequence number of that daemon's counts; a repeated record is counted once."""
+    """Sequence number of the record among those of its meter; a repeated record is counted once."""
     window: int
     counts: CountByTenant
 
 
 class UsageCommitted(Entry, tag="usage_commit"):
-    """Contents of a window's report, fixed before it is first sent; every send must be identical."""
+    """Content of a window's usage report, fixed before the first send, so that all sends are identical."""
 
     window: int
     counts: CountByTenant
@@ -252,16 +254,17 @@
 
 
 class ReplicasDecided(Entry, tag="scale"):
-    """Target number of a service's spot or on-demand replicas in a zone; its offset fences the order."""
+    """Target number of replicas of a service in a zone; the record's offset is the order's fencing token."""
 
     service: str
     zone: str
     spot: bool
+    """Whether spot, rather than on-demand, replicas are meant."""
     count: int
 
 
 class ReplicasOrdered(Entry, tag="scale_sent"):
-    """The platform accepted or refused the scaling order that a decision led to."""
+    """The platform accepted or refused the order for replicas that resulted from a decision."""
 
     service: str
     zone: str
@@ -289,7 +292,7 @@
 
 
 def writer_name(daemon_id: str, incarnation: str, peer_address: str) -> str:
-    """Return the name of one incarnation of a daemon, which includes its address for other daemons.
+    """Return the name of one incarnation of a daemon, which contains its address for peer calls.
 
     >>> writer_name("front-1", "5f3a", "10.1.0.10:7720")
     'front-1.5f3a@10.1.0.10:7720'
@@ -312,7 +315,7 @@
     writer: str
     entries: tuple[AnyEntry, ...]
     sequence: int = 0
-    """Sequence number of the writer's batches, by which it recognizes its own when it reads them."""
+    """Sequence number of the batch among its writer's; a copy has the same number."""
 
 
 _encoder = msgspec.json.Encoder()
--- a/passgate/jobs/restricted_bodies.py
+++ b/passgate/jobs/restricted_bodies.py
@@ -1,8 +1,8 @@
 """Stores the request bodies of region-restricted jobs apart from the jobs.
 
-Daemons of all regions read the jobs' topic, so it holds restricted jobs without their bodies.  The
-bodies are on a separate topic for each set of regions.  Only daemons in these regions read them,
-when they follow the job's partition.
+A region-restricted job may be stored and served only in its allowed regions.  Daemons of all regions read the
+jobs' topic, so it contains restricted jobs without their bodies.  The bodies are on another topic for each
+set of allowed regions, which only daemons in these regions read.
 
 >>> from passgate.jobs.records import RewardSpec
 >>> reward = RewardSpec(id="r", host="h", path="/", body=b"score")
@@ -47,14 +47,16 @@
 logger = logging.getLogger("passgate.jobs")
 
 FIRST_RETRY_PAUSE_S = 0.1
-"""Pause between attempts to append a piece, and after the first failed read of bodies."""
+"""Pause after each failed append of a piece, and after the first failed read of bodies."""
 MAX_READ_RETRY_PAUSE_S = 2.0
-"""Longest pause between failed reads; the pause doubles, as a piece may never become readable."""
+"""Longest pause after a failed read; the pause doubles each time, as a piece may never become readable."""
 MAX_PIECE_SHARE = 0.5
-"""Largest piece as a share of the maximum record size; its base64 form is a third longer."""
+"""Size of the largest piece, as a share of the maximum record size; encoded as base64, it is a third
+longer."""
 
 SendContextLookup = Callable[[str, str, str | None, frozenset[str]], SendContext]
-"""Returns the restrictions on a request, from its host, path, tenant and the regions allowed earlier."""
+"""Returns the restrictions on a request, from its host, path and tenant, and the regions that apply if its
+route no longer exists."""
 
 
 class RestrictedBodiesSettings(Protocol):
@@ -67,25 +69,25 @@
 
 
 def bodies_topic(jobs_topic: str, regions: frozenset[str]) -> str:
-    """Return the topic for bodies that may be held only in these regions."""
+    """Return the topic for bodies that may be held in these regions only."""
     return f"{jobs_topic}-bodies.{'.'.join(sorted(regions))}"
 
 
 def bodies_of(spec: JobSpec) -> tuple[ItemBodies, ...]:
-    """Return the bodies of a job, one entry for each item, in their order."""
+    """Return the bodies of a job, one entry for each item, in the order of the items."""
     return tuple(
         ItemBodies(item.body, item.reward.body if item.reward is not None else b"") for item in spec.items
     )
 
 
 def without_bodies(spec: JobSpec, location: BodiesLocation) -> JobSpec:
-    """Return a job with empty bodies and their location, as daemons of all regions may read it."""
+    """Return a job with empty bodies and their location; daemons of all regions may read this form."""
     bare = tuple(_replace_bodies(item, ItemBodies(b"")) for item in spec.items)
     return msgspec.structs.replace(spec, items=bare, bodies_at=location)
 
 
 def with_bodies(spec: JobSpec, bodies: Sequence[ItemBodies]) -> JobSpec:
-    """Return a job with the bodies of its items; raises ValueError when their numbers differ."""
+    """Return a job with the bodies of its items; raises ValueError if there are more or fewer than items."""
     items = tuple(_replace_bodies(item, body) for item, body in zip(spec.items, bodies, strict=True))
     return msgspec.structs.replace(spec, items=items)
 
@@ -117,7 +119,7 @@
             topology: the region of this daemon.
             settings: settings of the jobs' partitions.
             decisions: decision log.
-            time_to_live_s: returns after which time items of a host and path expire.
+            time_to_live_s: returns the time to live of items from the host and path of their job.
         """
         self.time_to_live_s = time_to_live_s
         self._log = log
@@ -151,9 +153,9 @@
     async def store_bodies(self, spec: JobSpec, partition: int, deadline_s: float) -> JobSpec:
         """Store a region-restricted job's bodies; return the job as it may be appended to the jobs' topic.
 
-        Jobs without restrictions, and those whose bodies are stored already, are returned unchanged.
-        Raises LogUnavailable when a piece could not be appended until the deadline; the caller must
-        not append the job then.
+        A job without restrictions, or whose bodies are stored already, is returned unchanged.  Raises
+        LogUnavailable if a piece is not known to be appended at the deadline; then the caller must not
+        append the job.
         """
         regions = self.allowed_regions(spec.host, spec.path, spec.tenant)
         if regions is None or spec.bodies_at is not None:
@@ -219,7 +221,7 @@
 
 
 def _decode_piece(record: bytes) -> BodiesPiece | None:
-    """Decode a piece; return None for one in a format unknown here, as a newer daemon may write."""
+    """Decode a piece; return None if it can't be decoded, for example as a newer daemon wrote it."""
     try:
         return msgspec.json.decode(record, type=BodiesPiece)
     except msgspec.DecodeError as error:
@@ -228,7 +230,7 @@
 
 
 class RestrictedJob(msgspec.Struct, frozen=True, kw_only=True):
-    """A job whose bodies are stored apart: where they are, and what determines who may hold them."""
+    """A job whose bodies are stored apart: their location, and what decides which regions may hold them."""
 
     job_id: str
     host: str
@@ -238,7 +240,7 @@
 
 
 class BodiesReader:
-    """Reads the bodies of one partition's region-restricted jobs, in the background, each once."""
+    """Reads the bodies of a partition's region-restricted jobs in the background, each job's in one task."""
 
     def __init__(
         self, bodies: RestrictedBodies, deliver: Callable[[str, Sequence[ItemBodies]], bool]
@@ -247,8 +249,8 @@
 
         Args:
             bodies: reads the bodies of one job.
-            deliver: receives a job's identifier and bodies; returns whether their number is that of
-                the job's items.
+            deliver: receives a job's identifier and bodies; returns False if their number differs from that
+                of the job's items.
         """
         self._bodies = bodies
         self._deliver = deliver
@@ -256,12 +258,13 @@
         self._unrecoverable_jobs: set[str] = set()
         """Jobs whose bodies were deleted from the log, can't be decoded, or don't match the items."""
         self._retry_pause_s_by_job: dict[str, float] = {}
-        """Maps jobs whose bodies could not be read to the pause after the next failure."""
+        """Pause after the next failure, by job whose bodies could not be read."""
 
     def start_reading(self, job: RestrictedJob) -> asyncio.Task[None] | None:
         """Start to read a job's bodies, unless a read is running; return the task of the read.
 
-        Returns None when this daemon may not hold the bodies, or when they are unrecoverable.
+        After a failed read, the task ends only after a pause.  Returns None if this daemon may not hold the
+        bodies, or if they are unrecoverable.
         """
         running_task = self._task_by_job.get(job.job_id)
         if running_task is not None or job.job_id in self._unrecoverable_jobs:
@@ -295,7 +298,7 @@
         self._bodies.decisions.write(JobBodiesUnusable(job_id=job.job_id, reason=reason))
 
     def forget_jobs_except(self, job_ids: Collection[str]) -> None:
-        """Forget failures and pauses of all jobs but these."""
+        """Forget failures and pauses of all other jobs."""
         self._unrecoverable_jobs = {job_id for job_id in self._unrecoverable_jobs if job_id in job_ids}
         self._retry_pause_s_by_job = {
             key: pause_s for key, pause_s in self._retry_pause_s_by_job.items() if key in job_ids
--- a/passgate/jobs/reward_call.py
+++ b/passgate/jobs/reward_call.py
@@ -1,7 +1,7 @@
-"""Sends the reward call of an item, with retries until a replica returns a score.
+"""Sends the reward call of an item, which scores its output, with retries until a replica returns a score.
 
-A reward call is safe to repeat, so every failure leads to another attempt; only the number of
-answers with status 500 is limited.  Attempts of one call never overlap, so each answer is counted once.
+A reward call is safe to repeat, so a failed attempt leads to another; only the number of answers with
+status 500 is limited.  The attempts of one call are made one after the other.
 
 Calls queue for a slot, with a queue for each set of allowed regions, so that calls whose regions
 have no replica left do not block the others.
@@ -28,17 +28,17 @@
 from passgate.quarantine.identity import ITEM_CRASH_LIMIT
 
 MAX_LOAD = 0.7
-"""Load of a replica from which on it gets no reward calls; the other slots are left to other callers."""
+"""Load from which on a replica gets no further reward calls, so that other requests find free slots."""
 POLL_INTERVAL_S = 0.02
 """Time between checks for a route and for a replica with a free slot."""
 TIMEOUT_PER_LATENCY = 8.0
-"""Timeout of an attempt in multiples of the replica's expected latency."""
+"""Timeout of an attempt in multiples of the replica's expected latency, if none has timed out before."""
 MIN_TIMEOUT_S, MAX_TIMEOUT_S = 0.4, 4.0
 """Bounds of an attempt's timeout."""
 FIRST_RETRY_PAUSE_S = 0.02
-"""Pause after the first failed attempt; doubles with each further one."""
+"""Pause after the first failed attempt; doubles with each further one, up to MAX_RETRY_PAUSE_S."""
 MAX_RETRY_PAUSE_S = 0.5
-"""Longest pause between attempts."""
+"""Longest pause after a failed attempt."""
 HTTP_INTERNAL_SERVER_ERROR = 500
 MIN_SUCCESS_STATUS, MIN_REDIRECT_STATUS = 200, 300
 
@@ -57,7 +57,8 @@
     service_picker: WeightedServicePicker
     """Picks one of a route's services by their weights."""
     slot_lock_by_regions: defaultdict[frozenset[str] | None, asyncio.Lock]
-    """Maps allowed regions to the lock that a call holds while it looks for a slot; the lock is fair."""
+    """Lock that a call holds while it looks for a slot, by allowed regions; calls get it in order of
+    arrival."""
 
 
 class RewardCall:
@@ -89,7 +90,7 @@
         """Send the call until a replica returns a score; return None after too many answers of status 500.
 
         Args:
-            item_max_attempts: attempts that the item's own route allows; the limit is this or the
+            item_max_attempts: number of attempts that the item's own route allows; the limit is this or the
                 number that the call's route allows, whichever is larger.
         """
         while True:
@@ -118,7 +119,7 @@
             while (route := self._find_route()) is None:
                 await asyncio.sleep(POLL_INTERVAL_S)
             if self._crash_guard.needs_isolated_run(self._identity):
-                # Does not block the queue, because the calls there may use other replicas.
+                # Outside the queue, because calls there may use replicas that this call may not use.
                 state = await self._poll_for_slot(route)
             else:
                 async with self._context.slot_lock_by_regions[self._find_send_context().allowed_regions]:
@@ -138,7 +139,7 @@
         return may_run
 
     async def _poll_for_slot(self, route: Route) -> ReplicaState | None:
-        """Wait for a free slot and reserve it; return None when the route is not the active one any more."""
+        """Wait for a free slot and reserve it; return None if a new configuration replaces the route."""
         while self._find_route() is route:
             state = self._choose_replica(self._context.service_picker.pick(route))
             if state is not None:
@@ -205,7 +206,7 @@
             attempt.close()
 
     def _timeout_s(self, state: ReplicaState) -> float:
-        """Return the next attempt's timeout; doubled for each earlier timeout, as some calls take long."""
+        """Return the next attempt's timeout, doubled for each earlier timeout, as some calls take long."""
         expected_latency_s = state.expected_latency_s(monotonic_s())
         timeout_s = max(TIMEOUT_PER_LATENCY * expected_latency_s, MIN_TIMEOUT_S) * 2.0**self._timeouts
         return min(timeout_s, MAX_TIMEOUT_S)
@@ -227,7 +228,7 @@
     def _check_answer(self, answer: ReplicaAnswer) -> str:
         """Return the stamp of a success, or an empty string after a status of 500.
 
-        Raises AnswerMismatch for the answer of another request, and IncompleteAnswer otherwise.
+        Raises AnswerMismatch if the answer doesn't name this call, and IncompleteAnswer for any other answer.
         """
         if answer.header(self._context.header_names.request_id) != self._spec.id:
             raise AnswerMismatch("answer of another request", replica=answer.incarnation.to_text())
--- a/passgate/jobs/runner.py
+++ b/passgate/jobs/runner.py
@@ -1,8 +1,8 @@
-"""Runs the items of one job until each has a result on the log.
+"""Runs the items of one job until a result of each is queued for the log.
 
 Items are started in order: first those with progress from an earlier run or job, then those with the
 longest expected output, as these determine when the job is complete.  Earlier progress on the log
-is reused where its weight versions satisfy the job.
+is reused if its weight versions satisfy the job.
 """
 
 from __future__ import annotations
@@ -26,11 +26,11 @@
 logger = logging.getLogger("passgate.jobs")
 
 CHECKPOINT_INTERVAL_S = 0.3
-"""Time between records of a running item's events."""
+"""Time between two checks for new events of running items, which are then recorded on the log."""
 EXPIRY_MARGIN_S = 5.0
-"""Time added to the items' time to live before they expire; daemons know a job since different times."""
+"""Time added to the items' time to live before they expire, as daemons read a job at different times."""
 MIN_CHECKPOINT_AGE_S = 0.4
-"""Age below which a running item's events are not recorded."""
+"""Age of an item's run below which its events are not recorded periodically."""
 
 
 class JobRunner:
@@ -50,7 +50,7 @@
     async def run(self) -> None:
         """Run all items without a result; return when all results are queued for the log.
 
-        Items still without a result when their time to live is over get the result DEAD.
+        Items without a result EXPIRY_MARGIN_S after the end of their time to live get the result DEAD.
         """
         try:
             async with asyncio.timeout(self._time_left_s()):
@@ -71,7 +71,7 @@
             checkpoints.cancel()
 
     def _expire_items(self) -> None:
-        """Append the result DEAD for all items without a result."""
+        """Queue the result DEAD for all items that have no result on the log."""
         for item in self._spec.items:
             if item.id not in self._job.position_by_item:
                 dead = Result(item_id=item.id, state=ResultState.DEAD)
@@ -100,7 +100,7 @@
         )
 
     def _item_key(self, item_id: str) -> str:
-        """Return the key of an item in the projection's mappings: its id, scoped by tenant."""
+        """Return the key of an item in the projection's mappings: its tenant and its id."""
         return tenant_scoped_id(self._spec.tenant, item_id)
 
     def _expected_s(self, item: ItemSpec) -> float:
@@ -112,9 +112,10 @@
         return Rank(latest_start_s=self._job.known_since_s + slack_s, unsent=True, tie_breaker=id(item))
 
     async def _start_item(self, item: ItemSpec, rank: Rank, task_group: asyncio.TaskGroup) -> None:
-        """Start an item in a task: with an earlier complete text its scoring, else its run.
+        """Start a task that runs an item, or only scores it if an earlier complete text is usable.
 
-        Waits first until a slot is reserved for the run, so that items start in order.
+        Waits first until a slot is reserved for the run, so that items start in order; not for items that
+        bypass the queue.
         """
         earlier_result = self._earlier_result(item.id)
         if earlier_result is not None:
@@ -165,7 +166,7 @@
         await self._score_and_append(run.item, result, run.attempts, run.started_s)
 
     def _record_duration(self, run: ItemRun, result: Result) -> None:
-        """Record the duration of a complete output that was made by a single attempt."""
+        """Record the duration of an output if a single attempt completed it."""
         if run.attempts == 1 and not run.resumed and result.state is ResultState.SUCCEEDED:
             tokens = self._context.expected_tokens(run.item)
             self._context.durations.record_output(
@@ -175,7 +176,7 @@
     async def _score_and_append(
         self, item: ItemSpec, result: Result, attempts: int, started_s: float
     ) -> None:
-        """Send the item's reward call, if it has one, and append the result."""
+        """Send the reward call of a succeeded item, if it has one, and queue the result for the log."""
         if item.reward is not None and result.state is ResultState.SUCCEEDED:
             result = await self._score_result(item, item.reward, result)
         self._append_result(item, result, attempts, started_s)
--- a/passgate/jobs/service.py
+++ b/passgate/jobs/service.py
@@ -1,7 +1,7 @@
 """Submits, reads and cancels batch jobs, for callers and for other daemons.
 
-A daemon that follows a job's partition answers from its own state.  Any other calls the partition's
-watcher, and reads the partition itself when that fails.
+A daemon that follows a job's partition answers from its own state.  Any other daemon calls the partition's
+watcher, to which the zone's group assigns the partition, and reads the partition itself if that fails.
 """
 
 from __future__ import annotations
@@ -56,16 +56,17 @@
 from passgate.sharedlog.tail import MAX_CURRENT_AGE_S
 
 PEER_APPEND_DELAY_S = 0.3
-"""Time for the log to acknowledge a new job before another daemon is called to append it as well."""
+"""Time for the log to acknowledge a new job before another daemon is called to append it as well; not used
+while this daemon is cut off from the log."""
 UNKNOWN_OFFSET = -1
 """Offset in the decision line of a job that another daemon appended, or that was on the log before."""
 NO_OWNER = ""
 OWNER_CONTACT_MAX_AGE_S = 0.8
-"""Age of the last contact up to which the owner of the model's previous job gets the next one too."""
+"""Age of an owner's last record up to which the owner of a model's previous job gets the next one too."""
 
 
 class JobService:
-    """Submits, reads and cancels jobs; answers the calls of other daemons' job clients."""
+    """Submits, reads and cancels jobs for callers, and handles other daemons' calls about jobs."""
 
     def __init__(
         self,
@@ -86,7 +87,7 @@
     # --- for callers -------------------------------------------------------------
 
     async def submit(self, spec: JobSpec, deadline_s: float) -> None:
-        """Append a job to the log and return once it is there; does nothing when it was there before.
+        """Append a job to the log, unless it is known to be there, and return once it is there.
 
         Raises:
             InvalidRequest: the job has no items, or two with the same identifier.
@@ -118,7 +119,10 @@
         )
 
     async def _append(self, partition: JobPartition, spec: JobSpec, deadline_s: float) -> int:
-        """Append a job to the log, through another daemon if this one can't; return its offset if known."""
+        """Append a job to the log, through another daemon if this one is slow or cut off; return its offset.
+
+        The offset is UNKNOWN_OFFSET if another daemon appended the job.
+        """
         local_append = asyncio.get_running_loop().create_task(
             self._append_locally(partition, spec, deadline_s)
         )
@@ -138,9 +142,9 @@
     async def _append_via_peer(
         self, partition: JobPartition, spec: JobSpec, deadline_s: float, local_append: asyncio.Task[int]
     ) -> bool:
-        """Have another daemon append the job; return whether it did so before this one.
+        """Have another daemon append the job; return whether it did, False if the local append decides.
 
-        Raises DurabilityUnknown when the local append fails and the other daemon's outcome is unknown.
+        Raises DurabilityUnknown if the local append failed and the other daemon's outcome is unknown.
         """
         timeout_s = max(deadline_s - monotonic_s(), 0.0)
         submit = self._peers.submit(partition.number, spec, timeout_s, self._allowed_regions(spec))
@@ -162,7 +166,7 @@
             peer_append.cancel()
 
     async def _append_locally(self, partition: JobPartition, spec: JobSpec, deadline_s: float) -> int:
-        """Append a job from this daemon, its restricted bodies first; return the job's offset."""
+        """Append a job from this daemon, after any region-restricted bodies; return the job's offset."""
         owner = await self._choose_owner(partition, spec)
         if self._partitions.restricted_bodies is not None:
             spec = await self._partitions.restricted_bodies.store_bodies(spec, partition.number, deadline_s)
@@ -177,9 +181,9 @@
     async def _choose_owner(self, partition: JobPartition, spec: JobSpec) -> str:
         """Return the writer that will run a new job, or empty for none.
 
-        The owner of the model's previous job is preferred, because it knows the load that it causes at the
-        replicas and has connections to them; then the partition's watcher; then this daemon.  A
-        job without an owner is claimed by a watcher that reads it.
+        If this daemon follows the partition, the owner of the model's previous job is preferred: it knows the
+        load that it causes at the replicas.  Then come the partition's watcher and this daemon.  For a job
+        that this region may not hold, only watchers in its allowed regions count.
         """
         if not self._may_hold(spec.host, spec.path, spec.tenant):
             return await self._peers.find_owner_in_regions(partition.number, self._allowed_regions(spec))
@@ -220,7 +224,10 @@
         return bodies.allowed_regions(spec.host, spec.path, spec.tenant) if bodies is not None else None
 
     async def read_results(self, host: str, job_id: str, position: int, wait_s: float) -> ResultPage:
-        """Return results from a position on, after waiting for the first; raises NotFound or NotReady."""
+        """Return results from a position on; raises NotFound or NotReady.
+
+        Waits up to ``wait_s`` for the first result; without one, the page is empty.
+        """
         started_s = monotonic_s()
         page = await self._read_results(host, job_id, position, wait_s)
         self._decisions.write(
@@ -249,7 +256,7 @@
         return await read_page(partition, job_id, position, wait_s)
 
     async def read_body(self, host: str, job_id: str, item_id: str) -> bytes:
-        """Return the body of an item; raises NotFound or NotReady."""
+        """Return the request body of an item; raises NotFound or NotReady."""
         partition = self._partitions.of_host(host)
         request = ReadBodyRequest(host=host, job_id=job_id, item_id=item_id)
         try:
@@ -277,10 +284,10 @@
             raise NotReady(str(error), execution=ExecutionStatus.NOT_RUN) from error
 
     async def cancel(self, host: str, job_id: str, deadline_s: float) -> None:
-        """Cancel a job; return once that is on the log.  Repeated calls do nothing.
+        """Cancel a job; return once the cancellation is on the log.  Repeated calls have no further effect.
 
-        When it can't be checked whether the job exists, the cancellation is appended anyway, because
-        callers do not retry for ever and the items must not run on.
+        If it can't be checked whether the job exists, the cancellation is appended anyway, because callers
+        do not retry for ever and the items must not run on.
 
         Raises:
             NotFound: there is no such job.
@@ -320,19 +327,19 @@
             raise DurabilityUnknown("the job's cancellation may be on the log") from error
 
     def _is_cut_off(self) -> bool:
-        """Whether this daemon has not read the log to its end recently."""
+        """Whether this daemon's view of the log is too old to be current."""
         return self._log_age_s() > MAX_CURRENT_AGE_S
 
     def _require_log_view(self) -> None:
-        """Raise NotReady when this daemon is cut off from the log, so that the caller tries another one."""
+        """Raise NotReady if this daemon is cut off from the log, so that the caller tries another daemon."""
         if self._is_cut_off():
             raise NotReady("this daemon can not read the log", execution=ExecutionStatus.NOT_RUN)
 
     def _can_answer(self, partition: JobPartition) -> bool:
-        """Whether to answer from this daemon's own view of a partition.
+        """Whether to answer from this daemon's own view of a partition, if need be after reading it.
 
-        While the daemon is cut off from the log, the view must also be fresh.  Otherwise its age does not
-        matter, because the view of an idle partition may be older: its long polls are longer.
+        While the daemon is cut off from the log, the view must be fresh.  Otherwise the age of the view does
+        not matter, because long polls of an idle partition are longer.
         """
         if self._is_cut_off():
             return partition.is_current and partition.tail.freshness.age_s(monotonic_s()) <= MAX_CURRENT_AGE_S
@@ -356,6 +363,7 @@
             DurabilityUnknown: a submitted job or a cancellation may be on the log.
             PeerError: a read that was passed on to the partition's watcher failed.
             PeerCallFailed: the method is unknown.
+            msgspec.DecodeError, zlib.error: the payload can't be decoded.
         """
         if method == METHOD_ALIVE:
             return msgspec.json.encode(self._answer_alive(msgspec.json.decode(payload, type=AliveRequest)))
@@ -430,6 +438,6 @@
 
 
 def _has_results_after(partition: JobPartition, job_id: str, position: int) -> bool:
-    """Whether results after a position are known here; results never change, so they need no fresh view."""
+    """Whether results from a position on are known here; they never change, so the view need not be fresh."""
     job = partition.projection.jobs.get(job_id)
     return job is not None and len(job.results) > position
--- a/passgate/jobs/stall_detector.py
+++ b/passgate/jobs/stall_detector.py
@@ -1,9 +1,9 @@
 """Detects stalled streams, so that their items resume at another replica.
 
 Resuming at another replica costs one more prefill of the prompt; waiting for a replica that
-crashed costs the whole wait.  So the limit for silence is short, but it applies only while other
-replicas' streams deliver data: when all are silent, this daemon or its network is at fault, and
-another replica would be no better.
+crashed costs the whole wait.  So the limit for silence is short, but up to MAX_SILENCE_LIMIT_S it applies
+only while other replicas' streams deliver data: if all are silent, this daemon or its network is probably at
+fault, and another replica would be no better.
 
 >>> detector = StallDetector()
 >>> first, second = ReplicaIncarnation("r1"), ReplicaIncarnation("r2")
@@ -24,29 +24,30 @@
 from passgate.eligibility.replica_info import ReplicaIncarnation
 
 MAX_EVENT_INTERVALS = 10.0
-"""Limit for silence in multiples of the usual interval of events; prefills of others cause two or three."""
+"""Limit for silence in multiples of the usual interval of events; a prefill of another prompt takes two or
+three."""
 MIN_SILENCE_LIMIT_S = 0.3
 """Lower bound of the limit for silence between events."""
 FIRST_BYTES_LIMIT_S = 0.6
 """Limit for the time until an answer's first bytes; allows for a new connection."""
 MAX_SILENCE_LIMIT_S = 1.5
-"""Upper bound of the limit; a stream silent for this long has stalled even if all others are silent too."""
+"""Upper bound of the limit; a stream silent for this long counts as stalled even if all others are silent."""
 LOOP_DELAY_S = 0.1
-"""A timeout that fires this much too late shows that this daemon's event loop was blocked."""
+"""Delay of a timeout from which on this daemon's event loop counts as having been blocked."""
 MAX_REPLICAS = 4096
-"""Replica incarnations remembered; every restart of a replica adds one."""
+"""Maximum number of replica incarnations remembered; every restart of a replica adds one."""
 NEVER_S = float("-inf")
 
 T = TypeVar("T")
 
 
 def silence_limit_s(event_interval_s: float) -> float:
-    """Return the limit for silence between events of a stream, from their usual interval."""
+    """Return the limit for silence between events of a stream whose events have a usual interval."""
     return min(max(MAX_EVENT_INTERVALS * event_interval_s, MIN_SILENCE_LIMIT_S), MAX_SILENCE_LIMIT_S)
 
 
 class StallDetector:
-    """Last data received from each replica, over all items of a daemon."""
+    """Time of the last data received from each replica, over all items of a daemon."""
 
     def __init__(self) -> None:
         self._last_data_s_by_replica: dict[ReplicaIncarnation, float] = {}
@@ -57,7 +58,7 @@
             len(self._last_data_s_by_replica) >= MAX_REPLICAS
             and incarnation not in self._last_data_s_by_replica
         ):
-            self._last_data_s_by_replica.clear()  # live streams deliver data again within a second
+            self._last_data_s_by_replica.clear()  # live streams soon deliver data again
         self._last_data_s_by_replica[incarnation] = now_s
 
     def seems_stalled(self, incarnation: ReplicaIncarnation, since_s: float) -> bool:
@@ -69,14 +70,16 @@
     async def wait_for(
         self, incarnation: ReplicaIncarnation, read: Callable[[], Coroutine[Any, Any, T]], limit_s: float
     ) -> T:
-        """Wait for the next part of a replica's answer; raises TimeoutError once the stream has stalled.
+        """Wait for the next part of a replica's answer; raises TimeoutError if the stream has stalled.
+
+        Checked after each ``limit_s`` of silence.
 
         Args:
             incarnation: the replica's incarnation.
             read: returns a coroutine that waits for the part; it may be cancelled and called again
                 without losing data.
-            limit_s: limit for the silence; exceeding it counts only while another replica sends
-                data, up to the upper bound for all streams.
+            limit_s: limit for the silence; below MAX_SILENCE_LIMIT_S, a longer silence is a stall only if
+                another replica has sent data meanwhile.
         """
         silent_since_s = monotonic_s()
         while True:
--- a/passgate/jobs/wait_queues.py
+++ b/passgate/jobs/wait_queues.py
@@ -1,6 +1,6 @@
 """Queues of items that wait for a free slot at a replica, ordered by latest start time.
 
-A job is complete when its longest items are, so a shorter item may start later by the difference of
+A job is complete when its longest item is, so a shorter item may start later by the difference of
 the expected durations.  Each model has a queue for each set of allowed regions, so that items whose
 regions have no replica left do not block the others.
 
@@ -24,14 +24,14 @@
 
 
 class Rank(msgspec.Struct, frozen=True, order=True, kw_only=True):
-    """Position of an item in its queue; the least comes first."""
+    """Determines the position of an item in its queue: the item with the least rank comes first."""
 
     latest_start_s: float
     """Loop time by which the item should start, so that it does not delay its job."""
     unsent: bool
-    """Whether the item has not been sent yet; of equal items, those sent before come first."""
+    """Whether the item has not been sent yet; at equal start times, items sent before come first."""
     tie_breaker: int = 0
-    """Distinguishes entries that are otherwise equal."""
+    """Distinguishes items whose other values are equal."""
 
 
 class QueueKey(msgspec.Struct, frozen=True, kw_only=True):
@@ -62,12 +62,12 @@
             self.remove(queue_key, rank)
 
     def remove(self, queue_key: Hashable, rank: Rank) -> None:
-        """Remove an item from a queue; raises KeyError or ValueError when it is not there."""
+        """Remove an item from a queue; raises KeyError or ValueError if it is not there."""
         ranks = self._ranks_by_queue[queue_key]
         ranks.remove(rank)
         if not ranks:
             del self._ranks_by_queue[queue_key]
 
     def is_first(self, queue_key: Hashable, rank: Rank) -> bool:
-        """Whether no other item of the queue comes before this one."""
+        """Whether an item of a queue comes first; raises KeyError if the queue is empty."""
         return self._ranks_by_queue[queue_key][0] == rank
