--- a/passgate/daemon/cold_permits.py
+++ b/passgate/daemon/cold_permits.py
@@ -160,7 +160,7 @@
         self.peer_method = PERMITS_METHOD
         """Method name of the peer calls that :attr:`handle_peer_request` handles."""
         self.handle_peer_request = self._permit_client.handle_request
-        """Returns the encoded response to an encoded permit request, given the sender's address first.
+        """Takes the sender's address and an encoded permit request; returns the encoded response.
 
         Raises msgspec.DecodeError for a payload that is no permit request.
         """
--- a/passgate/daemon/control_topic.py
+++ b/passgate/daemon/control_topic.py
@@ -15,7 +15,7 @@
 from passgate.versions.control_topic import ControlTopic
 
 ELECTABLE_PARTITIONS = 3
-"""Number of partitions whose watchers may lead; in a zone, this many daemons follow the control topic."""
+"""The watchers of this many partitions, from number 0 on, may lead; others don't follow the control topic."""
 
 
 def make_control_topic(
--- a/passgate/decisions/cold_events.py
+++ b/passgate/decisions/cold_events.py
@@ -11,7 +11,7 @@
     cold: int
     """Number of cold and possibly cold replicas."""
     replicas: tuple[str, ...]
-    """Sorted identifiers of these replicas; the first few if there are many."""
+    """Sorted identifiers of the cold and possibly cold replicas; the first few if there are many."""
     log_age_ms: float
     """Age of this daemon's view of the log."""
 
--- a/passgate/decisions/daemon_events.py
+++ b/passgate/decisions/daemon_events.py
@@ -126,7 +126,7 @@
     """Entries of discovery were not used, as they describe no usable replica; reported at a limited rate."""
 
     key: str
-    """Key of the last of these entries, possibly cut short."""
+    """Key of the last unusable entry, possibly cut short."""
     reason: str
     """Why the last entry is not usable, possibly cut short."""
     entries: int
--- a/passgate/decisions/leader_events.py
+++ b/passgate/decisions/leader_events.py
@@ -84,7 +84,7 @@
     count: int
     """Total number of replicas that the order asks for."""
     present: int
-    """Number of such replicas in the zone that are listed and not draining."""
+    """Number of the service's replicas of this kind in the zone that are listed and not draining."""
     fence: int
     """Fencing token of the order; a later decision about the same replicas has a higher one."""
     outcome: str
--- a/passgate/decisions/request_events.py
+++ b/passgate/decisions/request_events.py
@@ -112,17 +112,17 @@
 class IsolatedRunStarted(Event, tag="last_chance_begun"):
     """Whether a request that one more crash would quarantine may begin its isolated run at a replica.
 
-    An isolated run gives way to one announced earlier at the same replica, so that a crash is attributed to
-    the right request.  Ordinary requests may run beside it.
+    It gives way to another isolated run that was announced earlier at the replica, so that a crash is
+    attributed to the right request.  Ordinary requests may run beside an isolated run.
     """
 
     replica_id: str
     fingerprint: str
     """Digest of the request's content."""
     announced: bool
-    """Whether its announcement was read back from the log in time; without that, the run begins anyway."""
+    """Whether the run's announcement was read back from the log in time; if not, the run begins anyway."""
     is_first: bool
-    """Whether the run may begin; if not, another one was announced earlier."""
+    """Whether the run may begin; if not, another isolated run was announced earlier at the replica."""
 
 
 class ItemQuarantined(Event, tag="item_held"):
--- a/passgate/errors/peers.py
+++ b/passgate/errors/peers.py
@@ -50,7 +50,7 @@
 
 
 class PeerCatchingUp(PeerError):
-    """No peer can answer the call yet, for example as its view of the log is not current; retry soon."""
+    """The call can't be answered yet, for example as the peer's view of the log is old; retry soon."""
 
     code = "peer_catching_up"
     execution = ExecutionStatus.NOT_RUN
--- a/passgate/errors/platform.py
+++ b/passgate/errors/platform.py
@@ -13,7 +13,7 @@
 
 
 class LogUnavailable(LogError):
-    """The log refused a call or could not be reached; callers take an append as certainly without effect."""
+    """The log refused a call or could not be reached; an append counts as certainly without effect."""
 
     code = "log_unavailable"
     execution = ExecutionStatus.NOT_RUN
@@ -44,7 +44,7 @@
 
 
 class UnknownRecord(LogError):
-    """A record is unreadable or of a kind that is unknown or unexpected there; it is skipped."""
+    """A record is unreadable, or its kind is unknown or unexpected on its stream; readers skip it."""
 
     code = "unknown_record"
 
--- a/passgate/errors/requests.py
+++ b/passgate/errors/requests.py
@@ -94,7 +94,7 @@
 
 
 class RevisionConflict(InvalidRequest):
-    """A configuration object is not at the expected revision; details give its ``revision``, 0 for none."""
+    """A configuration object is not at the expected revision; details give its present ``revision``."""
 
     code = "revision_conflict"
     http_status = 409
@@ -143,7 +143,7 @@
 
 
 class NotReady(Refused):
-    """This daemon's state is missing or out of date, for example just after its start."""
+    """This daemon lacks current state that the request needs, for example just after its start."""
 
     code = "not_ready"
 
@@ -219,7 +219,7 @@
 
 
 class AnswerMismatch(ExecutionFailed):
-    """The answer belongs to another request."""
+    """The answer belongs to another request, or does not name the request to which it belongs."""
 
     code = "answer_mismatch"
 
@@ -244,7 +244,7 @@
 
 
 class Cancelled(ExecutionFailed):
-    """The caller closed its connection before it was answered."""
+    """The caller closed its connection before the answer was complete."""
 
     code = "cancelled"
     http_status = 499
--- a/passgate/explain.py
+++ b/passgate/explain.py
@@ -74,7 +74,7 @@
 
 
 def parse_lines(raw_lines: Iterable[str]) -> list[LogLine]:
-    """Return the decision lines: those that from their first ``{`` on are an object with the key ``event``.
+    """Return the decision lines; skip those that from the first ``{`` on are no object with a key ``event``.
 
     The key ``_order`` that is added to each holds the time by which lines are sorted.
     """
@@ -95,7 +95,7 @@
 
 
 def _time_of_prefix(prefix: str, default: float) -> float:
-    """Return the number that a prefix begins with: a time by one clock for all lines; else ``default``."""
+    """Return the time with which a prefix begins, by the clock of the tool that added it, or ``default``."""
     first = prefix.split(None, 1)[0] if prefix.strip() else ""
     try:
         return float(first)
--- a/passgate/jobs/group_progress.py
+++ b/passgate/jobs/group_progress.py
@@ -1,4 +1,4 @@
-"""Counts the item groups of a job that have all their results, up to the number that its caller waits for.
+"""Counts the item groups of a job that have all their results, as its caller waits for a number of them.
 
 >>> items = [ItemSpec(id="a1", path="/p", group="a"), ItemSpec(id="b1", path="/p", group="b")]
 >>> progress = GroupProgress(items, desired=1)
--- a/passgate/jobs/item_run.py
+++ b/passgate/jobs/item_run.py
@@ -48,7 +48,7 @@
 LONG_OUTPUT_MAX_TIME_RATIO = 0.83
 """A long output may move once to a replica whose latency is below this share of the present one's."""
 RETRY_PAUSE_S = 0.02
-"""Pause after a failed attempt; there is none after a refusal or a move to a faster replica."""
+"""Pause after a failed attempt; none after a refusal by the replica or a move to a faster one."""
 ATTEMPT_DEADLINE_S = 30.0
 """Time limit of an attempt, which the replica gets as its deadline."""
 HTTP_INTERNAL_SERVER_ERROR, HTTP_UNPROCESSABLE_CONTENT = 500, 422
@@ -122,7 +122,7 @@
             self._stream.resume_after(usable_events)
         self.checkpointer = ItemCheckpointer(spec.job_id, item.id, self._stream, usable_events)
         self._error_answers = 0
-        """Answers of status 500, over all attempts."""
+        """Number of answers of status 500, over all attempts."""
         self._moved_for_length = False
         self._avoided_replica: ReplicaIncarnation | None = None
         """Replica of the last failed attempt; not chosen while another replica is available."""
--- a/passgate/jobs/journal.py
+++ b/passgate/jobs/journal.py
@@ -89,7 +89,7 @@
     def renew_lease(self, fence: int = NO_FENCE) -> None:
         """Queue a lease renewal, unless one is queued or the last acknowledged append is recent.
 
-        Recent is an append that was sent less than RENEWAL_INTERVAL_S ago.
+        An append counts as recent if it was sent less than RENEWAL_INTERVAL_S ago.
 
         Args:
             fence: fence of this daemon's leadership; NO_FENCE if it does not lead.
--- a/passgate/jobs/ownership.py
+++ b/passgate/jobs/ownership.py
@@ -35,14 +35,14 @@
 NON_WATCHER_DELAY_S = 2.0
 """Additional time, plus a random one up to 1 s, before a daemon that is not the watcher claims a job."""
 RELEASE_PAUSE_S = 2.0
-"""Time for which released jobs are not run here, as the daemon that requested the release claims them."""
+"""Minimum time for which released jobs are not run here, so that another daemon can claim them."""
 CLAIM_READ_TIME_S = 0.5
 """Time for an appended claim to be read; until then, the job is not claimed again."""
 TAKEOVER_JITTER_S = 0.3
 """Upper bound of the random time added to TAKEOVER_AFTER_S, so that few daemons claim at once."""
 
 NEVER_S = float("-inf")
-"""Last contact with a writer of which no record was read."""
+"""Loop time of the last contact with a writer of which no record was read."""
 UNLIMITED_TIME_TO_LIVE_S = float("inf")
 """Time to live of a job whose items expire only by its runner."""
 NO_OWNER = ""
--- a/passgate/jobs/peers.py
+++ b/passgate/jobs/peers.py
@@ -40,7 +40,7 @@
 OWN_TIMEOUT_S = 0.1
 """Timeout of a response by a watcher nearby that was asked to own a new job."""
 MAX_VIEW_AGE_FOR_PEERS_S = 0.6
-"""Maximum age of the view of the log from which another daemon gets a page without results."""
+"""Maximum age of this daemon's view of the log with which another daemon gets a page without results."""
 NEXT_CALL_DELAY_S = 0.15
 """Time for a daemon nearby to respond before the next one is called as well."""
 MAX_CALLED_IN_ZONE = 3
--- a/passgate/jobs/projection.py
+++ b/passgate/jobs/projection.py
@@ -150,7 +150,7 @@
         self.last_contact_s_by_writer: dict[str, float] = {}
         """Loop time at which the last new batch was applied, by writer; see ``apply``."""
         self.newest_job_by_model: dict[str, str] = {}
-        """Identifier of the newest job, which may have been removed, by model."""
+        """Identifier, by model, of the newest job, which may have been removed."""
         self.recorded_events_by_item: dict[str, RecordedEvents] = {}
         """Recorded events of the item's latest run, by :meth:`JobState.item_key`."""
         self.newest_result_by_item: dict[str, Result] = {}
--- a/passgate/jobs/reward_call.py
+++ b/passgate/jobs/reward_call.py
@@ -79,7 +79,7 @@
         self._context = context
         self._attempt_count = 0
         self._error_answers = 0
-        """Answers of status 500, over all attempts."""
+        """Number of answers of status 500, over all attempts."""
         self._timeouts = 0
         self._avoided_replica: ReplicaIncarnation | None = None
         self._retry_pause_s = FIRST_RETRY_PAUSE_S
