--- a/passgate/daemon/http_client.py
+++ b/passgate/daemon/http_client.py
@@ -6,7 +6,7 @@
 from passgate.clients.http_call import HttpLimits
 
 CONNECT_TIMEOUT_S = 0.7
-"""Time to open a connection; shorter than the 1 s after which the kernel resends a lost SYN."""
+"""Default limit of the time to open a connection; below the 1 s after which the kernel resends a lost SYN."""
 UNACKNOWLEDGED_TIMEOUT_S = 2.0
 """Time after which a connection with unacknowledged sent bytes is closed; allows for two lost packets."""
 MAX_BUFFERED_BYTES = 32 * 1024
--- a/passgate/errors/base.py
+++ b/passgate/errors/base.py
@@ -37,7 +37,7 @@
     code = "internal"
     """Stable machine-readable code in snake case."""
     http_status = 500
-    """Status of the HTTP response that reports the error."""
+    """Default status of the HTTP response that reports the error."""
     execution = ExecutionStatus.UNKNOWN
     """Default of the class; an instance may carry another one."""
 
--- a/passgate/jobs/peers.py
+++ b/passgate/jobs/peers.py
@@ -173,7 +173,7 @@
         self._directory = directory
         self._member_name = member_name
         self._decisions = decisions
-        self._unanswered_since_s_by_partition: dict[int, float] = {}
+        self._catching_up_since_s_by_partition: dict[int, float] = {}
         """Loop time, by partition, since which the watcher has been catching up at every call."""
 
     @property
@@ -331,12 +331,12 @@
         while True:
             try:
                 payload = await self._call_watcher(partition, method, request, until_s - monotonic_s())
-                self._unanswered_since_s_by_partition.pop(partition, None)
+                self._catching_up_since_s_by_partition.pop(partition, None)
                 return payload
             except PeerCatchingUp as error:
                 now_s = monotonic_s()
                 if (
-                    now_s - self._unanswered_since_s_by_partition.setdefault(partition, now_s)
+                    now_s - self._catching_up_since_s_by_partition.setdefault(partition, now_s)
                     > CATCH_UP_TIMEOUT_S
                 ):
                     raise PeerUnreachable("no watcher has caught up in time", part=partition) from error
--- a/passgate/jobs/service.py
+++ b/passgate/jobs/service.py
@@ -181,9 +181,10 @@
     async def _choose_owner(self, partition: JobPartition, spec: JobSpec) -> str:
         """Return the writer that will run a new job, or empty for none.
 
-        If this daemon follows the partition, the owner of the model's previous job is preferred: it knows the
-        load that it causes at the replicas.  Then come the partition's watcher and this daemon.  For a job
-        that this region may not hold, only watchers in its allowed regions count.
+        Candidates, in this order: the owner of the model's previous job, which knows the load that it causes
+        at the replicas; the partition's watcher; this daemon.  The first one counts only if the job is not
+        region-restricted and this daemon has recent records of that owner.  For a job that this region may
+        not hold, only watchers in the allowed regions are asked.
         """
         if not self._may_hold(spec.host, spec.path, spec.tenant):
             return await self._peers.find_owner_in_regions(partition.number, self._allowed_regions(spec))
