--- a/passgate/jobs/event_stream.py
+++ b/passgate/jobs/event_stream.py
@@ -93,7 +93,7 @@
         """Parse bytes of the stream and add the events that they complete.
 
         Raises IncompleteAnswer for an event without a number, out of order, or without a weight version, and
-        ValueError for bytes that are not UTF-8 or a version that is no number.
+        ValueError for bytes that are not UTF-8 or numbers that can't be parsed.
         """
         self._unparsed += chunk.replace(b"\r\n", b"\n")
         *blocks, self._unparsed = self._unparsed.split(b"\n\n")
